--- a/packages/toucanyard-cli/src/toucanyard_cli/ask_texts.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/ask_texts.py
@@ -14,7 +14,7 @@
 )
 from toucanyard.names import CustomerName
 from toucanyard.placement import Score
-from toucanyard.statistics import REST, Statistics
+from toucanyard.statistics import OTHER_CUSTOMERS, Statistics
 from toucanyard_cli.tables import Cell, render_cell, render_table
 from toucanyard_node.locate_answer import LocateAnswer
 from toucanyard_node.operator_answers import EndpointStatus, StatusReply
@@ -142,7 +142,7 @@
 
 
 def _name_customer(customer: CustomerName) -> str:
-    return "(all others)" if customer == REST else customer
+    return "(all others)" if customer == OTHER_CUSTOMERS else customer
 
 
 def render_located(reply: LocateAnswer) -> str:
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/arrivals.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/arrivals.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard_emulator.scenario import (
     Burst,
     CallKind,
@@ -31,7 +31,7 @@
     at_ms: float
     kind: CallKind
     domain: int
-    parts: tuple[Part, ...]
+    parts: tuple[PromptBlock, ...]
     output_tokens: int
     work_ms: float
     worth: float
@@ -113,7 +113,7 @@
     outputs = max(int(kind.output_tokens * rng.uniform(0.4, 1.6)), 1)
     work_ms = kind.work_ms * rng.uniform(0.5, 1.5)
     own = f"{kind.name} own {rng.getrandbits(48):x}"
-    parts = (*shared, Part(own, own_tokens)) if own_tokens else ()
+    parts = (*shared, PromptBlock(own, own_tokens)) if own_tokens else ()
     worth = kind.worth
     if parts:
         total = sum(part.tokens for part in parts)
@@ -124,7 +124,7 @@
 
 def _draw_shared(
     scenario: Scenario, kind: CallKind, at_s: float, rng: random.Random
-) -> tuple[Part, ...]:
+) -> tuple[PromptBlock, ...]:
     subject = rng.random()
     draw = rng.random()
     for fault in scenario.faults:
@@ -134,6 +134,6 @@
             subject = 0.0
     # A subject of a deep level has one subject of each level above it.
     return tuple(
-        Part(f"{kind.name} {level} {int(subject * each.subjects)}", each.tokens)
+        PromptBlock(f"{kind.name} {level} {int(subject * each.subjects)}", each.tokens)
         for level, each in enumerate(kind.shared)
     )
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from toucanyard.names import Address, EndpointName
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_events import ReplicaState, WeightsOrder
 from toucanyard_emulator.prompt_memory import PromptMemory
 from toucanyard_emulator.read_ledger import ReadLedger
@@ -52,7 +52,7 @@
 
     rank: int
     scope: str
-    parts: tuple[Part, ...]
+    parts: tuple[PromptBlock, ...]
     output_tokens: int
     weights_version: int
     fetch_from: Address | None
@@ -274,7 +274,7 @@
         memory.touch(job.scope, shared)
         self._ledger.moved_bytes += size_bytes
         job.ready_ms = done_ms
-        fetched: list[Part] = []
+        fetched: list[PromptBlock] = []
         tokens = 0
         for part in shared:
             tokens += part.tokens
@@ -285,7 +285,7 @@
             done_ms - now_ms, lambda: self._keep_fetched(job, fetched)
         )
 
-    def _keep_fetched(self, job: Job, parts: list[Part]) -> None:
+    def _keep_fetched(self, job: Job, parts: list[PromptBlock]) -> None:
         version = int(job.scope.split("/")[1])
         if self.presence is Presence.UP and version == self.version:
             self.memory.keep(job.scope, parts, self._clock.now_ms)
@@ -337,7 +337,7 @@
         self._running.append(job)
         self._make_token(job, now_ms)
 
-    def _save(self, job: Job, shared: tuple[Part, ...]) -> None:
+    def _save(self, job: Job, shared: tuple[PromptBlock, ...]) -> None:
         found = None if job.save_to is None else self._find_memory(job.save_to)
         if found is None:
             return
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
@@ -26,8 +26,8 @@
     LinkMessageRead,
     Note,
     OrderAnswered,
-    PartsChanged,
     PeersLinked,
+    PromptBlocksChanged,
     QuarantineErased,
     QuarantineWritten,
     ReadReplicaState,
@@ -286,7 +286,7 @@
         told = self.world.pool.tell_parts(name, self._followed[name])
         if told is not None:
             changes, self._followed[name] = told
-            self.handle(PartsChanged(name, changes, is_reset=False, epoch=1))
+            self.handle(PromptBlocksChanged(name, changes, is_reset=False, epoch=1))
         self.after(FOLLOW_MS, lambda: self._follow(name))
 
     def link(self, peers: tuple[NodeId, ...]) -> None:
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/prompt_memory.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/prompt_memory.py
@@ -5,10 +5,10 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-from toucanyard.part_book import Part
-from toucanyard.relay_events import PartChange
+from toucanyard.prompt_block_index import PromptBlock
+from toucanyard.relay_events import PromptBlockChange
 
-PartKey = tuple[str, str]
+PromptBlockKey = tuple[str, str]
 
 
 class PromptMemory:
@@ -22,16 +22,16 @@
 
     def __init__(self, size_tokens: int) -> None:
         self.size_tokens = size_tokens
-        self.changes: list[tuple[float, PartChange]] = []
+        self.changes: list[tuple[float, PromptBlockChange]] = []
         """What was kept and dropped, with its time, for whoever follows."""
         self._held_tokens = 0
         """Of running calls: their own parts, and shared ones, each once."""
-        self._pins: dict[PartKey, int] = {}
-        self._parts: OrderedDict[PartKey, int] = OrderedDict()
+        self._pins: dict[PromptBlockKey, int] = {}
+        self._parts: OrderedDict[PromptBlockKey, int] = OrderedDict()
         self._tokens = 0
         """Of the parts that are kept and that no running call holds."""
 
-    def count_leading(self, scope: str, parts: Sequence[Part]) -> int:
+    def count_leading(self, scope: str, parts: Sequence[PromptBlock]) -> int:
         """Return how many tokens from a prompt's front are kept."""
         tokens = 0
         for part in parts:
@@ -41,13 +41,13 @@
             tokens += held
         return tokens
 
-    def touch(self, scope: str, parts: Sequence[Part]) -> None:
+    def touch(self, scope: str, parts: Sequence[PromptBlock]) -> None:
         """Note that parts are used now."""
         for part in reversed(parts):
             if (scope, part.name) in self._parts:
                 self._parts.move_to_end((scope, part.name))
 
-    def keep(self, scope: str, parts: Sequence[Part], now_ms: float) -> None:
+    def keep(self, scope: str, parts: Sequence[PromptBlock], now_ms: float) -> None:
         """Keep parts; the last of a chain yields first."""
         for part in reversed(parts):
             key = (scope, part.name)
@@ -56,10 +56,14 @@
                 continue
             self._parts[key] = part.tokens
             self._tokens += 0 if key in self._pins else part.tokens
-            self.changes.append((now_ms, PartChange(scope, part.name, part.tokens)))
+            self.changes.append(
+                (now_ms, PromptBlockChange(scope, part.name, part.tokens))
+            )
         self._make_room(now_ms)
 
-    def has_room(self, scope: str, parts: Sequence[Part], own_tokens: int) -> bool:
+    def has_room(
+        self, scope: str, parts: Sequence[PromptBlock], own_tokens: int
+    ) -> bool:
         """Tell whether a call fits beside those that run."""
         needed = own_tokens + sum(
             part.tokens for part in parts if (scope, part.name) not in self._pins
@@ -67,7 +71,7 @@
         return self._held_tokens + needed <= self.size_tokens
 
     def hold(
-        self, scope: str, parts: Sequence[Part], own_tokens: int, now_ms: float
+        self, scope: str, parts: Sequence[PromptBlock], own_tokens: int, now_ms: float
     ) -> None:
         """Hold what a running call needs."""
         self._held_tokens += own_tokens
@@ -79,7 +83,9 @@
             self._pins[key] = self._pins.get(key, 0) + 1
         self._make_room(now_ms)
 
-    def release(self, scope: str, parts: Sequence[Part], own_tokens: int) -> None:
+    def release(
+        self, scope: str, parts: Sequence[PromptBlock], own_tokens: int
+    ) -> None:
         """Free what a call held; its shared parts stay, and may yield."""
         self._held_tokens -= own_tokens
         for part in parts:
@@ -93,7 +99,7 @@
     def clear(self, now_ms: float) -> None:
         """Drop all parts."""
         for scope, name in self._parts:
-            self.changes.append((now_ms, PartChange(scope, name, 0)))
+            self.changes.append((now_ms, PromptBlockChange(scope, name, 0)))
         self._parts.clear()
         self._tokens = 0
 
@@ -107,4 +113,4 @@
             tokens = self._parts.pop(key)
             self._tokens -= tokens
             excess -= tokens
-            self.changes.append((now_ms, PartChange(*key, 0)))
+            self.changes.append((now_ms, PromptBlockChange(*key, 0)))
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/read_ledger.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/read_ledger.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 
 REUSE_MS: Final = 10_000.0
 """A part that was not used for longer may be read again without being counted."""
@@ -23,7 +23,7 @@
         self._used_ms: dict[tuple[str, str], float] = {}
 
     def note_read(
-        self, scope: str, parts: Sequence[Part], kept_tokens: int, now_ms: float
+        self, scope: str, parts: Sequence[PromptBlock], kept_tokens: int, now_ms: float
     ) -> None:
         """Note that an engine that keeps so many tokens of a front reads the rest."""
         tokens = 0
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
@@ -13,8 +13,8 @@
     ReplicaId,
     ServiceName,
 )
-from toucanyard.part_sources import name_store
-from toucanyard.relay_events import PartChange, WeightsOrder
+from toucanyard.prompt_block_sources import compute_store_name
+from toucanyard.relay_events import PromptBlockChange, WeightsOrder
 from toucanyard.replica_lives import name_life
 from toucanyard.replicas import Replica
 from toucanyard.routes import PromptStore
@@ -248,7 +248,7 @@
 
     def tell_parts(
         self, name: EndpointName, told: int
-    ) -> tuple[tuple[PartChange, ...], int] | None:
+    ) -> tuple[tuple[PromptBlockChange, ...], int] | None:
         """Return what a holder tells of its parts, late and with losses."""
         memory = self._find_memory(name)
         if memory is None:
@@ -267,6 +267,6 @@
         if isinstance(replica, Engine):
             return replica.memory if replica.presence is Presence.UP else None
         kept = self.prompt_store
-        if kept is not None and name_store(kept) == name:
+        if kept is not None and compute_store_name(kept) == name:
             return self._memories[kept.address][0]
         return None
--- a/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
@@ -160,12 +160,12 @@
             )
             size_bytes = compute_answer_bytes(response)
             self._budget.spend(size_bytes, find_now_ms())
-            self._dump_sizes.note_whole(endpoint, size_bytes)
+            self._dump_sizes.record_complete(endpoint, size_bytes)
             dump = decode_dump(response)
         except (ConnectionFailedError, AnswerInvalidError) as error:
             if isinstance(error, BodyTooLargeError):
                 self._budget.spend(max_bytes, find_now_ms())
-                self._dump_sizes.note_cut(endpoint, max_bytes)
+                self._dump_sizes.record_truncated(endpoint, max_bytes)
             _LOG.info("dump_unread", endpoint=endpoint, error=str(error)[:200])
             return
         await self._emit(CacheDumpRead(endpoint, dump))
--- a/packages/toucanyard-node/src/toucanyard_node/model_requests.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_requests.py
@@ -120,7 +120,7 @@
         chain=chains.find_chain(pool.weights_version),
         prompt_bytes=len(prompt),
         max_tokens=max_tokens,
-        home_keys=chains.compute_home_keys(),
+        affinity_keys=chains.compute_affinity_keys(),
         chains=chains,
     )
     is_plain_only = any(
--- a/packages/toucanyard-node/src/toucanyard_node/part_following.py
+++ b/packages/toucanyard-node/src/toucanyard_node/part_following.py
@@ -8,9 +8,9 @@
 import trio
 
 from toucanyard.names import EndpointName
-from toucanyard.part_sources import PartHolder
+from toucanyard.prompt_block_sources import PromptBlockHolder
 from toucanyard.relay_core import RelayCore
-from toucanyard.relay_events import HolderLost, PartsChanged
+from toucanyard.relay_events import HolderLost, PromptBlocksChanged
 from toucanyard_node.relay_ports import PartFollower
 from toucanyard_node.relay_task import RelayClient
 
@@ -46,7 +46,7 @@
                 self._update(wanted, nursery)
                 await trio.sleep(LOOK_S)
 
-    def _update(self, wanted: list[PartHolder], nursery: trio.Nursery) -> None:
+    def _update(self, wanted: list[PromptBlockHolder], nursery: trio.Nursery) -> None:
         names = {holder.name for holder in wanted}
         for name in set(self._scopes) - names:
             self._scopes.pop(name).cancel()
@@ -55,7 +55,7 @@
                 scope = self._scopes[holder.name] = trio.CancelScope()
                 nursery.start_soon(self._follow, holder, scope)
 
-    async def _follow(self, holder: PartHolder, scope: trio.CancelScope) -> None:
+    async def _follow(self, holder: PromptBlockHolder, scope: trio.CancelScope) -> None:
         since, epoch = 0, -1
         is_lost = False
         with scope:
@@ -74,6 +74,6 @@
                 is_reset = epoch not in (-1, page.epoch)
                 epoch, since = page.epoch, page.next_number
                 self._client.tell(
-                    PartsChanged(holder.name, page.changes, is_reset, epoch)
+                    PromptBlocksChanged(holder.name, page.changes, is_reset, epoch)
                 )
                 await trio.sleep(GATHER_S)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
@@ -17,7 +17,7 @@
 from toucanyard.names import Address, Fingerprint, ReplicaId
 from toucanyard.node_records import NodeRecord
 from toucanyard.quarantine import QuarantinedRequest
-from toucanyard.relay_events import PartChange, ReplicaState, WeightsOrder
+from toucanyard.relay_events import PromptBlockChange, ReplicaState, WeightsOrder
 from toucanyard.relay_requests import Prompt, RelayDispatch, RelayRequest
 from toucanyard_node.http_client import Headers, ResponseHead
 from toucanyard_node.http_exchange import HttpRequest
@@ -121,7 +121,7 @@
     next_number: int
     is_lost: bool
     """Whether something between is missing."""
-    changes: tuple[PartChange, ...]
+    changes: tuple[PromptBlockChange, ...]
 
 
 class PartFollower(Protocol):
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_placement_cost.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_placement_cost.py
@@ -109,7 +109,7 @@
         placed = placement.choose(request, pool, pool.endpoints, now_ms)
         took_us = (time.perf_counter_ns() - began_ns) // 1_000
         assert placed is not None
-        placement.note_dispatch(request, placed, pool, now_ms)
+        placement.record_dispatch(request, placed, pool, now_ms)
         if number >= DECISIONS // 4:
             histogram.record_value(max(int(took_us), 1))
     return histogram
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_baselines.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_baselines.py
@@ -67,7 +67,7 @@
     ) -> tuple[float, ...]:
         """Return the match, negated, and the place in the hash's ranking."""
         warm = self._view(name).count_warm(target)
-        keys = target.find_home_keys()
+        keys = target.find_affinity_keys()
         key = keys[min(AFFINITY_PLACE, len(keys)) - 1]
         ring = EndpointRing(names)
         return (-warm, ring.rank(names, key).index(name))
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_node.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_node.py
@@ -91,7 +91,7 @@
                 self._read_events(engine, now_ms)
         for name in self.placement.find_doubtful(self.run.engines, now_ms):
             if self.run.engines[name].is_up:
-                self.placement.note_dump_asked(name, now_ms)
+                self.placement.record_dump_request(name, now_ms)
                 dump = self.run.engines[name].make_dump()
                 self.placement.apply_cache_dump(name, dump, now_ms)
         self.run.clock.call_after(POLL_MS, self.poll)
@@ -140,10 +140,10 @@
         task.attempt += 1
         task.sent_ms = now_ms
         task.endpoint = placed.endpoint
-        self.placement.note_dispatch(request, placed, self.run.pool, now_ms)
+        self.placement.record_dispatch(request, placed, self.run.pool, now_ms)
         work_ms = placed.first_token_ms - placed.queue_ms
         name = placed.endpoint
-        self.admission.note_dispatch(request.request_id, name, work_ms, now_ms)
+        self.admission.record_dispatch(request.request_id, name, work_ms, now_ms)
         self._send(task, placed)
 
     def _send(self, task: Task, placed: Placed) -> None:
@@ -177,8 +177,8 @@
         run.note_prompt(task, job)
         if self.is_gone:
             return
-        self.placement.note_first_token(request_id, task.endpoint, after_ms, now_ms)
-        self.admission.note_first_token(request_id, after_ms - work_ms, now_ms)
+        self.placement.record_first_token(request_id, task.endpoint, after_ms, now_ms)
+        self.admission.record_first_token(request_id, after_ms - work_ms, now_ms)
 
     def _note_end(self, task: Task, job: Job, ending: EndingSeen) -> None:
         now_ms = self.run.clock.now_ms
@@ -193,14 +193,14 @@
                 incarnation,
                 duration_ms=now_ms - task.sent_ms,
             )
-            self.placement.note_outcome(task.request, outcome, now_ms)
+            self.placement.record_dispatch_end(task.request, outcome, now_ms)
         if ending == EndingSeen.COMPLETED:
             self.run.note_served(task)
             self._finish(task)
             return
         if not self.is_gone:
             self._note_down(task.endpoint)
-            self.admission.note_failure(task.request.request_id, now_ms)
+            self.admission.record_failure(task.request.request_id, now_ms)
         if not self.is_gone and self.admission.may_retry(task.attempt):
             self.run.result.retries += 1
             self._dispatch(task)
--- a/packages/toucanyard/src/toucanyard/admission.py
+++ b/packages/toucanyard/src/toucanyard/admission.py
@@ -152,7 +152,7 @@
         backend = self._find_backend(compute_backend_name(request))
         return [name for name in names if backend.has_room(name)]
 
-    def note_dispatch(
+    def record_dispatch(
         self,
         request_id: RequestId,
         endpoint: EndpointName,
@@ -172,7 +172,7 @@
         backend.move(admitted, endpoint)
         admitted.late_ms = now_ms + work_ms + LATE_WAITS * self._limits.target_wait_ms
 
-    def note_first_token(
+    def record_first_token(
         self, request_id: RequestId, wait_ms: float, now_ms: float
     ) -> None:
         """Follow how long a request waited at its endpoint, computation left out."""
@@ -183,12 +183,12 @@
                 backend = self._find_backend(compute_backend_name(admitted.request))
                 backend.note_wait(admitted.endpoint, wait_ms, now_ms)
 
-    def note_failure(self, request_id: RequestId, now_ms: float) -> None:
+    def record_failure(self, request_id: RequestId, now_ms: float) -> None:
         """Lower the limit of an endpoint at which a dispatch failed."""
         admitted = self._admitted.get(request_id)
         if admitted is not None and admitted.endpoint is not None:
             backend = self._find_backend(compute_backend_name(admitted.request))
-            backend.note_failure(admitted.endpoint, now_ms)
+            backend.record_failure(admitted.endpoint, now_ms)
 
     def may_retry(self, attempt: int) -> bool:
         """Take one retry from the budget; False when attempts or budget are spent."""
@@ -216,7 +216,7 @@
         for request_id, admitted in self._admitted.items():
             if admitted.late_ms <= now_ms:
                 admitted.late_ms = float("inf")
-                self.note_failure(request_id, now_ms)
+                self.record_failure(request_id, now_ms)
 
     def _check_queue(
         self, backend: Backend, request: Request, now_ms: float
--- a/packages/toucanyard/src/toucanyard/backends.py
+++ b/packages/toucanyard/src/toucanyard/backends.py
@@ -108,11 +108,11 @@
         limit.note_wait(wait_ms, now_ms)
         self._shift_capacity(name, limit.limit - before)
 
-    def note_failure(self, name: EndpointName, now_ms: float) -> None:
+    def record_failure(self, name: EndpointName, now_ms: float) -> None:
         """Lower the limit of an endpoint at which a dispatch failed or is overdue."""
         limit = self.find_limit(name)
         before = limit.limit
-        limit.note_failure(now_ms)
+        limit.record_failure(now_ms)
         self._shift_capacity(name, limit.limit - before)
 
     def count_running(self) -> int:
--- a/packages/toucanyard/src/toucanyard/cache_view.py
+++ b/packages/toucanyard/src/toucanyard/cache_view.py
@@ -21,13 +21,13 @@
 
 REORDER_WINDOW_MS: Final = 500.0
 """How long a gap may be filled by late events before the view is doubtful."""
-MAX_HELD: Final = 64
+MAX_PENDING_EVENTS: Final = 64
 """Events held behind a gap."""
 NEVER_MS: Final = float("-inf")
-TRIM_PARTS: Final = 16
+TRIM_DIVISOR: Final = 16
 """A full view drops this part of its blocks at once."""
 STORED_HALF_LIFE_MS: Final = 5_000.0
-MAX_DEAD: Final = 16
+MAX_REPLACED: Final = 16
 """Replaced incarnations that are remembered; messages of older ones are long gone."""
 
 
@@ -73,11 +73,11 @@
 
     __slots__ = (
         "_blocks",
-        "_dead",
+        "_replaced",
         "_doubtful_ms",
         "_expected",
         "_gap_since_ms",
-        "_held",
+        "_pending",
         "_max_blocks",
         "_stored",
         "_stored_ms",
@@ -88,8 +88,8 @@
     def __init__(self, max_blocks: int) -> None:
         self._max_blocks = max_blocks
         self._blocks: dict[int, float] = {}
-        self._dead: deque[Incarnation] = deque(maxlen=MAX_DEAD)
-        self._held: dict[int, CacheEvent] = {}
+        self._replaced: deque[Incarnation] = deque(maxlen=MAX_REPLACED)
+        self._pending: dict[int, CacheEvent] = {}
         self._expected: int | None = None
         self._gap_since_ms = 0.0
         self._doubtful_ms = float("-inf")
@@ -111,19 +111,19 @@
             # A copy is as large as what it holds; the dict kept its former size.
             self._blocks = self._blocks.copy()
 
-    def note_incarnation(self, incarnation: Incarnation) -> bool:
+    def record_incarnation(self, incarnation: Incarnation) -> bool:
         """Move to an incarnation; return False if it is one that was replaced."""
         if incarnation == self.incarnation:
             return True
         # A late message of the engine's earlier run must not bring its blocks back:
         # the request would be sent for warm blocks that died with the process.
-        if incarnation in self._dead:
+        if incarnation in self._replaced:
             return False
         if self.incarnation is not None:
-            self._dead.append(self.incarnation)
+            self._replaced.append(self.incarnation)
         self.incarnation = incarnation
         self._blocks.clear()
-        self._held.clear()
+        self._pending.clear()
         self._expected = None
         self.is_doubtful = True
         self._doubtful_ms = float("-inf")
@@ -131,19 +131,19 @@
 
     def apply_events(self, events: CacheEvents, now_ms: float) -> None:
         """Take in events in the order of their numbers, holding what came early."""
-        if not self.note_incarnation(events.incarnation):
+        if not self.record_incarnation(events.incarnation):
             return
         if self._expected is None:
             self._expected = events.oldest
         for event in events.events:
             if event.seq >= self._expected:
-                self._held.setdefault(event.seq, event)
-        self._apply_held(now_ms)
+                self._pending.setdefault(event.seq, event)
+        self._apply_pending(now_ms)
         self._check_gap(events, now_ms)
 
     def apply_dump(self, dump: CacheDump, now_ms: float) -> None:
         """Replace the view by a dump unless later events were already applied."""
-        if not self.note_incarnation(dump.incarnation):
+        if not self.record_incarnation(dump.incarnation):
             return
         if (
             self._expected is not None
@@ -153,10 +153,12 @@
             return
         self._blocks = dict.fromkeys(dump.hashes[-self._max_blocks :], now_ms)
         self._expected = dump.next
-        self._held = {seq: held for seq, held in self._held.items() if seq >= dump.next}
+        self._pending = {
+            seq: pending for seq, pending in self._pending.items() if seq >= dump.next
+        }
         self.is_doubtful = False
         self._gap_since_ms = 0.0
-        self._apply_held(now_ms)
+        self._apply_pending(now_ms)
 
     def touch(self, hashes: Sequence[int], now_ms: float) -> None:
         """Note that the engine has these blocks now, since it just used them."""
@@ -203,13 +205,13 @@
     def _check_gap(self, events: CacheEvents, now_ms: float) -> None:
         expected = self._expected
         assert expected is not None
-        is_behind = events.next > expected or bool(self._held)
+        is_behind = events.next > expected or bool(self._pending)
         if not is_behind:
             self._gap_since_ms = 0.0
             return
         if not self._gap_since_ms:
             self._gap_since_ms = now_ms
-        is_lost = events.oldest > expected or len(self._held) > MAX_HELD
+        is_lost = events.oldest > expected or len(self._pending) > MAX_PENDING_EVENTS
         if is_lost or now_ms - self._gap_since_ms > REORDER_WINDOW_MS:
             self._skip_gap(now_ms)
 
@@ -217,13 +219,13 @@
         self.is_doubtful = True
         self._doubtful_ms = now_ms
         self._gap_since_ms = 0.0
-        for seq in sorted(self._held):
-            self._apply(self._held.pop(seq), 0.0)
+        for seq in sorted(self._pending):
+            self._apply(self._pending.pop(seq), 0.0)
             self._expected = seq + 1
 
-    def _apply_held(self, now_ms: float) -> None:
+    def _apply_pending(self, now_ms: float) -> None:
         assert self._expected is not None
-        while (event := self._held.pop(self._expected, None)) is not None:
+        while (event := self._pending.pop(self._expected, None)) is not None:
             self._apply(event, now_ms)
             self._expected += 1
 
@@ -260,5 +262,5 @@
             return
         # Many at a time: a dict looks past all that was deleted at its front before
         # it finds its first key, so dropping one by one would be quadratic.
-        for each in list(islice(blocks, excess + self._max_blocks // TRIM_PARTS)):
+        for each in list(islice(blocks, excess + self._max_blocks // TRIM_DIVISOR)):
             del blocks[each]
--- a/packages/toucanyard/src/toucanyard/call_placement.py
+++ b/packages/toucanyard/src/toucanyard/call_placement.py
@@ -9,19 +9,23 @@
 import msgspec
 import xxhash
 
-from toucanyard.candidates import MIN_MOVED_TOKENS
+from toucanyard.candidates import MIN_TRANSFER_TOKENS
 from toucanyard.names import EndpointName, Fingerprint, ServiceName
-from toucanyard.part_book import PartBook
-from toucanyard.part_placement import PartPlacement, PlacedPrompt
-from toucanyard.part_reports import PartReports
-from toucanyard.part_sources import PartSources, choose_store, name_store
 from toucanyard.pending_call import PendingCall
 from toucanyard.plain_placement import PlainPlacement
+from toucanyard.prompt_block_index import PromptBlockIndex
+from toucanyard.prompt_block_placement import PlacedPrompt, PromptBlockPlacement
+from toucanyard.prompt_block_reports import PromptBlockReports
+from toucanyard.prompt_block_sources import (
+    PromptBlockSources,
+    choose_store,
+    compute_store_name,
+)
 from toucanyard.relay_options import RelayOptions
 from toucanyard.relay_requests import PlacementReason, Prompt, RelayDispatch
 from toucanyard.rendezvous import compute_seed, compute_weight
 from toucanyard.replica_credits import ReplicaCredits
-from toucanyard.replica_uses import ReplicaUses
+from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.requests import Repeatability
 from toucanyard.routes import EngineTraits, PromptStore, RouteIndex, RouteTable
@@ -43,7 +47,7 @@
         options: RelayOptions,
         directory: ReplicaDirectory,
         goals: WeightsGoals,
-        sources: PartSources,
+        sources: PromptBlockSources,
         credits: ReplicaCredits,
         rng: random.Random,
     ) -> None:
@@ -55,14 +59,14 @@
         self.index = RouteIndex(RouteTable())
         self.view_confirmed_ms = float("-inf")
         """When the store last confirmed the list of replicas."""
-        self.reports = PartReports()
-        self.uses = ReplicaUses()
-        self.book = PartBook()
+        self.reports = PromptBlockReports()
+        self.usage = ReplicaUsage()
+        self.block_index = PromptBlockIndex()
         max_old_ms = options.weights.deadline_ms * MAX_OLD_SHARE
-        self._placement = PartPlacement(
-            self.book, self.uses, max_old_ms, options.policy.placement
+        self._placement = PromptBlockPlacement(
+            self.block_index, self.usage, max_old_ms, options.policy.placement
         )
-        self._plain = PlainPlacement(options.domain, self.uses, rng)
+        self._plain = PlainPlacement(options.domain, self.usage, rng)
 
     def place(self, pending: PendingCall, now_ms: float) -> RelayDispatch | None:
         """Choose a replica and count the call there; None if it has to wait."""
@@ -78,7 +82,7 @@
         if not usable:
             return None
         if pending.is_suspect:
-            usable = [_find_home(request.fingerprint, usable)]
+            usable = [_find_preferred_replica(request.fingerprint, usable)]
         usable = self._credits.select(pending, usable, now_ms)
         if not usable:
             return None
@@ -111,7 +115,7 @@
             stores,
             now_ms,
             # The caller of a stream that was cut should rather learn of it at once.
-            may_follow=not pending.has_begun,
+            may_wait_for_reader=not pending.has_begun,
         )
         if placed is None:
             return None
@@ -122,26 +126,26 @@
         tokens = prompt.count_tokens() + prompt.max_output_tokens
         self._begin(pending, replica.name, tokens, placed.unread_tokens, now_ms)
         pending.scope = placed.scope
-        read_ms = placed.wait_ms + placed.unread_tokens / self.uses.tokens_per_ms
-        self.book.note(
+        read_ms = placed.wait_ms + placed.unread_tokens / self.usage.tokens_per_ms
+        self.block_index.note(
             replica.name,
             placed.scope,
             prompt.parts,
             now_ms + read_ms,
             engine.memory_tokens,
         )
-        for part in prompt.parts:
-            self.reports.note(
+        for block in prompt.parts:
+            self.reports.record_read(
                 replica.name,
                 placed.scope,
-                part.name,
-                part.tokens,
+                block.name,
+                block.tokens,
                 now_ms + read_ms,
-                is_new=part is placed.missing,
+                is_new=block is placed.missing,
             )
-        keeper = self._find_keeper(prompt, placed, stores)
-        if keeper is not None:
-            self._note_saved(keeper, placed, prompt, now_ms + read_ms)
+        target_store = self._find_target_store(prompt, placed, stores)
+        if target_store is not None:
+            self._record_saved(target_store, placed, prompt, now_ms + read_ms)
         reason = PlacementReason(
             total_ms=placed.total_ms,
             wait_ms=placed.wait_ms,
@@ -159,29 +163,37 @@
             cache_scope=placed.scope,
             fetch_from=placed.source,
             # What no replica had is kept aside: it outlives the replica that reads it.
-            save_to=None if keeper is None else keeper.address,
+            save_to=None if target_store is None else target_store.address,
         )
 
-    def _find_keeper(
+    def _find_target_store(
         self, prompt: Prompt, placed: PlacedPrompt, stores: Sequence[PromptStore]
     ) -> PromptStore | None:
         """Return the store that is to keep what the replica reads, if that is much."""
         shared = prompt.find_shared()
         if placed.missing is None or not shared or not self._policy.placement.saves:
             return None
-        if prompt.count_shared() < MIN_MOVED_TOKENS:
+        if prompt.count_shared() < MIN_TRANSFER_TOKENS:
             return None
         domain = placed.replica.replica.domain
         return choose_store(stores, shared[-1].name, domain)
 
-    def _note_saved(
-        self, keeper: PromptStore, placed: PlacedPrompt, prompt: Prompt, ready_ms: float
+    def _record_saved(
+        self,
+        target_store: PromptStore,
+        placed: PlacedPrompt,
+        prompt: Prompt,
+        ready_ms: float,
     ) -> None:
         """Note that a store is to keep the shared parts of a prompt."""
-        name, shared = name_store(keeper), prompt.find_shared()
-        self.book.note(name, placed.scope, shared, ready_ms, keeper.memory_tokens)
-        for part in shared:
-            self.reports.note(name, placed.scope, part.name, part.tokens, ready_ms)
+        name, shared = compute_store_name(target_store), prompt.find_shared()
+        self.block_index.note(
+            name, placed.scope, shared, ready_ms, target_store.memory_tokens
+        )
+        for block in shared:
+            self.reports.record_read(
+                name, placed.scope, block.name, block.tokens, ready_ms
+            )
 
     def _place_plain(
         self, pending: PendingCall, usable: Sequence[KnownReplica], now_ms: float
@@ -234,7 +246,7 @@
         pending.sent_ms = now_ms
         pending.dispatches += 1
         pending.sends += 1
-        self.uses.begin(replica, request_id, tokens, unread_tokens, now_ms)
+        self.usage.begin(replica, request_id, tokens, unread_tokens, now_ms)
 
     def _compute_patience(self, pending: PendingCall) -> float:
         """Return how long to wait for an answer before trying elsewhere."""
@@ -259,25 +271,25 @@
             self._credits.find_limit(each.replica.name) for each in usable
         )
 
-    def note_read(self, pending: PendingCall, now_ms: float) -> None:
+    def record_read(self, pending: PendingCall, now_ms: float) -> None:
         """Note that a call's prompt has been read where it was sent."""
         prompt = pending.request.prompt
         service = self.index.find_service(pending.request.service)
         if prompt is None or service is None or service.engine is None:
             return
         if pending.replica is not None:
-            for part in prompt.find_shared():
-                if part.tokens >= MIN_MOVED_TOKENS:
-                    self.reports.note(
-                        pending.replica, pending.scope, part.name, part.tokens, now_ms
+            for block in prompt.find_shared():
+                if block.tokens >= MIN_TRANSFER_TOKENS:
+                    self.reports.record_read(
+                        pending.replica, pending.scope, block.name, block.tokens, now_ms
                     )
             memory_tokens = service.engine.memory_tokens
-            self.book.note(
+            self.block_index.note(
                 pending.replica, pending.scope, prompt.parts, now_ms, memory_tokens
             )
 
 
-def _find_home(
+def _find_preferred_replica(
     fingerprint: Fingerprint, usable: Sequence[KnownReplica]
 ) -> KnownReplica:
     """Return the replica of a suspect, the same on all nodes.
--- a/packages/toucanyard/src/toucanyard/candidates.py
+++ b/packages/toucanyard/src/toucanyard/candidates.py
@@ -22,7 +22,7 @@
 MANY_REPLICAS: Final = 16
 """Replicas beyond which load sends many parts elsewhere than hashing does. What nobody
 is known to hold is then fetched from its store on a guess."""
-MIN_MOVED_TOKENS: Final = 500
+MIN_TRANSFER_TOKENS: Final = 500
 """Least shared tokens of a prompt that are worth a guess or a place in a store: reading
 fewer takes no longer than the transfer."""
 CHOICES: Final = 3
@@ -54,7 +54,7 @@
     return len(candidates) > MANY_REPLICAS
 
 
-class Narrowing:
+class CandidateFilter:
     """The first choice of candidates, the same on every node but for what they hold."""
 
     __slots__ = ("_seeds",)
@@ -62,7 +62,9 @@
     def __init__(self) -> None:
         self._seeds: dict[EndpointName, int] = {}
 
-    def find_side(self, candidates: list[Candidate], prompt: Prompt) -> list[Candidate]:
+    def find_length_group(
+        self, candidates: list[Candidate], prompt: Prompt
+    ) -> list[Candidate]:
         """Return the candidates that prompts of this length go to first.
 
         All where there are few. Otherwise hashing divides them, the same on every node.
@@ -83,8 +85,8 @@
             seed = self._seeds[name] = compute_seed(name)
         return seed
 
-    def find_first(
-        self, side: Sequence[Candidate], prompt: Prompt, call: str
+    def find_preselected(
+        self, group: Sequence[Candidate], prompt: Prompt, call: str
     ) -> list[Candidate]:
         """Return the candidates of a prompt's side that are looked at first.
 
@@ -93,21 +95,21 @@
         find room.
         """
         shared = prompt.find_shared()
-        found = self._rank_first(side, call)
+        found = self._rank_first(group, call)
         if shared and prompt.count_tokens() > SHORT_TOKENS:
-            found += self._rank_first(side, shared[-1].name)
+            found += self._rank_first(group, shared[-1].name)
         found += heapq.nlargest(
             CHOICES,
-            (each for each in side if each.held_tokens >= MIN_MOVED_TOKENS),
+            (each for each in group if each.held_tokens >= MIN_TRANSFER_TOKENS),
             key=lambda each: each.held_tokens,
         )
         return found
 
     def _rank_first(
-        self, candidates: Iterable[Candidate], matter: str
+        self, candidates: Iterable[Candidate], hash_input: str
     ) -> list[Candidate]:
         """Return the few candidates that hashing gives to a matter."""
-        key = compute_seed(EndpointName(matter))
+        key = compute_seed(EndpointName(hash_input))
         return heapq.nlargest(
             CHOICES,
             candidates,
--- a/packages/toucanyard/src/toucanyard/concurrency_limit.py
+++ b/packages/toucanyard/src/toucanyard/concurrency_limit.py
@@ -50,7 +50,7 @@
             return
         self._reduce(now_ms)
 
-    def note_failure(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """Take a failed dispatch as a sign of overload."""
         self._reduce(now_ms)
 
--- a/packages/toucanyard/src/toucanyard/dispatch_feedback.py
+++ b/packages/toucanyard/src/toucanyard/dispatch_feedback.py
@@ -38,29 +38,31 @@
         self._silences = silences
         self._records = records
 
-    def note_sent(
+    def record_sent(
         self, pending: PendingRequest, placed: Placed, pool: Pool | None, now_ms: float
     ) -> None:
         """Count a dispatch as load of its endpoint."""
         request = pending.request
-        self._placement.note_dispatch(request, placed, pool, now_ms)
+        self._placement.record_dispatch(request, placed, pool, now_ms)
         work_ms = placed.first_token_ms - placed.queue_ms
-        self._admission.note_dispatch(
+        self._admission.record_dispatch(
             request.request_id, placed.endpoint, work_ms, now_ms
         )
 
-    def note_first_token(
+    def record_first_token(
         self, pending: PendingRequest, placed: Placed, after_ms: float, now_ms: float
     ) -> None:
         """Learn from the time to the first token, and fix the answer's weights."""
         request_id = pending.request.request_id
-        self._placement.note_first_token(request_id, placed.endpoint, after_ms, now_ms)
+        self._placement.record_first_token(
+            request_id, placed.endpoint, after_ms, now_ms
+        )
         computed_ms = placed.first_token_ms - placed.queue_ms
         wait_ms = max(after_ms - computed_ms, 0.0)
-        self._admission.note_first_token(request_id, wait_ms, now_ms)
+        self._admission.record_first_token(request_id, wait_ms, now_ms)
         pending.weights_version = self._find_sent_weights(pending, placed)
 
-    def note_outcome(
+    def record_dispatch_end(
         self, pending: PendingRequest, outcome: Outcome, now_ms: float
     ) -> None:
         """Learn from the end of a dispatch."""
@@ -69,25 +71,25 @@
             pending.may_have_run = True
         if pending.weights_version is not None and outcome.weights_version:
             pending.weights_version = outcome.weights_version
-        self._placement.note_outcome(request, outcome, now_ms)
+        self._placement.record_dispatch_end(request, outcome, now_ms)
         if outcome.longest_pause_ms > 0:
-            self._silences.note_pause(outcome.endpoint, outcome.longest_pause_ms)
+            self._silences.record_pause(outcome.endpoint, outcome.longest_pause_ms)
         if outcome.ending in PROVED_NOT_RUN:
-            self._directory.note_refusal(outcome.endpoint, now_ms)
+            self._directory.record_refusal(outcome.endpoint, now_ms)
         elif outcome.ending is EndingSeen.COMPLETED:
-            self._directory.note_success(outcome.endpoint)
+            self._directory.record_success(outcome.endpoint)
         if outcome.ending in _FAILED:
-            self._admission.note_failure(request.request_id, now_ms)
-            self._directory.note_failure(outcome.endpoint, now_ms)
-        self._records.note_ended(request, outcome, pending.sent_ms, now_ms)
+            self._admission.record_failure(request.request_id, now_ms)
+            self._directory.record_failure(outcome.endpoint, now_ms)
+        self._records.record_ended(request, outcome, pending.sent_ms, now_ms)
 
-    def note_unsent(
+    def record_unsent(
         self, pending: PendingRequest, placed: Placed, now_ms: float
     ) -> None:
         """Take a dispatch back that never left: its work is no load of the endpoint."""
         request = pending.request
         cancelled = Outcome(request.request_id, placed.endpoint, EndingSeen.CANCELLED)
-        self._placement.note_outcome(request, cancelled, now_ms)
+        self._placement.record_dispatch_end(request, cancelled, now_ms)
 
     def _find_sent_weights(self, pending: PendingRequest, placed: Placed) -> str | None:
         target = pending.request.target
--- a/packages/toucanyard/src/toucanyard/dump_requests.py
+++ b/packages/toucanyard/src/toucanyard/dump_requests.py
@@ -25,16 +25,16 @@
     list is another one, and only then.
     """
 
-    __slots__ = ("_followed", "_followed_of", "_membership", "_next_ms", "_placement")
+    __slots__ = ("_followed", "_followed_for", "_membership", "_next_ms", "_placement")
 
     def __init__(self, membership: Membership, placement: Placement) -> None:
         self._membership = membership
         self._placement = placement
         self._next_ms = 0.0
-        self._followed_of: tuple[Configuration | None, tuple[Vm, ...]] = (None, ())
+        self._followed_for: tuple[Configuration | None, tuple[Vm, ...]] = (None, ())
         self._followed: tuple[EndpointName, ...] = ()
 
-    def hurry(self, now_ms: float) -> None:
+    def schedule_now(self, now_ms: float) -> None:
         """Look at the views at the next tick: an engine's cache has become unknown."""
         self._next_ms = now_ms
 
@@ -45,14 +45,16 @@
         self._next_ms = now_ms + _INTERVAL_MS
         followed = self._find_followed(configuration)
         for endpoint in self._placement.find_doubtful(followed, now_ms):
-            self._placement.note_dump_asked(endpoint, now_ms)
+            self._placement.record_dump_request(endpoint, now_ms)
             yield ReadDump(endpoint)
 
     def _find_followed(self, configuration: Configuration) -> tuple[EndpointName, ...]:
         vms = self._membership.vms
-        is_same = configuration is self._followed_of[0] and vms is self._followed_of[1]
+        is_same = (
+            configuration is self._followed_for[0] and vms is self._followed_for[1]
+        )
         if not is_same:
-            self._followed_of = configuration, vms
+            self._followed_for = configuration, vms
             found = self._membership.find_followed(list_endpoints(configuration))
             self._followed = tuple(each.name for each in found)
         return self._followed
--- a/packages/toucanyard/src/toucanyard/endpoint_choice.py
+++ b/packages/toucanyard/src/toucanyard/endpoint_choice.py
@@ -49,12 +49,12 @@
         self._directory = directory
         self._configuration = Configuration()
         self._addresses: dict[EndpointName, Address] = {}
-        self._told_usable: dict[str, Sequence[Endpoint]] = {}
+        self._reported_usable: dict[str, Sequence[Endpoint]] = {}
 
     def apply_configuration(self, configuration: Configuration) -> None:
         """Choose by this configuration from now on."""
         self._configuration = configuration
-        self._told_usable.clear()
+        self._reported_usable.clear()
         addresses = {
             endpoint.name: endpoint.address
             for owner in find_owners(configuration)
@@ -74,13 +74,13 @@
         owner = self._find_owner(request)
         return owner if isinstance(owner, Pool) else None
 
-    def tell_usable(self, request: Request, now_ms: float) -> None:
+    def report_usable(self, request: Request, now_ms: float) -> None:
         """Tell admission which endpoints may run requests like this one."""
         usable = self._find_usable(request, now_ms)
         backend = compute_backend_name(request)
-        if self._told_usable.get(backend) is usable:
+        if self._reported_usable.get(backend) is usable:
             return
-        self._told_usable[backend] = usable
+        self._reported_usable[backend] = usable
         self._admission.apply_usable(request, [each.name for each in usable])
 
     def choose(self, request: Request, limits: Limits, now_ms: float) -> Choice | None:
--- a/packages/toucanyard/src/toucanyard/endpoint_directory.py
+++ b/packages/toucanyard/src/toucanyard/endpoint_directory.py
@@ -17,13 +17,13 @@
 from toucanyard.membership_events import EndpointError
 from toucanyard.names import EndpointName
 
-_KEEP_MS: Final = 50.0
-_MAX_KEPT: Final = 256
+_CACHE_MS: Final = 50.0
+_MAX_CACHED: Final = 256
 _MIN_BACKOFF_MS: Final = 200.0
 _MAX_BACKOFF_MS: Final = 2_000.0
 
 
-class _Kept(msgspec.Struct):
+class _CachedUsable(msgspec.Struct):
     endpoints: Sequence[Endpoint]
     usable: Sequence[Endpoint]
     until_ms: float
@@ -40,28 +40,30 @@
     Invariant: a list is at most `_KEEP_MS` old, and older than no own failure.
     """
 
-    __slots__ = ("_backoffs", "_kept", "_membership", "_weights")
+    __slots__ = ("_backoffs", "_cached", "_membership", "_weights")
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
         self._weights: dict[EndpointName, str] = {}
-        self._kept: dict[int, _Kept] = {}
+        self._cached: dict[int, _CachedUsable] = {}
         self._backoffs: dict[EndpointName, _Backoff] = {}
 
     def find_usable(
         self, endpoints: Sequence[Endpoint], now_ms: float
     ) -> Sequence[Endpoint]:
         """Return those that may get new work; the same object while unchanged."""
-        kept = self._kept.get(id(endpoints))
-        is_same = kept is not None and kept.endpoints is endpoints
-        if kept is not None and is_same and now_ms < kept.until_ms:
-            return kept.usable
+        cached = self._cached.get(id(endpoints))
+        is_same = cached is not None and cached.endpoints is endpoints
+        if cached is not None and is_same and now_ms < cached.until_ms:
+            return cached.usable
         usable: Sequence[Endpoint] = self._find_now(endpoints, now_ms)
-        if kept is not None and is_same and tuple(kept.usable) == tuple(usable):
-            usable = kept.usable
-        if len(self._kept) >= _MAX_KEPT:
-            self._kept.clear()
-        self._kept[id(endpoints)] = _Kept(endpoints, usable, now_ms + _KEEP_MS)
+        if cached is not None and is_same and tuple(cached.usable) == tuple(usable):
+            usable = cached.usable
+        if len(self._cached) >= _MAX_CACHED:
+            self._cached.clear()
+        self._cached[id(endpoints)] = _CachedUsable(
+            endpoints, usable, now_ms + _CACHE_MS
+        )
         return usable
 
     def is_backing_off(self, endpoint: EndpointName, now_ms: float) -> bool:
@@ -69,7 +71,7 @@
         backoff = self._backoffs.get(endpoint)
         return backoff is not None and now_ms < backoff.until_ms
 
-    def note_refusal(self, endpoint: EndpointName, now_ms: float) -> None:
+    def record_refusal(self, endpoint: EndpointName, now_ms: float) -> None:
         """Take in that an endpoint turned a request away without running it.
 
         An engine that loads weights refuses for half a second or more while its load
@@ -83,7 +85,7 @@
         self._backoffs[endpoint] = _Backoff(now_ms + wait_ms, wait_ms)
         self._expire(now_ms)
 
-    def note_success(self, endpoint: EndpointName) -> None:
+    def record_success(self, endpoint: EndpointName) -> None:
         """Take in that an endpoint ran a request."""
         self._backoffs.pop(endpoint, None)
 
@@ -91,7 +93,7 @@
         """Return the weights version that an endpoint last reported."""
         return self._weights.get(endpoint)
 
-    def note_weights(self, endpoint: EndpointName, version: str) -> None:
+    def record_weights(self, endpoint: EndpointName, version: str) -> None:
         """Take in the weights version that an endpoint reports."""
         self._weights[endpoint] = version
 
@@ -101,7 +103,7 @@
             for gone in known.keys() - names:
                 del known[gone]
 
-    def note_failure(self, endpoint: EndpointName, now_ms: float) -> None:
+    def record_failure(self, endpoint: EndpointName, now_ms: float) -> None:
         """Take in that a dispatch or a poll of this node failed there."""
         self._expire(now_ms)
         self._membership.handle(EndpointError(endpoint), now_ms)
@@ -110,18 +112,18 @@
         self, endpoints: Sequence[Endpoint], now_ms: float
     ) -> Sequence[Endpoint]:
         usable = self._membership.find_usable(endpoints, now_ms)
-        resting = {
+        backing_off = {
             name
             for name, backoff in self._backoffs.items()
             if now_ms < backoff.until_ms
         }
-        if not resting:
+        if not backing_off:
             return usable
-        willing = [each for each in usable if each.name not in resting]
+        available = [each for each in usable if each.name not in backing_off]
         # With none left a request goes out all the same, to find out whether one
         # takes work again.
-        return willing or usable
+        return available or usable
 
     def _expire(self, now_ms: float) -> None:
-        for kept in self._kept.values():
-            kept.until_ms = now_ms
+        for cached in self._cached.values():
+            cached.until_ms = now_ms
--- a/packages/toucanyard/src/toucanyard/endpoint_views.py
+++ b/packages/toucanyard/src/toucanyard/endpoint_views.py
@@ -27,7 +27,7 @@
 
     cache: CacheView
     load: LoadView
-    asked_dump_ms: float = float("-inf")
+    dump_requested_ms: float = float("-inf")
     weights_version: str = ""
     """Weights that it last reported; empty while unknown."""
 
@@ -49,7 +49,7 @@
 
     def apply_report(self, report: LoadReport, now_ms: float) -> None:
         """Take in a load report unless it is of an ended process or late."""
-        if self.cache.note_incarnation(report.incarnation):
+        if self.cache.record_incarnation(report.incarnation):
             self.load.apply_report(report, now_ms)
             newest = self.load.report
             assert newest is not None
--- a/packages/toucanyard/src/toucanyard/event_budget.py
+++ b/packages/toucanyard/src/toucanyard/event_budget.py
@@ -80,11 +80,11 @@
         """Tell whether a list of this endpoint may fit into what is left."""
         return left_bytes >= max(self._least_bytes.get(endpoint, 0.0), ANSWER_BYTES)
 
-    def note_whole(self, endpoint: str, size_bytes: float) -> None:
+    def record_complete(self, endpoint: str, size_bytes: float) -> None:
         """Take in the size of a list that came whole."""
         self._least_bytes[endpoint] = size_bytes
 
-    def note_cut(self, endpoint: str, read_bytes: float) -> None:
+    def record_truncated(self, endpoint: str, read_bytes: float) -> None:
         """Take in that a list was longer than what was read of it."""
         self._least_bytes[endpoint] = 2 * read_bytes
 
--- a/packages/toucanyard/src/toucanyard/expected_blocks.py
+++ b/packages/toucanyard/src/toucanyard/expected_blocks.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from toucanyard.endpoint_views import EndpointView
-from toucanyard.scoring import Considered
+from toucanyard.scoring import EndpointCandidate
 
 START_SHARE: Final = 0.3
 """Share of a cold prompt that its home is expected to hold when a node starts."""
@@ -32,9 +32,9 @@
     return float(START_SHARE * sent_by_others * 0.5 ** (age_ms / HALF_LIFE_MS))
 
 
-def expect_at_homes(
-    considered: Sequence[Considered], blocks: int, share: float
-) -> Sequence[Considered]:
+def expect_at_preferred(
+    considered: Sequence[EndpointCandidate], blocks: int, share: float
+) -> Sequence[EndpointCandidate]:
     """Return the same with more blocks believed at the homes of a cold prompt."""
     if share < MIN_SHARE:
         return considered
--- a/packages/toucanyard/src/toucanyard/explanations.py
+++ b/packages/toucanyard/src/toucanyard/explanations.py
@@ -101,13 +101,13 @@
     steps each.
     """
 
-    __slots__ = ("_late", "_open", "_packed")
+    __slots__ = ("_late_steps", "_open", "_packed")
 
     def __init__(self, max_records: int = MAX_RECORDS) -> None:
         max_batches = max(max_records - MAX_OPEN, BATCH) // BATCH
         self._open: OrderedDict[RequestId, DecisionRecord] = OrderedDict()
         self._packed = PackedRecords(DecisionRecord, max_batches)
-        self._late: dict[RequestId, list[Step]] = {}
+        self._late_steps: dict[RequestId, list[Step]] = {}
 
     def __len__(self) -> int:
         """Return how many records are held."""
@@ -120,7 +120,7 @@
             oldest = [self._open.popitem(last=False) for _ in range(BATCH)]
             ids, records = zip(*oldest, strict=True)
             for dropped in self._packed.pack(ids, records):
-                self._late.pop(dropped, None)
+                self._late_steps.pop(dropped, None)
 
     def add_step(self, request_id: RequestId, step: Step) -> None:
         """Append one step to a record that is still held."""
@@ -131,9 +131,9 @@
         elif request_id in self._packed:
             # A stream may last longer than its record stays unpacked; how it ended is
             # what is asked about most.
-            late = self._late.setdefault(request_id, [])
-            if len(late) < MAX_STEPS:
-                late.append(step)
+            late_steps = self._late_steps.setdefault(request_id, [])
+            if len(late_steps) < MAX_STEPS:
+                late_steps.append(step)
 
     def find(self, request_id: RequestId) -> DecisionRecord | None:
         """Return the record of one request."""
@@ -142,6 +142,6 @@
             return record
         found = self._packed.find(request_id)
         if found is not None:
-            late = self._late.get(request_id, [])
-            found.steps = (*found.steps, *late)[:MAX_STEPS]
+            late_steps = self._late_steps.get(request_id, [])
+            found.steps = (*found.steps, *late_steps)[:MAX_STEPS]
         return found
--- a/packages/toucanyard/src/toucanyard/fetch_sources.py
+++ b/packages/toucanyard/src/toucanyard/fetch_sources.py
@@ -15,14 +15,14 @@
 from toucanyard.replicas import Replica
 from toucanyard.routes import EngineTraits
 
-MOVE_PRICE: Final = 4.0
+TRANSFER_PRICE: Final = 4.0
 """Price of a transfer as a multiple of its own time: others wait behind it, which the
 node that chooses doesn't see."""
 FAR_FACTOR: Final = 2.0
 """How much longer a transfer between failure domains takes."""
 
 
-class Source(msgspec.Struct, frozen=True):
+class FetchSource(msgspec.Struct, frozen=True):
     """Where the front of a prompt can be fetched."""
 
     name: EndpointName
@@ -31,14 +31,14 @@
     domain: DomainName
 
 
-class Sources(msgspec.Struct):
+class FetchSources(msgspec.Struct):
     """Who holds most of a prompt's front."""
 
     tokens: int = 0
     """How much of it they hold."""
-    holders: list[Source] = []
+    holders: list[FetchSource] = []
 
-    def note(self, source: Source, tokens: int) -> None:
+    def add(self, source: FetchSource, tokens: int) -> None:
         """Take in what one of them holds."""
         if tokens > self.tokens:
             self.tokens = tokens
@@ -46,7 +46,7 @@
         if tokens and tokens == self.tokens:
             self.holders.append(source)
 
-    def pick(self, receiver: Replica, call: str) -> Source | None:
+    def pick(self, receiver: Replica, call: str) -> FetchSource | None:
         """Return the source for one call, a near one if there is any.
 
         Calls spread over the holders: a holder's transfers run one after another, and
@@ -68,7 +68,7 @@
         if not tokens:
             return 0.0
         bits = tokens * engine.bytes_per_token * 8
-        return MOVE_PRICE * min(
+        return TRANSFER_PRICE * min(
             bits
             * (1.0 if each.domain == receiver.domain else FAR_FACTOR)
             / (each.link_mbps * 1_000)
--- a/packages/toucanyard/src/toucanyard/hot_prefixes.py
+++ b/packages/toucanyard/src/toucanyard/hot_prefixes.py
@@ -19,9 +19,9 @@
 HALF_LIFE_MS: Final = 10_000.0
 COUNT_PER_S: Final = math.log(2) * 1_000 / HALF_LIFE_MS
 """Uses a second that keep a decayed count of 1."""
-RECURRING: Final = 1.2
+MIN_SHARED_COUNT: Final = 1.2
 """Decayed count from which a prefix is taken to be shared."""
-TRIM_PARTS: Final = 16
+TRIM_DIVISOR: Final = 16
 """A full table drops this part of its prefixes at once."""
 NARROW_SHARE: Final = 0.7
 """Narrow only when the load has fallen to this share of what the width carries."""
@@ -56,14 +56,14 @@
         """Return how many prefixes are counted."""
         return len(self._counts)
 
-    def note(self, keys: Sequence[int], now_ms: float) -> None:
+    def record(self, keys: Sequence[int], now_ms: float) -> None:
         """Count a request's prefixes, given by their keys at `DEPTHS`."""
         for key in keys:
-            self._note_one(key, now_ms)
+            self._record_one(key, now_ms)
         excess = len(self._counts) - self._max_prefixes
         if excess > 0:
             # Many at a time, as in CacheView: one by one would be quadratic.
-            drop = excess + self._max_prefixes // TRIM_PARTS
+            drop = excess + self._max_prefixes // TRIM_DIVISOR
             for key in list(islice(self._counts, drop)):
                 del self._counts[key]
 
@@ -73,7 +73,7 @@
         for depth, key in zip(DEPTHS, keys, strict=False):
             entry = self._counts.get(key)
             count = 0.0 if entry is None else _compute_count(entry, now_ms)
-            if count < RECURRING:
+            if count < MIN_SHARED_COUNT:
                 break
             levels.append(Level(depth, key, count * COUNT_PER_S))
         return levels
@@ -92,7 +92,7 @@
             entry.width = needed
         return max(entry.width, min_width)
 
-    def _note_one(self, key: int, now_ms: float) -> None:
+    def _record_one(self, key: int, now_ms: float) -> None:
         entry = self._counts.pop(key, None)
         if entry is None:
             entry = PrefixCount(0.0, now_ms, 1)
--- a/packages/toucanyard/src/toucanyard/known_facts.py
+++ b/packages/toucanyard/src/toucanyard/known_facts.py
@@ -165,14 +165,14 @@
             return
         if before is not None and before is not known:
             # It remembers nothing of its life before.
-            self._flow.book.forget(before.replica.name)
+            self._flow.block_index.forget(before.replica.name)
             fields = _describe(replica, source) | {"before": before.replica.name}
             yield Note("replica_restarted", fields)
         elif any(
             version > had.get(model, version) for model, version in replica.weights
         ):
             # Loading weights drops all that was read under the ones before.
-            self._flow.book.forget(replica.name)
+            self._flow.block_index.forget(replica.name)
         is_same = known is before and had == known.weights
         if not is_same or was_gone or was_usable != known.is_listed(now_ms):
             fields = _describe(replica, source)
--- a/packages/toucanyard/src/toucanyard/link_messages.py
+++ b/packages/toucanyard/src/toucanyard/link_messages.py
@@ -45,7 +45,7 @@
     """The store's newest answer, which held nothing beyond `end`."""
 
 
-class ReplicaUse(msgspec.Struct, frozen=True, array_like=True):
+class ReplicaUsageReport(msgspec.Struct, frozen=True, array_like=True):
     """What one node has under way at one replica."""
 
     replica: EndpointName
@@ -85,7 +85,7 @@
     """The start of its newest life, by its own clock."""
 
 
-class ReadPart(msgspec.Struct, frozen=True, array_like=True):
+class PromptBlockRead(msgspec.Struct, frozen=True, array_like=True):
     """A part of a prompt that a replica has just read, or is about to read."""
 
     replica: EndpointName
@@ -159,9 +159,9 @@
 
     is_ready: bool
     views: tuple[ViewStatus, ...]
-    uses: tuple[ReplicaUse, ...] = ()
+    uses: tuple[ReplicaUsageReport, ...] = ()
     news: tuple[ReplicaNews, ...] = ()
-    parts: tuple[ReadPart, ...] = ()
+    parts: tuple[PromptBlockRead, ...] = ()
     goals: tuple[GoalAge, ...] = ()
     stores: tuple[StoreNews, ...] = ()
     covers: Coverage = Coverage.GROUP
--- a/packages/toucanyard/src/toucanyard/load_view.py
+++ b/packages/toucanyard/src/toucanyard/load_view.py
@@ -43,7 +43,7 @@
     expected_ms: float
     ms_per_block: float = 0.0
     has_started: bool = False
-    is_explained: bool = False
+    is_accounted: bool = False
     """Whether a report taken after it was sent has told of the queue before it."""
 
 
@@ -74,9 +74,9 @@
             return
         self._report = report
         self.measured_ms = measured_ms
-        self._explain_waits(report)
+        self._account_for_queue(report)
 
-    def note_dispatch(
+    def record_dispatch(
         self,
         request_id: RequestId,
         work_ms: float,
@@ -88,7 +88,7 @@
         own = OwnRequest(now_ms, work_ms, expected_ms, ms_per_block)
         self.own[request_id] = own
 
-    def note_first_token(
+    def record_first_token(
         self, request_id: RequestId, after_ms: float, now_ms: float
     ) -> None:
         """Note that the endpoint has done the work before the first token."""
@@ -103,7 +103,7 @@
         self._slowness = max(self._slowness, MIN_SLOWNESS)
         self._slowness_ms = now_ms
 
-    def note_end(self, request_id: RequestId) -> None:
+    def record_end(self, request_id: RequestId) -> None:
         """Remove a request that is over."""
         self.own.pop(request_id, None)
 
@@ -148,7 +148,7 @@
         surplus = report.running + report.waiting + fresh + 1 - slots
         return max(report.queued_blocks * ms_per_block, surplus * slot_ms, 0.0)
 
-    def _explain_waits(self, report: LoadReport) -> None:
+    def _account_for_queue(self, report: LoadReport) -> None:
         # What other nodes sent in the same moment is not in the wait that was expected.
         # Taken for slowness, it would raise the price of the endpoint several times
         # over, and all nodes would recompute its prefixes elsewhere. Only the first
@@ -156,8 +156,8 @@
         # by the later ones.
         for own in self.own.values():
             waited_ms = self.measured_ms - own.sent_ms
-            if own.has_started or own.is_explained or waited_ms <= 0:
+            if own.has_started or own.is_accounted or waited_ms <= 0:
                 continue
-            own.is_explained = True
+            own.is_accounted = True
             queued_ms = report.queued_blocks * own.ms_per_block
             own.expected_ms = max(own.expected_ms, waited_ms + queued_ms)
--- a/packages/toucanyard/src/toucanyard/node_core.py
+++ b/packages/toucanyard/src/toucanyard/node_core.py
@@ -245,11 +245,11 @@
             case RequestArrived(request=request):
                 yield from _to_core(self.flow.arrive(request, now_ms))
             case RequestTurnedAway():
-                self.flow.records.note_turned_away(event, now_ms)
+                self.flow.records.record_rejected(event, now_ms)
             case CallerLeft(request_id=request_id):
                 yield from _to_core(self.flow.leave(request_id, now_ms))
             case FirstTokenSeen():
-                self.flow.note_first_token(event.request_id, event.after_ms, now_ms)
+                self.flow.record_first_token(event.request_id, event.after_ms, now_ms)
             case DispatchOver(outcome=outcome):
                 yield from _to_core(self.flow.end_dispatch(outcome, now_ms))
 
@@ -335,7 +335,7 @@
                     self.membership.handle(reported, now_ms), now_ms
                 )
                 self.placement.apply_load(endpoint, report, now_ms)
-                self.directory.note_weights(endpoint, report.weights_version)
+                self.directory.record_weights(endpoint, report.weights_version)
             case CacheEventsRead(endpoint=endpoint, events=events):
                 self.placement.apply_cache_events(endpoint, events, now_ms)
             case CacheDumpRead(endpoint=endpoint, dump=dump):
@@ -345,7 +345,7 @@
             case OrderEnded(sent=sent, outcome=outcome):
                 self.duties.note_outcome(sent, outcome, now_ms)
             case EndpointSilent(endpoint=endpoint):
-                self.directory.note_failure(endpoint, now_ms)
+                self.directory.record_failure(endpoint, now_ms)
 
     def _tick(self, now_ms: float) -> Iterator[CoreAction]:
         yield from _to_core(self.flow.tick(now_ms))
@@ -384,8 +384,8 @@
                 case SendDigest(to=to, digest=digest):
                     yield SendMessage(to, digest)
                 case EndpointRestarted(endpoint=endpoint, incarnation=incarnation):
-                    self.placement.note_incarnation(endpoint, incarnation)
-                    self._dumps.hurry(now_ms)
+                    self.placement.record_incarnation(endpoint, incarnation)
+                    self._dumps.schedule_now(now_ms)
                 case FetchConfiguration():
                     yield from self.spread.fetch(action)
                 case PeerConfirmed():
--- a/packages/toucanyard/src/toucanyard/packed_records.py
+++ b/packages/toucanyard/src/toucanyard/packed_records.py
@@ -35,40 +35,40 @@
     requests in them.
     """
 
-    __slots__ = ("_batches", "_decoder", "_max_batches", "_next", "_numbers")
+    __slots__ = ("_batches", "_decoder", "_max_batches", "_next", "_batch_numbers")
 
     def __init__(self, kind: type[T], max_batches: int) -> None:
         self._decoder = msgspec.msgpack.Decoder(list[kind])  # type: ignore[valid-type]
         self._max_batches = max_batches
         self._batches: OrderedDict[int, _Batch] = OrderedDict()
-        self._numbers: dict[RequestId, int] = {}
+        self._batch_numbers: dict[RequestId, int] = {}
         self._next = 0
 
     def __contains__(self, request_id: RequestId) -> bool:
         """Tell whether a request's record is held."""
-        return request_id in self._numbers
+        return request_id in self._batch_numbers
 
     def __len__(self) -> int:
         """Return how many records are held."""
-        return len(self._numbers)
+        return len(self._batch_numbers)
 
     def pack(self, ids: Sequence[RequestId], records: Sequence[T]) -> list[RequestId]:
         """Add records, one for each id; return the ids of those that were dropped."""
         packed = zlib.compress(msgspec.msgpack.encode(records), _LEVEL)
         self._batches[self._next] = _Batch(tuple(ids), packed)
-        self._numbers.update(dict.fromkeys(ids, self._next))
+        self._batch_numbers.update(dict.fromkeys(ids, self._next))
         self._next += 1
         dropped: list[RequestId] = []
         while len(self._batches) > self._max_batches:
             _, batch = self._batches.popitem(last=False)
             dropped += batch.ids
         for each in dropped:
-            self._numbers.pop(each, None)
+            self._batch_numbers.pop(each, None)
         return dropped
 
     def find(self, request_id: RequestId) -> T | None:
         """Return the record of one request."""
-        number = self._numbers.get(request_id)
+        number = self._batch_numbers.get(request_id)
         if number is None:
             return None
         batch = self._batches[number]
--- a/packages/toucanyard/src/toucanyard/patches.py
+++ b/packages/toucanyard/src/toucanyard/patches.py
@@ -163,11 +163,11 @@
         raise PatchInvalidError(f"found no {min(absent)!r} to remove")
 
     def merge(owner: Pool | Service) -> tuple[Endpoint, ...]:
-        own_names = {endpoint.name for endpoint in owner.endpoints}
+        length_group_names = {endpoint.name for endpoint in owner.endpoints}
         return _merge(
             owner.endpoints,
             [each.endpoint for each in put if each.of == owner.name],
-            [name for name in removed if name in own_names],
+            [name for name in removed if name in length_group_names],
         )
 
     return msgspec.structs.replace(
--- a/packages/toucanyard/src/toucanyard/placement.py
+++ b/packages/toucanyard/src/toucanyard/placement.py
@@ -17,11 +17,17 @@
 from toucanyard.cache_view import CacheDump, CacheEvents
 from toucanyard.configuration import Endpoint, PlacementPolicy, Pool, Service
 from toucanyard.endpoint_views import EndpointView, EndpointViews
-from toucanyard.expected_blocks import compute_expected_share, expect_at_homes
+from toucanyard.expected_blocks import compute_expected_share, expect_at_preferred
 from toucanyard.hot_prefixes import HotPrefixes
 from toucanyard.load_view import LoadReport
 from toucanyard.names import EndpointName, Incarnation, RequestId
-from toucanyard.prefix_homes import MAX_POOLS, Homes, PoolUse, PoolUses, find_homes
+from toucanyard.preferred_endpoints import (
+    MAX_POOLS,
+    PoolRequestCost,
+    PoolRequestCosts,
+    PreferredEndpoints,
+    find_preferred_endpoints,
+)
 from toucanyard.rendezvous import EndpointRing
 from toucanyard.requests import (
     PROVED_NOT_RUN,
@@ -31,7 +37,7 @@
     Request,
 )
 from toucanyard.scoring import (
-    Considered,
+    EndpointCandidate,
     Prices,
     Score as Score,
     compute_scores,
@@ -70,14 +76,14 @@
     """Views of endpoints and the choice among them; owned by one task."""
 
     __slots__ = (
-        "_began_ms",
+        "_started_ms",
         "_limits",
         "_node_count",
         "_prefixes",
-        "_ring",
-        "_ring_of",
+        "_rings",
+        "_ring_endpoints",
         "_rng",
-        "_uses",
+        "_request_costs",
         "_views",
     )
 
@@ -89,10 +95,10 @@
         self._prefixes = HotPrefixes(self._limits.max_prefixes)
         self._views = EndpointViews(self._limits.max_blocks)
         self._node_count = 1
-        self._began_ms: float | None = None
-        self._uses = PoolUses()
-        self._ring: dict[str, EndpointRing] = {}
-        self._ring_of: dict[str, Sequence[Endpoint]] = {}
+        self._started_ms: float | None = None
+        self._request_costs = PoolRequestCosts()
+        self._rings: dict[str, EndpointRing] = {}
+        self._ring_endpoints: dict[str, Sequence[Endpoint]] = {}
 
     def apply_node_count(self, count: int) -> None:
         """Take over how many nodes share the requests, to tell the whole load."""
@@ -114,19 +120,21 @@
         if not candidates or not isinstance(target, ModelTarget):
             return None
         ring = self._find_ring(pool.name, candidates)
-        keys = target.find_home_keys()
-        self._prefixes.note(keys, now_ms)
-        use = self._uses.get(pool.name)
-        homes = self._find_homes(ring, pool, use, keys, now_ms)
-        warm = self._count_warm(ring, homes, target, keys)
+        keys = target.find_affinity_keys()
+        self._prefixes.record(keys, now_ms)
+        request_cost = self._request_costs.get(pool.name)
+        preferred = self._find_preferred(ring, pool, request_cost, keys, now_ms)
+        warm = self._count_warm(ring, preferred, target, keys)
         considered = [
-            self._consider(name, target, blocks, homes, pool.placement, use)
+            self._build_candidate(
+                name, target, blocks, preferred, pool.placement, request_cost
+            )
             for name, blocks in warm.items()
         ]
         blocks = len(target.chain)
         share = compute_expected_share(self._compute_age(now_ms), self._node_count)
         scores = compute_scores(
-            expect_at_homes(considered, blocks, share),
+            expect_at_preferred(considered, blocks, share),
             blocks,
             pool.placement,
             self._limits.prices,
@@ -138,8 +146,8 @@
             incarnation=self._view(best.endpoint).cache.incarnation,
             queue_ms=best.queue_ms,
             first_token_ms=best.queue_ms + best.recompute_ms,
-            level_depth=homes.depth,
-            width=len(homes.names),
+            level_depth=preferred.depth,
+            width=len(preferred.names),
             scores=tuple(scores),
         )
 
@@ -167,13 +175,13 @@
             scores=tuple(scores),
         )
 
-    def note_dispatch(
+    def record_dispatch(
         self, request: Request, placed: Placed, pool: Pool | None, now_ms: float
     ) -> None:
         """Count a request that is being sent and expect its blocks to be stored."""
         view = self._view(placed.endpoint)
         work_ms = placed.first_token_ms - placed.queue_ms
-        view.load.note_dispatch(
+        view.load.record_dispatch(
             request.request_id,
             work_ms,
             placed.first_token_ms,
@@ -183,9 +191,9 @@
         if isinstance(request.target, ModelTarget):
             view.cache.touch(view.find_chain(request.target), now_ms)
         if pool is not None:
-            self._uses.get(pool.name).note_work(work_ms)
+            self._request_costs.get(pool.name).record_work(work_ms)
 
-    def note_first_token(
+    def record_first_token(
         self,
         request_id: RequestId,
         endpoint: EndpointName,
@@ -193,19 +201,21 @@
         now_ms: float,
     ) -> None:
         """Note the first token of a request and what it tells of the endpoint."""
-        self._view(endpoint).load.note_first_token(request_id, after_ms, now_ms)
+        self._view(endpoint).load.record_first_token(request_id, after_ms, now_ms)
 
-    def note_outcome(self, request: Request, outcome: Outcome, now_ms: float) -> None:
+    def record_dispatch_end(
+        self, request: Request, outcome: Outcome, now_ms: float
+    ) -> None:
         """Remove a dispatch that is over and correct the view by what it showed."""
         view = self._view(outcome.endpoint)
-        view.load.note_end(outcome.request_id)
+        view.load.record_end(outcome.request_id)
         if outcome.incarnation is not None:
-            view.cache.note_incarnation(outcome.incarnation)
+            view.cache.record_incarnation(outcome.incarnation)
         if not isinstance(request.target, ModelTarget):
             return
         if outcome.ending == EndingSeen.COMPLETED and outcome.duration_ms > 0:
-            use = self._uses.get(request.target.pool)
-            use.note_duration(outcome.duration_ms)
+            request_cost = self._request_costs.get(request.target.pool)
+            request_cost.record_duration(outcome.duration_ms)
         if outcome.ending in PROVED_NOT_RUN:
             # Nothing was computed there: expecting its blocks would draw the prefix.
             view.cache.is_doubtful = True
@@ -228,11 +238,11 @@
         """Replace the view of an endpoint's cache."""
         self._view(endpoint).cache.apply_dump(dump, now_ms)
 
-    def note_incarnation(
+    def record_incarnation(
         self, endpoint: EndpointName, incarnation: Incarnation
     ) -> None:
         """Forget the endpoint's blocks if it has been restarted."""
-        self._view(endpoint).cache.note_incarnation(incarnation)
+        self._view(endpoint).cache.record_incarnation(incarnation)
 
     def retain_endpoints(self, names: Set[EndpointName]) -> None:
         """Drop all that is known about other endpoints: they have gone."""
@@ -252,7 +262,7 @@
             if view is None:
                 continue
             view.cache.check_gap(now_ms)
-            is_due = now_ms - view.asked_dump_ms >= self._limits.dump_interval_ms
+            is_due = now_ms - view.dump_requested_ms >= self._limits.dump_interval_ms
             if view.cache.is_doubtful and is_due:
                 found.append(name)
         return found
@@ -261,43 +271,43 @@
         """Return how many blocks are known over all endpoints."""
         return self._views.count_blocks()
 
-    def note_dump_asked(self, endpoint: EndpointName, now_ms: float) -> None:
+    def record_dump_request(self, endpoint: EndpointName, now_ms: float) -> None:
         """Note that a dump has been asked for, so that it isn't asked again at once."""
-        self._view(endpoint).asked_dump_ms = now_ms
+        self._view(endpoint).dump_requested_ms = now_ms
 
     def _compute_age(self, now_ms: float) -> float:
-        if self._began_ms is None:
-            self._began_ms = now_ms
-        return max(now_ms - self._began_ms, 0.0)
+        if self._started_ms is None:
+            self._started_ms = now_ms
+        return max(now_ms - self._started_ms, 0.0)
 
     def _view(self, name: EndpointName) -> EndpointView:
         return self._views.get(name)
 
     def _find_ring(self, pool: str, candidates: Sequence[Endpoint]) -> EndpointRing:
-        if self._ring_of.get(pool) is not candidates:
-            if len(self._ring) >= MAX_POOLS:
-                self._ring.clear()
-                self._ring_of.clear()
-            self._ring[pool] = EndpointRing([each.name for each in candidates])
-            self._ring_of[pool] = candidates
-        return self._ring[pool]
-
-    def _find_homes(
+        if self._ring_endpoints.get(pool) is not candidates:
+            if len(self._rings) >= MAX_POOLS:
+                self._rings.clear()
+                self._ring_endpoints.clear()
+            self._rings[pool] = EndpointRing([each.name for each in candidates])
+            self._ring_endpoints[pool] = candidates
+        return self._rings[pool]
+
+    def _find_preferred(
         self,
         ring: EndpointRing,
         pool: Pool,
-        use: PoolUse,
+        request_cost: PoolRequestCost,
         keys: Sequence[int],
         now_ms: float,
-    ) -> Homes:
-        share = use.compute_share(pool.placement.max_running)
+    ) -> PreferredEndpoints:
+        share = request_cost.compute_share(pool.placement.max_running)
         load_per_s = share * self._node_count / self._limits.target_use
-        return find_homes(ring, self._prefixes, keys, load_per_s, now_ms)
+        return find_preferred_endpoints(ring, self._prefixes, keys, load_per_s, now_ms)
 
     def _count_warm(
         self,
         ring: EndpointRing,
-        homes: Homes,
+        preferred: PreferredEndpoints,
         target: ModelTarget,
         keys: Sequence[int],
     ) -> dict[EndpointName, int]:
@@ -309,7 +319,7 @@
         warm = {name: self._view(name).count_warm(target) for name in names}
         if len(ring.names) <= limit:
             return warm
-        chosen = (*homes.names, *homes.seconds)[: limit // 2]
+        chosen = (*preferred.names, *preferred.fallbacks)[: limit // 2]
         warmest = sorted(names, key=lambda name: -warm[name])[: limit // 2]
         picked = dict.fromkeys((*chosen, *warmest, self._rng.choice(ring.names)))
         return {
@@ -317,31 +327,31 @@
             for name in picked
         }
 
-    def _consider(
+    def _build_candidate(
         self,
         name: EndpointName,
         target: ModelTarget,
         warm_blocks: int,
-        homes: Homes,
+        preferred: PreferredEndpoints,
         policy: PlacementPolicy,
-        use: PoolUse,
-    ) -> Considered:
+        request_cost: PoolRequestCost,
+    ) -> EndpointCandidate:
         view = self._view(name)
         slots = policy.max_running
         reported_ms = view.load.compute_reported_work(
-            policy.prefill_ms_per_block, slots, use.duration_ms / slots
+            policy.prefill_ms_per_block, slots, request_cost.duration_ms / slots
         )
         trust = self._limits.prices.doubtful_trust
         chain = view.find_chain(target)
-        rank = homes.find_rank(name)
-        return Considered(
+        rank = preferred.find_rank(name)
+        return EndpointCandidate(
             name=name,
             view=view,
             warm_blocks=warm_blocks,
             believed_blocks=view.cache.compute_believed(chain, warm_blocks, trust),
             rank=rank,
             reported_ms=reported_ms,
-            is_widened_home=rank == 0 and len(homes.names) > 1,
+            is_one_of_several=rank == 0 and len(preferred.names) > 1,
             has_old_weights=view.has_other_weights(target),
         )
 
--- a/packages/toucanyard/src/toucanyard/plain_placement.py
+++ b/packages/toucanyard/src/toucanyard/plain_placement.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from toucanyard.names import DomainName
-from toucanyard.replica_uses import ReplicaUses
+from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica
 
-OVERFILL: Final = 1.5
+MAX_OVERCOMMIT: Final = 1.5
 """Calls sent to a plain replica at once, as a share of its slots: the next one is there
 when a slot becomes free, and few wait where no one can order them."""
 FAR_SHARE: Final = 0.05
@@ -31,13 +31,13 @@
 class PlainPlacement:
     """The choice among replicas of a plain service."""
 
-    __slots__ = ("_domain", "_rng", "_uses")
+    __slots__ = ("_domain", "_rng", "_usage")
 
     def __init__(
-        self, domain: DomainName, uses: ReplicaUses, rng: random.Random
+        self, domain: DomainName, usage: ReplicaUsage, rng: random.Random
     ) -> None:
         self._domain = domain
-        self._uses = uses
+        self._usage = usage
         self._rng = rng
 
     def choose(
@@ -48,8 +48,8 @@
         for known in usable:
             replica = known.replica
             slots = max(replica.slots, 1)
-            running = self._uses.compute(replica.name, now_ms).running
-            if running and running >= slots * OVERFILL:
+            running = self._usage.compute(replica.name, now_ms).running
+            if running and running >= slots * MAX_OVERCOMMIT:
                 continue
             load = running / slots + known.compute_failures(now_ms)
             load += 0.0 if replica.domain == self._domain else FAR_SHARE
--- a/packages/toucanyard/src/toucanyard/prefix_homes.py
+++ b/packages/toucanyard/src/toucanyard/preferred_endpoints.py
@@ -18,87 +18,89 @@
 from toucanyard.rendezvous import EndpointRing
 
 MAX_POOLS: Final = 64
-SECONDS: Final = 1
+MAX_FALLBACKS: Final = 1
 """Endpoints next in line after a prefix's homes."""
-SECOND_RANK: Final = 0.25
+FALLBACK_RANK: Final = 0.25
 """Share of the price on spreading that the next in line costs."""
-USE_STEP: Final = 0.05
+COST_STEP: Final = 0.05
 """Weight of one request in the means of what requests use."""
 
 
-class PoolUse(msgspec.Struct):
+class PoolRequestCost(msgspec.Struct):
     """What one request of a pool uses of a replica, as moving means."""
 
     work_ms: float = 50.0
     duration_ms: float = 1_000.0
 
-    def note_work(self, work_ms: float) -> None:
+    def record_work(self, work_ms: float) -> None:
         """Take in the computation before a first token."""
-        self.work_ms += USE_STEP * (work_ms - self.work_ms)
+        self.work_ms += COST_STEP * (work_ms - self.work_ms)
 
-    def note_duration(self, duration_ms: float) -> None:
+    def record_duration(self, duration_ms: float) -> None:
         """Take in the time from dispatch to the end of an answer."""
-        self.duration_ms += USE_STEP * (duration_ms - self.duration_ms)
+        self.duration_ms += COST_STEP * (duration_ms - self.duration_ms)
 
     def compute_share(self, slots: int) -> float:
         """Return how many replicas one request a second keeps busy."""
         return max(self.work_ms, self.duration_ms / slots) / 1_000
 
 
-class Homes(msgspec.Struct, frozen=True):
+class PreferredEndpoints(msgspec.Struct, frozen=True):
     """Where hashing sends a prompt: its homes, and the next in line."""
 
     names: tuple[EndpointName, ...]
     depth: int
     """Blocks of the deepest shared level; 0 when none recurs."""
-    seconds: tuple[EndpointName, ...] = ()
+    fallbacks: tuple[EndpointName, ...] = ()
 
     def find_rank(self, name: EndpointName) -> float:
         """Return 0 for a home, 1 for an endpoint that hashing doesn't mean."""
         if name in self.names:
             return 0.0
-        return SECOND_RANK if name in self.seconds else 1.0
+        return FALLBACK_RANK if name in self.fallbacks else 1.0
 
 
-class PoolUses:
+class PoolRequestCosts:
     """The use of each of a bounded number of pools."""
 
-    __slots__ = ("_uses",)
+    __slots__ = ("_request_costs",)
 
     def __init__(self) -> None:
-        self._uses: dict[str, PoolUse] = {}
+        self._request_costs: dict[str, PoolRequestCost] = {}
 
-    def get(self, pool: str) -> PoolUse:
+    def get(self, pool: str) -> PoolRequestCost:
         """Return the use of a pool, a guess at first."""
-        if len(self._uses) >= MAX_POOLS and pool not in self._uses:
-            self._uses.clear()
-        return self._uses.setdefault(pool, PoolUse())
+        if len(self._request_costs) >= MAX_POOLS and pool not in self._request_costs:
+            self._request_costs.clear()
+        return self._request_costs.setdefault(pool, PoolRequestCost())
 
 
-def find_homes(
+def find_preferred_endpoints(
     ring: EndpointRing,
     prefixes: HotPrefixes,
     keys: Sequence[int],
     load_per_s: float,
     now_ms: float,
-) -> Homes:
+) -> PreferredEndpoints:
     """Return the homes of a prompt.
 
     `load_per_s` is how many replicas one request a second, as this node counts them,
     may fill.
     """
     if not keys:
-        return Homes((), 0)
+        return PreferredEndpoints((), 0)
     levels = prefixes.find_levels(keys, now_ms)
     if not levels:
         ranked = ring.rank_neighbours(keys[0])
-        return Homes(tuple(ranked[:1]), 0, tuple(ranked[1 : 1 + SECONDS]))
+        return PreferredEndpoints(
+            tuple(ranked[:1]), 0, tuple(ranked[1 : 1 + MAX_FALLBACKS])
+        )
     names = ring.rank_neighbours(levels[0].key)
     width = prefixes.adjust_width(levels[0].key, levels[0].per_s * load_per_s, 1)
-    seconds = names[width : width + SECONDS]
+    fallbacks = names[width : width + MAX_FALLBACKS]
     names = names[:width]
     for level in levels[1:]:
         width = prefixes.adjust_width(level.key, level.per_s * load_per_s, 1)
         if width < len(names):
             names = ring.rank(names, level.key)[:width]
-    return Homes(tuple(names), levels[-1].depth, tuple(seconds))
+    return PreferredEndpoints(tuple(names), levels[-1].depth, tuple(fallbacks))
--- a/packages/toucanyard/src/toucanyard/prefix.py
+++ b/packages/toucanyard/src/toucanyard/prefix.py
@@ -58,7 +58,7 @@
             )
         return chain
 
-    def compute_home_keys(self) -> tuple[int, ...]:
+    def compute_affinity_keys(self) -> tuple[int, ...]:
         """Return keys of the prefixes at `DEPTHS`, the same under all weights."""
         identity = msgspec.structs.replace(self._identity, weights_version="")
         digest = xxhash.xxh3_64(msgspec.msgpack.encode(identity))
--- a/packages/toucanyard/src/toucanyard/part_placement.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_placement.py
@@ -16,19 +16,19 @@
 import msgspec
 
 from toucanyard.candidates import (
-    MIN_MOVED_TOKENS,
+    MIN_TRANSFER_TOKENS,
     Candidate,
-    Narrowing,
+    CandidateFilter,
     is_many,
 )
-from toucanyard.fetch_sources import Source, Sources
+from toucanyard.fetch_sources import FetchSource, FetchSources
 from toucanyard.names import Address, EndpointName, RequestId
-from toucanyard.part_book import Part, PartBook
-from toucanyard.part_sources import choose_store, name_store
+from toucanyard.prompt_block_index import PromptBlock, PromptBlockIndex
+from toucanyard.prompt_block_sources import choose_store, compute_store_name
 from toucanyard.relay_policy import PlacementPolicy
 from toucanyard.relay_requests import Prompt, RelayRequest
 from toucanyard.rendezvous import compute_seed, compute_weight
-from toucanyard.replica_uses import ReplicaUses
+from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica
 from toucanyard.routes import EngineTraits, PromptStore
 from toucanyard.weights_goals import Goal
@@ -38,11 +38,11 @@
 running ones and reads them again."""
 LATE_AFTER_MS: Final = 1_200.0
 """Time from naming weights until answers on older ones lose worth, less a margin."""
-MIN_FOLLOWED_TOKENS: Final = 1_000
-MAX_FOLLOW_MS: Final = 400.0
+MIN_AWAITED_TOKENS: Final = 1_000
+MAX_READER_WAIT_MS: Final = 400.0
 """How long a call waits for a part that another replica reads: a long part takes 70 to
 120 ms, and its first call may itself have waited. Then it is sent all the same."""
-CROSS_MS: Final = 250.0
+OTHER_GROUP_PRICE_MS: Final = 250.0
 """Price of a replica that is left to the other kind. An event of seven tokens waits for
 a piece of a long prompt before each of them, 0.8 s in all, when two long prompts are
 read in a row. A call that finds its own side full still goes across."""
@@ -60,7 +60,7 @@
     fetched_tokens: int
     source: Address | None
     considered: int
-    missing: Part | None
+    missing: PromptBlock | None
     """The first part that others share and that the replica is to read."""
 
 
@@ -72,29 +72,29 @@
     wait_ms: float
     unread_tokens: int
     fetched_tokens: int
-    missing: Part | None
+    missing: PromptBlock | None
     """The first shared part that nobody holds yet."""
 
 
-class _Field(msgspec.Struct):
+class _PlacementContext(msgspec.Struct):
     """What is looked up once for all candidates of one prompt.
 
     With every candidate looking at every other one, a choice among 70 took 5 ms.
     """
 
     prompt: Prompt
-    shared: tuple[Part, ...]
+    shared: tuple[PromptBlock, ...]
     engine: EngineTraits
     goal: Goal | None
     candidates: list[Candidate]
-    sources: dict[str, Sources]
+    sources: dict[str, FetchSources]
     """By scope."""
     stores: Sequence[PromptStore]
-    own_side: list[Candidate]
+    length_group: list[Candidate]
     """The candidates that are left to prompts of this one's length."""
-    own_names: frozenset[EndpointName]
+    length_group_names: frozenset[EndpointName]
     is_many: bool
-    homes: dict[str, Candidate] = {}
+    preferred_replicas: dict[str, Candidate] = {}
     readers: dict[tuple[str, str], list[EndpointName]] = {}
     """By scope and part: the replicas that are reading it."""
 
@@ -105,26 +105,26 @@
     It names the weights, so nothing that was read under others is ever used, and the
     customer where it is behind a wall.
     """
-    wall = request.customer if request.is_walled else ""
-    return f"{prompt.model}/{version}/{wall}"
+    isolated_customer = request.customer if request.is_walled else ""
+    return f"{prompt.model}/{version}/{isolated_customer}"
 
 
-class PartPlacement:
+class PromptBlockPlacement:
     """The choice among replicas that run a model."""
 
-    __slots__ = ("_book", "_max_old_ms", "_narrowing", "_policy", "_uses")
+    __slots__ = ("_block_index", "_max_old_ms", "_filter", "_policy", "_usage")
 
     def __init__(
         self,
-        book: PartBook,
-        uses: ReplicaUses,
+        block_index: PromptBlockIndex,
+        usage: ReplicaUsage,
         max_old_ms: float,
         policy: PlacementPolicy = PlacementPolicy(),  # noqa: B008
     ) -> None:
         self._policy = policy
-        self._book = book
-        self._uses = uses
-        self._narrowing = Narrowing()
+        self._block_index = block_index
+        self._usage = usage
+        self._filter = CandidateFilter()
         self._max_old_ms = max_old_ms
         """How long after new weights were named older ones may still begin a call."""
 
@@ -138,7 +138,7 @@
         stores: Sequence[PromptStore],
         now_ms: float,
         *,
-        may_follow: bool = True,
+        may_wait_for_reader: bool = True,
     ) -> PlacedPrompt | None:
         """Return the best replica with room, or None if the call has to wait.
 
@@ -147,9 +147,9 @@
         candidates = self._find_candidates(request, prompt, usable, goal, now_ms)
         shared = prompt.find_shared()
         sources = self._find_sources(candidates, shared, engine, stores, now_ms)
-        own_side = self._narrowing.find_side(candidates, prompt)
-        own_names = frozenset(each.known.replica.name for each in own_side)
-        field = _Field(
+        length_group = self._filter.find_length_group(candidates, prompt)
+        length_group_names = frozenset(each.known.replica.name for each in length_group)
+        context = _PlacementContext(
             prompt,
             shared,
             engine,
@@ -157,51 +157,59 @@
             candidates,
             sources,
             stores,
-            own_side,
-            own_names,
+            length_group,
+            length_group_names,
             is_many(candidates),
         )
         first: Sequence[Candidate] = ()
         if is_many(candidates):
-            first = self._narrowing.find_first(own_side, prompt, request.request_id)
-        best = self._find_best(first, field, now_ms)
+            first = self._filter.find_preselected(
+                length_group, prompt, request.request_id
+            )
+        best = self._find_best(first, context, now_ms)
         if best is None:
-            best = self._find_best(candidates, field, now_ms)
+            best = self._find_best(candidates, context, now_ms)
         if best is None:
             return None
-        if may_follow and self._should_follow(best, field, request, now_ms):
+        if may_wait_for_reader and self._should_wait_for_reader(
+            best, context, request, now_ms
+        ):
             return None
-        placed = _build_placed(best, field, request.request_id)
+        placed = _build_placed(best, context, request.request_id)
         if not self._policy.fetches:
             return msgspec.structs.replace(placed, source=None)
         return placed
 
     def _find_best(
-        self, candidates: Iterable[Candidate], field: _Field, now_ms: float
+        self, candidates: Iterable[Candidate], context: _PlacementContext, now_ms: float
     ) -> _Scored | None:
         best: _Scored | None = None
         for each in candidates:
-            scored = self._score(each, field, now_ms)
+            scored = self._score(each, context, now_ms)
             if scored is not None and (best is None or scored.total_ms < best.total_ms):
                 best = scored
         return best
 
-    def _should_follow(
-        self, scored: _Scored, field: _Field, request: RelayRequest, now_ms: float
+    def _should_wait_for_reader(
+        self,
+        scored: _Scored,
+        context: _PlacementContext,
+        request: RelayRequest,
+        now_ms: float,
     ) -> bool:
         """Tell whether a call should wait for a part that another replica reads now.
 
         Sent elsewhere it would read the part again, for more than its lateness costs;
         sent to the reader, all calls of a hot part would queue at one of many replicas.
         """
-        part = scored.missing
-        if part is None or not field.is_many or part.tokens < MIN_FOLLOWED_TOKENS:
+        block = scored.missing
+        if block is None or not context.is_many or block.tokens < MIN_AWAITED_TOKENS:
             return False
-        if now_ms - request.arrived_ms > MAX_FOLLOW_MS:
+        if now_ms - request.arrived_ms > MAX_READER_WAIT_MS:
             return False
         candidate = scored.candidate
         name = candidate.known.replica.name
-        readers = self._find_readers(field, candidate.scope, part, now_ms)
+        readers = self._find_readers(context, candidate.scope, block, now_ms)
         return bool(readers) and name not in readers
 
     def _find_candidates(
@@ -220,7 +228,7 @@
                 continue
             scope = compute_scope(request, prompt, version)
             name = known.replica.name
-            held = self._book.count_leading(name, scope, shared, float("inf"))
+            held = self._block_index.count_leading(name, scope, shared, float("inf"))
             found.append(Candidate(known, version, scope, held))
         return found
 
@@ -230,56 +238,67 @@
     def _find_sources(
         self,
         candidates: Sequence[Candidate],
-        shared: Sequence[Part],
+        shared: Sequence[PromptBlock],
         engine: EngineTraits,
         stores: Sequence[PromptStore],
         now_ms: float,
-    ) -> dict[str, Sources]:
+    ) -> dict[str, FetchSources]:
         """Return, for each scope, who holds most of a prompt's front now."""
-        found: dict[str, Sources] = {each.scope: Sources() for each in candidates}
+        found: dict[str, FetchSources] = {
+            each.scope: FetchSources() for each in candidates
+        }
         if not self._policy.fetches:
             return found
         for each in candidates:
             replica = each.known.replica
-            held = self._book.count_leading(replica.name, each.scope, shared, now_ms)
-            source = Source(
+            held = self._block_index.count_leading(
+                replica.name, each.scope, shared, now_ms
+            )
+            source = FetchSource(
                 replica.name, replica.address, engine.link_mbps, replica.domain
             )
-            found[each.scope].note(source, held)
+            found[each.scope].add(source, held)
         for store in stores:
-            name = name_store(store)
-            source = Source(name, store.address, store.link_mbps, store.domain)
+            name = compute_store_name(store)
+            source = FetchSource(name, store.address, store.link_mbps, store.domain)
             for scope, sources in found.items():
-                held = self._book.count_leading(name, scope, shared, now_ms)
-                sources.note(source, held)
+                held = self._block_index.count_leading(name, scope, shared, now_ms)
+                sources.add(source, held)
         return found
 
     def _score(
-        self, candidate: Candidate, field: _Field, now_ms: float
+        self, candidate: Candidate, context: _PlacementContext, now_ms: float
     ) -> _Scored | None:
         name = candidate.known.replica.name
-        engine = field.engine
-        use = self._uses.compute(name, now_ms)
-        total_tokens = field.prompt.count_tokens()
-        needed = total_tokens + field.prompt.max_output_tokens
-        is_full = use.tokens + needed > engine.memory_tokens * FULL_SHARE
-        if use.running and (is_full or use.running >= engine.slots):
+        engine = context.engine
+        total_usage = self._usage.compute(name, now_ms)
+        total_tokens = context.prompt.count_tokens()
+        needed = total_tokens + context.prompt.max_output_tokens
+        is_full = total_usage.tokens + needed > engine.memory_tokens * FULL_SHARE
+        if total_usage.running and (is_full or total_usage.running >= engine.slots):
             return None
-        sources = field.sources[candidate.scope]
+        sources = context.sources[candidate.scope]
         covered = max(candidate.held_tokens, sources.tokens)
         fetched = max(sources.tokens - candidate.held_tokens, 0)
         unread = total_tokens - covered
-        speed = self._uses.tokens_per_ms
-        wait_ms = use.unread_tokens / speed + use.running * self._policy.running_ms
+        speed = self._usage.tokens_per_ms
+        wait_ms = (
+            total_usage.unread_tokens / speed
+            + total_usage.running * self._policy.running_ms
+        )
         read_ms = unread / speed
-        total_ms = wait_ms + read_ms * (1.0 + use.running * self._policy.pause_share)
-        total_ms += self._price(candidate, field.goal, now_ms)
-        if name not in field.own_names:
-            total_ms += CROSS_MS
+        total_ms = wait_ms + read_ms * (
+            1.0 + total_usage.running * self._policy.pause_share
+        )
+        total_ms += self._price(candidate, context.goal, now_ms)
+        if name not in context.length_group_names:
+            total_ms += OTHER_GROUP_PRICE_MS
         total_ms += sources.compute_price(fetched, candidate.known.replica, engine)
-        missing = _find_missing(field.shared, covered)
+        missing = _find_missing(context.shared, covered)
         if missing is not None:
-            total_ms += self._price_missing(candidate, field, missing, covered, now_ms)
+            total_ms += self._price_missing(
+                candidate, context, missing, covered, now_ms
+            )
         return _Scored(candidate, total_ms, wait_ms, unread, fetched, missing)
 
     def _price(self, candidate: Candidate, goal: Goal | None, now_ms: float) -> float:
@@ -293,49 +312,51 @@
     def _price_missing(
         self,
         candidate: Candidate,
-        field: _Field,
-        missing: Part,
+        context: _PlacementContext,
+        missing: PromptBlock,
         covered: int,
         now_ms: float,
     ) -> float:
         """Return the price of reading the rest of the shared parts at a replica."""
         price_ms = 0.0
-        if not field.is_many and candidate is not _find_home(field, missing):
+        if not context.is_many and candidate is not _find_preferred_replica(
+            context, missing
+        ):
             price_ms += self._policy.affinity_ms
-        readers = self._find_readers(field, candidate.scope, missing, now_ms)
+        readers = self._find_readers(context, candidate.scope, missing, now_ms)
         if any(name != candidate.known.replica.name for name in readers):
             # Among many replicas others read the rest of a chain seldom.
             shared = (
                 missing.tokens
-                if field.is_many
-                else field.prompt.count_shared() - covered
+                if context.is_many
+                else context.prompt.count_shared() - covered
             )
             price_ms += shared * self._policy.reread_ms_per_token
         return price_ms
 
     def _find_readers(
-        self, field: _Field, scope: str, part: Part, now_ms: float
+        self, context: _PlacementContext, scope: str, block: PromptBlock, now_ms: float
     ) -> list[EndpointName]:
         """Return the replicas that are reading a part now."""
-        key = (scope, part.name)
-        readers = field.readers.get(key)
+        key = (scope, block.name)
+        readers = context.readers.get(key)
         if readers is None:
-            readers = field.readers[key] = [
+            readers = context.readers[key] = [
                 each.known.replica.name
-                for each in field.candidates
+                for each in context.candidates
                 if each.scope == scope
-                and self._book.is_being_read(
-                    each.known.replica.name, scope, part, now_ms
+                and self._block_index.is_being_read(
+                    each.known.replica.name, scope, block, now_ms
                 )
             ]
         return readers
 
 
 def _build_placed(
-    scored: _Scored, field: _Field, request_id: RequestId
+    scored: _Scored, context: _PlacementContext, request_id: RequestId
 ) -> PlacedPrompt:
     candidate = scored.candidate
-    address = _find_source(scored, field, request_id)
+    address = _find_source(scored, context, request_id)
     return PlacedPrompt(
         replica=candidate.known,
         weights_version=candidate.version,
@@ -345,13 +366,13 @@
         unread_tokens=scored.unread_tokens,
         fetched_tokens=scored.fetched_tokens,
         source=address,
-        considered=len(field.candidates),
+        considered=len(context.candidates),
         missing=scored.missing,
     )
 
 
 def _find_source(
-    scored: _Scored, field: _Field, request_id: RequestId
+    scored: _Scored, context: _PlacementContext, request_id: RequestId
 ) -> Address | None:
     """Return where a replica can get parts that it lacks, known or guessed.
 
@@ -361,43 +382,45 @@
     """
     candidate, missing = scored.candidate, scored.missing
     if scored.fetched_tokens:
-        sources = field.sources[candidate.scope]
+        sources = context.sources[candidate.scope]
         source = sources.pick(candidate.known.replica, request_id)
         if source is not None:
             return source.address
-    if field.is_many:
-        if field.prompt.count_shared() < MIN_MOVED_TOKENS:
+    if context.is_many:
+        if context.prompt.count_shared() < MIN_TRANSFER_TOKENS:
             return None
         domain = candidate.known.replica.domain
-        store = choose_store(field.stores, field.shared[-1].name, domain)
+        store = choose_store(context.stores, context.shared[-1].name, domain)
         if store is not None:
             return store.address
     if missing is None:
         return None
     # Other nodes send it where hashing says.
-    home = _find_home(field, missing)
-    is_other = home is not candidate and home.scope == candidate.scope
-    return home.known.replica.address if is_other else None
+    preferred = _find_preferred_replica(context, missing)
+    is_other = preferred is not candidate and preferred.scope == candidate.scope
+    return preferred.known.replica.address if is_other else None
 
 
-def _find_missing(shared: Sequence[Part], covered: int) -> Part | None:
+def _find_missing(shared: Sequence[PromptBlock], covered: int) -> PromptBlock | None:
     """Return the first shared part that is not among the covered tokens."""
     tokens = 0
-    for part in shared:
-        tokens += part.tokens
+    for block in shared:
+        tokens += block.tokens
         if tokens > covered:
-            return part
+            return block
     return None
 
 
-def _find_home(field: _Field, part: Part) -> Candidate:
+def _find_preferred_replica(
+    context: _PlacementContext, block: PromptBlock
+) -> Candidate:
     """Return the replica that hashing gives to a part, the same on every node."""
-    home = field.homes.get(part.name)
-    if home is None:
-        key = compute_seed(EndpointName(part.name))
-        home = max(
-            field.own_side,
+    preferred = context.preferred_replicas.get(block.name)
+    if preferred is None:
+        key = compute_seed(EndpointName(block.name))
+        preferred = max(
+            context.length_group,
             key=lambda each: compute_weight(compute_seed(each.known.replica.name), key),
         )
-        field.homes[part.name] = home
-    return home
+        context.preferred_replicas[block.name] = preferred
+    return preferred
--- a/packages/toucanyard/src/toucanyard/part_reports.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_reports.py
@@ -4,10 +4,10 @@
 
 from typing import Final
 
-from toucanyard.link_messages import ReadPart
+from toucanyard.link_messages import PromptBlockRead
 from toucanyard.names import EndpointName
 
-MAX_GATHERED: Final = 400
+MAX_PENDING_REPORTS: Final = 400
 """Parts that are told at once; beyond it those gathered first are left out. At 25 to 60
 bytes each, more would fill the links of a large fleet in a burst."""
 
@@ -17,20 +17,20 @@
 other nodes know, they send the same part to be read elsewhere."""
 
 
-class PartReports:
+class PromptBlockReports:
     """Parts that have not been told yet."""
 
-    __slots__ = ("_parts", "is_urgent")
+    __slots__ = ("_blocks", "is_urgent")
 
     def __init__(self) -> None:
         self.is_urgent = False
-        self._parts: dict[tuple[EndpointName, str, str], tuple[int, float]] = {}
+        self._blocks: dict[tuple[EndpointName, str, str], tuple[int, float]] = {}
 
-    def note(
+    def record_read(
         self,
         replica: EndpointName,
         scope: str,
-        part: str,
+        block: str,
         tokens: int,
         ready_ms: float,
         *,
@@ -40,18 +40,18 @@
 
         `is_new` tells that nobody held it before.
         """
-        self._parts[(replica, scope, part)] = (tokens, ready_ms)
+        self._blocks[(replica, scope, block)] = (tokens, ready_ms)
         self.is_urgent = self.is_urgent or (is_new and tokens >= URGENT_TOKENS)
-        if len(self._parts) > MAX_GATHERED:
-            del self._parts[next(iter(self._parts))]
+        if len(self._blocks) > MAX_PENDING_REPORTS:
+            del self._blocks[next(iter(self._blocks))]
 
-    def take(self, min_tokens: int, now_ms: float) -> tuple[ReadPart, ...]:
+    def take(self, min_tokens: int, now_ms: float) -> tuple[PromptBlockRead, ...]:
         """Return the parts of some size, and forget all of them."""
-        parts = tuple(
-            ReadPart(replica, scope, part, tokens, max(ready_ms - now_ms, 0.0))
-            for (replica, scope, part), (tokens, ready_ms) in self._parts.items()
+        blocks = tuple(
+            PromptBlockRead(replica, scope, block, tokens, max(ready_ms - now_ms, 0.0))
+            for (replica, scope, block), (tokens, ready_ms) in self._blocks.items()
             if tokens >= min_tokens
         )
-        self._parts.clear()
+        self._blocks.clear()
         self.is_urgent = False
-        return parts
+        return blocks
--- a/packages/toucanyard/src/toucanyard/part_sources.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_sources.py
@@ -23,25 +23,25 @@
 """Calls that a holder has free for nodes that restart while their old call lasts."""
 STORE_FOLLOWERS: Final = 2
 """Nodes of a large fleet that ask a store; the others are told that it lives."""
-HEARD_MS: Final = 2_500.0
+MAX_STORE_SILENCE_MS: Final = 2_500.0
 """After this silence a store is not used; fetching from a dead one takes longer than
 reading a part."""
 
 
-class PartHolder(msgspec.Struct, frozen=True):
+class PromptBlockHolder(msgspec.Struct, frozen=True):
     """Who keeps parts, and where."""
 
     name: EndpointName
     address: Address
 
 
-def name_store(store: PromptStore) -> EndpointName:
+def compute_store_name(store: PromptStore) -> EndpointName:
     """Return the name under which the book keeps a store."""
     return EndpointName(f"store {store.address}")
 
 
 def choose_store(
-    stores: Sequence[PromptStore], part: str, domain: DomainName
+    stores: Sequence[PromptStore], block: str, domain: DomainName
 ) -> PromptStore | None:
     """Return the store for what a replica in a domain reads of a prompt.
 
@@ -51,49 +51,53 @@
     choose the same one without asking.
     """
     near = [each for each in stores if each.domain == domain]
-    key = compute_seed(EndpointName(part))
+    key = compute_seed(EndpointName(block))
     return max(
         near or stores,
-        key=lambda each: compute_weight(compute_seed(name_store(each)), key),
+        key=lambda each: compute_weight(compute_seed(compute_store_name(each)), key),
         default=None,
     )
 
 
-class _Heard(msgspec.Struct):
-    heard_ms: float
+class _LastAnswer(msgspec.Struct):
+    answered_ms: float
     epoch: int
 
 
-class PartSources:
+class PromptBlockSources:
     """The holders that this node follows, and the stores that it may use."""
 
-    __slots__ = ("_directory", "_heard", "_roster")
+    __slots__ = ("_directory", "_last_answers", "_roster")
 
     def __init__(self, directory: ReplicaDirectory, roster: Roster) -> None:
         self._directory = directory
         self._roster = roster
-        self._heard: dict[EndpointName, _Heard] = {}
+        self._last_answers: dict[EndpointName, _LastAnswer] = {}
 
-    def note_heard(self, holder: EndpointName, heard_ms: float, epoch: int) -> bool:
+    def record_answer(
+        self, holder: EndpointName, answered_ms: float, epoch: int
+    ) -> bool:
         """Take in that a holder answered; return whether it has started anew."""
-        before = self._heard.get(holder)
-        if before is not None and heard_ms <= before.heard_ms:
+        before = self._last_answers.get(holder)
+        if before is not None and answered_ms <= before.answered_ms:
             return False
-        self._heard[holder] = _Heard(heard_ms, epoch)
+        self._last_answers[holder] = _LastAnswer(answered_ms, epoch)
         return before is not None and before.epoch != epoch
 
-    def note_lost(self, holder: EndpointName) -> None:
+    def record_lost(self, holder: EndpointName) -> None:
         """Take in that a holder did not answer."""
-        self._heard.pop(holder, None)
+        self._last_answers.pop(holder, None)
 
     def list_stores(self, index: RouteIndex, now_ms: float) -> Iterable[StoreNews]:
         """Return what to tell other nodes of the stores that are heard from."""
         for store in self.find_stores(index, now_ms):
-            name = name_store(store)
-            heard = self._heard[name]
-            yield StoreNews(name, now_ms - heard.heard_ms, heard.epoch)
+            name = compute_store_name(store)
+            last_answer = self._last_answers[name]
+            yield StoreNews(name, now_ms - last_answer.answered_ms, last_answer.epoch)
 
-    def find_followed(self, index: RouteIndex, now_ms: float) -> list[PartHolder]:
+    def find_followed(
+        self, index: RouteIndex, now_ms: float
+    ) -> list[PromptBlockHolder]:
         """Return the holders that this node should ask."""
         return [
             holder
@@ -106,29 +110,32 @@
         return [
             store
             for store in index.table.stores
-            if self._is_heard(name_store(store), now_ms)
+            if self._has_answered(compute_store_name(store), now_ms)
         ]
 
-    def _is_heard(self, name: EndpointName, now_ms: float) -> bool:
-        heard = self._heard.get(name)
-        return heard is not None and now_ms - heard.heard_ms <= HEARD_MS
+    def _has_answered(self, name: EndpointName, now_ms: float) -> bool:
+        last_answer = self._last_answers.get(name)
+        return (
+            last_answer is not None
+            and now_ms - last_answer.answered_ms <= MAX_STORE_SILENCE_MS
+        )
 
     def _list_holders(
         self, index: RouteIndex, now_ms: float
-    ) -> Iterator[tuple[PartHolder, int, bool]]:
+    ) -> Iterator[tuple[PromptBlockHolder, int, bool]]:
         for store in index.table.stores:
-            holder = PartHolder(name_store(store), store.address)
+            holder = PromptBlockHolder(compute_store_name(store), store.address)
             yield holder, store.max_followers, True
         for service in index.table.services:
             if service.engine is None:
                 continue
             for known in self._directory.find_listed(service.name, now_ms):
                 replica = known.replica
-                holder = PartHolder(replica.name, replica.address)
+                holder = PromptBlockHolder(replica.name, replica.address)
                 yield holder, service.engine.max_followers, False
 
     def _is_follower(
-        self, holder: PartHolder, most: int, is_store: bool, now_ms: float
+        self, holder: PromptBlockHolder, most: int, is_store: bool, now_ms: float
     ) -> bool:
         room = max(most - SPARE_FOLLOWERS, 1)
         if self._roster.count_nodes(now_ms) <= room:
--- a/packages/toucanyard/src/toucanyard/part_intake.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_updates.py
@@ -5,59 +5,59 @@
 from collections.abc import Iterable
 
 from toucanyard.known_facts import KnownFacts
-from toucanyard.link_messages import ReadPart
+from toucanyard.link_messages import PromptBlockRead
 from toucanyard.names import EndpointName
-from toucanyard.part_book import Part, PartBook
-from toucanyard.part_sources import PartSources, name_store
-from toucanyard.relay_events import HolderLost, PartsChanged
+from toucanyard.prompt_block_index import PromptBlock, PromptBlockIndex
+from toucanyard.prompt_block_sources import PromptBlockSources, compute_store_name
+from toucanyard.relay_events import HolderLost, PromptBlocksChanged
 from toucanyard.replicas import ReplicaDirectory
 
 
-class PartIntake:
+class PromptBlockUpdates:
     """Updates of one node's book of parts.
 
     Invariant: nothing that an ended life of a replica kept enters the book.
     """
 
-    __slots__ = ("_book", "_directory", "_facts", "_sources")
+    __slots__ = ("_block_index", "_directory", "_facts", "_sources")
 
     def __init__(
         self,
-        book: PartBook,
-        sources: PartSources,
+        block_index: PromptBlockIndex,
+        sources: PromptBlockSources,
         directory: ReplicaDirectory,
         facts: KnownFacts,
     ) -> None:
-        self._book = book
+        self._block_index = block_index
         self._sources = sources
         self._directory = directory
         self._facts = facts
 
-    def on_change(self, event: PartsChanged | HolderLost, now_ms: float) -> None:
+    def on_change(self, event: PromptBlocksChanged | HolderLost, now_ms: float) -> None:
         """Apply what a holder keeps now, or that it tells no more."""
         if isinstance(event, HolderLost):
-            self._sources.note_lost(event.holder)
+            self._sources.record_lost(event.holder)
             return
         if self._directory.is_over(event.holder):
             # Told by the life before the present one; the replica has lost it all.
             return
-        is_new = self._sources.note_heard(event.holder, now_ms, event.epoch)
+        is_new = self._sources.record_answer(event.holder, now_ms, event.epoch)
         if event.is_reset or is_new:
-            self._book.forget(event.holder)
+            self._block_index.forget(event.holder)
         for change in event.changes:
-            self._book.note_stored(
+            self._block_index.record_stored(
                 event.holder, change.scope, change.part, change.tokens, now_ms
             )
 
-    def apply_read(self, parts: Iterable[ReadPart], now_ms: float) -> None:
+    def apply_read(self, blocks: Iterable[PromptBlockRead], now_ms: float) -> None:
         """Apply what peers have replicas read."""
-        for each in parts:
+        for each in blocks:
             memory_tokens = self._find_memory(each.replica)
             if memory_tokens:
-                self._book.note(
+                self._block_index.note(
                     each.replica,
                     each.scope,
-                    (Part(each.part, each.tokens),),
+                    (PromptBlock(each.part, each.tokens),),
                     now_ms + each.ready_in_ms,
                     memory_tokens,
                 )
@@ -67,7 +67,7 @@
         known = self._directory.find(name)
         if known is None:
             stores = index.table.stores
-            return sum(e.memory_tokens for e in stores if name_store(e) == name)
+            return sum(e.memory_tokens for e in stores if compute_store_name(e) == name)
         service = index.find_service(known.replica.service)
         if service is None or service.engine is None:
             return 0
--- a/packages/toucanyard/src/toucanyard/relay_core.py
+++ b/packages/toucanyard/src/toucanyard/relay_core.py
@@ -25,8 +25,8 @@
 )
 from toucanyard.names import Address, NodeId, NodeName
 from toucanyard.node_records import NodeRecord
-from toucanyard.part_intake import PartIntake
-from toucanyard.part_sources import PartSources
+from toucanyard.prompt_block_sources import PromptBlockSources
+from toucanyard.prompt_block_updates import PromptBlockUpdates
 from toucanyard.relay_events import (
     CallArrived,
     CallerLeft,
@@ -36,8 +36,8 @@
     LinkMessageRead,
     Note,
     OrderAnswered,
-    PartsChanged,
     PeersLinked,
+    PromptBlocksChanged,
     QuarantineErased,
     QuarantineWritten,
     RelayAction,
@@ -82,7 +82,7 @@
 """Status with which a replica says that it is not the one that was meant."""
 
 CallEvent = CallArrived | CallerLeft | FirstEventSeen | DispatchEnded | ReplicaLimitSeen
-QuietEvent = PartsChanged | HolderLost | QuarantineWritten | QuarantineErased
+QuietEvent = PromptBlocksChanged | HolderLost | QuarantineWritten | QuarantineErased
 RolloutEvent = TurnRead | TurnAppended | ReplicaStateRead | OrderAnswered
 
 
@@ -115,7 +115,7 @@
         )
         self.roster = Roster(self.own_record, options.seeds)
         self.exchange = ViewExchange(decode, self.roster.is_full_mesh, rng)
-        self.sources = PartSources(self.directory, self.roster)
+        self.sources = PromptBlockSources(self.directory, self.roster)
         self.replica_limits = ReplicaLimits(rng)
         self.credits = ReplicaCredits(
             self.replica_limits, compute_first_number(identity.incarnation)
@@ -152,23 +152,23 @@
         self.facts = KnownFacts(
             self.directory, self.goals, self.roster, self.flow, self.guard
         )
-        self.parts = PartIntake(
-            self.flow.book, self.sources, self.directory, self.facts
+        self.parts = PromptBlockUpdates(
+            self.flow.block_index, self.sources, self.directory, self.facts
         )
-        self.gossip = ReplicaGossip(self.directory, self.flow.book, rng)
+        self.gossip = ReplicaGossip(self.directory, self.flow.block_index, rng)
         self.rollout = RolloutLeader(
             identity,
             options.weights,
             self.directory,
             self.goals,
             self.roster,
-            self.flow.uses,
+            self.flow.usage,
             options.policy.rollout,
         )
         self.statuses = StatusExchange(
             self.roster,
             self.exchange,
-            self.flow.uses,
+            self.flow.usage,
             self.flow.reports,
             self.gossip,
             self.replica_limits,
@@ -252,7 +252,10 @@
             case LinkMessageRead(sender=sender, message=message):
                 yield from self._read_message(sender.node, message, now_ms)
             case (
-                PartsChanged() | HolderLost() | QuarantineWritten() | QuarantineErased()
+                PromptBlocksChanged()
+                | HolderLost()
+                | QuarantineWritten()
+                | QuarantineErased()
             ):
                 self._handle_quiet(event, now_ms)
             case StopBegun():
@@ -302,7 +305,7 @@
             self._pruned_ms = now_ms
             self.guard.ledger.prune(now_ms)
             for name in self.directory.prune(now_ms):
-                self.flow.book.forget(name)
+                self.flow.block_index.forget(name)
             known = (each.replica.name for each in self.directory.list_all())
             self.replica_limits.retain(known)
 
@@ -315,7 +318,7 @@
     def _handle_quiet(self, event: QuietEvent, now_ms: float) -> None:
         """Handle an event that asks for nothing to be done now."""
         match event:
-            case PartsChanged() | HolderLost():
+            case PromptBlocksChanged() | HolderLost():
                 self.parts.on_change(event, now_ms)
             case QuarantineWritten() | QuarantineErased():
                 self._on_quarantine_stored(event, now_ms)
@@ -377,8 +380,8 @@
         self.flow.apply_node_count(self.roster.count_nodes(now_ms))
         for store in status.stores:
             heard_ms = now_ms - store.heard_age_ms
-            if self.sources.note_heard(store.store, heard_ms, store.epoch):
-                self.flow.book.forget(store.store)
+            if self.sources.record_answer(store.store, heard_ms, store.epoch):
+                self.flow.block_index.forget(store.store)
         self.parts.apply_read(status.parts, now_ms)
         yield from self.topics.answer_status(sender, status.views, now_ms)
 
--- a/packages/toucanyard/src/toucanyard/relay_events.py
+++ b/packages/toucanyard/src/toucanyard/relay_events.py
@@ -87,7 +87,7 @@
     message: LinkMessage
 
 
-class PartChange(msgspec.Struct, frozen=True):
+class PromptBlockChange(msgspec.Struct, frozen=True):
     """What a holder now keeps of a part; 0 tokens if nothing."""
 
     scope: str
@@ -95,11 +95,11 @@
     tokens: int
 
 
-class PartsChanged(msgspec.Struct, frozen=True):
+class PromptBlocksChanged(msgspec.Struct, frozen=True):
     """A replica or a store told what it keeps; `is_reset` if it has started anew."""
 
     holder: EndpointName
-    changes: tuple[PartChange, ...]
+    changes: tuple[PromptBlockChange, ...]
     is_reset: bool
     epoch: int = 0
     """Another one after each of its restarts."""
@@ -231,7 +231,7 @@
     | ReplicaLimitSeen
     | PeersLinked
     | LinkMessageRead
-    | PartsChanged
+    | PromptBlocksChanged
     | HolderLost
     | TurnRead
     | TurnAppended
--- a/packages/toucanyard/src/toucanyard/relay_flow.py
+++ b/packages/toucanyard/src/toucanyard/relay_flow.py
@@ -70,8 +70,8 @@
         self._pending: dict[RequestId, PendingCall] = {}
         self._queues: dict[ServiceName, list[PendingCall]] = {}
         self._calls = calls
-        self.uses = calls.uses
-        self.book = calls.book
+        self.usage = calls.usage
+        self.block_index = calls.block_index
         self.reports = calls.reports
 
     def apply_index(self, index: RouteIndex) -> None:
@@ -136,8 +136,8 @@
         pending = self._pending.get(request_id)
         if pending is None or pending.replica is None:
             return
-        self.uses.note_started(pending.replica, request_id, now_ms)
-        self._calls.note_read(pending, now_ms)
+        self.usage.record_started(pending.replica, request_id, now_ms)
+        self._calls.record_read(pending, now_ms)
         yield from self._drain(pending.request.service, now_ms)
 
     def end_dispatch(
@@ -310,11 +310,13 @@
     def _learn(
         self, pending: PendingCall, outcome: RelayOutcome, now_ms: float
     ) -> None:
-        self.uses.end(outcome.replica, outcome.request_id)
+        self.usage.end(outcome.replica, outcome.request_id)
         known = self._directory.find(outcome.replica)
         prompt = pending.request.prompt
         if prompt is not None and not outcome.has_begun:
-            self.book.note_unread(outcome.replica, pending.scope, prompt.parts, now_ms)
+            self.block_index.record_unread(
+                outcome.replica, pending.scope, prompt.parts, now_ms
+            )
         self._note_sends(pending, outcome, now_ms)
         self._guard.on_dispatch_ended(pending.request, outcome, pending.sent_ms, now_ms)
         if known is None:
@@ -326,9 +328,9 @@
                 known.note_success()
             case EndingSeen.NOT_SENT | EndingSeen.LOST:
                 is_dead = outcome.is_dead and self._policy.retries.rests
-                known.note_failure(now_ms, is_dead=is_dead)
+                known.record_failure(now_ms, is_dead=is_dead)
             case EndingSeen.FAILED:
-                known.note_failure(now_ms, is_dead=False)
+                known.record_failure(now_ms, is_dead=False)
             case EndingSeen.REFUSED if outcome.is_replaced:
                 self._directory.note_replaced(outcome.replica, now_ms)
             case EndingSeen.REFUSED if outcome.has_other_weights:
@@ -358,7 +360,7 @@
     def _note_weights(self, known: KnownReplica, model: str, version: int) -> None:
         if known.note_weights(model, version):
             # Loading weights drops all that was read under the ones before.
-            self.book.forget(known.replica.name)
+            self.block_index.forget(known.replica.name)
 
     def _give_up(
         self, pending: PendingCall, outcome: RelayOutcome, now_ms: float
@@ -395,6 +397,6 @@
             self._queues[request.service].remove(pending)
             pending.is_waiting = False
         if pending.replica is not None:
-            self.uses.end(pending.replica, request.request_id)
+            self.usage.end(pending.replica, request.request_id)
             self._refusals.note_ended(request.service, now_ms)
         yield from self._drain(request.service, now_ms)
--- a/packages/toucanyard/src/toucanyard/relay_requests.py
+++ b/packages/toucanyard/src/toucanyard/relay_requests.py
@@ -13,7 +13,7 @@
     RequestId,
     ServiceName,
 )
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.requests import EndingSeen, Refuse, Repeatability
 
 
@@ -21,7 +21,7 @@
     """The prompt of a call: parts that others share first, its own part last."""
 
     model: str
-    parts: tuple[Part, ...]
+    parts: tuple[PromptBlock, ...]
     max_output_tokens: int
 
     def count_tokens(self) -> int:
@@ -32,7 +32,7 @@
         """Return the tokens of the parts that other prompts may share."""
         return sum(part.tokens for part in self.find_shared())
 
-    def find_shared(self) -> tuple[Part, ...]:
+    def find_shared(self) -> tuple[PromptBlock, ...]:
         """Return the parts that other prompts may share."""
         return self.parts[:-1]
 
--- a/packages/toucanyard/src/toucanyard/replica_gossip.py
+++ b/packages/toucanyard/src/toucanyard/replica_gossip.py
@@ -14,7 +14,7 @@
 
 from toucanyard.link_messages import LifeNews, ReplicaNews
 from toucanyard.names import EndpointName
-from toucanyard.part_book import PartBook
+from toucanyard.prompt_block_index import PromptBlockIndex
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.seen_updates import SeenUpdates, new_update_id
 
@@ -48,7 +48,7 @@
     )
 
     def __init__(
-        self, directory: ReplicaDirectory, book: PartBook, rng: random.Random
+        self, directory: ReplicaDirectory, book: PromptBlockIndex, rng: random.Random
     ) -> None:
         self._directory = directory
         self._book = book
--- a/packages/toucanyard/src/toucanyard/replica_uses.py
+++ b/packages/toucanyard/src/toucanyard/replica_usage.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from toucanyard.link_messages import ReplicaUse
+from toucanyard.link_messages import ReplicaUsageReport
 from toucanyard.names import EndpointName, NodeName, RequestId
 
 FLEET: Final = NodeName("(fleet)")
 """Under which the calls of all other nodes are kept that a hub tells of at once."""
 
-PEER_USE_KEPT_MS: Final = 1_500.0
+MAX_PEER_SILENCE_MS: Final = 1_500.0
 """After this silence a peer's calls don't count any more; it is cut off or dead."""
 DEFAULT_TOKENS_PER_MS: Final = 30.0
 """Prompt tokens that an engine reads in a millisecond, until its answers tell."""
@@ -39,7 +39,7 @@
     has_started: bool = False
 
 
-class Use(msgspec.Struct):
+class UsageTotal(msgspec.Struct):
     """What is under way at one replica, over all nodes that are heard from."""
 
     running: int = 0
@@ -47,7 +47,7 @@
     unread_tokens: int = 0
 
 
-class ReplicaUses:
+class ReplicaUsage:
     """Calls under way at every replica; owned by one task."""
 
     __slots__ = (
@@ -55,18 +55,20 @@
         "_merged_until_ms",
         "_own",
         "_peers",
-        "_told",
+        "_reported",
         "is_urgent",
         "tokens_per_ms",
     )
 
     def __init__(self) -> None:
         self._own: dict[EndpointName, dict[RequestId, OwnCall]] = {}
-        self._peers: dict[NodeName, tuple[float, dict[EndpointName, ReplicaUse]]] = {}
-        self._merged: dict[EndpointName, Use] = {}
+        self._peers: dict[
+            NodeName, tuple[float, dict[EndpointName, ReplicaUsageReport]]
+        ] = {}
+        self._merged: dict[EndpointName, UsageTotal] = {}
         """Sum over all peers that are heard from, valid until `_merged_until_ms`."""
         self._merged_until_ms = float("-inf")
-        self._told: dict[EndpointName, ReplicaUse] = {}
+        self._reported: dict[EndpointName, ReplicaUsageReport] = {}
         """This node's own calls when it last reported them."""
         self.is_urgent = False
         """A long prompt was sent since this node last reported its calls."""
@@ -85,7 +87,7 @@
         calls[request_id] = OwnCall(now_ms, tokens, unread_tokens)
         self.is_urgent = self.is_urgent or unread_tokens >= URGENT_TOKENS
 
-    def note_started(
+    def record_started(
         self, replica: EndpointName, request_id: RequestId, now_ms: float
     ) -> None:
         """Note that a call's prompt has been read, and how fast."""
@@ -109,21 +111,23 @@
                 del self._own[replica]
 
     def apply_peer(
-        self, peer: NodeName, uses: Iterable[ReplicaUse], now_ms: float
+        self, peer: NodeName, usages: Iterable[ReplicaUsageReport], now_ms: float
     ) -> bool:
         """Take in what a peer has under way; return whether others should know soon."""
         before = self._peers.get(peer, (now_ms, {}))[1]
-        now = {each.replica: each for each in uses}
+        now = {each.replica: each for each in usages}
         self._peers[peer] = (now_ms, now)
         self._merged_until_ms = float("-inf")
         return any(
-            use.unread_tokens - _find_unread(before, name) >= URGENT_TOKENS
-            for name, use in now.items()
+            usage.unread_tokens - _find_unread(before, name) >= URGENT_TOKENS
+            for name, usage in now.items()
         )
 
-    def apply_fleet(self, uses: Iterable[ReplicaUse], now_ms: float) -> None:
+    def apply_fleet(self, usages: Iterable[ReplicaUsageReport], now_ms: float) -> None:
         """Take in what all nodes have under way, as far as it is not this node's."""
-        others = [_subtract(use, self._told.get(use.replica)) for use in uses]
+        others = [
+            _subtract(usage, self._reported.get(usage.replica)) for usage in usages
+        ]
         self.apply_peer(FLEET, others, now_ms)
 
     def forget_peer(self, peer: NodeName) -> None:
@@ -131,10 +135,10 @@
         self._peers.pop(peer, None)
         self._merged_until_ms = float("-inf")
 
-    def list_own(self) -> tuple[ReplicaUse, ...]:
+    def list_own(self) -> tuple[ReplicaUsageReport, ...]:
         """Return this node's calls by replica."""
         return tuple(
-            ReplicaUse(
+            ReplicaUsageReport(
                 name,
                 len(calls),
                 sum(call.tokens for call in calls.values()),
@@ -145,50 +149,50 @@
 
     def has_news(self) -> bool:
         """Tell whether this node has calls under way, or last reported some."""
-        return bool(self._own or self._told)
+        return bool(self._own or self._reported)
 
-    def report(self) -> tuple[ReplicaUse, ...]:
+    def report(self) -> tuple[ReplicaUsageReport, ...]:
         """Return this node's calls, and remember that they were told."""
         own = self.list_own()
-        self._told = {use.replica: use for use in own}
+        self._reported = {usage.replica: usage for usage in own}
         self.is_urgent = False
         return own
 
     def sum_group(
         self,
-        own: Iterable[ReplicaUse],
+        own: Iterable[ReplicaUsageReport],
         peers: Collection[NodeName],
         now_ms: float,
-    ) -> tuple[ReplicaUse, ...]:
+    ) -> tuple[ReplicaUsageReport, ...]:
         """Return what this node and some of its peers have under way, by replica."""
-        total: dict[EndpointName, Use] = {}
-        for use in own:
-            _add(total, use)
+        total: dict[EndpointName, UsageTotal] = {}
+        for usage in own:
+            _add(total, usage)
         for name in peers:
-            heard_ms, uses = self._peers.get(name, (float("-inf"), {}))
-            if now_ms - heard_ms <= PEER_USE_KEPT_MS:
-                for use in uses.values():
-                    _add(total, use)
+            heard_ms, usages = self._peers.get(name, (float("-inf"), {}))
+            if now_ms - heard_ms <= MAX_PEER_SILENCE_MS:
+                for usage in usages.values():
+                    _add(total, usage)
         return tuple(
-            ReplicaUse(name, use.running, use.tokens, use.unread_tokens)
-            for name, use in total.items()
+            ReplicaUsageReport(name, usage.running, usage.tokens, usage.unread_tokens)
+            for name, usage in total.items()
         )
 
     def list_peers(self) -> Collection[NodeName]:
         """Return the peers whose calls are known."""
         return self._peers.keys()
 
-    def compute(self, replica: EndpointName, now_ms: float) -> Use:
+    def compute(self, replica: EndpointName, now_ms: float) -> UsageTotal:
         """Return what all nodes have under way at a replica."""
         if now_ms > self._merged_until_ms:
             self._merge(now_ms)
         peers = self._merged.get(replica)
-        use = Use() if peers is None else msgspec.structs.replace(peers)
+        usage = UsageTotal() if peers is None else msgspec.structs.replace(peers)
         for call in self._own.get(replica, {}).values():
-            use.running += 1
-            use.tokens += call.tokens
-            use.unread_tokens += 0 if call.has_started else call.unread_tokens
-        return use
+            usage.running += 1
+            usage.tokens += call.tokens
+            usage.unread_tokens += 0 if call.has_started else call.unread_tokens
+        return usage
 
     def _merge(self, now_ms: float) -> None:
         """Add up what peers say.
@@ -198,36 +202,40 @@
         """
         self._merged = {}
         self._merged_until_ms = float("inf")
-        for heard_ms, uses in self._peers.values():
-            until_ms = heard_ms + PEER_USE_KEPT_MS
+        for heard_ms, usages in self._peers.values():
+            until_ms = heard_ms + MAX_PEER_SILENCE_MS
             if now_ms > until_ms:
                 continue
             self._merged_until_ms = min(self._merged_until_ms, until_ms)
-            for use in uses.values():
-                _add(self._merged, use)
+            for usage in usages.values():
+                _add(self._merged, usage)
 
 
-def _find_unread(uses: dict[EndpointName, ReplicaUse], name: EndpointName) -> int:
-    use = uses.get(name)
-    return 0 if use is None else use.unread_tokens
+def _find_unread(
+    usages: dict[EndpointName, ReplicaUsageReport], name: EndpointName
+) -> int:
+    usage = usages.get(name)
+    return 0 if usage is None else usage.unread_tokens
 
 
-def _add(total: dict[EndpointName, Use], use: ReplicaUse) -> None:
-    found = total.get(use.replica)
+def _add(total: dict[EndpointName, UsageTotal], usage: ReplicaUsageReport) -> None:
+    found = total.get(usage.replica)
     if found is None:
-        found = total[use.replica] = Use()
-    found.running += use.running
-    found.tokens += use.tokens
-    found.unread_tokens += use.unread_tokens
+        found = total[usage.replica] = UsageTotal()
+    found.running += usage.running
+    found.tokens += usage.tokens
+    found.unread_tokens += usage.unread_tokens
 
 
-def _subtract(use: ReplicaUse, own: ReplicaUse | None) -> ReplicaUse:
+def _subtract(
+    usage: ReplicaUsageReport, own: ReplicaUsageReport | None
+) -> ReplicaUsageReport:
     if own is None:
-        return use
+        return usage
     # The total lags, so it may hold less than what was told since.
-    return ReplicaUse(
-        use.replica,
-        max(use.running - own.running, 0),
-        max(use.tokens - own.tokens, 0),
-        max(use.unread_tokens - own.unread_tokens, 0),
+    return ReplicaUsageReport(
+        usage.replica,
+        max(usage.running - own.running, 0),
+        max(usage.tokens - own.tokens, 0),
+        max(usage.unread_tokens - own.unread_tokens, 0),
     )
--- a/packages/toucanyard/src/toucanyard/replicas.py
+++ b/packages/toucanyard/src/toucanyard/replicas.py
@@ -157,7 +157,7 @@
         """Tell whether it takes no new calls, since it loads weights."""
         return now_ms < self.loading_until_ms
 
-    def note_failure(self, now_ms: float, *, is_dead: bool) -> None:
+    def record_failure(self, now_ms: float, *, is_dead: bool) -> None:
         """Take in a failed call; `is_dead` if nothing there answered."""
         self._failures = self.compute_failures(now_ms) + 1.0
         self._failures_ms = now_ms
--- a/packages/toucanyard/src/toucanyard/request_flow.py
+++ b/packages/toucanyard/src/toucanyard/request_flow.py
@@ -111,11 +111,11 @@
         if event is not None and not self._claims.may_dispatch(event):
             yield from self.apply_claims(self._claims.handle(event, now_ms), now_ms)
             return
-        self._choice.tell_usable(request, now_ms)
+        self._choice.report_usable(request, now_ms)
         yield from self._apply_admission(self._admission.offer(request, now_ms), now_ms)
         pending = self._pending.get(request.request_id)
         if pending is not None and pending.phase is Phase.WAITING:
-            self.records.note_queued(request.request_id, now_ms)
+            self.records.record_queued(request.request_id, now_ms)
 
     def leave(self, request_id: RequestId, now_ms: float) -> Iterator[FlowAction]:
         """Take in that the caller of an undecided request went away."""
@@ -140,17 +140,17 @@
         key would count as running, and its work as load of the endpoint, for good.
         """
         request_id = pending.request.request_id
-        self._feedback.note_unsent(pending, placed, now_ms)
+        self._feedback.record_unsent(pending, placed, now_ms)
         unsent = Outcome(request_id, placed.endpoint, EndingSeen.NOT_SENT)
         yield from self._finish(pending, unsent, now_ms)
 
-    def note_first_token(
+    def record_first_token(
         self, request_id: RequestId, after_ms: float, now_ms: float
     ) -> None:
         """Take in that an answer has begun."""
         pending = self._pending.get(request_id)
         if pending is not None and pending.placed is not None:
-            self._feedback.note_first_token(pending, pending.placed, after_ms, now_ms)
+            self._feedback.record_first_token(pending, pending.placed, after_ms, now_ms)
 
     def end_dispatch(self, outcome: Outcome, now_ms: float) -> Iterator[FlowAction]:
         """Take in how a dispatch ended and decide what follows."""
@@ -158,7 +158,7 @@
         if pending is None:
             yield Reply(outcome.request_id, None)
             return
-        self._feedback.note_outcome(pending, outcome, now_ms)
+        self._feedback.record_dispatch_end(pending, outcome, now_ms)
         if outcome.ending in (EndingSeen.COMPLETED, EndingSeen.CANCELLED):
             yield from self._finish(pending, outcome, now_ms)
             yield Reply(outcome.request_id, None)
@@ -223,7 +223,7 @@
             yield from self.apply_claims(self._claims.handle(ended, now_ms), now_ms)
             return
         pending.is_key_allowed = True
-        self.records.note_claimed(request_id, now_ms)
+        self.records.record_claimed(request_id, now_ms)
         yield from self._dispatch(pending, now_ms)
 
     def _dispatch(self, pending: PendingRequest, now_ms: float) -> Iterator[FlowAction]:
@@ -251,11 +251,11 @@
         pending.sent_ms = now_ms
         pending.phase = Phase.RUNNING
         pool = self._choice.find_pool(request)
-        self._feedback.note_sent(pending, placed, pool, now_ms)
+        self._feedback.record_sent(pending, placed, pool, now_ms)
         if request.repeatability is Repeatability.KEYED:
             started = DispatchStarted(request.request_id)
             yield from self.apply_claims(self._claims.handle(started, now_ms), now_ms)
-        self.records.note_sent(request.request_id, placed, pending.attempt, now_ms)
+        self.records.record_sent(request.request_id, placed, pending.attempt, now_ms)
         dispatch = Dispatch(
             request_id=request.request_id,
             endpoint=placed.endpoint,
@@ -333,7 +333,7 @@
         pending = self._pending.get(refusal.request_id)
         if pending is None:
             return
-        self.records.note_refused(pending.request, refusal, now_ms)
+        self.records.record_refused(pending.request, refusal, now_ms)
         yield Reply(refusal.request_id, refusal)
         yield from self._finish(pending, outcome, now_ms)
 
@@ -341,7 +341,7 @@
         pending = self._pending.get(replay.request_id)
         if pending is None:
             return
-        self.records.note_replayed(replay.request_id, now_ms)
+        self.records.record_replayed(replay.request_id, now_ms)
         yield Reply(replay.request_id, replay)
         yield from self._finish(pending, None, now_ms)
 
--- a/packages/toucanyard/src/toucanyard/request_records.py
+++ b/packages/toucanyard/src/toucanyard/request_records.py
@@ -38,22 +38,22 @@
         )
         self.explanations.open(record)
 
-    def note_queued(self, request_id: RequestId, now_ms: float) -> None:
+    def record_queued(self, request_id: RequestId, now_ms: float) -> None:
         """Note that a request waits."""
         self.explanations.add_step(request_id, Queued(now_ms))
 
-    def note_claimed(self, request_id: RequestId, now_ms: float) -> None:
+    def record_claimed(self, request_id: RequestId, now_ms: float) -> None:
         """Note that a request's key was won."""
         self.explanations.add_step(request_id, Claimed(now_ms))
 
-    def note_sent(
+    def record_sent(
         self, request_id: RequestId, placed: Placed, attempt: int, now_ms: float
     ) -> None:
         """Note where a try was sent, and the alternatives."""
         sent = Sent(now_ms, placed.endpoint, attempt, placed.level_depth, placed.scores)
         self.explanations.add_step(request_id, sent)
 
-    def note_ended(
+    def record_ended(
         self, request: Request, outcome: Outcome, sent_ms: float, now_ms: float
     ) -> None:
         """Note how a try ended."""
@@ -71,7 +71,7 @@
         )
         self.explanations.add_step(request.request_id, ended)
 
-    def note_turned_away(self, event: RequestTurnedAway, now_ms: float) -> None:
+    def record_rejected(self, event: RequestTurnedAway, now_ms: float) -> None:
         """Note that a face refused a request, which the core may never have seen."""
         refusal = event.refusal
         if self.explanations.find(refusal.request_id) is None:
@@ -86,7 +86,7 @@
             )
         self._add_refusal(refusal, event.customer, now_ms)
 
-    def note_refused(self, request: Request, refusal: Refuse, now_ms: float) -> None:
+    def record_refused(self, request: Request, refusal: Refuse, now_ms: float) -> None:
         """Note that a request was refused, and why."""
         self._add_refusal(refusal, request.customer, now_ms)
 
@@ -103,6 +103,6 @@
         self.explanations.add_step(refusal.request_id, refused)
         self.statistics.record_refusal(customer, refusal.kind)
 
-    def note_replayed(self, request_id: RequestId, now_ms: float) -> None:
+    def record_replayed(self, request_id: RequestId, now_ms: float) -> None:
         """Note that an earlier try's answer was given."""
         self.explanations.add_step(request_id, Replayed(now_ms))
--- a/packages/toucanyard/src/toucanyard/requests.py
+++ b/packages/toucanyard/src/toucanyard/requests.py
@@ -41,15 +41,15 @@
     chain: tuple[int, ...]
     prompt_bytes: int
     max_tokens: int
-    home_keys: tuple[int, ...] = ()
+    affinity_keys: tuple[int, ...] = ()
     """Keys that the prompt's homes are hashed by, the same under all weights; empty
     takes them from the chain."""
     chains: ChainSource | None = None
     """Gives the chain under other weights than `weights_version`."""
 
-    def find_home_keys(self) -> tuple[int, ...]:
+    def find_affinity_keys(self) -> tuple[int, ...]:
         """Return the keys that the prompt's homes are hashed by."""
-        return self.home_keys or sample_chain(self.chain)
+        return self.affinity_keys or sample_chain(self.chain)
 
     def find_chain(self, weights_version: str) -> tuple[int, ...]:
         """Return the chain under an endpoint's weights; empty where unknown."""
--- a/packages/toucanyard/src/toucanyard/rollout_leader.py
+++ b/packages/toucanyard/src/toucanyard/rollout_leader.py
@@ -21,7 +21,7 @@
 from toucanyard.relay_notes import Note
 from toucanyard.relay_options import WeightsTimings
 from toucanyard.relay_policy import RolloutPolicy
-from toucanyard.replica_uses import ReplicaUses
+from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.roster import Roster
 from toucanyard.turns import MAX_FOLLOWERS, Turns
@@ -78,7 +78,7 @@
         directory: ReplicaDirectory,
         goals: WeightsGoals,
         roster: Roster,
-        uses: ReplicaUses,
+        uses: ReplicaUsage,
         policy: RolloutPolicy,
     ) -> None:
         self._policy = policy
--- a/packages/toucanyard/src/toucanyard/scoring.py
+++ b/packages/toucanyard/src/toucanyard/scoring.py
@@ -43,7 +43,7 @@
     load_age_ms: float
 
 
-class Considered(msgspec.Struct, frozen=True):
+class EndpointCandidate(msgspec.Struct, frozen=True):
     """One endpoint that may be chosen, and what was looked up about it."""
 
     name: EndpointName
@@ -54,14 +54,14 @@
     rank: float
     reported_ms: float
     """Wait that its last report foretells."""
-    is_widened_home: bool
+    is_one_of_several: bool
     """Whether it is one of several homes."""
     has_old_weights: bool
     """Whether it runs other weights than those desired."""
 
 
 def compute_scores(
-    considered: Sequence[Considered],
+    considered: Sequence[EndpointCandidate],
     blocks: int,
     policy: PlacementPolicy,
     prices: Prices,
@@ -78,7 +78,7 @@
 
 
 def compute_score(
-    considered: Considered,
+    considered: EndpointCandidate,
     blocks: int,
     policy: PlacementPolicy,
     prices: Prices,
@@ -95,7 +95,7 @@
     recompute_ms = missing * policy.prefill_ms_per_block * slowness
     price = policy.recompute_price + prices.spread_price * considered.rank
     price += prices.evict_price * compute_turnover(considered.view, now_ms)
-    if considered.is_widened_home:
+    if considered.is_one_of_several:
         # What a hot prefix's new home computes once is used by all that follow. At the
         # whole price requests would queue at the first home, up to 12 s with a prompt
         # of 180 blocks, beside an idle second one.
--- a/packages/toucanyard/src/toucanyard/silence_bounds.py
+++ b/packages/toucanyard/src/toucanyard/silence_bounds.py
@@ -12,7 +12,7 @@
 from toucanyard.names import EndpointName
 from toucanyard.options import StreamLimits
 
-_PAUSES: Final = 3.0
+_PAUSE_FACTOR: Final = 3.0
 """How many of its usual longest pauses an endpoint is waited for."""
 _DECAY: Final = 0.95
 _MAX_ENDPOINTS: Final = 20_000
@@ -31,7 +31,7 @@
         self._limits = limits
         self._pauses_ms: dict[EndpointName, float] = {}
 
-    def note_pause(self, endpoint: EndpointName, longest_ms: float) -> None:
+    def record_pause(self, endpoint: EndpointName, longest_ms: float) -> None:
         """Take in the longest pause of one stream; older ones fade."""
         if len(self._pauses_ms) >= _MAX_ENDPOINTS and endpoint not in self._pauses_ms:
             self._pauses_ms.clear()
@@ -41,5 +41,5 @@
     def compute_bound(self, endpoint: EndpointName) -> float:
         """Return the silence in milliseconds after which to probe."""
         limits = self._limits
-        wanted_ms = self._pauses_ms.get(endpoint, 0.0) * _PAUSES
+        wanted_ms = self._pauses_ms.get(endpoint, 0.0) * _PAUSE_FACTOR
         return min(max(wanted_ms, limits.min_silence_ms), limits.max_silence_ms)
--- a/packages/toucanyard/src/toucanyard/snapshot_exchange.py
+++ b/packages/toucanyard/src/toucanyard/snapshot_exchange.py
@@ -124,9 +124,9 @@
             if self._membership.find_incarnation(hint.endpoint) is not None:
                 # What this node has seen itself since its start is newer.
                 continue
-            self._placement.note_incarnation(hint.endpoint, hint.incarnation)
+            self._placement.record_incarnation(hint.endpoint, hint.incarnation)
             if hint.weights_version:
-                self._directory.note_weights(hint.endpoint, hint.weights_version)
+                self._directory.record_weights(hint.endpoint, hint.weights_version)
 
 
 def _to_message(ask: Ask | None) -> Iterator[SendMessage]:
--- a/packages/toucanyard/src/toucanyard/statistics.py
+++ b/packages/toucanyard/src/toucanyard/statistics.py
@@ -23,13 +23,13 @@
 _DIGITS: Final = 1
 """Values are told apart by 6% or less; a second digit takes ten times the memory."""
 _QUANTILES: Final = (50.0, 95.0, 99.0)
-MAX_HELD: Final = 64
+MAX_DETAILED_CUSTOMERS: Final = 64
 """Customers of one class with histograms of their own, 10 KB each."""
 MAX_REFUSAL_COUNTS: Final = 4_096
 """Customers and reasons of refusals that are counted apart."""
-REST: Final = CustomerName("")
+OTHER_CUSTOMERS: Final = CustomerName("")
 """Stands for all customers without figures of their own; no customer has this name."""
-_LEAD: Final = 2
+_REPLACEMENT_FACTOR: Final = 2
 """How much busier a customer must be than the idlest to take its place."""
 _AGING_RECORDS: Final = 10_000
 """After so many dispatches what went before counts half, to tell who is busy now."""
@@ -125,18 +125,18 @@
         self.recomputed_tokens.add(other.recomputed_tokens)
 
 
-class _Class:
+class _ClassStatistics:
     """Figures of one class.
 
     Invariant: at most MAX_HELD customers have histograms, and each dispatch was
     recorded in one of them or in `rest`.
     """
 
-    __slots__ = ("_records", "held", "rest", "totals")
+    __slots__ = ("_records", "detailed", "rest", "totals")
 
     def __init__(self) -> None:
         self._records = 0
-        self.held: dict[CustomerName, _Histograms] = {}
+        self.detailed: dict[CustomerName, _Histograms] = {}
         self.rest = _Histograms()
         self.totals: dict[CustomerName, _Totals] = {}
 
@@ -161,20 +161,20 @@
         """Return the totals of all customers without histograms of their own."""
         found = _Totals()
         for customer, totals in self.totals.items():
-            if customer not in self.held:
+            if customer not in self.detailed:
                 found.add(totals)
         return found
 
     def _find_histograms(self, customer: CustomerName, totals: _Totals) -> _Histograms:
-        found = self.held.get(customer)
+        found = self.detailed.get(customer)
         if found is not None:
             return found
-        if len(self.held) >= MAX_HELD:
-            idlest = min(self.held, key=lambda each: self.totals[each].recent)
-            if totals.recent <= _LEAD * self.totals[idlest].recent:
+        if len(self.detailed) >= MAX_DETAILED_CUSTOMERS:
+            least_active = min(self.detailed, key=lambda each: self.totals[each].recent)
+            if totals.recent <= _REPLACEMENT_FACTOR * self.totals[least_active].recent:
                 return self.rest
-            self.rest.add(self.held.pop(idlest))
-        found = self.held[customer] = _Histograms()
+            self.rest.add(self.detailed.pop(least_active))
+        found = self.detailed[customer] = _Histograms()
         return found
 
 
@@ -197,7 +197,7 @@
     __slots__ = ("_classes", "_refusals")
 
     def __init__(self) -> None:
-        self._classes: dict[PriorityClass, _Class] = {}
+        self._classes: dict[PriorityClass, _ClassStatistics] = {}
         self._refusals: dict[tuple[CustomerName, ErrorKind], int] = {}
 
     def record_outcome(
@@ -210,14 +210,14 @@
         """Record one ended dispatch; `waited_ms` is the time before it."""
         figures = self._classes.get(priority)
         if figures is None:
-            figures = self._classes[priority] = _Class()
+            figures = self._classes[priority] = _ClassStatistics()
         figures.record(customer, outcome, waited_ms)
 
     def record_refusal(self, customer: CustomerName, error: ErrorKind) -> None:
         """Count one refusal."""
         key = (customer, error)
         if key not in self._refusals and len(self._refusals) >= MAX_REFUSAL_COUNTS:
-            key = (REST, error)
+            key = (OTHER_CUSTOMERS, error)
         self._refusals[key] = self._refusals.get(key, 0) + 1
 
     def list_refusals(self) -> tuple[RefusalCount, ...]:
@@ -234,29 +234,29 @@
         its thread with others can let them run in between.
         """
         rest = [
-            _Group(REST, priority, figures.rest, figures.sum_rest())
+            _Group(OTHER_CUSTOMERS, priority, figures.rest, figures.sum_rest())
             for priority, figures in self._classes.items()
-            if len(figures.totals) > len(figures.held)
+            if len(figures.totals) > len(figures.detailed)
         ]
         # Listed before the first pause: what a customer that loses its place has
         # recorded until now is then in its own group only, not in the rest as well.
         groups = rest + sorted(
-            self._list_held(), key=lambda each: (each.customer, each.priority)
+            self._list_detailed(), key=lambda each: (each.customer, each.priority)
         )
         yield from map(_compute_group, groups)
 
     def iterate_busiest(self, limit: int) -> Iterator[GroupStatistics]:
         """Yield the groups with the most prompt tokens, one at a time."""
         groups = heapq.nlargest(
-            limit, self._list_held(), key=lambda group: group.totals.prompt_tokens
+            limit, self._list_detailed(), key=lambda group: group.totals.prompt_tokens
         )
         yield from map(_compute_group, groups)
 
-    def _list_held(self) -> Sequence[_Group]:
+    def _list_detailed(self) -> Sequence[_Group]:
         return [
             _Group(customer, priority, histograms, figures.totals[customer])
             for priority, figures in self._classes.items()
-            for customer, histograms in figures.held.items()
+            for customer, histograms in figures.detailed.items()
         ]
 
 
@@ -273,7 +273,7 @@
         cached_tokens=totals.cached_tokens,
         hit_rate=totals.cached_tokens / prompt_tokens if prompt_tokens else 0.0,
         answers=totals.answers,
-        is_rest=group.customer == REST,
+        is_rest=group.customer == OTHER_CUSTOMERS,
     )
 
 
--- a/packages/toucanyard/src/toucanyard/status_exchange.py
+++ b/packages/toucanyard/src/toucanyard/status_exchange.py
@@ -19,15 +19,15 @@
     Coverage,
     GoalAge,
     NodeStatus,
-    ReadPart,
+    PromptBlockRead,
     StoreNews,
 )
 from toucanyard.names import NodeName
-from toucanyard.part_reports import PartReports
+from toucanyard.prompt_block_reports import PromptBlockReports
 from toucanyard.relay_events import SendToPeer
 from toucanyard.replica_gossip import ReplicaGossip
 from toucanyard.replica_limits import ReplicaLimits
-from toucanyard.replica_uses import FLEET, ReplicaUses
+from toucanyard.replica_usage import FLEET, ReplicaUsage
 from toucanyard.request_guard import RequestGuard
 from toucanyard.roster import Roster
 from toucanyard.status_schedule import URGENT_MS, Audience, StatusSchedule
@@ -59,8 +59,8 @@
         self,
         roster: Roster,
         views: ViewExchange,
-        uses: ReplicaUses,
-        reports: PartReports,
+        uses: ReplicaUsage,
+        reports: PromptBlockReports,
         gossip: ReplicaGossip,
         replica_limits: ReplicaLimits,
         guard: RequestGuard,
@@ -82,7 +82,7 @@
         self._link_mbps = link_mbps
         self._leaves: set[NodeName] = set()
         """The nodes that report to this one."""
-        self._far_reports = PartReports()
+        self._far_reports = PromptBlockReports()
         """Parts of which other hubs told, for the nodes that report to this one."""
         self._schedule = StatusSchedule()
         self._full_ms = dict.fromkeys(Audience, float("-inf"))
@@ -232,14 +232,14 @@
             self._nodes_ms.update(dict.fromkeys(others, float("-inf")))
 
     def _pass_on_parts(
-        self, sender: NodeName, parts: Iterable[ReadPart], now_ms: float
+        self, sender: NodeName, parts: Iterable[PromptBlockRead], now_ms: float
     ) -> None:
         if not self._leaves:
             return
         reports = self._reports if sender in self._leaves else self._far_reports
         for each in parts:
             ready_ms = now_ms + each.ready_in_ms
-            reports.note(
+            reports.record_read(
                 each.replica,
                 each.scope,
                 each.part,
@@ -264,7 +264,7 @@
     ) -> Iterator[SendToPeer]:
         light = self._build_light(now_ms)
         messages = {Audience.STANDBY: light}
-        parts: tuple[ReadPart, ...] = ()
+        parts: tuple[PromptBlockRead, ...] = ()
         if Audience.PEERS in audiences:
             parts = self._reports.take(LARGE_TOKENS, now_ms)
             messages[Audience.PEERS] = self._build_group(light, parts, now_ms)
@@ -277,7 +277,7 @@
                 yield SendToPeer(name, messages[audience])
 
     def _build_group(
-        self, light: NodeStatus, parts: tuple[ReadPart, ...], now_ms: float
+        self, light: NodeStatus, parts: tuple[PromptBlockRead, ...], now_ms: float
     ) -> NodeStatus:
         """Return what peers are told of this node and those that report to it."""
         primary = self._roster.find_primary()
@@ -295,7 +295,7 @@
         return msgspec.structs.replace(light, **changes)
 
     def _build_fleet(
-        self, light: NodeStatus, parts: tuple[ReadPart, ...], now_ms: float
+        self, light: NodeStatus, parts: tuple[PromptBlockRead, ...], now_ms: float
     ) -> NodeStatus:
         """Return what the nodes that report to this one are told of all nodes."""
         full_ms = self._find_full_interval()
--- a/tests/toucanyard/limit_fleet.py
+++ b/tests/toucanyard/limit_fleet.py
@@ -14,7 +14,7 @@
 
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.names import CustomerName, Fingerprint, NodeName, RequestId
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.rate_limits import LimitBounds, LimitUnit, RateLimit
 from toucanyard.relay_events import (
     CallArrived,
@@ -193,7 +193,7 @@
         request = build_request(
             f"limited-{number}",
             customer=customer,
-            prompt=Prompt(MODEL, (Part(f"own-{number}", tokens - 20),), 20),
+            prompt=Prompt(MODEL, (PromptBlock(f"own-{number}", tokens - 20),), 20),
             tokens=tokens,
             fingerprint=Fingerprint(f"body-{number}"),
             repeatability=Repeatability.REPEATABLE,
--- a/tests/toucanyard/relay_examples.py
+++ b/tests/toucanyard/relay_examples.py
@@ -12,7 +12,7 @@
     RequestId,
     ServiceName,
 )
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_options import RelayListen, RelayOptions
 from toucanyard.relay_requests import Prompt, RelayRequest
 from toucanyard.replicas import Replica
@@ -95,7 +95,7 @@
 
 def build_prompt(*parts: tuple[str, int]) -> Prompt:
     own = parts or (("book", 2_500), ("own", 500))
-    return Prompt(MODEL, tuple(Part(name, tokens) for name, tokens in own), 20)
+    return Prompt(MODEL, tuple(PromptBlock(name, tokens) for name, tokens in own), 20)
 
 
 def build_request(request_id: str, **changes: object) -> RelayRequest:
--- a/tests/toucanyard/test_admission.py
+++ b/tests/toucanyard/test_admission.py
@@ -101,9 +101,9 @@
     name = EndpointName("e0")
     for number in range(6):
         admission.offer(make_request(number, customer=CUSTOMERS[number % 3]), 0.0)
-        admission.note_dispatch(RequestId(f"r{number}"), name, 0.0, 0.0)
+        admission.record_dispatch(RequestId(f"r{number}"), name, 0.0, 0.0)
     for number in range(6):
-        admission.note_first_token(RequestId(f"r{number}"), 2000.0, 2000.0 * number)
+        admission.record_first_token(RequestId(f"r{number}"), 2000.0, 2000.0 * number)
     assert admission.offer(make_request(9, customer=SMALL), 12_000.0) == []
 
 
@@ -133,7 +133,7 @@
     name = EndpointName("e0")
     for number in range(4):
         admission.offer(make_request(number), 0.0)
-        admission.note_dispatch(RequestId(f"r{number}"), name, 0.0, 0.0)
+        admission.record_dispatch(RequestId(f"r{number}"), name, 0.0, 0.0)
     for number in range(4, 8):
         admission.offer(make_request(number), 0.0)
     admission.tick(2000.0)
@@ -165,13 +165,13 @@
         elif kind == 2:
             actions = admission.abandon(name, now_ms)
         elif kind == 3:
-            admission.note_first_token(name, 900.0, now_ms)
+            admission.record_first_token(name, 900.0, now_ms)
         else:
             retries += admission.may_retry(1)
         for admitted in find_admitted(actions):
             open_names = admission.find_open(make_request(0), names)
             assert open_names
-            admission.note_dispatch(admitted, open_names[0], 0.0, now_ms)
+            admission.record_dispatch(admitted, open_names[0], 0.0, now_ms)
             first_tries += 1
         assert admission.count_queued() <= 6
         assert admission.count_running() <= 6
--- a/tests/toucanyard/test_backends.py
+++ b/tests/toucanyard/test_backends.py
@@ -27,7 +27,7 @@
             case ("wait", str(name), float(wait_ms)):
                 backend.note_wait(EndpointName(name), wait_ms, now_ms)
             case ("fail", str(name), _):
-                backend.note_failure(EndpointName(name), now_ms)
+                backend.record_failure(EndpointName(name), now_ms)
             case ("use", list(chosen)):
                 names = chosen
                 backend.set_usable(names)
--- a/tests/toucanyard/test_cache_view.py
+++ b/tests/toucanyard/test_cache_view.py
@@ -36,7 +36,7 @@
     view = CacheView(100)
     view.apply_events(make_events(FIRST, (1, "stored", (1, 2, 3))), 0.0)
     assert view.count_warm((1, 2, 3)) == 3
-    view.note_incarnation(SECOND)
+    view.record_incarnation(SECOND)
     assert view.count_warm((1, 2, 3)) == 0
     view.apply_events(make_events(FIRST, (2, "stored", (1, 2, 3))), 1.0)
     view.apply_dump(CacheDump(FIRST, 3, (1, 2, 3)), 2.0)
@@ -123,7 +123,7 @@
         if kind == "dump":
             view.apply_dump(CacheDump(runs[run], seq, (block,)), float(at))
         elif kind == "seen":
-            view.note_incarnation(runs[run])
+            view.record_incarnation(runs[run])
         else:
             view.apply_events(make_events(runs[run], (seq, kind, (block,))), float(at))
         if runs[run] not in seen:
--- a/tests/toucanyard/test_call_placement.py
+++ b/tests/toucanyard/test_call_placement.py
@@ -5,8 +5,8 @@
 from toucanyard.call_placement import CallPlacement
 from toucanyard.names import EndpointName, Incarnation, NodeName
 from toucanyard.node_records import NodeRecord
-from toucanyard.part_sources import PartSources, name_store
 from toucanyard.pending_call import PendingCall
+from toucanyard.prompt_block_sources import PromptBlockSources, compute_store_name
 from toucanyard.relay_requests import Prompt, RelayDispatch
 from toucanyard.replica_credits import ReplicaCredits
 from toucanyard.replica_limits import ReplicaLimits
@@ -27,7 +27,7 @@
     build_table,
 )
 
-STORE_NAME = name_store(STORE)
+STORE_NAME = compute_store_name(STORE)
 
 
 class Calls:
@@ -46,8 +46,8 @@
             LISTEN.callers,
             LISTEN.peers,
         )
-        sources = PartSources(directory, Roster(own, ()))
-        sources.note_heard(STORE_NAME, 0.0, 1)
+        sources = PromptBlockSources(directory, Roster(own, ()))
+        sources.record_answer(STORE_NAME, 0.0, 1)
         rng = random.Random(1)
         credits = ReplicaCredits(ReplicaLimits(rng))
         self.placement = CallPlacement(OPTIONS, directory, goals, sources, credits, rng)
@@ -75,8 +75,8 @@
         (STORE_NAME, "book"),
     }
     parts = build_prompt().parts[:1]
-    book = calls.placement.book
-    assert book.count_leading(STORE_NAME, "m/1/", parts, float("inf")) == 2_500
+    block_index = calls.placement.block_index
+    assert block_index.count_leading(STORE_NAME, "m/1/", parts, float("inf")) == 2_500
 
 
 def test_what_is_held_or_small_is_not_saved() -> None:
@@ -90,7 +90,7 @@
 def test_dispatch_is_counted_until_it_is_ended() -> None:
     calls = Calls()
     dispatch = calls.place("q", build_prompt())
-    uses = calls.placement.uses
-    assert uses.compute(dispatch.replica, 10.0).running == 1
-    uses.end(EndpointName(dispatch.replica), dispatch.request_id)
-    assert uses.compute(dispatch.replica, 10.0).running == 0
+    usage = calls.placement.usage
+    assert usage.compute(dispatch.replica, 10.0).running == 1
+    usage.end(EndpointName(dispatch.replica), dispatch.request_id)
+    assert usage.compute(dispatch.replica, 10.0).running == 0
--- a/tests/toucanyard/test_concurrency_limit.py
+++ b/tests/toucanyard/test_concurrency_limit.py
@@ -27,7 +27,7 @@
     for number in range(16):
         limit.note_wait(2 * TARGET_MS, float(number))
     assert limit.limit == 8
-    limit.note_failure(TARGET_MS)
+    limit.record_failure(TARGET_MS)
     assert limit.limit == 6
 
 
--- a/tests/toucanyard/test_event_budget.py
+++ b/tests/toucanyard/test_event_budget.py
@@ -35,7 +35,7 @@
 def test_list_that_was_too_long_is_asked_for_again_only_with_more_room() -> None:
     sizes = DumpSizes()
     assert sizes.is_affordable("e", 10_000)
-    sizes.note_cut("e", 10_000)
+    sizes.record_truncated("e", 10_000)
     assert not sizes.is_affordable("e", 15_000)
     assert sizes.is_affordable("e", 20_000)
     sizes.keep(set())
--- a/tests/toucanyard/test_explanations.py
+++ b/tests/toucanyard/test_explanations.py
@@ -81,7 +81,7 @@
     records = RequestRecords()
     text = "no rule for the model"
     refusal = Refuse(make_id(1), ErrorKind.NOT_FOUND, Ending.NOT_RUN, text, 0)
-    records.note_turned_away(RequestTurnedAway(CustomerName("c"), 7, refusal), 5.0)
+    records.record_rejected(RequestTurnedAway(CustomerName("c"), 7, refusal), 5.0)
     record = records.explanations.find(make_id(1))
     assert record is not None
     assert record.configuration_version == 7
--- a/tests/toucanyard/test_hot_prefixes.py
+++ b/tests/toucanyard/test_hot_prefixes.py
@@ -6,8 +6,8 @@
 
 from toucanyard.hot_prefixes import HotPrefixes
 from toucanyard.names import EndpointName
+from toucanyard.preferred_endpoints import find_preferred_endpoints
 from toucanyard.prefix import sample_chain
-from toucanyard.prefix_homes import find_homes
 from toucanyard.rendezvous import EndpointRing
 
 SHARED = tuple(range(24))
@@ -21,7 +21,7 @@
 def test_shared_levels_show_in_counts() -> None:
     prefixes = HotPrefixes(1000)
     for tail in range(1, 5):
-        prefixes.note(sample_chain(make_chain(tail)), 0.0)
+        prefixes.record(sample_chain(make_chain(tail)), 0.0)
     levels = prefixes.find_levels(sample_chain(make_chain(9)), 0.0)
     assert levels[-1].depth == 24
 
@@ -32,7 +32,7 @@
     Narrowed at each fall, the prefix would be recomputed at each rise.
     """
     prefixes = HotPrefixes(1000)
-    prefixes.note((1,), 0.0)
+    prefixes.record((1,), 0.0)
     widths = [prefixes.adjust_width(1, load, 1) for load in (0.9, 1.1, 0.9, 1.1, 0.3)]
     assert widths == [1, 2, 2, 2, 1]
 
@@ -46,10 +46,10 @@
         shared = tuple(range(front, front + 24))
         seasoned, new = HotPrefixes(1000), HotPrefixes(1000)
         for tail in range(100):
-            seasoned.note(sample_chain((*shared, tail, tail + 1)), float(tail))
+            seasoned.record(sample_chain((*shared, tail, tail + 1)), float(tail))
         chain = sample_chain((*shared, 777, 778))
-        known = find_homes(RING, seasoned, chain, 0.01, 100.0)
-        unknown = find_homes(RING, new, chain, 0.01, 100.0)
+        known = find_preferred_endpoints(RING, seasoned, chain, 0.01, 100.0)
+        unknown = find_preferred_endpoints(RING, new, chain, 0.01, 100.0)
         assert (known.depth, unknown.depth) == (24, 0)
         assert known.names == unknown.names
 
@@ -62,11 +62,13 @@
     prefixes = HotPrefixes(1000)
     chains = [(1, 2, 3, 100 + each, 200 + each, 300 + each) for each in range(20)]
     for at in range(200):
-        prefixes.note(sample_chain(chains[at % 20]), float(at))
-    front = find_homes(RING, prefixes, (1, 2, 3), 0.25, 200.0)
+        prefixes.record(sample_chain(chains[at % 20]), float(at))
+    front = find_preferred_endpoints(RING, prefixes, (1, 2, 3), 0.25, 200.0)
     assert 1 < len(front.names) < 6
     for chain in chains:
-        deep = find_homes(RING, prefixes, sample_chain(chain), 0.25, 200.0)
+        deep = find_preferred_endpoints(
+            RING, prefixes, sample_chain(chain), 0.25, 200.0
+        )
         assert set(deep.names) <= set(front.names)
         assert len(deep.names) == 1
 
@@ -75,7 +77,7 @@
 def test_table_keeps_its_bound(keys: list[int]) -> None:
     prefixes = HotPrefixes(32)
     for at, key in enumerate(keys):
-        prefixes.note((key, key + 1000), float(at))
+        prefixes.record((key, key + 1000), float(at))
         assert len(prefixes) <= 32
 
 
--- a/tests/toucanyard/test_load_view.py
+++ b/tests/toucanyard/test_load_view.py
@@ -22,9 +22,9 @@
 
 def serve(view: LoadView, sent_ms: float, after_ms: float) -> None:
     request_id = RequestId(f"r{sent_ms}")
-    view.note_dispatch(request_id, 100.0, 100.0, sent_ms, 8.0)
-    view.note_first_token(request_id, after_ms, sent_ms + after_ms)
-    view.note_end(request_id)
+    view.record_dispatch(request_id, 100.0, 100.0, sent_ms, 8.0)
+    view.record_first_token(request_id, after_ms, sent_ms + after_ms)
+    view.record_end(request_id)
 
 
 def test_older_report_of_one_run_is_dropped() -> None:
@@ -48,9 +48,9 @@
     view = LoadView()
     view.apply_report(make_report(), 0.0)
     for number in range(3):
-        view.note_dispatch(RequestId(f"r{number}"), 10.0, 10.0, 1.0 + number)
+        view.record_dispatch(RequestId(f"r{number}"), 10.0, 10.0, 1.0 + number)
     assert view.compute_own_work() == 30.0
-    view.note_first_token(RequestId("r0"), 5.0, 6.0)
+    view.record_first_token(RequestId("r0"), 5.0, 6.0)
     assert view.compute_own_work() == 20.0
     view.apply_report(make_report(), 2.5)
     assert view.compute_own_work() == 10.0
@@ -80,9 +80,9 @@
     view = LoadView()
     view.apply_report(make_report(), 0.0)
     request_id = RequestId("r1")
-    view.note_dispatch(request_id, 100.0, 100.0, 10.0, 8.0)
+    view.record_dispatch(request_id, 100.0, 100.0, 10.0, 8.0)
     view.apply_report(make_report(queued_blocks=100), 200.0)
-    view.note_first_token(request_id, 950.0, 960.0)
+    view.record_first_token(request_id, 950.0, 960.0)
     assert view.compute_slowness(960.0) == 1.0
 
 
@@ -94,11 +94,11 @@
     """
     view = LoadView()
     request_id = RequestId("r1")
-    view.note_dispatch(request_id, 100.0, 100.0, 0.0, 8.0)
+    view.record_dispatch(request_id, 100.0, 100.0, 0.0, 8.0)
     for at_ms in range(100, 1_600, 100):
         left = 50 - at_ms // 32
         view.apply_report(make_report(queued_blocks=left), float(at_ms))
-    view.note_first_token(request_id, 1_600.0, 1_600.0)
+    view.record_first_token(request_id, 1_600.0, 1_600.0)
     assert view.compute_slowness(1_600.0) > 1.3
 
 
--- a/tests/toucanyard/test_placement.py
+++ b/tests/toucanyard/test_placement.py
@@ -62,7 +62,7 @@
         request = make_request(number, chain)
         placed = placement.choose(request, pool, pool.endpoints, 1.0)
         assert placed is not None
-        placement.note_dispatch(request, placed, pool, 1.0)
+        placement.record_dispatch(request, placed, pool, 1.0)
         chosen.add(placed.endpoint)
     assert len(chosen) == 3
 
@@ -70,7 +70,7 @@
 def test_restart_drops_what_was_warm() -> None:
     placement, pool = make_placement(), make_pool(4)
     placement.apply_cache_dump(E0, CacheDump(RUN, 1, CHAIN), 0.0)
-    placement.note_incarnation(E0, Incarnation("i2"))
+    placement.record_incarnation(E0, Incarnation("i2"))
     placed = placement.choose(make_request(1, CHAIN), pool, pool.endpoints, 0.0)
     assert placed is not None
     assert all(score.warm_blocks == 0 for score in placed.scores)
@@ -115,7 +115,7 @@
         request = make_request(number, tuple(range(5000, 5160)) + tail)
         placed = placement.choose(request, pool, pool.endpoints, float(number))
         assert placed is not None
-        placement.note_dispatch(request, placed, pool, float(number))
+        placement.record_dispatch(request, placed, pool, float(number))
         chosen.add(placed.endpoint)
     assert len(chosen) == 1
 
@@ -125,7 +125,15 @@
     chains = PromptChains(identity, b"x" * BLOCK_BYTES * 40)
     chain = chains.find_chain(weights_version)
     target = ModelTarget(
-        POOL, "m", "", weights_version, chain, 1, 1, chains.compute_home_keys(), chains
+        POOL,
+        "m",
+        "",
+        weights_version,
+        chain,
+        1,
+        1,
+        chains.compute_affinity_keys(),
+        chains,
     )
     return msgspec.structs.replace(make_request(number), target=target)
 
@@ -147,7 +155,7 @@
     request = make_prompt_request(1, "w1")
     first = placement.choose(request, pool, pool.endpoints, 0.0)
     assert first is not None
-    placement.note_dispatch(request, first, pool, 0.0)
+    placement.record_dispatch(request, first, pool, 0.0)
     for each in pool.endpoints:
         version = "w1" if each.name == first.endpoint else "w2"
         apply_weights(placement, each.name, version)
@@ -192,7 +200,7 @@
         else:
             placed = placement.choose(request, pool, pool.endpoints, 0.0)
             assert placed is not None
-            placement.note_dispatch(request, placed, pool, 0.0)
+            placement.record_dispatch(request, placed, pool, 0.0)
             known.add((placed.endpoint, reported[placed.endpoint]))
     placed = placement.choose(make_prompt_request(-1, "w2"), pool, pool.endpoints, 0.0)
     assert placed is not None
@@ -234,7 +242,7 @@
         assert placed is not None
         if number == 0:
             first = placed.endpoint
-            placement.note_dispatch(request, placed, pool, 0.0)
+            placement.record_dispatch(request, placed, pool, 0.0)
     for each in pool.endpoints:
         queued = 625 if each.name == first else 0
         report = LoadReport(RUN, 0, 0.0, queued_blocks=queued)
--- a/tests/toucanyard/test_prefix.py
+++ b/tests/toucanyard/test_prefix.py
@@ -37,9 +37,9 @@
 ) -> None:
     keys = PromptChains(
         CacheIdentity(customer, "m", "", first), prompt
-    ).compute_home_keys()
+    ).compute_affinity_keys()
     others = PromptChains(
         CacheIdentity(other, "m", "", second), prompt
-    ).compute_home_keys()
+    ).compute_affinity_keys()
     assert len(keys) == sum(depth * BLOCK_BYTES <= len(prompt) for depth in DEPTHS)
     assert bool(set(keys) & set(others)) == (customer == other and bool(keys))
--- a/tests/toucanyard/test_part_placement.py
+++ b/tests/toucanyard/test_prompt_block_placement.py
@@ -6,20 +6,20 @@
 import pytest
 
 from toucanyard.candidates import CHOICES, MANY_REPLICAS, SHORT_SHARE
-from toucanyard.fetch_sources import MOVE_PRICE
+from toucanyard.fetch_sources import TRANSFER_PRICE
 from toucanyard.names import Address, CustomerName, DomainName, EndpointName, RequestId
-from toucanyard.part_book import Part, PartBook
-from toucanyard.part_placement import (
+from toucanyard.prompt_block_index import PromptBlock, PromptBlockIndex
+from toucanyard.prompt_block_placement import (
     FULL_SHARE,
     LATE_AFTER_MS,
-    MAX_FOLLOW_MS,
-    PartPlacement,
+    MAX_READER_WAIT_MS,
     PlacedPrompt,
+    PromptBlockPlacement,
     compute_scope,
 )
-from toucanyard.part_sources import choose_store, name_store
+from toucanyard.prompt_block_sources import choose_store, compute_store_name
 from toucanyard.relay_requests import Prompt
-from toucanyard.replica_uses import ReplicaUses
+from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica
 from toucanyard.routes import PromptStore
 from toucanyard.weights_goals import Goal
@@ -35,11 +35,11 @@
     """Some replicas, what they hold and what they do."""
 
     def __init__(self, *names: str, version: int = 1) -> None:
-        self.book = PartBook()
-        self.uses = ReplicaUses()
+        self.block_index = PromptBlockIndex()
+        self.usage = ReplicaUsage()
         self.goal = Goal()
         self.goal.apply(version, 0.0)
-        self.placement = PartPlacement(self.book, self.uses, MAX_OLD_MS)
+        self.placement = PromptBlockPlacement(self.block_index, self.usage, MAX_OLD_MS)
         weights = ((MODEL, version),)
         self.known = [
             KnownReplica(build_replica(name, weights=weights)) for name in names
@@ -57,14 +57,18 @@
             request, PROMPT, TRAITS, self.known, self.goal, stores, now_ms
         )
 
-    def note(self, name: str, parts: Sequence[Part], ready_ms: float = 0.0) -> None:
+    def note(
+        self, name: str, parts: Sequence[PromptBlock], ready_ms: float = 0.0
+    ) -> None:
         memory = TRAITS.memory_tokens
-        self.book.note(EndpointName(name), f"{MODEL}/1/", parts, ready_ms, memory)
+        self.block_index.note(
+            EndpointName(name), f"{MODEL}/1/", parts, ready_ms, memory
+        )
 
     def load(self, name: str, calls: int, tokens: int, unread: int) -> None:
         for number in range(calls):
             request_id = RequestId(f"{name}{number}")
-            self.uses.begin(EndpointName(name), request_id, tokens, unread, 0.0)
+            self.usage.begin(EndpointName(name), request_id, tokens, unread, 0.0)
 
 
 def find_name(placed: PlacedPrompt | None) -> str:
@@ -117,8 +121,10 @@
 
 def test_store_gives_what_no_replica_holds_any_more() -> None:
     pool = Pool(*"abcd")
-    name = name_store(STORE)
-    pool.book.note(name, f"{MODEL}/1/", PROMPT.parts[:2], 0.0, STORE.memory_tokens)
+    name = compute_store_name(STORE)
+    pool.block_index.note(
+        name, f"{MODEL}/1/", PROMPT.parts[:2], 0.0, STORE.memory_tokens
+    )
     placed = pool.choose(stores=(STORE,))
     assert placed is not None
     assert placed.source == STORE.address
@@ -188,8 +194,8 @@
     pool = Pool("a")
     pool.load("a", 9, int(TRAITS.memory_tokens * FULL_SHARE / 9), 0)
     assert pool.choose() is None
-    pool.uses.end(EndpointName("a"), RequestId("a0"))
-    pool.uses.end(EndpointName("a"), RequestId("a1"))
+    pool.usage.end(EndpointName("a"), RequestId("a0"))
+    pool.usage.end(EndpointName("a"), RequestId("a1"))
     assert pool.choose() is not None
 
 
@@ -200,7 +206,7 @@
     favourite = find_name(pool.choose())
     known = next(each for each in pool.known if each.replica.name == favourite)
     for _ in range(3):
-        known.note_failure(1_000.0, is_dead=False)
+        known.record_failure(1_000.0, is_dead=False)
     assert find_name(pool.choose()) != favourite
 
 
@@ -265,12 +271,14 @@
     for store in (near, msgspec.structs.replace(near, domain=DomainName("d2"))):
         memory = store.memory_tokens
         parts = PROMPT.parts[:2]
-        pool.book.note(name_store(store), f"{MODEL}/1/", parts, 0.0, memory)
+        pool.block_index.note(
+            compute_store_name(store), f"{MODEL}/1/", parts, 0.0, memory
+        )
         placed = pool.choose(stores=(store,))
         assert placed is not None
         totals.append(placed.total_ms)
     fetch_ms = 6_200 * TRAITS.bytes_per_token * 8 / 1_000 / 1_000
-    assert totals[1] - totals[0] == pytest.approx(MOVE_PRICE * fetch_ms)
+    assert totals[1] - totals[0] == pytest.approx(TRANSFER_PRICE * fetch_ms)
 
 
 def test_calls_fetch_a_hot_part_from_all_that_hold_it_near_ones_first() -> None:
@@ -317,7 +325,7 @@
     )
     chosen = find_name(placed)
     tokens = prompt.count_tokens()
-    pool.uses.begin(EndpointName(chosen), RequestId(name), tokens, tokens, 1_000.0)
+    pool.usage.begin(EndpointName(chosen), RequestId(name), tokens, tokens, 1_000.0)
     return chosen
 
 
@@ -342,7 +350,7 @@
     for number, name in enumerate(sorted(short)):
         for call in range(TRAITS.slots):
             request_id = RequestId(f"full{number}-{call}")
-            pool.uses.begin(EndpointName(name), request_id, 10, 0, 1_000.0)
+            pool.usage.begin(EndpointName(name), request_id, 10, 0, 1_000.0)
     assert choose_alone("late", SHORT, pool) not in short
 
 
@@ -364,7 +372,9 @@
     pool.load(leader, 20, 1_000, 9_000)
     for now_ms in (1_010.0, 1_140.0):
         assert pool.choose(now_ms, arrived_ms=1_010.0) is None
-    assert pool.choose(1_010.0, arrived_ms=1_010.0 - MAX_FOLLOW_MS - 1.0) is not None
+    assert (
+        pool.choose(1_010.0, arrived_ms=1_010.0 - MAX_READER_WAIT_MS - 1.0) is not None
+    )
     placed = pool.choose(1_151.0, arrived_ms=1_010.0)
     assert placed is not None
     assert placed.fetched_tokens == 2_500
@@ -378,7 +388,14 @@
     pool.load(leader, 20, 1_000, 9_000)
     request = build_request("q", prompt=PROMPT, arrived_ms=1_000.0)
     placed = pool.placement.choose(
-        request, PROMPT, TRAITS, pool.known, pool.goal, (), 1_010.0, may_follow=False
+        request,
+        PROMPT,
+        TRAITS,
+        pool.known,
+        pool.goal,
+        (),
+        1_010.0,
+        may_wait_for_reader=False,
     )
     assert placed is not None
 
--- a/tests/toucanyard/test_relay_flow.py
+++ b/tests/toucanyard/test_relay_flow.py
@@ -12,8 +12,8 @@
 from toucanyard.errorcodes import Ending, ErrorKind
 from toucanyard.names import EndpointName, Incarnation, NodeName, RequestId
 from toucanyard.node_records import NodeRecord
-from toucanyard.part_sources import PartSources
-from toucanyard.plain_placement import OVERFILL
+from toucanyard.plain_placement import MAX_OVERCOMMIT
+from toucanyard.prompt_block_sources import PromptBlockSources
 from toucanyard.relay_flow import NO_REPLICA_WAIT_MS, RelayFlow
 from toucanyard.relay_requests import (
     RelayDispatch,
@@ -66,7 +66,7 @@
             LISTEN.callers,
             LISTEN.peers,
         )
-        sources = PartSources(self.directory, Roster(own, ()))
+        sources = PromptBlockSources(self.directory, Roster(own, ()))
         rng = random.Random(1)
         credits = ReplicaCredits(ReplicaLimits(rng))
         calls = CallPlacement(
@@ -262,7 +262,7 @@
 
 def test_calls_wait_for_a_slot_most_urgent_first() -> None:
     node = Node(desks="x")
-    running = int(SLOTS * OVERFILL)
+    running = int(SLOTS * MAX_OVERCOMMIT)
     for number in range(running):
         node.arrive(f"r{number}")
     node.arrive("late", 1.0, rank=2)
@@ -316,7 +316,7 @@
 
 def test_waiting_call_is_told_while_its_caller_can_still_retry() -> None:
     node = Node(desks="x")
-    for number in range(int(SLOTS * OVERFILL)):
+    for number in range(int(SLOTS * MAX_OVERCOMMIT)):
         node.arrive(f"r{number}", deadline_ms=9_000.0)
     node.arrive("q", deadline_ms=400.0)
     node.take(node.flow.tick(400.0 - 200 / 4))
@@ -376,4 +376,4 @@
         isinstance(node.find_last(each), RelayDispatch) for each in open_calls
     )
     assert node.flow.count_pending() == running
-    assert sum(each.running for each in node.flow.uses.list_own()) == running
+    assert sum(each.running for each in node.flow.usage.list_own()) == running
--- a/tests/toucanyard/test_replica_gossip.py
+++ b/tests/toucanyard/test_replica_gossip.py
@@ -4,7 +4,7 @@
 
 from toucanyard.link_messages import ReplicaNews
 from toucanyard.names import EndpointName
-from toucanyard.part_book import PartBook
+from toucanyard.prompt_block_index import PromptBlockIndex
 from toucanyard.replica_gossip import SAME_PAUSE_MS, ReplicaGossip
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 
@@ -25,7 +25,9 @@
         known = directory.apply(build_replica(NAME), 0.0)
         assert known is not None
         self.known: KnownReplica = known
-        self.gossip = ReplicaGossip(directory, PartBook(), random.Random(number))
+        self.gossip = ReplicaGossip(
+            directory, PromptBlockIndex(), random.Random(number)
+        )
 
     def tell(self, other: Teller, now_ms: float, way_ms: float = WAY_MS) -> bool:
         news = tuple(self.gossip.list_news(now_ms))
--- a/tests/toucanyard/test_replica_lives.py
+++ b/tests/toucanyard/test_replica_lives.py
@@ -4,14 +4,14 @@
 from hypothesis import given, strategies as st
 
 from toucanyard.keyed_view import InvalidRecord, KeyedRecord, Topic
-from toucanyard.link_messages import LinkMessage, NodeStatus, ReadPart
+from toucanyard.link_messages import LinkMessage, NodeStatus, PromptBlockRead
 from toucanyard.names import EndpointName, Incarnation, NodeId, NodeName, ReplicaId
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_events import (
     LinkMessageRead,
     Note,
-    PartChange,
-    PartsChanged,
+    PromptBlockChange,
+    PromptBlocksChanged,
     ReplicaState,
     ReplicaStateRead,
 )
@@ -59,7 +59,7 @@
     fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE, is_draining=True)))
     known = fleet.core("a").directory.find_current(LISTED)
     assert known is not None
-    known.note_failure(0.0, is_dead=True)
+    known.record_failure(0.0, is_dead=True)
     assert list_usable(fleet) == []
     fleet.read("a", Topic.REPLICAS, record(1, build_life(AFTER)))
     assert list_usable(fleet) == ["r@2000"]
@@ -157,13 +157,15 @@
     old, new = EndpointName("r@1000"), EndpointName("r@2000")
     scope = f"{MODEL}/1/"
     peer = NodeId(NodeName("p"), Incarnation("i"))
-    part = ReadPart(old, scope, "book", 2_000, 0.0)
+    part = PromptBlockRead(old, scope, "book", 2_000, 0.0)
     status: LinkMessage = NodeStatus(is_ready=True, views=(), parts=(part,))
     fleet.handle(NodeName("a"), LinkMessageRead(peer, status))
-    told = PartsChanged(old, (PartChange(scope, "book", 2_000),), is_reset=False)
+    told = PromptBlocksChanged(
+        old, (PromptBlockChange(scope, "book", 2_000),), is_reset=False
+    )
     fleet.handle(NodeName("a"), told)
-    parts = (Part("book", 2_000),)
-    assert core.flow.book.count_leading(new, scope, parts, float("inf")) == 0
+    parts = (PromptBlock("book", 2_000),)
+    assert core.flow.block_index.count_leading(new, scope, parts, float("inf")) == 0
 
 
 def test_report_of_another_life_is_not_taken() -> None:
--- a/tests/toucanyard/test_replica_probes.py
+++ b/tests/toucanyard/test_replica_probes.py
@@ -44,7 +44,7 @@
     def lose(self, name: str) -> None:
         known = self.core("a").directory.find(EndpointName(name))
         assert known is not None
-        known.note_failure(self.now_ms, is_dead=True)
+        known.record_failure(self.now_ms, is_dead=True)
 
     def run(self, for_ms: float) -> None:
         end_ms = self.now_ms + for_ms
--- a/tests/toucanyard/test_replicas.py
+++ b/tests/toucanyard/test_replicas.py
@@ -123,11 +123,11 @@
     directory = build_directory("a", "b")
     known = directory.find(EndpointName("a"))
     assert known is not None
-    known.note_failure(0.0, is_dead=True)
+    known.record_failure(0.0, is_dead=True)
     assert list_usable(directory, MIN_REST_MS - 1) == ["b"]
     assert list_usable(directory, MIN_REST_MS) == ["a", "b"]
     for _ in range(9):
-        known.note_failure(1_000.0, is_dead=True)
+        known.record_failure(1_000.0, is_dead=True)
     assert list_usable(directory, 1_000 + MAX_REST_MS - 1) == ["b"]
     known.note_success()
     assert list_usable(directory, 1_000.0) == ["a", "b"]
@@ -142,7 +142,7 @@
     dead, loading = (directory.find(EndpointName(each)) for each in "ab")
     assert dead is not None
     assert loading is not None
-    dead.note_failure(0.0, is_dead=True)
+    dead.record_failure(0.0, is_dead=True)
     loading.note_refusal(0.0)
     assert list_usable(directory, 1.0) == []
     assert list_usable(directory, REFUSED_MS) == ["a", "b"]
--- a/tests/toucanyard/test_silence_bounds.py
+++ b/tests/toucanyard/test_silence_bounds.py
@@ -13,10 +13,10 @@
 def test_slow_endpoint_is_given_more_time_and_a_quick_one_less_again() -> None:
     bounds = SilenceBounds(LIMITS)
     assert bounds.compute_bound(NAME) == 600
-    bounds.note_pause(NAME, 700.0)
+    bounds.record_pause(NAME, 700.0)
     assert bounds.compute_bound(NAME) == 2_100
     for _ in range(40):
-        bounds.note_pause(NAME, 100.0)
+        bounds.record_pause(NAME, 100.0)
     assert bounds.compute_bound(NAME) == 600
     assert bounds.compute_bound(EndpointName("other")) == 600
 
@@ -25,5 +25,5 @@
 def test_bound_stays_between_its_limits(pauses_ms: list[float]) -> None:
     bounds = SilenceBounds(LIMITS)
     for pause_ms in pauses_ms:
-        bounds.note_pause(NAME, pause_ms)
+        bounds.record_pause(NAME, pause_ms)
     assert 600 <= bounds.compute_bound(NAME) <= 3_000
