--- a/tests/toucanyard/test_statistics.py
+++ b/tests/toucanyard/test_statistics.py
@@ -9,9 +9,9 @@
 from toucanyard.names import CustomerName, EndpointName, RequestId
 from toucanyard.requests import EndingSeen, Outcome
 from toucanyard.statistics import (
-    MAX_HELD,
+    MAX_DETAILED_CUSTOMERS,
     MAX_REFUSAL_COUNTS,
-    REST,
+    OTHER_CUSTOMERS,
     StatisticsCollector,
 )
 
@@ -38,7 +38,9 @@
 @given(
     st.lists(
         st.tuples(
-            st.integers(0, 2 * MAX_HELD), st.sampled_from(CLASSES), st.integers(1, 9)
+            st.integers(0, 2 * MAX_DETAILED_CUSTOMERS),
+            st.sampled_from(CLASSES),
+            st.integers(1, 9),
         ),
         max_size=300,
     )
@@ -52,9 +54,9 @@
     the rest with its place, and not a second time when it comes back.
     """
     collector = StatisticsCollector()
-    for number in range(MAX_HELD + 4):
+    for number in range(MAX_DETAILED_CUSTOMERS + 4):
         record(collector, number, PriorityClass.CHAT)
-    recorded = MAX_HELD + 4
+    recorded = MAX_DETAILED_CUSTOMERS + 4
     for number, priority, times in steps:
         for _ in range(times):
             record(collector, number, priority)
@@ -67,26 +69,26 @@
     assert sum(group.prompt_tokens for group in groups) == 100 * recorded
     for priority in CLASSES:
         held = [each for each in groups if each.priority == priority]
-        assert len(held) <= MAX_HELD + 1
+        assert len(held) <= MAX_DETAILED_CUSTOMERS + 1
 
 
 def test_customer_that_becomes_busy_gets_figures_of_its_own_and_keeps_its_totals() -> (
     None
 ):
     collector = StatisticsCollector()
-    for number in range(MAX_HELD):
+    for number in range(MAX_DETAILED_CUSTOMERS):
         record(collector, number, PriorityClass.CHAT)
     for _ in range(2):
-        record(collector, MAX_HELD, PriorityClass.CHAT)
-    assert len(list(collector.iterate_busiest(1_000))) == MAX_HELD
+        record(collector, MAX_DETAILED_CUSTOMERS, PriorityClass.CHAT)
+    assert len(list(collector.iterate_busiest(1_000))) == MAX_DETAILED_CUSTOMERS
     rest = next(collector.iterate_groups())
     assert rest.is_rest
-    assert rest.customer == REST
+    assert rest.customer == OTHER_CUSTOMERS
     assert rest.answers == 2
     for _ in range(8):
-        record(collector, MAX_HELD, PriorityClass.CHAT)
+        record(collector, MAX_DETAILED_CUSTOMERS, PriorityClass.CHAT)
     busiest = next(collector.iterate_busiest(1))
-    assert busiest.customer == f"c{MAX_HELD}"
+    assert busiest.customer == f"c{MAX_DETAILED_CUSTOMERS}"
     assert busiest.answers == 10
     assert busiest.first_token_ms.count == 8
     rest = next(collector.iterate_groups())
@@ -99,14 +101,16 @@
     # its place meanwhile must be neither missed nor counted with the rest as well:
     # the answer has what was recorded when it began.
     collector = StatisticsCollector()
-    for number in range(MAX_HELD + 1):
+    for number in range(MAX_DETAILED_CUSTOMERS + 1):
         record(collector, number, PriorityClass.CHAT)
     groups = collector.iterate_groups()
     found = [next(groups)]
     for _ in range(5):
-        record(collector, MAX_HELD, PriorityClass.CHAT)
+        record(collector, MAX_DETAILED_CUSTOMERS, PriorityClass.CHAT)
     found += groups
-    assert sum(each.first_token_ms.count for each in found) == MAX_HELD + 1
+    assert (
+        sum(each.first_token_ms.count for each in found) == MAX_DETAILED_CUSTOMERS + 1
+    )
 
 
 def test_refusals_of_many_customers_are_bounded_and_none_is_lost() -> None:
@@ -115,5 +119,5 @@
         collector.record_refusal(CustomerName(f"c{number}"), ErrorKind.OVERLOADED)
     refusals = collector.list_refusals()
     assert len(refusals) == MAX_REFUSAL_COUNTS + 1
-    assert refusals[0].customer == REST
+    assert refusals[0].customer == OTHER_CUSTOMERS
     assert refusals[0].count == 10
--- a/tests/toucanyard/test_status_exchange.py
+++ b/tests/toucanyard/test_status_exchange.py
@@ -4,9 +4,13 @@
 
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.names import EndpointName, NodeName, RequestId
-from toucanyard.part_sources import HEARD_MS, STORE_FOLLOWERS, name_store
+from toucanyard.prompt_block_sources import (
+    MAX_STORE_SILENCE_MS,
+    STORE_FOLLOWERS,
+    compute_store_name,
+)
 from toucanyard.relay_core import FAR_TICK_MS, REST_TICK_MS
-from toucanyard.relay_events import CallArrived, PartsChanged, StopBegun
+from toucanyard.relay_events import CallArrived, PromptBlocksChanged, StopBegun
 from toucanyard.roster import MAX_ADDRESSES
 from toucanyard.status_schedule import URGENT_MS
 
@@ -37,8 +41,8 @@
 
 
 def count_running(fleet: PlannedFleet, name: NodeName) -> int:
-    uses = fleet.cores[name].flow.uses
-    return sum(uses.compute(EndpointName(e), fleet.now_ms).running for e in "abcd")
+    usage = fleet.cores[name].flow.usage
+    return sum(usage.compute(EndpointName(e), fleet.now_ms).running for e in "abcd")
 
 
 def send_calls(
@@ -121,7 +125,7 @@
     fleet.run(350.0)
     for core in fleet.cores.values():
         assert any(
-            core.flow.book.count_leading(
+            core.flow.block_index.count_leading(
                 EndpointName(name), "m/1/", build_prompt().parts[:1], float("inf")
             )
             for name in "abcd"
@@ -157,10 +161,10 @@
     dispatched = [
         name
         for name in "abcd"
-        if fleet.cores[sender].flow.uses.compute(EndpointName(name), 0.0).running
+        if fleet.cores[sender].flow.usage.compute(EndpointName(name), 0.0).running
     ]
     for core in fleet.cores.values():
-        held = core.flow.book.count_leading(
+        held = core.flow.block_index.count_leading(
             EndpointName(dispatched[0]), "m/1/", build_prompt().parts[:1], float("inf")
         )
         assert held == 2_500
@@ -224,29 +228,31 @@
     assert len(followers) == STORE_FOLLOWERS
     for _ in range(8):
         for name in followers:
-            heard = PartsChanged(name_store(STORE), (), is_reset=False, epoch=1)
+            heard = PromptBlocksChanged(
+                compute_store_name(STORE), (), is_reset=False, epoch=1
+            )
             fleet.handle(name, heard)
         fleet.run(250.0)
     for core in fleet.cores.values():
         assert core.sources.find_stores(core.index, fleet.now_ms)
-    fleet.run(HEARD_MS + 250.0)
+    fleet.run(MAX_STORE_SILENCE_MS + 250.0)
     for core in fleet.cores.values():
         assert not core.sources.find_stores(core.index, fleet.now_ms)
 
 
 def test_store_that_starts_anew_is_empty_for_all() -> None:
     fleet = build_fleet()
-    name, follower = name_store(STORE), next(iter(fleet.cores))
+    name, follower = compute_store_name(STORE), next(iter(fleet.cores))
     parts = build_prompt().parts[:1]
-    fleet.handle(follower, PartsChanged(name, (), is_reset=False, epoch=1))
+    fleet.handle(follower, PromptBlocksChanged(name, (), is_reset=False, epoch=1))
     fleet.run(FAR_MS)
     for core in fleet.cores.values():
-        core.flow.book.note(name, "m/1/", parts, 0.0, STORE.memory_tokens)
-    fleet.handle(follower, PartsChanged(name, (), is_reset=False, epoch=2))
+        core.flow.block_index.note(name, "m/1/", parts, 0.0, STORE.memory_tokens)
+    fleet.handle(follower, PromptBlocksChanged(name, (), is_reset=False, epoch=2))
     fleet.run(FAR_MS)
     for core in fleet.cores.values():
-        book = core.flow.book
-        assert book.count_leading(name, "m/1/", parts, float("inf")) == 0
+        block_index = core.flow.block_index
+        assert block_index.count_leading(name, "m/1/", parts, float("inf")) == 0
 
 
 def test_replica_that_leaves_is_known_to_all_within_the_way_of_a_push() -> None:
--- a/tests/toucanyard/test_usable_endpoints.py
+++ b/tests/toucanyard/test_usable_endpoints.py
@@ -107,7 +107,7 @@
     fleet = Fleet(1, 3)
     directory = EndpointDirectory(fleet.nodes[0])
     before = directory.find_usable(fleet.endpoints, 0.0)
-    directory.note_refusal(EndpointName("e1"), 0.0)
+    directory.record_refusal(EndpointName("e1"), 0.0)
     resting = directory.find_usable(fleet.endpoints, 1.0)
     assert [each.name for each in resting] == ["e0", "e2"]
     assert directory.find_usable(fleet.endpoints, 150.0) is resting
--- a/tests/toucanyard/test_weights_rollout.py
+++ b/tests/toucanyard/test_weights_rollout.py
@@ -240,7 +240,7 @@
     """
     fleet = Fleet(*"abcdef")
     for known in fleet.known[:2]:
-        known.note_failure(0.0, is_dead=True)
+        known.record_failure(0.0, is_dead=True)
         known.rest_until_ms = float("inf")
         fleet.dead.add(known.replica.name)
     assert count_at_once(fleet) == 1
--- a/tests/toucanyard_emulator/test_engine.py
+++ b/tests/toucanyard_emulator/test_engine.py
@@ -5,7 +5,7 @@
 from emulator_examples import ENGINES
 
 from toucanyard.names import Address, EndpointName, NodeName, ReplicaId
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_events import WeightsOrder
 from toucanyard_emulator.engine import Engine, Job, JobEnd, LoadBoard, Presence
 from toucanyard_emulator.prompt_memory import PromptMemory
@@ -13,7 +13,7 @@
 from toucanyard_emulator.transfers import Link
 from toucanyard_standins.virtual_clock import VirtualClock
 
-BOOK, OWN = Part("book", 2_000), Part("own", 1_000)
+BOOK, OWN = PromptBlock("book", 2_000), PromptBlock("own", 1_000)
 
 
 class Bench:
@@ -47,7 +47,7 @@
     def submit(
         self,
         number: int = 0,
-        *parts: Part,
+        *parts: PromptBlock,
         version: int = 1,
         fetch_from: Address | None = None,
         rank: int = 1,
@@ -112,18 +112,18 @@
     Each token then waits for a piece of it, which takes 50 ms.
     """
     bench = Bench()
-    job = bench.submit(0, Part("own", 10))
+    job = bench.submit(0, PromptBlock("own", 10))
     job.output_tokens = 60
     bench.run(30.0)
-    bench.submit(0, Part("other", 12_000))
+    bench.submit(0, PromptBlock("other", 12_000))
     bench.run()
     assert job.worst_gap_ms > 100.0
 
 
 def test_urgent_call_is_read_first() -> None:
     bench = Bench()
-    late = bench.submit(0, Part("a", 8_000), rank=1)
-    soon = bench.submit(0, Part("b", 8_000), rank=0)
+    late = bench.submit(0, PromptBlock("a", 8_000), rank=1)
+    soon = bench.submit(0, PromptBlock("b", 8_000), rank=0)
     bench.run()
     assert soon.first_ms is not None
     assert late.first_ms is not None
@@ -140,7 +140,7 @@
     bench = Bench()
     bench.submit()
     bench.run()
-    running = bench.submit(0, Part("long", 3_000))
+    running = bench.submit(0, PromptBlock("long", 3_000))
     running.output_tokens = 300
     bench.run(50.0)
     assert bench.order(2, is_under_calls=True) == 202
@@ -154,7 +154,7 @@
 
 def test_load_after_calls_waits_for_them() -> None:
     bench = Bench()
-    job = bench.submit(0, Part("long", 3_000))
+    job = bench.submit(0, PromptBlock("long", 3_000))
     job.output_tokens = 300
     bench.run(50.0)
     assert bench.order(2, is_under_calls=False) == 202
--- a/tests/toucanyard_emulator/test_prompt_memory.py
+++ b/tests/toucanyard_emulator/test_prompt_memory.py
@@ -2,10 +2,10 @@
 
 from hypothesis import given, strategies as st
 
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard_emulator.prompt_memory import PromptMemory
 
-A, B, C = (Part(name, 40) for name in "abc")
+A, B, C = (PromptBlock(name, 40) for name in "abc")
 
 
 def test_part_that_was_used_longest_ago_yields() -> None:
@@ -40,9 +40,9 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from((A, B, C)), st.booleans()), max_size=20))
-def test_holding_and_releasing_adds_up(steps: list[tuple[Part, bool]]) -> None:
+def test_holding_and_releasing_adds_up(steps: list[tuple[PromptBlock, bool]]) -> None:
     memory = PromptMemory(100)
-    held: list[Part] = []
+    held: list[PromptBlock] = []
     for part, is_new in steps:
         memory.keep("s", (part,), 0.0)
         if is_new:
--- a/tests/toucanyard_node/relay_world.py
+++ b/tests/toucanyard_node/relay_world.py
@@ -20,7 +20,7 @@
     ReplicaId,
     ServiceName,
 )
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_core import RelayCore
 from toucanyard.relay_events import SendToPeer, TopicRead
 from toucanyard.relay_options import RelayListen, RelayOptions
@@ -61,7 +61,9 @@
         parts = headers.get("x-parts")
         prompt = None
         if parts is not None:
-            prompt = Prompt("m", tuple(Part(each, 100) for each in parts.split(",")), 9)
+            prompt = Prompt(
+                "m", tuple(PromptBlock(each, 100) for each in parts.split(",")), 9
+            )
         return CallFacts(
             headers["x-id"],
             headers.get("x-key", ""),
--- a/tests/toucanyard_node/test_part_following.py
+++ b/tests/toucanyard_node/test_part_following.py
@@ -3,14 +3,14 @@
 import trio
 
 from toucanyard.names import Address, EndpointName
-from toucanyard.part_book import Part
-from toucanyard.relay_events import PartChange
+from toucanyard.prompt_block_index import PromptBlock
+from toucanyard.relay_events import PromptBlockChange
 from toucanyard_node.part_following import PartFollowing
 from toucanyard_node.relay_ports import PartPage
 
 from .relay_world import RelayWorld, ScriptedReplica, answer
 
-PART = (Part("p", 100),)
+PART = (PromptBlock("p", 100),)
 
 
 class ScriptedHolder:
@@ -32,7 +32,7 @@
 
 
 def build_page(epoch: int, number: int, tokens: int) -> PartPage:
-    return PartPage(epoch, number, False, (PartChange("s", "p", tokens),))
+    return PartPage(epoch, number, False, (PromptBlockChange("s", "p", tokens),))
 
 
 async def follow(holder: ScriptedHolder, for_s: float) -> int:
@@ -46,8 +46,8 @@
         nursery.start_soon(following.run)
         await trio.sleep(for_s)
         nursery.cancel_scope.cancel()
-    book = world.core.flow.book
-    return book.count_leading(EndpointName("x"), "s", PART, float("inf"))
+    block_index = world.core.flow.block_index
+    return block_index.count_leading(EndpointName("x"), "s", PART, float("inf"))
 
 
 async def test_what_a_holder_tells_is_known(autojump_clock: object) -> None:
--- a/tests/toucanyard_platform/test_calls.py
+++ b/tests/toucanyard_platform/test_calls.py
@@ -10,7 +10,7 @@
     RequestId,
     ServiceName,
 )
-from toucanyard.part_book import Part
+from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_requests import Prompt, RelayDispatch, RelayRequest
 from toucanyard.requests import Repeatability
 from toucanyard_node.http_client import ResponseHead
@@ -19,7 +19,7 @@
 from toucanyard_platform.calls import PlatformCalls
 from toucanyard_platform.wire_names import RESERVED
 
-PROMPT = Prompt("m", (Part("5c1e07a2", 800), Part("e4402b7d", 250)), 80)
+PROMPT = Prompt("m", (PromptBlock("5c1e07a2", 800), PromptBlock("e4402b7d", 250)), 80)
 MODEL_CALL = (
     ("Host", "h.example"),
     ("X-Attempt-Id", "q1"),
--- a/tests/toucanyard_platform/test_replica_client.py
+++ b/tests/toucanyard_platform/test_replica_client.py
@@ -5,7 +5,7 @@
 
 from toucanyard.crash_watch import Reach
 from toucanyard.names import Address, EndpointName, NodeName, ReplicaId
-from toucanyard.relay_events import PartChange, WeightsOrder
+from toucanyard.relay_events import PromptBlockChange, WeightsOrder
 from toucanyard_node.relay_ports import StateAnswer
 from toucanyard_platform.part_client import PartClient
 from toucanyard_platform.replica_client import ReplicaClient
@@ -93,7 +93,10 @@
             page = await client.read_parts(address, 118, 800.0)
     assert page is not None
     assert (page.epoch, page.next_number, page.is_lost) == (7, 120, False)
-    assert page.changes == (PartChange("s1", "5c", 800), PartChange("s1", "91", 0))
+    assert page.changes == (
+        PromptBlockChange("s1", "5c", 800),
+        PromptBlockChange("s1", "91", 0),
+    )
     assert seen[0].headers["wait-ms"] == "800"
     assert seen[0].query["since"] == "118"
 
