--- a/packages/toucanyard-emulator/src/toucanyard_emulator/caller.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/caller.py
@@ -72,7 +72,7 @@
             request_id=RequestId(f"{self._arrival.number}-{self._tries}"),
             caller_id=f"{self._arrival.number}-{self._tries}",
             customer=CustomerName("c"),
-            is_walled=False,
+            is_isolated=False,
             route=kind.name,
             service=ENGINES if is_prompt else DESK,
             repeatability=repeatability,
--- a/packages/toucanyard-node/src/toucanyard_node/relay_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_face.py
@@ -104,7 +104,7 @@
             request_id=RequestId(f"{facts.caller_id}-{next(self._numbers)}"),
             caller_id=facts.caller_id,
             customer=name,
-            is_walled=customer is not None and customer.is_walled,
+            is_isolated=customer is not None and customer.is_isolated,
             route=route.name,
             service=service,
             repeatability=route.repeatability,
--- a/packages/toucanyard/src/toucanyard/candidates.py
+++ b/packages/toucanyard/src/toucanyard/candidates.py
@@ -49,7 +49,7 @@
     """Tokens of the prompt's front that it holds or will soon."""
 
 
-def is_many(candidates: Sequence[Candidate]) -> bool:
+def has_many_candidates(candidates: Sequence[Candidate]) -> bool:
     """Tell whether there are too many replicas to choose the best of all."""
     return len(candidates) > MANY_REPLICAS
 
@@ -69,7 +69,7 @@
 
         All where there are few. Otherwise hashing divides them, the same on every node.
         """
-        if not is_many(candidates):
+        if not has_many_candidates(candidates):
             return candidates
         ordered = sorted(candidates, key=lambda each: self._find_seed(each))
         short_count = int(len(ordered) * SHORT_SHARE)
--- a/packages/toucanyard/src/toucanyard/endpoint_choice.py
+++ b/packages/toucanyard/src/toucanyard/endpoint_choice.py
@@ -87,7 +87,7 @@
         """Return the best endpoint for a try, or None if no endpoint may take it."""
         if limits == Limits():
             placed = self._place(request, self._find_usable(request, now_ms), now_ms)
-            if placed is None or self._has_room(request, placed):
+            if placed is None or self._has_capacity(request, placed):
                 return self._build(placed)
         candidates = self.list_candidates(request, limits, now_ms)
         return self._build(self._place(request, candidates, now_ms))
@@ -117,7 +117,7 @@
             return self._placement.choose_service(request, owner, candidates, now_ms)
         return None
 
-    def _has_room(self, request: Request, placed: Placed) -> bool:
+    def _has_capacity(self, request: Request, placed: Placed) -> bool:
         return bool(self._admission.find_open(request, [placed.endpoint]))
 
     def _build(self, placed: Placed | None) -> Choice | None:
--- a/packages/toucanyard/src/toucanyard/endpoint_views.py
+++ b/packages/toucanyard/src/toucanyard/endpoint_views.py
@@ -82,10 +82,10 @@
 
     def retain(self, names: Set[EndpointName]) -> None:
         """Drop the views of other endpoints and share the bound over the rest."""
-        kept = {name: view for name, view in self._views.items() if name in names}
-        if len(kept) < len(self._views):
-            self._views = kept
-            self._resize(len(kept))
+        retained = {name: view for name, view in self._views.items() if name in names}
+        if len(retained) < len(self._views):
+            self._views = retained
+            self._resize(len(retained))
 
     def find(self, name: EndpointName) -> EndpointView | None:
         """Return the view of an endpoint, if there is one."""
--- a/packages/toucanyard/src/toucanyard/prompt_block_placement.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_placement.py
@@ -19,7 +19,7 @@
     MIN_TRANSFER_TOKENS,
     Candidate,
     CandidateFilter,
-    is_many,
+    has_many_candidates,
 )
 from toucanyard.fetch_sources import FetchSource, FetchSources
 from toucanyard.names import Address, EndpointName, RequestId
@@ -93,7 +93,7 @@
     length_group: list[Candidate]
     """The candidates that are left to prompts of this one's length."""
     length_group_names: frozenset[EndpointName]
-    is_many: bool
+    has_many_candidates: bool
     preferred_replicas: dict[str, Candidate] = {}
     readers: dict[tuple[str, str], list[EndpointName]] = {}
     """By scope and part: the replicas that are reading it."""
@@ -105,7 +105,7 @@
     It names the weights, so nothing that was read under others is ever used, and the
     customer where it is behind a wall.
     """
-    isolated_customer = request.customer if request.is_walled else ""
+    isolated_customer = request.customer if request.is_isolated else ""
     return f"{prompt.model}/{version}/{isolated_customer}"
 
 
@@ -159,10 +159,10 @@
             stores,
             length_group,
             length_group_names,
-            is_many(candidates),
+            has_many_candidates(candidates),
         )
         first: Sequence[Candidate] = ()
-        if is_many(candidates):
+        if has_many_candidates(candidates):
             first = self._filter.find_preselected(
                 length_group, prompt, request.request_id
             )
@@ -203,7 +203,11 @@
         sent to the reader, all calls of a hot part would queue at one of many replicas.
         """
         block = scored.missing
-        if block is None or not context.is_many or block.tokens < MIN_AWAITED_TOKENS:
+        if (
+            block is None
+            or not context.has_many_candidates
+            or block.tokens < MIN_AWAITED_TOKENS
+        ):
             return False
         if now_ms - request.arrived_ms > MAX_READER_WAIT_MS:
             return False
@@ -319,7 +323,7 @@
     ) -> float:
         """Return the price of reading the rest of the shared parts at a replica."""
         price_ms = 0.0
-        if not context.is_many and candidate is not _find_preferred_replica(
+        if not context.has_many_candidates and candidate is not _find_preferred_replica(
             context, missing
         ):
             price_ms += self._policy.affinity_ms
@@ -328,7 +332,7 @@
             # Among many replicas others read the rest of a chain seldom.
             shared = (
                 missing.tokens
-                if context.is_many
+                if context.has_many_candidates
                 else context.prompt.count_shared() - covered
             )
             price_ms += shared * self._policy.reread_ms_per_token
@@ -386,7 +390,7 @@
         source = sources.pick(candidate.known.replica, request_id)
         if source is not None:
             return source.address
-    if context.is_many:
+    if context.has_many_candidates:
         if context.prompt.count_shared() < MIN_TRANSFER_TOKENS:
             return None
         domain = candidate.known.replica.domain
--- a/packages/toucanyard/src/toucanyard/prompt_block_sources.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_sources.py
@@ -137,10 +137,10 @@
     def _is_follower(
         self, holder: PromptBlockHolder, most: int, is_store: bool, now_ms: float
     ) -> bool:
-        room = max(most - SPARE_FOLLOWERS, 1)
-        if self._roster.count_nodes(now_ms) <= room:
+        capacity = max(most - SPARE_FOLLOWERS, 1)
+        if self._roster.count_nodes(now_ms) <= capacity:
             return True
         # In a large fleet hashing and what peers send must do for replicas: the polls
         # of a tenth of 70 replicas take 5% of a core.
-        room = min(room, STORE_FOLLOWERS)
-        return is_store and self._roster.find_rank(holder.name, now_ms) < room
+        capacity = min(capacity, STORE_FOLLOWERS)
+        return is_store and self._roster.find_rank(holder.name, now_ms) < capacity
--- a/packages/toucanyard/src/toucanyard/relay_requests.py
+++ b/packages/toucanyard/src/toucanyard/relay_requests.py
@@ -45,7 +45,7 @@
     caller_id: str
     """The caller's name for this try, which answers echo."""
     customer: CustomerName
-    is_walled: bool
+    is_isolated: bool
     route: str
     service: ServiceName
     repeatability: Repeatability
--- a/packages/toucanyard/src/toucanyard/replica_usage.py
+++ b/packages/toucanyard/src/toucanyard/replica_usage.py
@@ -169,8 +169,8 @@
         for usage in own:
             _add(total, usage)
         for name in peers:
-            heard_ms, usages = self._peers.get(name, (float("-inf"), {}))
-            if now_ms - heard_ms <= MAX_PEER_SILENCE_MS:
+            reported_ms, usages = self._peers.get(name, (float("-inf"), {}))
+            if now_ms - reported_ms <= MAX_PEER_SILENCE_MS:
                 for usage in usages.values():
                     _add(total, usage)
         return tuple(
@@ -202,8 +202,8 @@
         """
         self._merged = {}
         self._merged_until_ms = float("inf")
-        for heard_ms, usages in self._peers.values():
-            until_ms = heard_ms + MAX_PEER_SILENCE_MS
+        for reported_ms, usages in self._peers.values():
+            until_ms = reported_ms + MAX_PEER_SILENCE_MS
             if now_ms > until_ms:
                 continue
             self._merged_until_ms = min(self._merged_until_ms, until_ms)
--- a/packages/toucanyard/src/toucanyard/routes.py
+++ b/packages/toucanyard/src/toucanyard/routes.py
@@ -90,7 +90,7 @@
     keys: tuple[str, ...]
     rank: int | None = None
     """Goes before the rank of a route."""
-    is_walled: bool = False
+    is_isolated: bool = False
     """Shares no cached part of a prompt with another customer."""
     limit: RateLimit | None = None
     """What it may send over all nodes; None if there is no limit."""
--- a/packages/toucanyard/src/toucanyard/statistics.py
+++ b/packages/toucanyard/src/toucanyard/statistics.py
@@ -208,10 +208,10 @@
         waited_ms: float,
     ) -> None:
         """Record one ended dispatch; `waited_ms` is the time before it."""
-        figures = self._classes.get(priority)
-        if figures is None:
-            figures = self._classes[priority] = _ClassStatistics()
-        figures.record(customer, outcome, waited_ms)
+        class_statistics = self._classes.get(priority)
+        if class_statistics is None:
+            class_statistics = self._classes[priority] = _ClassStatistics()
+        class_statistics.record(customer, outcome, waited_ms)
 
     def record_refusal(self, customer: CustomerName, error: ErrorKind) -> None:
         """Count one refusal."""
@@ -234,9 +234,14 @@
         its thread with others can let them run in between.
         """
         rest = [
-            _Group(OTHER_CUSTOMERS, priority, figures.rest, figures.sum_rest())
-            for priority, figures in self._classes.items()
-            if len(figures.totals) > len(figures.detailed)
+            _Group(
+                OTHER_CUSTOMERS,
+                priority,
+                class_statistics.rest,
+                class_statistics.sum_rest(),
+            )
+            for priority, class_statistics in self._classes.items()
+            if len(class_statistics.totals) > len(class_statistics.detailed)
         ]
         # Listed before the first pause: what a customer that loses its place has
         # recorded until now is then in its own group only, not in the rest as well.
@@ -254,9 +259,9 @@
 
     def _list_detailed(self) -> Sequence[_Group]:
         return [
-            _Group(customer, priority, histograms, figures.totals[customer])
-            for priority, figures in self._classes.items()
-            for customer, histograms in figures.detailed.items()
+            _Group(customer, priority, histograms, class_statistics.totals[customer])
+            for priority, class_statistics in self._classes.items()
+            for customer, histograms in class_statistics.detailed.items()
         ]
 
 
--- a/tests/toucanyard/test_prompt_block_placement.py
+++ b/tests/toucanyard/test_prompt_block_placement.py
@@ -155,9 +155,9 @@
 
 def test_walled_customer_has_a_scope_of_its_own() -> None:
     shared = compute_scope(build_request("q"), PROMPT, 1)
-    walled = compute_scope(build_request("q", is_walled=True), PROMPT, 1)
+    walled = compute_scope(build_request("q", is_isolated=True), PROMPT, 1)
     other = compute_scope(
-        build_request("q", is_walled=True, customer=CustomerName("d")), PROMPT, 1
+        build_request("q", is_isolated=True, customer=CustomerName("d")), PROMPT, 1
     )
     assert len({shared, walled, other}) == 3
 
--- a/tests/toucanyard/test_routes.py
+++ b/tests/toucanyard/test_routes.py
@@ -54,7 +54,7 @@
 def test_keys_name_their_customer() -> None:
     customers = (
         RoutedCustomer(CustomerName("one"), ("k1", "k2")),
-        RoutedCustomer(CustomerName("two"), ("k3",), is_walled=True),
+        RoutedCustomer(CustomerName("two"), ("k3",), is_isolated=True),
     )
     index = RouteIndex(build_table(customers=customers))
     assert index.find_customer("k2") is customers[0]
--- a/tests/toucanyard_platform/test_records.py
+++ b/tests/toucanyard_platform/test_records.py
@@ -93,7 +93,7 @@
     assert len(table.services) == 1
     assert table.customers[0].keys == ("a", "b")
     assert table.customers[0].rank == 0
-    assert table.customers[0].is_walled
+    assert table.customers[0].is_isolated
     assert table.bounds.max_header_bytes == 1
     assert table.bounds.idle_timeout_ms == 3
 
