--- a/packages/toucanyard/src/toucanyard/cache_view.py
+++ b/packages/toucanyard/src/toucanyard/cache_view.py
@@ -1,9 +1,10 @@
-"""What one node believes each engine holds in its prompt cache.
+"""Track the blocks that each engine is believed to hold in its prompt cache.
 
-Blocks are named by the chain of `toucanyard.prefix`, whose root covers customer,
-model, adapter and weights version, so a block of another identity never matches. An
-engine's incarnation is kept beside them: a new one forgets everything at once.
-Events come late, repeated and with gaps; a gap makes the view doubtful until a dump.
+Blocks are identified by the hash chain of `toucanyard.prefix`, whose root covers
+customer, model, adapter and weights version, so blocks of different identities never
+match. Each view belongs to one engine incarnation; a new incarnation clears it. Events
+may arrive late, repeated or with gaps. A gap makes the view doubtful until the next
+dump.
 """
 
 from __future__ import annotations
@@ -20,19 +21,21 @@
 from toucanyard.names import Incarnation
 
 REORDER_WINDOW_MS: Final = 500.0
-"""How long a gap may be filled by late events before the view is doubtful."""
+"""Time that a gap in the sequence may wait for late events before the view is
+doubtful."""
 MAX_PENDING_EVENTS: Final = 64
-"""Events held behind a gap."""
+"""Events buffered behind a gap."""
 NEVER_MS: Final = float("-inf")
 TRIM_DIVISOR: Final = 16
-"""A full view drops this part of its blocks at once."""
+"""A full view drops its capacity divided by this in one go."""
 STORED_HALF_LIFE_MS: Final = 5_000.0
 MAX_REPLACED: Final = 16
-"""Replaced incarnations that are remembered; messages of older ones are long gone."""
+"""Replaced incarnations that are remembered. Messages of older ones no longer
+arrive."""
 
 
 class CacheEventKind(enum.StrEnum):
-    """What happened to blocks."""
+    """Whether blocks were stored or evicted."""
 
     STORED = "stored"
     EVICTED = "evicted"
@@ -47,7 +50,7 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """Events of one engine; `oldest` is the first number that it still keeps."""
+    """Events of one engine; `oldest` is the lowest number that it still keeps."""
 
     incarnation: Incarnation
     oldest: int
@@ -56,7 +59,7 @@
 
 
 class CacheDump(msgspec.Struct, frozen=True):
-    """All blocks of one engine, as of event number `next`."""
+    """All blocks of one engine as of event number `next`."""
 
     incarnation: Incarnation
     next: int
@@ -64,11 +67,11 @@
 
 
 class CacheView:
-    """Blocks of one engine's present incarnation, at most `max_blocks` of them.
+    """Blocks of an engine's current incarnation, at most `max_blocks` of them.
 
-    When full, the block that was stored or used longest ago is dropped: engines
-    evict in about that order too. Blocks of an incarnation that has been replaced
-    are never returned, in whichever order its events arrive.
+    When full, the least recently stored or used blocks are dropped, which is close to
+    the eviction order of engines. Blocks of a replaced incarnation are never returned,
+    in whichever order its events arrive.
     """
 
     __slots__ = (
@@ -99,24 +102,24 @@
         self.is_doubtful = True
 
     def __len__(self) -> int:
-        """Return how many blocks are known."""
+        """Return the number of known blocks."""
         return len(self._blocks)
 
     def resize(self, max_blocks: int) -> None:
-        """Change how many blocks are kept."""
+        """Change the capacity."""
         is_less = max_blocks < len(self._blocks)
         self._max_blocks = max_blocks
         self._trim()
         if is_less:
-            # A copy is as large as what it holds; the dict kept its former size.
+            # A dict never shrinks when items are deleted; a copy releases the memory.
             self._blocks = self._blocks.copy()
 
     def record_incarnation(self, incarnation: Incarnation) -> bool:
-        """Move to an incarnation; return False if it is one that was replaced."""
+        """Switch to an incarnation; return False if it has already been replaced."""
         if incarnation == self.incarnation:
             return True
-        # A late message of the engine's earlier run must not bring its blocks back:
-        # the request would be sent for warm blocks that died with the process.
+        # A late message of a replaced incarnation must not restore its blocks: requests
+        # would be sent for cached blocks that were lost with the process.
         if incarnation in self._replaced:
             return False
         if self.incarnation is not None:
@@ -130,7 +133,7 @@
         return True
 
     def apply_events(self, events: CacheEvents, now_ms: float) -> None:
-        """Take in events in the order of their numbers, holding what came early."""
+        """Apply events in sequence order, buffering those that arrive early."""
         if not self.record_incarnation(events.incarnation):
             return
         if self._expected is None:
@@ -142,7 +145,7 @@
         self._check_gap(events, now_ms)
 
     def apply_dump(self, dump: CacheDump, now_ms: float) -> None:
-        """Replace the view by a dump unless later events were already applied."""
+        """Replace the view by a dump unless later events have already been applied."""
         if not self.record_incarnation(dump.incarnation):
             return
         if (
@@ -161,18 +164,19 @@
         self._apply_pending(now_ms)
 
     def touch(self, hashes: Sequence[int], now_ms: float) -> None:
-        """Note that the engine has these blocks now, since it just used them."""
+        """Record that the engine has just used these blocks and so holds them."""
         blocks = self._blocks
-        # Deepest first, so that the shared front of a chain is the last to be dropped.
-        # What has no room is not put in: a dict keeps the size that it once had, and
-        # thousands of small views would take several times their bound.
+        # Deepest blocks are inserted first, so that the shared front of a chain is
+        # evicted last. Blocks beyond the capacity aren't inserted at all: a dict keeps
+        # its largest size, and thousands of small views would take several times their
+        # limit.
         for each in reversed(hashes[: self._max_blocks]):
             blocks.pop(each, None)
             blocks[each] = now_ms
         self._trim()
 
     def forget(self, hashes: Sequence[int]) -> None:
-        """Note that the engine was seen not to have these blocks."""
+        """Record that the engine does not hold these blocks."""
         for each in hashes:
             self._blocks.pop(each, None)
 
@@ -185,8 +189,8 @@
     ) -> float:
         """Return how many of the `warm` blocks to count on.
 
-        In a doubtful view a block counts only in part, unless it was stored or used
-        after the doubt began: a burst follows its first request there all the same.
+        In a doubtful view a block counts only in part unless it was stored or used
+        after the view became doubtful, so that a burst still follows its first request.
         """
         if not self.is_doubtful or not warm:
             return warm
@@ -194,11 +198,11 @@
         return sure + (warm - sure) * doubtful_trust
 
     def compute_stored_per_s(self, now_ms: float) -> float:
-        """Return how many blocks the engine newly stores a second."""
+        """Return the rate at which the engine stores new blocks, per second."""
         return self._decay_stored(now_ms) * math.log(2) * 1_000 / STORED_HALF_LIFE_MS
 
     def check_gap(self, now_ms: float) -> None:
-        """Call the view doubtful once a gap has lasted longer than reordering."""
+        """Mark the view doubtful if a gap has outlasted the reordering window."""
         if self._gap_since_ms and now_ms - self._gap_since_ms > REORDER_WINDOW_MS:
             self._skip_gap(now_ms)
 
@@ -241,8 +245,8 @@
     def _count_since(self, chain: Sequence[int], since_ms: float) -> int:
         blocks = self._blocks
         low, high = 0, len(chain)
-        # An engine stores a chain from its front and evicts it from its back, so
-        # the held part is a prefix and can be found by halving.
+        # Engines store a chain from its front and evict it from its back, so the cached
+        # part is a prefix and binary search finds its end.
         while low < high:
             middle = (low + high + 1) // 2
             if blocks.get(chain[middle - 1], NEVER_MS) > since_ms:
@@ -260,7 +264,7 @@
         excess = len(blocks) - self._max_blocks
         if excess <= 0:
             return
-        # Many at a time: a dict looks past all that was deleted at its front before
-        # it finds its first key, so dropping one by one would be quadratic.
+        # Drop many blocks at a time: finding the first key of a dict skips all entries
+        # deleted before it, so dropping one by one would be quadratic.
         for each in list(islice(blocks, excess + self._max_blocks // TRIM_DIVISOR)):
             del blocks[each]
--- a/packages/toucanyard/src/toucanyard/dump_requests.py
+++ b/packages/toucanyard/src/toucanyard/dump_requests.py
@@ -1,4 +1,4 @@
-"""Choose whose lists of blocks to ask for: engines that are followed and in doubt."""
+"""Request cache dumps from followed engines whose views are doubtful."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from toucanyard.vm_view import Vm
 
 _INTERVAL_MS: Final = 250.0
-"""Time between two looks at every view; a look at each tick of 50 ms cost 2.3% of a
-core with 4,400 views, beside a dump that is asked for once a second at most."""
+"""Interval between two checks of all views. Checking at each tick of 50 ms cost 2.3% of
+a core with 4,400 views, while a dump is requested once a second at most."""
 
 
 class DumpRequests:
-    """When views are looked at, and which of them have events to follow.
+    """Schedule of the checks, and the engines whose events are followed.
 
-    Invariant: the names followed are worked out anew when the configuration or the VM
-    list is another one, and only then.
+    Invariant: the followed names are recomputed only when the configuration or the VM
+    list has changed.
     """
 
     __slots__ = ("_followed", "_followed_for", "_membership", "_next_ms", "_placement")
@@ -35,11 +35,11 @@
         self._followed: tuple[EndpointName, ...] = ()
 
     def schedule_now(self, now_ms: float) -> None:
-        """Look at the views at the next tick: an engine's cache has become unknown."""
+        """Check the views at the next tick, as an engine's cache has become unknown."""
         self._next_ms = now_ms
 
     def tick(self, configuration: Configuration, now_ms: float) -> Iterator[ReadDump]:
-        """Ask for the lists that are due."""
+        """Request the dumps that are due."""
         if now_ms < self._next_ms:
             return
         self._next_ms = now_ms + _INTERVAL_MS
--- a/packages/toucanyard/src/toucanyard/endpoint_choice.py
+++ b/packages/toucanyard/src/toucanyard/endpoint_choice.py
@@ -1,8 +1,8 @@
-"""Choose the endpoint of one try: usable, not tried before, with room, best placed.
+"""Choose a usable, untried, available and well-placed endpoint for an attempt.
 
-Joins the directory, admission's limits and placement for the request flow. The usual
-choice costs nothing per endpoint of a pool; only when the best one is full, or a
-request has been tried already, are the candidates listed one by one.
+Combines the endpoint directory, admission limits and placement for the request flow.
+The usual path does no work per endpoint of a pool; candidates are listed one by one
+only if the best one is full or the request has been tried before.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What bounds the choice for one try of a request."""
+    """Restrictions on the endpoint of one attempt of a request."""
 
     tried: tuple[EndpointName, ...] = ()
     weights_version: str | None = None
-    """Weights that the answer was begun on; None while any will do."""
+    """Weights version on which the answer was started; None if any version will do."""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The chosen endpoint, where it is, and why."""
+    """The chosen endpoint, its address and the reasons."""
 
     placed: Placed
     address: Address
 
 
 class EndpointChoice:
-    """Choose endpoints under one configuration.
+    """Chooses endpoints under the current configuration.
 
-    Invariant: `choose` returns only endpoints that the directory calls usable.
+    Invariant: `choose` returns only endpoints that the directory considers usable.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._reported_usable: dict[str, Sequence[Endpoint]] = {}
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Choose by this configuration from now on."""
+        """Use this configuration from now on."""
         self._configuration = configuration
         self._reported_usable.clear()
         addresses = {
@@ -60,9 +60,10 @@
             for owner in find_owners(configuration)
             for endpoint in owner.endpoints
         }
-        # A name that is new here may have been another endpoint's: a message that was
-        # late at that one's removal may have made a view again. At the start it is
-        # the snapshot that told of endpoints before their configuration.
+        # A name that is new in this configuration may have belonged to a removed
+        # endpoint, whose late messages may have created a view again. At startup there
+        # is no previous configuration: the snapshot described endpoints before it
+        # arrived.
         before = self._addresses or addresses
         same = addresses.keys() & before.keys()
         self._placement.retain_endpoints(same)
@@ -75,7 +76,7 @@
         return owner if isinstance(owner, Pool) else None
 
     def report_usable(self, request: Request, now_ms: float) -> None:
-        """Tell admission which endpoints may run requests like this one."""
+        """Report to admission which endpoints may run requests like this one."""
         usable = self._find_usable(request, now_ms)
         backend = compute_backend_name(request)
         if self._reported_usable.get(backend) is usable:
@@ -84,7 +85,7 @@
         self._admission.apply_usable(request, [each.name for each in usable])
 
     def choose(self, request: Request, limits: Limits, now_ms: float) -> Choice | None:
-        """Return the best endpoint for a try, or None if no endpoint may take it."""
+        """Return the best endpoint for an attempt, or None if there is none."""
         if limits == Limits():
             placed = self._place(request, self._find_usable(request, now_ms), now_ms)
             if placed is None or self._has_capacity(request, placed):
@@ -95,7 +96,7 @@
     def list_candidates(
         self, request: Request, limits: Limits, now_ms: float
     ) -> list[Endpoint]:
-        """Return the usable endpoints within limits; full ones if all are full."""
+        """Return the usable endpoints within limits; full ones only if all are full."""
         usable = self._find_usable(request, now_ms)
         names = [each.name for each in usable]
         open_names = self._admission.find_open(request, names) or names
@@ -138,7 +139,8 @@
                 return self._configuration.find_service(service_name)
 
     def _may_have_weights(self, endpoint: EndpointName, wanted: str | None) -> bool:
-        # An endpoint that has not reported yet may have them; if not, it refuses.
+        # An endpoint that has not reported yet may have them; if not, it refuses the
+        # request.
         return wanted is None or self._directory.find_weights(endpoint) in (
             wanted,
             None,
--- a/packages/toucanyard/src/toucanyard/endpoint_directory.py
+++ b/packages/toucanyard/src/toucanyard/endpoint_directory.py
@@ -1,8 +1,8 @@
-"""Tell the request flow which endpoints may get work, and learn from what it sees.
+"""Track which endpoints may get new work, from membership and observed results.
 
-Joins membership with the weights that endpoints report. The usable endpoints of a
-pool are worked out once per short interval, not once per request, and the same
-object is returned meanwhile: placement then does nothing per endpoint.
+Combines membership with the weights versions that endpoints report. The usable
+endpoints of a pool are computed once per short interval instead of once per request.
+The same object is returned meanwhile, so placement does no work per endpoint.
 """
 
 from __future__ import annotations
@@ -35,9 +35,10 @@
 
 
 class EndpointDirectory:
-    """Usable endpoints and their weights, as this node sees them.
+    """Usable endpoints and their weights versions, as this node sees them.
 
-    Invariant: a list is at most `_KEEP_MS` old, and older than no own failure.
+    Invariant: a list is at most `_CACHE_MS` old, and newer than this node's last
+    observed failure.
     """
 
     __slots__ = ("_backoffs", "_cached", "_membership", "_weights")
@@ -51,7 +52,7 @@
     def find_usable(
         self, endpoints: Sequence[Endpoint], now_ms: float
     ) -> Sequence[Endpoint]:
-        """Return those that may get new work; the same object while unchanged."""
+        """Return the endpoints that may get work; the same object while unchanged."""
         cached = self._cached.get(id(endpoints))
         is_same = cached is not None and cached.endpoints is endpoints
         if cached is not None and is_same and now_ms < cached.until_ms:
@@ -67,16 +68,16 @@
         return usable
 
     def is_backing_off(self, endpoint: EndpointName, now_ms: float) -> bool:
-        """Tell whether an endpoint turned this node away a moment ago."""
+        """Return whether an endpoint has recently refused a request of this node."""
         backoff = self._backoffs.get(endpoint)
         return backoff is not None and now_ms < backoff.until_ms
 
     def record_refusal(self, endpoint: EndpointName, now_ms: float) -> None:
-        """Take in that an endpoint turned a request away without running it.
+        """Record that an endpoint refused a request without running it.
 
-        An engine that loads weights refuses for half a second or more while its load
-        looks low. Without a pause every request would try it first, and its retries
-        would use up the budget.
+        An engine that loads weights refuses requests for half a second or more while
+        its load looks low. Without a backoff every request would try it first, and the
+        retries would exhaust the budget.
         """
         backoff = self._backoffs.get(endpoint)
         wait_ms = _MIN_BACKOFF_MS
@@ -86,7 +87,7 @@
         self._expire(now_ms)
 
     def record_success(self, endpoint: EndpointName) -> None:
-        """Take in that an endpoint ran a request."""
+        """Record that an endpoint ran a request."""
         self._backoffs.pop(endpoint, None)
 
     def find_weights(self, endpoint: EndpointName) -> str | None:
@@ -94,17 +95,17 @@
         return self._weights.get(endpoint)
 
     def record_weights(self, endpoint: EndpointName, version: str) -> None:
-        """Take in the weights version that an endpoint reports."""
+        """Record the weights version that an endpoint reports."""
         self._weights[endpoint] = version
 
     def retain(self, names: Set[EndpointName]) -> None:
-        """Drop what is known of other endpoints: a name may be given out again."""
+        """Forget all other endpoints, since a name may be reused."""
         for known in (self._weights, self._backoffs):
             for gone in known.keys() - names:
                 del known[gone]
 
     def record_failure(self, endpoint: EndpointName, now_ms: float) -> None:
-        """Take in that a dispatch or a poll of this node failed there."""
+        """Record that a dispatch to an endpoint or a poll of it failed."""
         self._expire(now_ms)
         self._membership.handle(EndpointError(endpoint), now_ms)
 
@@ -120,8 +121,8 @@
         if not backing_off:
             return usable
         available = [each for each in usable if each.name not in backing_off]
-        # With none left a request goes out all the same, to find out whether one
-        # takes work again.
+        # If all are backing off, send the request anyway to find out whether one
+        # accepts work again.
         return available or usable
 
     def _expire(self, now_ms: float) -> None:
--- a/packages/toucanyard/src/toucanyard/endpoint_views.py
+++ b/packages/toucanyard/src/toucanyard/endpoint_views.py
@@ -1,4 +1,4 @@
-"""Hold what a node believes about every endpoint, within one bound on blocks."""
+"""Keep the cache and load views of all endpoints within one limit on blocks."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from toucanyard.requests import ModelTarget
 
 MIN_SHARES: Final = 16
-"""Views that the bound on blocks is shared over at the least."""
+"""Minimum number of views that the limit on blocks is divided by."""
 MAX_WHOLE_SHARES: Final = 64
-"""Views up to which they get the whole bound; above, half of it.
+"""Number of views up to which they share the whole limit; above it, half of it.
 
-More endpoints than this are watched in shares, so most views have no events and hold
-only what this node's own requests told; and each view itself takes 1.3 KB.
+Larger fleets are watched in shares, so most views follow no events and hold only what
+this node's own requests showed; and each view itself takes 1.3 KB.
 """
 
 
@@ -29,26 +29,27 @@
     load: LoadView
     dump_requested_ms: float = float("-inf")
     weights_version: str = ""
-    """Weights that it last reported; empty while unknown."""
+    """Weights version that it last reported; empty while unknown."""
 
     def find_chain(self, target: ModelTarget) -> tuple[int, ...]:
         """Return a request's chain under the weights that the endpoint reports.
 
-        While new weights are rolled out, replicas run two versions: under the desired
-        one alone, all that still run the other would look empty, and be recomputed.
+        Replicas run two weights versions during a rollout. With the chain of the
+        desired version alone, all replicas on the other version would look empty and
+        prompts would be recomputed.
         """
-        # Asked for each endpoint scored: the usual case goes the short way.
+        # Called for each scored endpoint, so the usual case returns early.
         if not self.has_other_weights(target):
             return target.chain
         return target.find_chain(self.weights_version)
 
     def has_other_weights(self, target: ModelTarget) -> bool:
-        """Tell whether the endpoint reports other weights than those desired."""
+        """Return whether the endpoint reports other weights than the desired ones."""
         weights = self.weights_version
         return bool(weights) and weights != target.weights_version
 
     def apply_report(self, report: LoadReport, now_ms: float) -> None:
-        """Take in a load report unless it is of an ended process or late."""
+        """Apply a load report unless it is late or of a replaced incarnation."""
         if self.cache.record_incarnation(report.incarnation):
             self.load.apply_report(report, now_ms)
             newest = self.load.report
@@ -61,7 +62,7 @@
 
 
 class EndpointViews:
-    """Views by endpoint; together they keep at most `max_blocks`, half where many."""
+    """Views by endpoint that share a limit of `max_blocks`, halved for many views."""
 
     __slots__ = ("_max_blocks", "_views")
 
@@ -81,14 +82,14 @@
         return view
 
     def retain(self, names: Set[EndpointName]) -> None:
-        """Drop the views of other endpoints and share the bound over the rest."""
+        """Drop the views of other endpoints and divide the limit by the rest."""
         retained = {name: view for name, view in self._views.items() if name in names}
         if len(retained) < len(self._views):
             self._views = retained
             self._resize(len(retained))
 
     def find(self, name: EndpointName) -> EndpointView | None:
-        """Return the view of an endpoint, if there is one."""
+        """Return the view of an endpoint if it exists."""
         return self._views.get(name)
 
     def items(self) -> Iterator[tuple[EndpointName, EndpointView]]:
@@ -96,12 +97,12 @@
         return iter(self._views.items())
 
     def count_blocks(self) -> int:
-        """Return how many blocks are known over all endpoints."""
+        """Return the number of known blocks over all endpoints."""
         return sum(len(view.cache) for view in self._views.values())
 
     def _compute_share(self, count: int) -> int:
-        # The next power of two of views shares the bound, so that it is kept for any
-        # number of endpoints without going over all of them for each new one.
+        # The number of views is rounded up to a power of two, so that the limit holds
+        # for any number of endpoints without resizing all views for each new one.
         shares = max(1 << (count - 1).bit_length(), MIN_SHARES)
         bound = self._max_blocks
         if shares > MAX_WHOLE_SHARES:
--- a/packages/toucanyard/src/toucanyard/expected_blocks.py
+++ b/packages/toucanyard/src/toucanyard/expected_blocks.py
@@ -1,8 +1,9 @@
-"""Expect at a prefix's homes what other nodes have just sent there.
+"""Expect blocks that other nodes have just sent to preferred endpoints.
 
-A node that has just started sees a prefix cold everywhere although its peers sent the
-same prefix to its home a moment ago: the first prefill takes over a second, and cache
-events come after it. Sent to the next in line, the prefix would be computed twice.
+A node that has just started sees a prefix as cold everywhere although its peers may
+have sent it to its preferred endpoint a moment ago: the first prefill takes over a
+second, and cache events follow it. Sent to a fallback, the prefix would be computed
+twice.
 """
 
 from __future__ import annotations
@@ -16,18 +17,19 @@
 from toucanyard.scoring import EndpointCandidate
 
 START_SHARE: Final = 0.3
-"""Share of a cold prompt that its home is expected to hold when a node starts."""
+"""Share of a cold prompt that its preferred endpoint is expected to hold when a node
+starts."""
 HALF_LIFE_MS: Final = 4_000.0
 MIN_SHARE: Final = 0.05
-"""Expected share from which on the node goes by its own views alone."""
+"""Expected share below which the node relies on its own views alone."""
 COLD_SHARE: Final = 0.5
-"""Share of a prompt up to which it counts as cold where most of it is warm."""
+"""Maximum known share of a prompt that still counts as cold."""
 MIN_USED_SHARE: Final = 0.6
-"""Share of a cache in use from which the endpoint has been in service for a while."""
+"""Share of a cache in use above which the endpoint has been in service for a while."""
 
 
 def compute_expected_share(age_ms: float, node_count: int) -> float:
-    """Return the share of a cold prompt that peers have sent to its home already."""
+    """Return the share of a cold prompt that peers have probably sent already."""
     sent_by_others = (node_count - 1) / node_count
     return float(START_SHARE * sent_by_others * 0.5 ** (age_ms / HALF_LIFE_MS))
 
@@ -35,7 +37,7 @@
 def expect_at_preferred(
     considered: Sequence[EndpointCandidate], blocks: int, share: float
 ) -> Sequence[EndpointCandidate]:
-    """Return the same with more blocks believed at the homes of a cold prompt."""
+    """Return candidates that expect more of a cold prompt at preferred endpoints."""
     if share < MIN_SHARE:
         return considered
     known = max(each.believed_blocks for each in considered)
@@ -53,8 +55,9 @@
 
 
 def _has_been_in_service(view: EndpointView) -> bool:
-    # When the whole fleet is empty, prefixes have to be spread by load: kept at their
-    # homes, those of a few large customers would fill one cache for long.
+    # While the whole fleet is empty, prefixes have to be spread by load. Kept at their
+    # preferred endpoints, those of a few large customers would fill one cache for a
+    # long time.
     report = view.load.report
     if report is None or not report.capacity_blocks:
         return False
--- a/packages/toucanyard/src/toucanyard/hot_prefixes.py
+++ b/packages/toucanyard/src/toucanyard/hot_prefixes.py
@@ -1,8 +1,8 @@
-"""Count how often prefixes recur, to find levels worth an affinity and how wide.
+"""Count how often prefixes recur, to find shared levels and the width of each.
 
-A prompt's levels (rulebook, template, unique tail) are not declared. They show in
+The levels of a prompt (rulebook, template, unique tail) are not declared. They show in
 counts at a few depths of the chain: a depth that recurs is shared. Counts decay, and
-the table is bounded: the prefix counted longest ago goes first.
+the table is bounded: the least recently counted prefixes are evicted.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 HALF_LIFE_MS: Final = 10_000.0
 COUNT_PER_S: Final = math.log(2) * 1_000 / HALF_LIFE_MS
-"""Uses a second that keep a decayed count of 1."""
+"""Uses per second that keep a decayed count of 1."""
 MIN_SHARED_COUNT: Final = 1.2
-"""Decayed count from which a prefix is taken to be shared."""
+"""Decayed count from which a prefix is considered shared."""
 TRIM_DIVISOR: Final = 16
-"""A full table drops this part of its prefixes at once."""
+"""A full table drops its capacity divided by this in one go."""
 NARROW_SHARE: Final = 0.7
-"""Narrow only when the load has fallen to this share of what the width carries."""
+"""The width is reduced only if the load has fallen to this share of what it carries."""
 
 
 class PrefixCount(msgspec.Struct):
-    """Decayed count and present width of one prefix."""
+    """Decayed count and current width of one prefix."""
 
     count: float
     counted_ms: float
@@ -53,7 +53,7 @@
         self._counts: dict[int, PrefixCount] = {}
 
     def __len__(self) -> int:
-        """Return how many prefixes are counted."""
+        """Return the number of counted prefixes."""
         return len(self._counts)
 
     def record(self, keys: Sequence[int], now_ms: float) -> None:
@@ -62,7 +62,7 @@
             self._record_one(key, now_ms)
         excess = len(self._counts) - self._max_prefixes
         if excess > 0:
-            # Many at a time, as in CacheView: one by one would be quadratic.
+            # Drop many at a time, as in CacheView: one by one would be quadratic.
             drop = excess + self._max_prefixes // TRIM_DIVISOR
             for key in list(islice(self._counts, drop)):
                 del self._counts[key]
@@ -79,10 +79,10 @@
         return levels
 
     def adjust_width(self, key: int, load: float, min_width: int) -> int:
-        """Widen a prefix at once to carry `load` replicas' work; narrow it late.
+        """Widen a prefix at once to carry `load` replicas' work, and narrow it late.
 
-        The gap between the two bounds keeps a load near a bound from moving the
-        prefix to and fro, which would recompute it at each move.
+        The gap between the two thresholds keeps a fluctuating load from moving the
+        prefix back and forth, which would recompute it at each move.
         """
         needed = max(min_width, math.ceil(load))
         entry = self._counts.get(key)
--- a/packages/toucanyard/src/toucanyard/load_view.py
+++ b/packages/toucanyard/src/toucanyard/load_view.py
@@ -1,9 +1,9 @@
-"""How busy each endpoint is believed to be, in milliseconds until a new request runs.
+"""Estimate the load of each endpoint as milliseconds until a new request runs.
 
-A report is old when it arrives, so this node adds what it has sent since the report
-was taken. The further a report lies back, the less it tells about its endpoint, and
-the more the mean of the pool counts instead: otherwise all nodes would send to the
-one endpoint that was idle some seconds ago.
+A report is old when it arrives, so this node adds the work that it has sent since the
+report was taken. The older a report, the less it says about its endpoint and the more
+the mean of the pool counts instead: otherwise all nodes would send to the endpoint that
+was idle some seconds ago.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """What an endpoint says of itself; a plain service gives only the first three."""
+    """Load report of an endpoint; a plain service gives only the first three fields."""
 
     incarnation: Incarnation
     running: int
@@ -36,7 +36,7 @@
 
 
 class OwnRequest(msgspec.Struct):
-    """One request of this node at an endpoint."""
+    """A request of this node in progress at an endpoint."""
 
     sent_ms: float
     work_ms: float
@@ -44,11 +44,11 @@
     ms_per_block: float = 0.0
     has_started: bool = False
     is_accounted: bool = False
-    """Whether a report taken after it was sent has told of the queue before it."""
+    """Whether a report taken after the dispatch has shown the queue ahead of it."""
 
 
 class LoadView:
-    """Load of one endpoint: its last report and this node's requests there."""
+    """Load of an endpoint: its last report and this node's requests in progress."""
 
     __slots__ = ("_report", "_slowness", "_slowness_ms", "measured_ms", "own")
 
@@ -84,14 +84,14 @@
         now_ms: float,
         ms_per_block: float = 0.0,
     ) -> None:
-        """Add a request that is on its way to the endpoint."""
+        """Add a request that has been sent to the endpoint."""
         own = OwnRequest(now_ms, work_ms, expected_ms, ms_per_block)
         self.own[request_id] = own
 
     def record_first_token(
         self, request_id: RequestId, after_ms: float, now_ms: float
     ) -> None:
-        """Note that the endpoint has done the work before the first token."""
+        """Record that the endpoint has returned the first token."""
         own = self.own.get(request_id)
         if own is None or own.has_started:
             return
@@ -104,27 +104,27 @@
         self._slowness_ms = now_ms
 
     def record_end(self, request_id: RequestId) -> None:
-        """Remove a request that is over."""
+        """Remove a finished request."""
         self.own.pop(request_id, None)
 
     def compute_slowness(self, now_ms: float) -> float:
-        """Return by what factor first tokens come later than expected here.
+        """Return the factor by which first tokens come later than expected.
 
-        It falls back to 1 with time, so that an endpoint that was slow is tried again.
+        It decays towards 1, so that an endpoint that was slow is tried again.
         """
         age_ms = max(now_ms - self._slowness_ms, 0.0)
         weight = 0.5 ** (age_ms / SLOWNESS_HALF_LIFE_MS)
         return float(1.0 + (self._slowness - 1.0) * weight)
 
     def compute_trust(self, now_ms: float) -> float:
-        """Return how far the last report still tells about now, from 0 to 1."""
+        """Return how far the last report still describes the present, from 0 to 1."""
         if self._report is None:
             return 0.0
         age_ms = max(now_ms - self.measured_ms, 0.0)
         return float(0.5 ** (age_ms / REPORT_HALF_LIFE_MS))
 
     def compute_own_work(self) -> float:
-        """Return the work sent since the report and not yet begun, in ms."""
+        """Return the work sent since the report and not yet started, in ms."""
         since_ms = self.measured_ms
         return sum(
             own.work_ms
@@ -135,10 +135,10 @@
     def compute_reported_work(
         self, ms_per_block: float, slots: int, slot_ms: float
     ) -> float:
-        """Return the wait that the last report foretells, in ms.
+        """Return the wait that the last report predicts, in ms.
 
-        Either the computation queued, or the time until a slot is free, since one
-        of them frees on average every `slot_ms`.
+        This is the queued computation or the time until a slot is free, since one slot
+        is released on average every `slot_ms`.
         """
         report = self._report
         if report is None:
@@ -149,11 +149,11 @@
         return max(report.queued_blocks * ms_per_block, surplus * slot_ms, 0.0)
 
     def _account_for_queue(self, report: LoadReport) -> None:
-        # What other nodes sent in the same moment is not in the wait that was expected.
-        # Taken for slowness, it would raise the price of the endpoint several times
-        # over, and all nodes would recompute its prefixes elsewhere. Only the first
-        # report after the dispatch counts: a slow endpoint would explain itself away
-        # by the later ones.
+        # Requests that other nodes sent at the same moment are not in the expected
+        # wait. Counted as slowness, they would raise the price of the endpoint several
+        # times over, and all nodes would recompute its prefixes elsewhere. Only the
+        # first report after the dispatch counts: with later ones a slow endpoint would
+        # account for its own delay.
         for own in self.own.values():
             waited_ms = self.measured_ms - own.sent_ms
             if own.has_started or own.is_accounted or waited_ms <= 0:
--- a/packages/toucanyard/src/toucanyard/placement.py
+++ b/packages/toucanyard/src/toucanyard/placement.py
@@ -1,10 +1,10 @@
-"""Choose the endpoint of each request: where its prompt is warm and the wait short.
+"""Choose the endpoint of each request by cached prefix and expected wait.
 
-Each possible endpoint gets a score in milliseconds: the wait expected there, plus the
-recomputation of the blocks it lacks at the pool's price. The endpoints scored are
-those that hashing gives for the prompt's shared levels, those known to be warm, and a
-random one. Hashing needs no shared state: nodes that have just started, or that saw
-different events, still send one prefix to the same few endpoints.
+Each considered endpoint gets a score in milliseconds: the expected wait, plus the
+recomputation of missing blocks at the pool's price. Considered are the endpoints that
+hashing selects for the prompt's shared levels, those known to have the prefix cached,
+and a random one. Hashing needs no shared state: nodes that have just started, or that
+saw different events, still send one prefix to the same few endpoints.
 """
 
 from __future__ import annotations
@@ -45,20 +45,20 @@
 
 
 class PlacementLimits(msgspec.Struct, frozen=True):
-    """Bounds on what placement keeps, and prices that pools don't set."""
+    """Limits on the state of placement, and prices that pools don't set."""
 
     max_blocks: int = 400_000
-    """Blocks known over all endpoints; each gets a share."""
+    """Limit on known blocks over all endpoints; each endpoint gets a share."""
     max_prefixes: int = 20_000
     max_scored: int = 12
     target_use: float = 0.4
-    """Share of one replica that one prefix may use before it is widened."""
+    """Share of one replica that a prefix may use before it is widened."""
     dump_interval_ms: float = 1_000.0
     prices: Prices = Prices()
 
 
 class Placed(msgspec.Struct, frozen=True):
-    """The endpoint chosen and why; `scores` starts with the chosen one."""
+    """The chosen endpoint and the reasons; `scores` starts with the chosen one."""
 
     endpoint: EndpointName
     incarnation: Incarnation | None
@@ -66,14 +66,14 @@
     first_token_ms: float
     """Expected time from dispatch to the first token."""
     level_depth: int
-    """Blocks of the shared prefix that hashing followed; 0 when none recurs."""
+    """Depth in blocks of the shared prefix whose hash was used; 0 if none recurs."""
     width: int
-    """Endpoints that the prefix is spread over."""
+    """Number of endpoints that the prefix is spread over."""
     scores: tuple[Score, ...]
 
 
 class Placement:
-    """Views of endpoints and the choice among them; owned by one task."""
+    """Chooses endpoints based on views of them; owned by one task."""
 
     __slots__ = (
         "_started_ms",
@@ -101,7 +101,7 @@
         self._ring_endpoints: dict[str, Sequence[Endpoint]] = {}
 
     def apply_node_count(self, count: int) -> None:
-        """Take over how many nodes share the requests, to tell the whole load."""
+        """Set the number of nodes that share the requests, to scale the load."""
         self._node_count = max(count, 1)
 
     def choose(
@@ -111,10 +111,10 @@
         candidates: Sequence[Endpoint],
         now_ms: float,
     ) -> Placed | None:
-        """Return the best candidate for a model request, or None without any.
+        """Return the best candidate for a model request, or None if there is none.
 
-        Pass the same sequence object while membership stays the same: then nothing
-        is done for each endpoint of a large pool.
+        Pass the same sequence object while membership is unchanged: placement then does
+        no work per endpoint of a large pool.
         """
         target = request.target
         if not candidates or not isinstance(target, ModelTarget):
@@ -158,7 +158,7 @@
         candidates: Sequence[Endpoint],
         now_ms: float,
     ) -> Placed | None:
-        """Return the less loaded of two random candidates, or None without any."""
+        """Return the less loaded of two random candidates, or None if there is none."""
         if not candidates:
             return None
         picked = self._rng.sample(list(candidates), min(2, len(candidates)))
@@ -200,13 +200,13 @@
         after_ms: float,
         now_ms: float,
     ) -> None:
-        """Note the first token of a request and what it tells of the endpoint."""
+        """Record the first token of a request, which shows the endpoint's speed."""
         self._view(endpoint).load.record_first_token(request_id, after_ms, now_ms)
 
     def record_dispatch_end(
         self, request: Request, outcome: Outcome, now_ms: float
     ) -> None:
-        """Remove a dispatch that is over and correct the view by what it showed."""
+        """Remove a finished dispatch and correct the view by its outcome."""
         view = self._view(outcome.endpoint)
         view.load.record_end(outcome.request_id)
         if outcome.incarnation is not None:
@@ -217,19 +217,19 @@
             request_cost = self._request_costs.get(request.target.pool)
             request_cost.record_duration(outcome.duration_ms)
         if outcome.ending in PROVED_NOT_RUN:
-            # Nothing was computed there: expecting its blocks would draw the prefix.
+            # Nothing was computed there; expecting its blocks would attract the prefix.
             view.cache.is_doubtful = True
 
     def apply_load(
         self, endpoint: EndpointName, report: LoadReport, now_ms: float
     ) -> None:
-        """Take in a load report."""
+        """Apply a load report."""
         self._view(endpoint).apply_report(report, now_ms)
 
     def apply_cache_events(
         self, endpoint: EndpointName, events: CacheEvents, now_ms: float
     ) -> None:
-        """Take in cache events, which may be late, repeated or incomplete."""
+        """Apply cache events, which may be late, repeated or incomplete."""
         self._view(endpoint).cache.apply_events(events, now_ms)
 
     def apply_cache_dump(
@@ -245,16 +245,16 @@
         self._view(endpoint).cache.record_incarnation(incarnation)
 
     def retain_endpoints(self, names: Set[EndpointName]) -> None:
-        """Drop all that is known about other endpoints: they have gone."""
+        """Forget all other endpoints: they are gone."""
         self._views.retain(names)
 
     def find_doubtful(
         self, followed: Iterable[EndpointName], now_ms: float
     ) -> list[EndpointName]:
-        """Return which of some endpoints need a dump and weren't asked for just now.
+        """Return the endpoints that need a dump and weren't asked for one recently.
 
-        Only of engines whose events this node follows: the others' views have no gaps,
-        and a large fleet would be asked for thousands of lists a second.
+        Only followed engines count: the views of others have no gaps, and a large fleet
+        would be asked for thousands of dumps per second.
         """
         found: list[EndpointName] = []
         for name in followed:
@@ -268,11 +268,11 @@
         return found
 
     def count_blocks(self) -> int:
-        """Return how many blocks are known over all endpoints."""
+        """Return the number of known blocks over all endpoints."""
         return self._views.count_blocks()
 
     def record_dump_request(self, endpoint: EndpointName, now_ms: float) -> None:
-        """Note that a dump has been asked for, so that it isn't asked again at once."""
+        """Record that a dump has been requested, to limit the rate of requests."""
         self._view(endpoint).dump_requested_ms = now_ms
 
     def _compute_age(self, now_ms: float) -> float:
@@ -311,7 +311,7 @@
         target: ModelTarget,
         keys: Sequence[int],
     ) -> dict[EndpointName, int]:
-        """Return the endpoints to score and how many blocks each has warm."""
+        """Return the endpoints to score and the number of cached blocks of each."""
         limit = self._limits.max_scored
         names = ring.names
         if len(names) > limit:
--- a/packages/toucanyard/src/toucanyard/preferred_endpoints.py
+++ b/packages/toucanyard/src/toucanyard/preferred_endpoints.py
@@ -1,9 +1,10 @@
-"""Find the endpoints that hashing gives to a prompt: its homes.
+"""Find the preferred endpoints of a prompt by hashing.
 
-Each shared level's homes are chosen among those of the level above, so a node that
-has not yet seen a deep level recur still sends to where its front is. A level has as
-many homes as its load keeps busy, and one more in line: by hash alone, a prefix might
-have no choice but an endpoint whose cache is too small for all that hashes there.
+The preferred endpoints of each shared level are chosen among those of the level above,
+so a node that has not yet seen a deep level recur still sends to an endpoint of its
+front. A level has as many preferred endpoints as its load keeps busy, and one fallback:
+by hash alone, a prefix might have no choice but an endpoint whose cache is too small
+for all prefixes that hash there.
 """
 
 from __future__ import annotations
@@ -19,25 +20,25 @@
 
 MAX_POOLS: Final = 64
 MAX_FALLBACKS: Final = 1
-"""Endpoints next in line after a prefix's homes."""
+"""Number of fallbacks after a prefix's preferred endpoints."""
 FALLBACK_RANK: Final = 0.25
-"""Share of the price on spreading that the next in line costs."""
+"""Share of the spread price that applies to a fallback."""
 COST_STEP: Final = 0.05
-"""Weight of one request in the means of what requests use."""
+"""Weight of one request in the moving means of request costs."""
 
 
 class PoolRequestCost(msgspec.Struct):
-    """What one request of a pool uses of a replica, as moving means."""
+    """Moving means of what one request of a pool costs a replica."""
 
     work_ms: float = 50.0
     duration_ms: float = 1_000.0
 
     def record_work(self, work_ms: float) -> None:
-        """Take in the computation before a first token."""
+        """Record the computation before a first token."""
         self.work_ms += COST_STEP * (work_ms - self.work_ms)
 
     def record_duration(self, duration_ms: float) -> None:
-        """Take in the time from dispatch to the end of an answer."""
+        """Record the time from dispatch to the end of an answer."""
         self.duration_ms += COST_STEP * (duration_ms - self.duration_ms)
 
     def compute_share(self, slots: int) -> float:
@@ -46,22 +47,22 @@
 
 
 class PreferredEndpoints(msgspec.Struct, frozen=True):
-    """Where hashing sends a prompt: its homes, and the next in line."""
+    """Endpoints that hashing selects for a prompt, and the fallbacks."""
 
     names: tuple[EndpointName, ...]
     depth: int
-    """Blocks of the deepest shared level; 0 when none recurs."""
+    """Depth in blocks of the deepest shared level; 0 if none recurs."""
     fallbacks: tuple[EndpointName, ...] = ()
 
     def find_rank(self, name: EndpointName) -> float:
-        """Return 0 for a home, 1 for an endpoint that hashing doesn't mean."""
+        """Return 0 for a preferred endpoint, 1 for one that hashing does not select."""
         if name in self.names:
             return 0.0
         return FALLBACK_RANK if name in self.fallbacks else 1.0
 
 
 class PoolRequestCosts:
-    """The use of each of a bounded number of pools."""
+    """Request costs of a bounded number of pools."""
 
     __slots__ = ("_request_costs",)
 
@@ -69,7 +70,7 @@
         self._request_costs: dict[str, PoolRequestCost] = {}
 
     def get(self, pool: str) -> PoolRequestCost:
-        """Return the use of a pool, a guess at first."""
+        """Return the request cost of a pool, initially an estimate."""
         if len(self._request_costs) >= MAX_POOLS and pool not in self._request_costs:
             self._request_costs.clear()
         return self._request_costs.setdefault(pool, PoolRequestCost())
@@ -82,10 +83,10 @@
     load_per_s: float,
     now_ms: float,
 ) -> PreferredEndpoints:
-    """Return the homes of a prompt.
+    """Return the preferred endpoints of a prompt.
 
-    `load_per_s` is how many replicas one request a second, as this node counts them,
-    may fill.
+    `load_per_s` is the number of replicas kept busy by one request per second, as
+    counted by this node.
     """
     if not keys:
         return PreferredEndpoints((), 0)
--- a/packages/toucanyard/src/toucanyard/prefix.py
+++ b/packages/toucanyard/src/toucanyard/prefix.py
@@ -1,8 +1,8 @@
-"""Cut a prompt into blocks and name each prefix by a chain of hashes.
+"""Split a prompt into blocks and identify each prefix by a chain of hashes.
 
-The chain starts from the cache identity (customer, model, adapter, weights version),
-so equal text under another identity never has an equal hash: blocks of another
-customer or of older weights can't be matched.
+The chain starts from the cache identity (customer, model, adapter, weights version), so
+equal text under another identity never has an equal hash: blocks of other customers or
+of older weights can't match.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 import xxhash
 
 DEPTHS: Final = (1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 192, 256, 512)
-"""Depths in blocks at which it is counted whether a prefix recurs."""
+"""Depths in blocks at which recurring prefixes are counted."""
 BLOCK_BYTES: Final = 256
-"""Size of one block of the prompt's UTF-8 text; a shorter tail is not cached."""
+"""Bytes of the prompt's UTF-8 text in one block; a shorter tail is not cached."""
 
 
 class CacheIdentity(msgspec.Struct, frozen=True):
-    """Whose cached blocks, for which model, adapter and weights."""
+    """Customer, model, adapter and weights version that cached blocks belong to."""
 
     customer: str
     model: str
@@ -37,7 +37,7 @@
 
 
 class PromptChains:
-    """Chains of one prompt; one under other weights is computed when asked for."""
+    """Chains of one prompt, computed on demand for each weights version."""
 
     __slots__ = ("_chains", "_identity", "_prompt")
 
--- a/packages/toucanyard/src/toucanyard/rendezvous.py
+++ b/packages/toucanyard/src/toucanyard/rendezvous.py
@@ -1,8 +1,8 @@
-"""Rank endpoints for a key by hashing, so that nodes sharing no state agree.
+"""Rank endpoints for a key by rendezvous hashing, without shared state.
 
-Rendezvous hashing moves only the keys of an endpoint that comes or goes. Ranking
-every endpoint of a large pool costs too much for one decision, so a ring first
-narrows a large pool to the neighbourhood of the key, and only that is ranked.
+When an endpoint is added or removed, only its own keys move. Ranking every endpoint of
+a large pool costs too much for one decision, so a hash ring first narrows a large pool
+to the neighbourhood of the key, and only that is ranked.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 NEIGHBOURHOOD: Final = 16
 """Endpoints of a large pool that are ranked for one key."""
 MAX_RANKED: Final = 2_048
-"""Keys whose order of endpoints is kept."""
+"""Maximum number of keys with a cached ranking."""
 _MASK: Final = (1 << 64) - 1
 _MULTIPLIER: Final = 0x9E3779B97F4A7C15
 
 
 def compute_seed(name: EndpointName) -> int:
-    """Return the fixed 64-bit point of an endpoint."""
+    """Return the fixed 64-bit position of an endpoint on the ring."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
@@ -37,7 +37,7 @@
 
 
 class EndpointRing:
-    """Endpoints of one pool in the order of their points; never changed in place."""
+    """Endpoints of one pool in ring order; immutable."""
 
     __slots__ = ("_points", "_ranked", "names", "seeds")
 
@@ -60,9 +60,9 @@
         return found + self.names[: max(0, end - count)]
 
     def rank_neighbours(self, key: int) -> list[EndpointName]:
-        """Return the endpoints for a key in falling order of weight; don't change it.
+        """Return the endpoints for a key by descending weight; don't modify the list.
 
-        Kept for keys that recur: a ring never changes, so neither does the order.
+        Cached for recurring keys: a ring never changes, so its rankings stay valid.
         """
         ranked = self._ranked.get(key)
         if ranked is None:
@@ -73,7 +73,7 @@
         return ranked
 
     def rank(self, names: Sequence[EndpointName], key: int) -> list[EndpointName]:
-        """Return names of this ring in falling order of weight for a key."""
+        """Return names of this ring by descending weight for a key."""
         seeds = self.seeds
         return sorted(
             names, key=lambda name: compute_weight(seeds[name], key), reverse=True
--- a/packages/toucanyard/src/toucanyard/scoring.py
+++ b/packages/toucanyard/src/toucanyard/scoring.py
@@ -1,4 +1,4 @@
-"""Score endpoints in milliseconds: the wait there and the priced recomputation."""
+"""Score endpoints in milliseconds: expected wait and priced recomputation."""
 
 from __future__ import annotations
 
@@ -12,26 +12,28 @@
 from toucanyard.names import EndpointName
 
 TURNOVER_S: Final = 10.0
-"""Time within which a wholly replaced cache counts as turnover 1."""
+"""Time in which replacing the whole cache counts as a turnover of 1."""
 
 
 class Prices(msgspec.Struct, frozen=True):
     """Prices that pools don't set."""
 
     doubtful_trust: float = 0.5
-    """Chance that a block of a doubtful view is still there."""
+    """Probability that a block of a doubtful view is still cached."""
     spread_price: float = 6.0
-    """Price of a millisecond recomputed outside of a prefix's homes, on top."""
+    """Additional price per millisecond recomputed outside a prefix's preferred
+    endpoints."""
     evict_price: float = 4.0
-    """Price of a millisecond recomputed where the cache turns over, on top."""
+    """Additional price per millisecond recomputed, times the cache turnover."""
     old_weights_price: float = 12.0
-    """Price of a millisecond recomputed under weights soon replaced, on top."""
+    """Additional price per millisecond recomputed under weights that are about to be
+    replaced."""
     widening_discount: float = 4.0
-    """Taken off the price at the homes of a prefix that has several."""
+    """Discount on the price at the preferred endpoints of a prefix that has several."""
 
 
 class Score(msgspec.Struct, frozen=True, gc=False):
-    """Why one endpoint would be a good or bad choice; the least total wins."""
+    """Why one endpoint would be a good or bad choice; the lowest total wins."""
 
     endpoint: EndpointName
     total_ms: float
@@ -44,20 +46,20 @@
 
 
 class EndpointCandidate(msgspec.Struct, frozen=True):
-    """One endpoint that may be chosen, and what was looked up about it."""
+    """An endpoint that may be chosen, and the facts looked up about it."""
 
     name: EndpointName
     view: EndpointView
     warm_blocks: int
     believed_blocks: float
-    """Warm blocks to count on; fewer than known where the view is doubtful."""
+    """Cached blocks to count on; fewer than known if the view is doubtful."""
     rank: float
     reported_ms: float
-    """Wait that its last report foretells."""
+    """Wait that its last report predicts."""
     is_one_of_several: bool
-    """Whether it is one of several homes."""
+    """Whether it is one of several preferred endpoints."""
     has_old_weights: bool
-    """Whether it runs other weights than those desired."""
+    """Whether it runs other weights than the desired ones."""
 
 
 def compute_scores(
@@ -85,7 +87,7 @@
     mean_ms: float,
     now_ms: float,
 ) -> Score:
-    """Return the score of one endpoint; `mean_ms` is the wait over all reports."""
+    """Return the score of one endpoint; `mean_ms` is the mean wait over all reports."""
     load = considered.view.load
     slowness = load.compute_slowness(now_ms)
     trust = load.compute_trust(now_ms)
@@ -96,13 +98,14 @@
     price = policy.recompute_price + prices.spread_price * considered.rank
     price += prices.evict_price * compute_turnover(considered.view, now_ms)
     if considered.is_one_of_several:
-        # What a hot prefix's new home computes once is used by all that follow. At the
-        # whole price requests would queue at the first home, up to 12 s with a prompt
-        # of 180 blocks, beside an idle second one.
+        # The prefix that an additional preferred endpoint computes is used by all later
+        # requests. At the full price requests would queue at the first one, up to 12 s
+        # for a prompt of 180 blocks, beside an idle second one.
         price = max(price - prices.widening_discount, 1.0)
     if considered.has_old_weights:
-        # Such blocks are lost within seconds, and computed again under the new weights.
-        # Without this, each replica that loads has its prefixes computed twice more.
+        # Blocks under old weights are lost within seconds and computed again under the
+        # new ones. Without this price, the prefixes of each replica that loads weights
+        # are computed twice more.
         price += prices.old_weights_price
     return Score(
         endpoint=considered.name,
@@ -117,7 +120,7 @@
 
 
 def compute_turnover(view: EndpointView, now_ms: float) -> float:
-    """Return how often the endpoint's cache is replaced within TURNOVER_S."""
+    """Return how many times the endpoint's cache is replaced within TURNOVER_S."""
     report = view.load.report
     if report is None or not report.capacity_blocks:
         return 0.0
