--- a/packages/toucanyard/src/toucanyard/call_placement.py
+++ b/packages/toucanyard/src/toucanyard/call_placement.py
@@ -1,4 +1,4 @@
-"""Choose where one relayed call goes, and note what its replica is sent to do."""
+"""Choose the replica of each relayed call and record what it will read."""
 
 from __future__ import annotations
 
@@ -33,13 +33,15 @@
 
 MIN_PATIENCE_MS: Final = 400.0
 MAX_OLD_SHARE: Final = 0.8
-"""Share of the time for new weights in which a call may still begin on older ones."""
+"""Share of the deadline for new weights within which a call may still start on older
+ones."""
 
 
 class CallPlacement:
-    """The choice among all replicas of a call's service.
+    """Place calls on the replicas of their service.
 
-    Invariant: each dispatch that it gives is counted in `uses` until it is ended there.
+    Invariant: each dispatch that it returns is counted in `usage` until it is ended
+    there.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         self._goals = goals
         self.index = RouteIndex(RouteTable())
         self.view_confirmed_ms = float("-inf")
-        """When the store last confirmed the list of replicas."""
+        """Time at which the store last confirmed the list of replicas."""
         self.reports = PromptBlockReports()
         self.usage = ReplicaUsage()
         self.block_index = PromptBlockIndex()
@@ -69,7 +71,7 @@
         self._plain = PlainPlacement(options.domain, self.usage, rng)
 
     def place(self, pending: PendingCall, now_ms: float) -> RelayDispatch | None:
-        """Choose a replica and count the call there; None if it has to wait."""
+        """Choose a replica and count the call there; None if the call has to wait."""
         if self._credits.is_asking(pending, now_ms):
             return None
         request = pending.request
@@ -77,7 +79,7 @@
         usable: Sequence[KnownReplica]
         usable = self._directory.find_usable(request.service, now_ms)
         fresh = [each for each in usable if each.replica.name not in pending.tried]
-        # A single replica is tried again rather than nothing.
+        # If every usable replica has been tried, try them again.
         usable = fresh or usable
         if not usable:
             return None
@@ -102,7 +104,7 @@
         assert prompt is not None
         goal = self._goals.find(prompt.model)
         if pending.has_begun and pending.weights_version is not None:
-            # What another version goes on with is no part of the same answer.
+            # Output of another weights version can't continue the same answer.
             version = pending.weights_version
             usable = [e for e in usable if e.weights.get(prompt.model) == version]
         stores = self._sources.find_stores(self.index, now_ms)
@@ -114,7 +116,7 @@
             goal,
             stores,
             now_ms,
-            # The caller of a stream that was cut should rather learn of it at once.
+            # The caller of an interrupted stream should learn of a failure at once.
             may_wait_for_reader=not pending.has_begun,
         )
         if placed is None:
@@ -162,14 +164,15 @@
             weights_version=placed.weights_version,
             cache_scope=placed.scope,
             fetch_from=placed.source,
-            # What no replica had is kept aside: it outlives the replica that reads it.
+            # Prompt blocks that nobody held are saved to a store, so that they outlive
+            # the replica that reads them.
             save_to=None if target_store is None else target_store.address,
         )
 
     def _find_target_store(
         self, prompt: Prompt, placed: PlacedPrompt, stores: Sequence[PromptStore]
     ) -> PromptStore | None:
-        """Return the store that is to keep what the replica reads, if that is much."""
+        """Return the store to save what the replica reads, if that is worth saving."""
         shared = prompt.find_shared()
         if placed.missing is None or not shared or not self._policy.placement.saves:
             return None
@@ -185,7 +188,7 @@
         prompt: Prompt,
         ready_ms: float,
     ) -> None:
-        """Note that a store is to keep the shared parts of a prompt."""
+        """Record that a store will hold the shared blocks of a prompt."""
         name, shared = compute_store_name(target_store), prompt.find_shared()
         self.block_index.note(
             name, placed.scope, shared, ready_ms, target_store.memory_tokens
@@ -249,7 +252,7 @@
         self.usage.begin(replica, request_id, tokens, unread_tokens, now_ms)
 
     def _compute_patience(self, pending: PendingCall) -> float:
-        """Return how long to wait for an answer before trying elsewhere."""
+        """Return how long to wait for an answer before trying another replica."""
         request = pending.request
         is_last = pending.sends >= request.max_attempts
         if is_last or request.repeatability is not Repeatability.REPEATABLE:
@@ -259,11 +262,11 @@
         return max(request.target_ms * factor, MIN_PATIENCE_MS)
 
     def release(self, pending: PendingCall) -> None:
-        """Let a call that is over no longer ask for a replica."""
+        """Stop a finished call from asking for credit."""
         self._credits.release(pending)
 
     def is_limited(self, service: ServiceName, now_ms: float) -> bool:
-        """Tell whether all replicas that may get a service's calls name limits."""
+        """Return whether all replicas that may get a service's calls have limits."""
         if not self._credits.has_limits():
             return False
         usable = self._directory.find_usable(service, now_ms)
@@ -272,7 +275,7 @@
         )
 
     def record_read(self, pending: PendingCall, now_ms: float) -> None:
-        """Note that a call's prompt has been read where it was sent."""
+        """Record that a call's prompt has been read by its replica."""
         prompt = pending.request.prompt
         service = self.index.find_service(pending.request.service)
         if prompt is None or service is None or service.engine is None:
@@ -292,9 +295,10 @@
 def _find_preferred_replica(
     fingerprint: Fingerprint, usable: Sequence[KnownReplica]
 ) -> KnownReplica:
-    """Return the replica of a suspect, the same on all nodes.
+    """Return the replica for a suspected request, the same on all nodes.
 
-    Runs of one suspect then end one replica, and two suspects seldom share one.
+    Repeats of one suspect then crash at most one replica, and two suspects seldom share
+    one.
     """
     key = xxhash.xxh3_64_intdigest(fingerprint.encode())
     return max(
--- a/packages/toucanyard/src/toucanyard/candidates.py
+++ b/packages/toucanyard/src/toucanyard/candidates.py
@@ -1,9 +1,9 @@
-"""Narrow the replicas of a model to the few that one call chooses among.
+"""Narrow the replicas of a model down to the few considered for one call.
 
-Where there are few replicas a call looks at all of them. Where there are many, what a
-node knows of the others' calls is some hundred ms old: if all nodes chose the best of
-all, the one that looks idle would get every call until they learned of it, and calls
-would wait there for seconds beside idle replicas.
+In a small service a call considers every replica. In a large one, a node's knowledge of
+other nodes' calls is several hundred ms old. If all nodes chose the best of all
+replicas, the one that looks idle would get every call until they learned of it, and
+calls would wait there for seconds beside idle replicas.
 """
 
 from __future__ import annotations
@@ -20,42 +20,44 @@
 from toucanyard.replicas import KnownReplica
 
 MANY_REPLICAS: Final = 16
-"""Replicas beyond which load sends many parts elsewhere than hashing does. What nobody
-is known to hold is then fetched from its store on a guess."""
+"""Number of replicas above which load places many prompt blocks elsewhere than hashing
+does. A block with no known holder is then fetched from its store speculatively."""
 MIN_TRANSFER_TOKENS: Final = 500
-"""Least shared tokens of a prompt that are worth a guess or a place in a store: reading
-fewer takes no longer than the transfer."""
+"""Minimum shared tokens of a prompt for a speculative fetch or for saving to a store:
+reading fewer takes no longer than the transfer."""
 CHOICES: Final = 3
-"""Replicas that hashing gives to a call, to its subject, and that hold most of it. With
-two or more to choose from, load evens out nearly as well as with all."""
+"""Number of candidates selected by the hash of the call, by the hash of its subject,
+and by the tokens that they hold. Two or more choices balance the load nearly as well as
+considering all."""
 SHORT_TOKENS: Final = 3_000
-"""Tokens up to which a prompt is short: it is read in one piece between two tokens of
-the streams that run beside it, so they don't pause for long."""
+"""Maximum tokens of a short prompt. It is read in one step between two tokens of the
+streams that run beside it, so they don't pause for long."""
 SHORT_SHARE: Final = 0.35
-"""Share of many replicas that short prompts go to first, the others being left to long
-ones. Sized for streams of short prompts that last seconds and fill most of the slots
-there, while long prompts keep two thirds of the reading."""
+"""Share of the replicas of a large service that short prompts prefer; the others are
+left to long prompts. Sized for streams of short prompts that last seconds and fill most
+slots there, while long prompts keep two thirds of the reading capacity."""
 MAX_SEEDS: Final = 10_000
-"""Replicas whose points of hashing are kept; more than twice those of a large fleet."""
+"""Maximum number of cached replica hash seeds; more than twice the replicas of a large
+fleet."""
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A replica that may get a prompt, and what it holds of it."""
+    """A replica that may get a prompt, and how much of the prompt it holds."""
 
     known: KnownReplica
     version: int
     scope: str
     held_tokens: int
-    """Tokens of the prompt's front that it holds or will soon."""
+    """Leading tokens of the prompt that it holds or will soon hold."""
 
 
 def has_many_candidates(candidates: Sequence[Candidate]) -> bool:
-    """Tell whether there are too many replicas to choose the best of all."""
+    """Return whether there are too many replicas to choose the best of all."""
     return len(candidates) > MANY_REPLICAS
 
 
 class CandidateFilter:
-    """The first choice of candidates, the same on every node but for what they hold."""
+    """Preselects candidates, alike on every node except for what replicas hold."""
 
     __slots__ = ("_seeds",)
 
@@ -65,9 +67,10 @@
     def find_length_group(
         self, candidates: list[Candidate], prompt: Prompt
     ) -> list[Candidate]:
-        """Return the candidates that prompts of this length go to first.
+        """Return the candidates that prompts of this length prefer.
 
-        All where there are few. Otherwise hashing divides them, the same on every node.
+        In a small service, all of them. Otherwise hashing divides them into a group for
+        short and a group for long prompts, the same on every node.
         """
         if not has_many_candidates(candidates):
             return candidates
@@ -88,11 +91,11 @@
     def find_preselected(
         self, group: Sequence[Candidate], prompt: Prompt, call: str
     ) -> list[Candidate]:
-        """Return the candidates of a prompt's side that are looked at first.
+        """Return the candidates of a length group that are considered first.
 
-        Those that hold its parts, those that hashing gives to its subject, which then
-        is read once, and some that it gives to the call, where calls of a hot subject
-        find room.
+        These are the replicas that hold the prompt's blocks, those selected by the hash
+        of its subject, so that the subject is read once, and some selected by the hash
+        of the call, where calls of a hot subject find capacity.
         """
         shared = prompt.find_shared()
         found = self._rank_first(group, call)
@@ -108,7 +111,7 @@
     def _rank_first(
         self, candidates: Iterable[Candidate], hash_input: str
     ) -> list[Candidate]:
-        """Return the few candidates that hashing gives to a matter."""
+        """Return the candidates with the highest rendezvous weights for an input."""
         key = compute_seed(EndpointName(hash_input))
         return heapq.nlargest(
             CHOICES,
--- a/packages/toucanyard/src/toucanyard/fetch_sources.py
+++ b/packages/toucanyard/src/toucanyard/fetch_sources.py
@@ -1,7 +1,7 @@
-"""Know where the front of a prompt can be fetched, and what that costs.
+"""Find where the front of a prompt can be fetched, and what the transfer costs.
 
-Replicas and stores of prompts send parts to each other over their own links, one
-transfer after another, and a transfer between failure domains takes twice as long.
+Replicas and prompt stores send blocks to each other over their own links, one transfer
+at a time, and a transfer between failure domains takes twice as long.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from toucanyard.routes import EngineTraits
 
 TRANSFER_PRICE: Final = 4.0
-"""Price of a transfer as a multiple of its own time: others wait behind it, which the
-node that chooses doesn't see."""
+"""Price of a transfer as a multiple of its duration: other transfers queue behind it,
+which the choosing node doesn't see."""
 FAR_FACTOR: Final = 2.0
-"""How much longer a transfer between failure domains takes."""
+"""Duration of a transfer between failure domains relative to one within a domain."""
 
 
 class FetchSource(msgspec.Struct, frozen=True):
-    """Where the front of a prompt can be fetched."""
+    """A holder from which the front of a prompt can be fetched."""
 
     name: EndpointName
     address: Address
@@ -32,14 +32,14 @@
 
 
 class FetchSources(msgspec.Struct):
-    """Who holds most of a prompt's front."""
+    """The holders of the longest front of a prompt."""
 
     tokens: int = 0
-    """How much of it they hold."""
+    """Leading tokens of the prompt that they hold."""
     holders: list[FetchSource] = []
 
     def add(self, source: FetchSource, tokens: int) -> None:
-        """Take in what one of them holds."""
+        """Record how many leading tokens a holder has."""
         if tokens > self.tokens:
             self.tokens = tokens
             self.holders = []
@@ -47,10 +47,11 @@
             self.holders.append(source)
 
     def pick(self, receiver: Replica, call: str) -> FetchSource | None:
-        """Return the source for one call, a near one if there is any.
+        """Return the source for one call, preferably in the receiver's domain.
 
-        Calls spread over the holders: a holder's transfers run one after another, and
-        with one source for all, those of a hot part waited for up to two seconds.
+        Calls spread over the holders: a holder runs its transfers one after another,
+        and with one source for all calls, transfers of a hot block waited for up to two
+        seconds.
         """
         others = [each for each in self.holders if each.name != receiver.name]
         near = [each for each in others if each.domain == receiver.domain]
@@ -64,7 +65,7 @@
     def compute_price(
         self, tokens: int, receiver: Replica, engine: EngineTraits
     ) -> float:
-        """Return the price of bringing tokens to a replica, in ms."""
+        """Return the price of transferring tokens to a replica, in ms."""
         if not tokens:
             return 0.0
         bits = tokens * engine.bytes_per_token * 8
--- a/packages/toucanyard/src/toucanyard/plain_placement.py
+++ b/packages/toucanyard/src/toucanyard/plain_placement.py
@@ -1,4 +1,4 @@
-"""Choose the replica of a plain call: the least used one, the nearest of equals."""
+"""Choose the least loaded replica of a plain call, preferably in the same domain."""
 
 from __future__ import annotations
 
@@ -13,23 +13,25 @@
 from toucanyard.replicas import KnownReplica
 
 MAX_OVERCOMMIT: Final = 1.5
-"""Calls sent to a plain replica at once, as a share of its slots: the next one is there
-when a slot becomes free, and few wait where no one can order them."""
+"""Maximum concurrent calls of a plain replica relative to its slots: the next call is
+already there when a slot becomes free, and few calls wait at the replica, where they
+can't be reordered."""
 FAR_SHARE: Final = 0.05
-"""Price of the way between failure domains, as a share of a full replica."""
+"""Price of a call to another failure domain, as a share of a full replica."""
 JITTER_SHARE: Final = 0.02
-"""Spread of equals, so that nodes that see the same don't all choose the same one."""
+"""Random spread among equal replicas, so that nodes with the same view don't all choose
+the same one."""
 
 
 class PlacedPlain(msgspec.Struct, frozen=True):
-    """The replica chosen for a plain call, and its use in shares of its slots."""
+    """The replica chosen for a plain call, and its load relative to its slots."""
 
     replica: KnownReplica
     load: float
 
 
 class PlainPlacement:
-    """The choice among replicas of a plain service."""
+    """Chooses among the replicas of a plain service."""
 
     __slots__ = ("_domain", "_rng", "_usage")
 
@@ -43,7 +45,7 @@
     def choose(
         self, usable: Sequence[KnownReplica], now_ms: float
     ) -> PlacedPlain | None:
-        """Return the best replica with room, or None if the call has to wait."""
+        """Return the best replica with capacity, or None if the call has to wait."""
         best: PlacedPlain | None = None
         for known in usable:
             replica = known.replica
--- a/packages/toucanyard/src/toucanyard/prompt_block_index.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_index.py
@@ -1,9 +1,9 @@
-"""Know which replica holds which parts of prompts.
+"""Track which replica or store holds which prompt blocks.
 
-A prompt is a chain of named parts, shared ones first. A part counts only within its
-scope (model, weights version and, behind a wall, customer), so what was read under
-other weights or for another customer is never found. Replicas drop the parts that were
-used longest ago, and so does the book.
+A prompt is a chain of named blocks, shared ones first. A block is valid only within its
+scope (model, weights version and, for an isolated customer, the customer), so a block
+read under other weights or for an isolated customer is never found by others. Replicas
+evict the least recently used blocks, and so does the index.
 """
 
 from __future__ import annotations
@@ -16,14 +16,15 @@
 from toucanyard.names import EndpointName
 
 FILL_SHARE: Final = 0.9
-"""Share of a replica's memory that the book takes to be kept; its blocks round up."""
+"""Share of a replica's memory that the index counts as usable, since the replica's
+fixed-size memory blocks round up."""
 
 PromptBlockKey = tuple[str, str]
-"""Scope and name of a part."""
+"""Scope and name of a prompt block."""
 
 
 class PromptBlock(msgspec.Struct, frozen=True):
-    """One part of a prompt."""
+    """One named block of a prompt."""
 
     name: str
     tokens: int
@@ -35,7 +36,7 @@
 
 
 class _HolderContents:
-    """The parts of one replica, the one used longest ago first."""
+    """Prompt blocks of one holder, the least recently used first."""
 
     __slots__ = ("entries", "tokens")
 
@@ -45,7 +46,7 @@
 
 
 class PromptBlockIndex:
-    """What every replica is believed to hold; owned by one task."""
+    """Prompt blocks that each holder is believed to have; owned by one task."""
 
     __slots__ = ("_contents",)
 
@@ -60,9 +61,9 @@
         ready_ms: float,
         max_tokens: int,
     ) -> None:
-        """Note that a replica holds parts, or will from `ready_ms` on."""
+        """Record that a replica holds blocks, or will from `ready_ms` on."""
         contents = self._contents.setdefault(replica, _HolderContents())
-        # The last part of a chain is dropped first, so it is noted first.
+        # The last block of a chain is evicted first, so it is inserted first.
         for block in reversed(blocks):
             key = (scope, block.name)
             held = contents.entries.pop(key, None)
@@ -79,7 +80,7 @@
     def record_stored(
         self, holder: EndpointName, scope: str, block: str, tokens: int, now_ms: float
     ) -> None:
-        """Note what a holder says that it keeps of a part, 0 tokens for nothing."""
+        """Record the tokens that a holder reports for a block, 0 if it holds none."""
         if tokens <= 0:
             self.record_dropped(holder, scope, block)
             return
@@ -89,7 +90,7 @@
         contents.entries[(scope, block)] = _HeldBlock(tokens, now_ms)
 
     def record_dropped(self, replica: EndpointName, scope: str, block: str) -> None:
-        """Note that a replica has dropped a part."""
+        """Record that a replica has evicted a block."""
         contents = self._contents.get(replica)
         held = None if contents is None else contents.entries.pop((scope, block), None)
         if contents is not None and held is not None:
@@ -102,7 +103,7 @@
         blocks: Sequence[PromptBlock],
         now_ms: float,
     ) -> None:
-        """Note that parts that a replica was about to read were not read there."""
+        """Record that a replica did not read blocks that it was about to read."""
         for block in blocks:
             contents = self._contents.get(replica)
             held = (
@@ -112,7 +113,7 @@
                 self.record_dropped(replica, scope, block.name)
 
     def forget(self, replica: EndpointName) -> None:
-        """Drop all that is known of a replica: it is gone, or has loaded weights."""
+        """Forget all blocks of a replica that is gone or has loaded weights."""
         self._contents.pop(replica, None)
 
     def count_leading(
@@ -122,7 +123,7 @@
         blocks: Sequence[PromptBlock],
         ready_by_ms: float,
     ) -> int:
-        """Return how many tokens from a prompt's front a replica holds by a time."""
+        """Return how many leading tokens of a prompt a replica holds at a time."""
         contents = self._contents.get(replica)
         if contents is None:
             return 0
@@ -139,7 +140,7 @@
     def is_being_read(
         self, replica: EndpointName, scope: str, block: PromptBlock, now_ms: float
     ) -> bool:
-        """Tell whether a replica is reading a part now."""
+        """Return whether a replica is reading a block now."""
         contents = self._contents.get(replica)
         held = None if contents is None else contents.entries.get((scope, block.name))
         return held is not None and held.ready_ms > now_ms
--- a/packages/toucanyard/src/toucanyard/prompt_block_placement.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_placement.py
@@ -1,11 +1,11 @@
-"""Choose the replica of a prompt, and where it gets the parts that it lacks.
-
-Each replica gets a score in milliseconds: the reading queued there, the parts that it
-would have to read, and prices on what costs others: reading a part again that another
-replica is reading, old weights, recent failures. A part that any replica holds is
-fetched from there, which takes a hundredth of the time that reading takes. Hashing
-breaks ties, so that nodes which know nothing of each other still send a cold part to
-one replica.
+"""Choose the replica of a prompt, and the source of the blocks that it lacks.
+
+Each replica gets a score in milliseconds: the reading queued there, the blocks that it
+would have to read, and prices for what costs other calls: reading a block that another
+replica is already reading, old weights, recent failures. A block that any replica holds
+is fetched from there, which takes a hundredth of the time of reading it. Hashing breaks
+ties, so that nodes without knowledge of each other still send a cold block to one
+replica.
 """
 
 from __future__ import annotations
@@ -34,22 +34,24 @@
 from toucanyard.weights_goals import Goal
 
 FULL_SHARE: Final = 0.92
-"""Share of a replica's memory that calls may take together; beyond it the engine drops
-running ones and reads them again."""
+"""Share of a replica's memory that calls may use together; beyond it the engine
+preempts running calls and reads them again."""
 LATE_AFTER_MS: Final = 1_200.0
-"""Time from naming weights until answers on older ones lose worth, less a margin."""
+"""Time from the announcement of weights until answers on older ones lose worth, less a
+margin."""
 MIN_AWAITED_TOKENS: Final = 1_000
 MAX_READER_WAIT_MS: Final = 400.0
-"""How long a call waits for a part that another replica reads: a long part takes 70 to
-120 ms, and its first call may itself have waited. Then it is sent all the same."""
+"""How long a call waits for a block that another replica is reading. A long block takes
+70 to 120 ms, and its first call may have waited itself. After this the call is sent
+anyway."""
 OTHER_GROUP_PRICE_MS: Final = 250.0
-"""Price of a replica that is left to the other kind. An event of seven tokens waits for
-a piece of a long prompt before each of them, 0.8 s in all, when two long prompts are
-read in a row. A call that finds its own side full still goes across."""
+"""Price of a replica of the other length group. A stream event of seven tokens waits
+before each token for a step of a long prompt, 0.8 s in total when two long prompts are
+read in a row. A call whose own group is full still uses the other one."""
 
 
 class PlacedPrompt(msgspec.Struct, frozen=True):
-    """The replica chosen for a prompt, and what decided."""
+    """The replica chosen for a prompt, and the reasons."""
 
     replica: KnownReplica
     weights_version: int
@@ -61,11 +63,11 @@
     source: Address | None
     considered: int
     missing: PromptBlock | None
-    """The first part that others share and that the replica is to read."""
+    """The first shared block that the replica has to read."""
 
 
 class _Scored(msgspec.Struct, frozen=True):
-    """A candidate with its score, the lowest of which wins."""
+    """A candidate and its score; the lowest total wins."""
 
     candidate: Candidate
     total_ms: float
@@ -73,13 +75,13 @@
     unread_tokens: int
     fetched_tokens: int
     missing: PromptBlock | None
-    """The first shared part that nobody holds yet."""
+    """The first shared block without a holder."""
 
 
 class _PlacementContext(msgspec.Struct):
-    """What is looked up once for all candidates of one prompt.
+    """Facts looked up once for all candidates of one prompt.
 
-    With every candidate looking at every other one, a choice among 70 took 5 ms.
+    When every candidate was compared with every other one, a choice among 70 took 5 ms.
     """
 
     prompt: Prompt
@@ -91,26 +93,26 @@
     """By scope."""
     stores: Sequence[PromptStore]
     length_group: list[Candidate]
-    """The candidates that are left to prompts of this one's length."""
+    """The candidates preferred by prompts of this length."""
     length_group_names: frozenset[EndpointName]
     has_many_candidates: bool
     preferred_replicas: dict[str, Candidate] = {}
     readers: dict[tuple[str, str], list[EndpointName]] = {}
-    """By scope and part: the replicas that are reading it."""
+    """Replicas that are reading a block, by scope and block name."""
 
 
 def compute_scope(request: RelayRequest, prompt: Prompt, version: int) -> str:
-    """Return under which name a replica keeps the parts of a prompt.
+    """Return the scope in which a replica keeps the blocks of a prompt.
 
-    It names the weights, so nothing that was read under others is ever used, and the
-    customer where it is behind a wall.
+    It contains the weights version, so that nothing read under other weights is ever
+    used, and the customer if it is isolated.
     """
     isolated_customer = request.customer if request.is_isolated else ""
     return f"{prompt.model}/{version}/{isolated_customer}"
 
 
 class PromptBlockPlacement:
-    """The choice among replicas that run a model."""
+    """Chooses among the replicas that run a model."""
 
     __slots__ = ("_block_index", "_max_old_ms", "_filter", "_policy", "_usage")
 
@@ -126,7 +128,8 @@
         self._usage = usage
         self._filter = CandidateFilter()
         self._max_old_ms = max_old_ms
-        """How long after new weights were named older ones may still begin a call."""
+        """How long after the announcement of new weights older ones may still start a
+        call."""
 
     def choose(
         self,
@@ -140,9 +143,10 @@
         *,
         may_wait_for_reader: bool = True,
     ) -> PlacedPrompt | None:
-        """Return the best replica with room, or None if the call has to wait.
+        """Return the best replica with capacity, or None if the call has to wait.
 
-        `may_follow` tells whether it may wait for what another replica reads.
+        `may_wait_for_reader` allows it to wait for a block that another replica is
+        reading.
         """
         candidates = self._find_candidates(request, prompt, usable, goal, now_ms)
         shared = prompt.find_shared()
@@ -197,10 +201,11 @@
         request: RelayRequest,
         now_ms: float,
     ) -> bool:
-        """Tell whether a call should wait for a part that another replica reads now.
+        """Return whether a call should wait for a block that another replica reads.
 
-        Sent elsewhere it would read the part again, for more than its lateness costs;
-        sent to the reader, all calls of a hot part would queue at one of many replicas.
+        Sent elsewhere it would read the block again, which costs more than the delay;
+        sent to the reader, all calls of a hot block would queue at one of many
+        replicas.
         """
         block = scored.missing
         if (
@@ -247,7 +252,7 @@
         stores: Sequence[PromptStore],
         now_ms: float,
     ) -> dict[str, FetchSources]:
-        """Return, for each scope, who holds most of a prompt's front now."""
+        """Return the current holders of the longest front of a prompt, by scope."""
         found: dict[str, FetchSources] = {
             each.scope: FetchSources() for each in candidates
         }
@@ -321,7 +326,7 @@
         covered: int,
         now_ms: float,
     ) -> float:
-        """Return the price of reading the rest of the shared parts at a replica."""
+        """Return the price of reading the remaining shared blocks at a replica."""
         price_ms = 0.0
         if not context.has_many_candidates and candidate is not _find_preferred_replica(
             context, missing
@@ -329,7 +334,8 @@
             price_ms += self._policy.affinity_ms
         readers = self._find_readers(context, candidate.scope, missing, now_ms)
         if any(name != candidate.known.replica.name for name in readers):
-            # Among many replicas others read the rest of a chain seldom.
+            # Among many replicas, the readers of this block seldom read the rest of the
+            # chain.
             shared = (
                 missing.tokens
                 if context.has_many_candidates
@@ -341,7 +347,7 @@
     def _find_readers(
         self, context: _PlacementContext, scope: str, block: PromptBlock, now_ms: float
     ) -> list[EndpointName]:
-        """Return the replicas that are reading a part now."""
+        """Return the replicas that are reading a block now."""
         key = (scope, block.name)
         readers = context.readers.get(key)
         if readers is None:
@@ -378,11 +384,11 @@
 def _find_source(
     scored: _Scored, context: _PlacementContext, request_id: RequestId
 ) -> Address | None:
-    """Return where a replica can get parts that it lacks, known or guessed.
+    """Return where a replica can get blocks that it lacks, known or guessed.
 
-    A wrong guess costs about a millisecond. Among many replicas a source is named also
-    where the candidate should hold everything: it may have dropped parts since, and
-    would read them again.
+    A wrong guess costs about a millisecond. Among many replicas a source is given even
+    if the candidate should hold everything: it may have evicted blocks since, and would
+    read them again.
     """
     candidate, missing = scored.candidate, scored.missing
     if scored.fetched_tokens:
@@ -399,14 +405,14 @@
             return store.address
     if missing is None:
         return None
-    # Other nodes send it where hashing says.
+    # Other nodes place the block by the same hash.
     preferred = _find_preferred_replica(context, missing)
     is_other = preferred is not candidate and preferred.scope == candidate.scope
     return preferred.known.replica.address if is_other else None
 
 
 def _find_missing(shared: Sequence[PromptBlock], covered: int) -> PromptBlock | None:
-    """Return the first shared part that is not among the covered tokens."""
+    """Return the first shared block that is not among the covered tokens."""
     tokens = 0
     for block in shared:
         tokens += block.tokens
@@ -418,7 +424,7 @@
 def _find_preferred_replica(
     context: _PlacementContext, block: PromptBlock
 ) -> Candidate:
-    """Return the replica that hashing gives to a part, the same on every node."""
+    """Return the replica that hashing selects for a block, the same on all nodes."""
     preferred = context.preferred_replicas.get(block.name)
     if preferred is None:
         key = compute_seed(EndpointName(block.name))
--- a/packages/toucanyard/src/toucanyard/prompt_block_reports.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_reports.py
@@ -1,4 +1,4 @@
-"""Gather which parts replicas were sent to read, to tell other nodes once of each."""
+"""Collect the blocks that replicas were sent to read, to report each to peers once."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from toucanyard.names import EndpointName
 
 MAX_PENDING_REPORTS: Final = 400
-"""Parts that are told at once; beyond it those gathered first are left out. At 25 to 60
-bytes each, more would fill the links of a large fleet in a burst."""
+"""Maximum number of blocks per report; beyond it the oldest are dropped. At 25 to 60
+bytes each, more would saturate the links of a large fleet in a burst."""
 
 
 URGENT_TOKENS: Final = 1_000
-"""Least tokens of a part that is worth a status at once when its reading begins: until
-other nodes know, they send the same part to be read elsewhere."""
+"""Minimum tokens of a block for sending a status as soon as its reading starts: until
+other nodes know of it, they have the same block read elsewhere."""
 
 
 class PromptBlockReports:
-    """Parts that have not been told yet."""
+    """Blocks that have not been reported yet."""
 
     __slots__ = ("_blocks", "is_urgent")
 
@@ -36,9 +36,9 @@
         *,
         is_new: bool = False,
     ) -> None:
-        """Note that a replica holds a part, or will from `ready_ms` on.
+        """Record that a replica holds a block, or will from `ready_ms` on.
 
-        `is_new` tells that nobody held it before.
+        `is_new` means that it had no holder before.
         """
         self._blocks[(replica, scope, block)] = (tokens, ready_ms)
         self.is_urgent = self.is_urgent or (is_new and tokens >= URGENT_TOKENS)
@@ -46,7 +46,7 @@
             del self._blocks[next(iter(self._blocks))]
 
     def take(self, min_tokens: int, now_ms: float) -> tuple[PromptBlockRead, ...]:
-        """Return the parts of some size, and forget all of them."""
+        """Return the blocks of at least `min_tokens`, and clear all."""
         blocks = tuple(
             PromptBlockRead(replica, scope, block, tokens, max(ready_ms - now_ms, 0.0))
             for (replica, scope, block), (tokens, ready_ms) in self._blocks.items()
--- a/packages/toucanyard/src/toucanyard/prompt_block_sources.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_sources.py
@@ -1,8 +1,8 @@
-"""Know whom to ask what parts of prompts it keeps: replicas, and stores beside them.
+"""Choose which holders of prompt blocks to follow: replicas, and stores beside them.
 
-Each of them answers a bounded number of such calls at once, over all nodes. Where there
-are more nodes than that, nobody asks replicas, and stores are asked by those that go
-first in the hash order of the store; they tell the others that a store lives.
+Each holder serves a bounded number of followers over all nodes. In a fleet with more
+nodes than that, nobody follows replicas, and a store is followed by the nodes that rank
+first by its hash; they report to the others that the store is alive.
 """
 
 from __future__ import annotations
@@ -20,23 +20,25 @@
 from toucanyard.routes import PromptStore, RouteIndex
 
 SPARE_FOLLOWERS: Final = 2
-"""Calls that a holder has free for nodes that restart while their old call lasts."""
+"""Follower slots of a holder that are left for nodes that restart while their old call
+is still open."""
 STORE_FOLLOWERS: Final = 2
-"""Nodes of a large fleet that ask a store; the others are told that it lives."""
+"""Number of nodes of a large fleet that follow a store; the others are sent its
+status."""
 MAX_STORE_SILENCE_MS: Final = 2_500.0
-"""After this silence a store is not used; fetching from a dead one takes longer than
-reading a part."""
+"""A store that has been silent for longer is not used: fetching from a dead one takes
+longer than reading a block."""
 
 
 class PromptBlockHolder(msgspec.Struct, frozen=True):
-    """Who keeps parts, and where."""
+    """A holder of prompt blocks and its address."""
 
     name: EndpointName
     address: Address
 
 
 def compute_store_name(store: PromptStore) -> EndpointName:
-    """Return the name under which the book keeps a store."""
+    """Return the name of a store in the index of prompt blocks."""
     return EndpointName(f"store {store.address}")
 
 
@@ -45,10 +47,11 @@
 ) -> PromptStore | None:
     """Return the store for what a replica in a domain reads of a prompt.
 
-    A near one, since transfers between domains take twice as long: with far ones, what
-    70 replicas with cold memory saved filled the stores' links, and calls waited for
-    two seconds behind it. Among several the last shared part decides, so that all nodes
-    choose the same one without asking.
+    A store in the same domain is preferred, since transfers between domains take twice
+    as long: with remote ones, the saves of 70 replicas with cold memory saturated the
+    stores' links, and calls queued for two seconds behind them. The hash of the last
+    shared block selects among several, so that all nodes choose the same one without
+    coordination.
     """
     near = [each for each in stores if each.domain == domain]
     key = compute_seed(EndpointName(block))
@@ -77,7 +80,7 @@
     def record_answer(
         self, holder: EndpointName, answered_ms: float, epoch: int
     ) -> bool:
-        """Take in that a holder answered; return whether it has started anew."""
+        """Record an answer of a holder; return whether the holder has restarted."""
         before = self._last_answers.get(holder)
         if before is not None and answered_ms <= before.answered_ms:
             return False
@@ -85,11 +88,11 @@
         return before is not None and before.epoch != epoch
 
     def record_lost(self, holder: EndpointName) -> None:
-        """Take in that a holder did not answer."""
+        """Record that a holder did not answer."""
         self._last_answers.pop(holder, None)
 
     def list_stores(self, index: RouteIndex, now_ms: float) -> Iterable[StoreNews]:
-        """Return what to tell other nodes of the stores that are heard from."""
+        """Return the updates to send to other nodes about the reachable stores."""
         for store in self.find_stores(index, now_ms):
             name = compute_store_name(store)
             last_answer = self._last_answers[name]
@@ -98,7 +101,7 @@
     def find_followed(
         self, index: RouteIndex, now_ms: float
     ) -> list[PromptBlockHolder]:
-        """Return the holders that this node should ask."""
+        """Return the holders that this node should follow."""
         return [
             holder
             for holder, most, is_store in self._list_holders(index, now_ms)
@@ -106,7 +109,7 @@
         ]
 
     def find_stores(self, index: RouteIndex, now_ms: float) -> list[PromptStore]:
-        """Return the stores that answered a moment ago."""
+        """Return the stores that have answered recently."""
         return [
             store
             for store in index.table.stores
@@ -140,7 +143,7 @@
         capacity = max(most - SPARE_FOLLOWERS, 1)
         if self._roster.count_nodes(now_ms) <= capacity:
             return True
-        # In a large fleet hashing and what peers send must do for replicas: the polls
-        # of a tenth of 70 replicas take 5% of a core.
+        # In a large fleet hashing and peers' reports have to suffice for replicas:
+        # polling a tenth of 70 replicas takes 5% of a core.
         capacity = min(capacity, STORE_FOLLOWERS)
         return is_store and self._roster.find_rank(holder.name, now_ms) < capacity
--- a/packages/toucanyard/src/toucanyard/prompt_block_updates.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_updates.py
@@ -1,4 +1,4 @@
-"""Bring what holders of prompt parts and peers say into the book of parts."""
+"""Apply reports of holders and peers to the index of prompt blocks."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class PromptBlockUpdates:
-    """Updates of one node's book of parts.
+    """Applies updates to one node's index of prompt blocks.
 
-    Invariant: nothing that an ended life of a replica kept enters the book.
+    Invariant: blocks held by an ended incarnation of a replica never enter the index.
     """
 
     __slots__ = ("_block_index", "_directory", "_facts", "_sources")
@@ -34,12 +34,13 @@
         self._facts = facts
 
     def on_change(self, event: PromptBlocksChanged | HolderLost, now_ms: float) -> None:
-        """Apply what a holder keeps now, or that it tells no more."""
+        """Apply a holder's changes, or the end of its reports."""
         if isinstance(event, HolderLost):
             self._sources.record_lost(event.holder)
             return
         if self._directory.is_over(event.holder):
-            # Told by the life before the present one; the replica has lost it all.
+            # Sent by the previous incarnation of the replica, whose blocks are all
+            # lost.
             return
         is_new = self._sources.record_answer(event.holder, now_ms, event.epoch)
         if event.is_reset or is_new:
@@ -50,7 +51,7 @@
             )
 
     def apply_read(self, blocks: Iterable[PromptBlockRead], now_ms: float) -> None:
-        """Apply what peers have replicas read."""
+        """Apply the blocks that peers have sent replicas to read."""
         for each in blocks:
             memory_tokens = self._find_memory(each.replica)
             if memory_tokens:
--- a/packages/toucanyard/src/toucanyard/replica_usage.py
+++ b/packages/toucanyard/src/toucanyard/replica_usage.py
@@ -1,7 +1,7 @@
-"""Know what is under way at each replica, by this node and by its peers.
+"""Track the calls in progress at each replica, from this node and from its peers.
 
 A replica's own report lags and costs a call. Each node knows its own calls exactly and
-tells its peers, so the sum is known everywhere within a status interval.
+reports them to its peers, so the sum is known everywhere within a status interval.
 """
 
 from __future__ import annotations
@@ -15,23 +15,26 @@
 from toucanyard.names import EndpointName, NodeName, RequestId
 
 FLEET: Final = NodeName("(fleet)")
-"""Under which the calls of all other nodes are kept that a hub tells of at once."""
+"""Pseudo-peer that holds the calls of all other nodes, which a hub reports as one
+sum."""
 
 MAX_PEER_SILENCE_MS: Final = 1_500.0
-"""After this silence a peer's calls don't count any more; it is cut off or dead."""
+"""A peer that has been silent for longer is disconnected or dead; its calls no longer
+count."""
 DEFAULT_TOKENS_PER_MS: Final = 30.0
-"""Prompt tokens that an engine reads in a millisecond, until its answers tell."""
+"""Prompt tokens that an engine reads per millisecond, until its answers show the actual
+speed."""
 SPEED_STEP: Final = 0.1
-"""Weight of one answer in the mean of an engine's reading speed."""
+"""Weight of one answer in the moving mean of the reading speed."""
 URGENT_TOKENS: Final = 3_000
-"""Unread tokens of a call from which peers are told of it at once: it keeps a replica
-busy for 80 ms or more, and until they know, they take the replica for idle."""
+"""Minimum unread tokens of a call that is reported to peers at once: it occupies a
+replica for 80 ms or more, and until they know of it, they consider the replica idle."""
 MIN_TIMED_TOKENS: Final = 1_000
-"""Prompts with fewer unread tokens tell nothing of the reading speed."""
+"""Minimum unread tokens of a prompt for measuring the reading speed."""
 
 
 class OwnCall(msgspec.Struct):
-    """One call of this node at a replica."""
+    """A call of this node in progress at a replica."""
 
     sent_ms: float
     tokens: int
@@ -40,7 +43,7 @@
 
 
 class UsageTotal(msgspec.Struct):
-    """What is under way at one replica, over all nodes that are heard from."""
+    """Calls in progress at one replica, over all nodes with recent reports."""
 
     running: int = 0
     tokens: int = 0
@@ -48,7 +51,7 @@
 
 
 class ReplicaUsage:
-    """Calls under way at every replica; owned by one task."""
+    """Calls in progress at every replica; owned by one task."""
 
     __slots__ = (
         "_merged",
@@ -66,12 +69,12 @@
             NodeName, tuple[float, dict[EndpointName, ReplicaUsageReport]]
         ] = {}
         self._merged: dict[EndpointName, UsageTotal] = {}
-        """Sum over all peers that are heard from, valid until `_merged_until_ms`."""
+        """Sum over all peers with recent reports, valid until `_merged_until_ms`."""
         self._merged_until_ms = float("-inf")
         self._reported: dict[EndpointName, ReplicaUsageReport] = {}
-        """This node's own calls when it last reported them."""
+        """This node's own calls as last reported."""
         self.is_urgent = False
-        """A long prompt was sent since this node last reported its calls."""
+        """Whether a long prompt was sent since this node last reported its calls."""
         self.tokens_per_ms = DEFAULT_TOKENS_PER_MS
 
     def begin(
@@ -90,7 +93,7 @@
     def record_started(
         self, replica: EndpointName, request_id: RequestId, now_ms: float
     ) -> None:
-        """Note that a call's prompt has been read, and how fast."""
+        """Record that a call's prompt has been read, and learn the reading speed."""
         call = self._own.get(replica, {}).get(request_id)
         if call is None or call.has_started:
             return
@@ -98,12 +101,13 @@
         took_ms = now_ms - call.sent_ms
         if call.unread_tokens >= MIN_TIMED_TOKENS and took_ms > 0:
             speed = call.unread_tokens / took_ms
-            # What waited behind others looks slow. Fast ones tell the engine's speed.
+            # Prompts that were queued behind others look slow, so fast ones show the
+            # engine's actual speed and weigh more.
             step = SPEED_STEP if speed > self.tokens_per_ms else SPEED_STEP / 4
             self.tokens_per_ms += step * (speed - self.tokens_per_ms)
 
     def end(self, replica: EndpointName, request_id: RequestId) -> None:
-        """Remove a call that is over."""
+        """Remove a finished call."""
         calls = self._own.get(replica)
         if calls is not None:
             calls.pop(request_id, None)
@@ -113,7 +117,7 @@
     def apply_peer(
         self, peer: NodeName, usages: Iterable[ReplicaUsageReport], now_ms: float
     ) -> bool:
-        """Take in what a peer has under way; return whether others should know soon."""
+        """Apply a peer's calls; return whether others should know of them soon."""
         before = self._peers.get(peer, (now_ms, {}))[1]
         now = {each.replica: each for each in usages}
         self._peers[peer] = (now_ms, now)
@@ -124,14 +128,14 @@
         )
 
     def apply_fleet(self, usages: Iterable[ReplicaUsageReport], now_ms: float) -> None:
-        """Take in what all nodes have under way, as far as it is not this node's."""
+        """Apply the sum over all nodes, less this node's own calls."""
         others = [
             _subtract(usage, self._reported.get(usage.replica)) for usage in usages
         ]
         self.apply_peer(FLEET, others, now_ms)
 
     def forget_peer(self, peer: NodeName) -> None:
-        """Drop what a peer said; it is gone."""
+        """Forget the calls of a peer that is gone."""
         self._peers.pop(peer, None)
         self._merged_until_ms = float("-inf")
 
@@ -148,11 +152,11 @@
         )
 
     def has_news(self) -> bool:
-        """Tell whether this node has calls under way, or last reported some."""
+        """Return whether this node has calls in progress or last reported some."""
         return bool(self._own or self._reported)
 
     def report(self) -> tuple[ReplicaUsageReport, ...]:
-        """Return this node's calls, and remember that they were told."""
+        """Return this node's calls and remember them as reported."""
         own = self.list_own()
         self._reported = {usage.replica: usage for usage in own}
         self.is_urgent = False
@@ -164,7 +168,7 @@
         peers: Collection[NodeName],
         now_ms: float,
     ) -> tuple[ReplicaUsageReport, ...]:
-        """Return what this node and some of its peers have under way, by replica."""
+        """Return the calls of this node and some of its peers, by replica."""
         total: dict[EndpointName, UsageTotal] = {}
         for usage in own:
             _add(total, usage)
@@ -183,7 +187,7 @@
         return self._peers.keys()
 
     def compute(self, replica: EndpointName, now_ms: float) -> UsageTotal:
-        """Return what all nodes have under way at a replica."""
+        """Return the calls of all nodes at a replica."""
         if now_ms > self._merged_until_ms:
             self._merge(now_ms)
         peers = self._merged.get(replica)
@@ -195,9 +199,9 @@
         return usage
 
     def _merge(self, now_ms: float) -> None:
-        """Add up what peers say.
+        """Recompute the sum over all peers.
 
-        Asked of 30 peers for each of 70 replicas, one choice would take longer than
+        Asking 30 peers for each of 70 replicas would take longer per choice than
         sending the call.
         """
         self._merged = {}
@@ -232,7 +236,7 @@
 ) -> ReplicaUsageReport:
     if own is None:
         return usage
-    # The total lags, so it may hold less than what was told since.
+    # The total lags, so it may be lower than what was reported since.
     return ReplicaUsageReport(
         usage.replica,
         max(usage.running - own.running, 0),
--- a/packages/toucanyard/src/toucanyard/routes.py
+++ b/packages/toucanyard/src/toucanyard/routes.py
@@ -1,7 +1,7 @@
-"""Know where calls go: hosts and path prefixes, splits over services, and limits.
+"""Route calls by host and path prefix, with splits over services and limits.
 
-A RouteTable is a value, as operators publish it whole; a newer version replaces it.
-RouteIndex answers what each call asks of it without going over all routes.
+A RouteTable is an immutable value, published as a whole by operators and replaced by a
+newer version. RouteIndex answers the lookups of each call without scanning all routes.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Calls of one host whose path begins with a prefix, and how to treat them."""
+    """A host and path prefix, and how to treat the calls that match them."""
 
     name: str
     host: str
@@ -35,29 +35,29 @@
     timeout_ms: int
     target_ms: int
     max_attempts: int
-    """Most replicas that one call may be sent to."""
+    """Maximum number of replicas that one call may be sent to."""
     rank: int = 0
-    """0 is the most urgent."""
+    """0 is the highest priority."""
     is_public: bool = False
     is_stream: bool = False
     is_resumable: bool = False
     max_gap_ms: int = 0
-    """Longest pause between two events of a stream that is on time; 0: no bound."""
+    """Maximum time between two events of a stream that is on time; 0: unlimited."""
 
 
 class EngineTraits(msgspec.Struct, frozen=True):
-    """What every replica of a model's service can hold."""
+    """Capacity of each replica of a model's service."""
 
     slots: int
     memory_tokens: int
     bytes_per_token: int
     link_mbps: float
     max_followers: int
-    """Calls for cache events that a replica answers at once, over all nodes."""
+    """Maximum number of event calls that a replica serves at once, over all nodes."""
 
 
 class RoutedService(msgspec.Struct, frozen=True):
-    """A service that routes name; `engine` is set where it runs a model."""
+    """A service that routes refer to; `engine` is set if it runs a model."""
 
     name: ServiceName
     max_connections: int
@@ -65,7 +65,7 @@
 
 
 class PromptStore(msgspec.Struct, frozen=True):
-    """A store beside the replicas that keeps read parts of prompts."""
+    """A store beside the replicas that keeps prompt blocks they have read."""
 
     address: Address
     domain: DomainName
@@ -75,7 +75,7 @@
 
 
 class CallBounds(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of a caller's requests and on the caller's delays."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -84,20 +84,20 @@
 
 
 class RoutedCustomer(msgspec.Struct, frozen=True):
-    """A customer with its keys as callers send them."""
+    """A customer with the keys that its callers send."""
 
     name: CustomerName
     keys: tuple[str, ...]
     rank: int | None = None
-    """Goes before the rank of a route."""
+    """Overrides the rank of a route."""
     is_isolated: bool = False
-    """Shares no cached part of a prompt with another customer."""
+    """Isolated: shares no cached prompt block with another customer."""
     limit: RateLimit | None = None
-    """What it may send over all nodes; None if there is no limit."""
+    """Rate limit over all nodes; None if unlimited."""
 
 
 class RouteTable(msgspec.Struct, frozen=True):
-    """One version of all routes; version 0 is the empty one before any is known."""
+    """One version of all routes; version 0 is the empty table before any is known."""
 
     version: int = 0
     routes: tuple[Route, ...] = ()
@@ -108,9 +108,9 @@
 
 
 class RouteIndex:
-    """Look up routes, services and customers of one table.
+    """Lookups of routes, services and customers of one table.
 
-    Invariant: of the routes that cover a path, the one with the longest prefix wins.
+    Invariant: if several routes match a path, the one with the longest prefix wins.
     """
 
     __slots__ = ("_by_host", "_by_key", "_limits", "_services", "table")
@@ -127,7 +127,7 @@
         }
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of a call; `host` may carry a port."""
+        """Return the route of a call; `host` may include a port."""
         routes = self._by_host.get(host.partition(":")[0].lower())
         if routes is None:
             return None
@@ -146,20 +146,20 @@
         return self._services.get(name)
 
     def find_limit(self, name: CustomerName) -> RateLimit | None:
-        """Return what a customer may send; None if it has no limit."""
+        """Return the rate limit of a customer; None if it has none."""
         return self._limits.get(name)
 
     def list_limits(self) -> dict[CustomerName, RateLimit]:
-        """Return the limits of all customers that have one."""
+        """Return the rate limits of all customers that have one."""
         return dict(self._limits)
 
     def has_customers(self) -> bool:
-        """Tell whether calls have to bring a key."""
+        """Return whether calls need a key."""
         return bool(self.table.customers)
 
 
 def choose_service(route: Route, rng: random.Random) -> ServiceName | None:
-    """Return the service of one call, by the weights of its route's split."""
+    """Return the service of one call, drawn by the weights of its route's split."""
     weights = [max(split.weight, 0.0) for split in route.splits]
     if not sum(weights):
         return None
@@ -167,7 +167,7 @@
 
 
 def _list_prefixes(path: str) -> Iterator[str]:
-    """Return every prefix of a path that ends with a slash, the longest first."""
+    """Return every prefix of a path that ends with a slash, longest first."""
     end = len(path)
     while (end := path.rfind("/", 0, end)) >= 0:
         yield path[: end + 1]
