--- a/packages/toucanyard/src/toucanyard/__init__.py
+++ b/packages/toucanyard/src/toucanyard/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of the toucanyard router: no sockets, clocks or random sources."""
+"""Decision logic of the toucanyard router: no sockets, clocks or random sources."""
 
 from __future__ import annotations
 
--- a/packages/toucanyard/src/toucanyard/dispatch_feedback.py
+++ b/packages/toucanyard/src/toucanyard/dispatch_feedback.py
@@ -1,4 +1,4 @@
-"""Pass on what a dispatch showed to placement, admission, directory and records."""
+"""Pass the results of dispatches to placement, admission, directory and records."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class DispatchFeedback:
-    """What is learned from one node's own dispatches.
+    """Feedback from one node's own dispatches.
 
-    Invariant: every dispatch noted as sent is later noted as ended, once.
+    Invariant: every dispatch recorded as sent is later recorded as ended, exactly once.
     """
 
     __slots__ = ("_admission", "_directory", "_placement", "_records", "_silences")
@@ -52,7 +52,7 @@
     def record_first_token(
         self, pending: PendingRequest, placed: Placed, after_ms: float, now_ms: float
     ) -> None:
-        """Learn from the time to the first token, and fix the answer's weights."""
+        """Record the time to the first token, and pin the answer's weights version."""
         request_id = pending.request.request_id
         self._placement.record_first_token(
             request_id, placed.endpoint, after_ms, now_ms
@@ -65,7 +65,7 @@
     def record_dispatch_end(
         self, pending: PendingRequest, outcome: Outcome, now_ms: float
     ) -> None:
-        """Learn from the end of a dispatch."""
+        """Record the end of a dispatch."""
         request = pending.request
         if outcome.ending not in PROVED_NOT_RUN:
             pending.may_have_run = True
@@ -86,7 +86,7 @@
     def record_unsent(
         self, pending: PendingRequest, placed: Placed, now_ms: float
     ) -> None:
-        """Take a dispatch back that never left: its work is no load of the endpoint."""
+        """Undo a dispatch that was never sent: it is no load of its endpoint."""
         request = pending.request
         cancelled = Outcome(request.request_id, placed.endpoint, EndingSeen.CANCELLED)
         self._placement.record_dispatch_end(request, cancelled, now_ms)
--- a/packages/toucanyard/src/toucanyard/explanations.py
+++ b/packages/toucanyard/src/toucanyard/explanations.py
@@ -1,7 +1,7 @@
-"""Keep a compact record of each decision, so that any of them can be asked about.
+"""Keep a compact record of each decision, to explain it on request.
 
-The node that decided keeps the record in a bounded ring, older ones packed; a request
-id names that node, so another node knows whom to ask.
+The deciding node keeps the record in a bounded ring, older ones compressed. A request
+id contains that node's name, so that other nodes know where to ask.
 """
 
 from __future__ import annotations
@@ -20,20 +20,22 @@
 MAX_RECORDS: Final = 20_000
 MAX_STEPS: Final = 24
 MAX_OPEN: Final = 2_048
-"""Newest records, which are not packed: most of their requests are still under way."""
+"""Newest records, which are not compressed: most of their requests are still in
+progress."""
 BATCH: Final = 64
-"""Records packed together; packing them takes about half a millisecond."""
+"""Records compressed together, which takes about half a millisecond."""
 
 
 class _Step(msgspec.Struct, frozen=True, gc=False, tag_field="kind"):
-    """One step; the collector of cycles passes it over, as it can be in none.
+    """One step of a decision, excluded from cyclic garbage collection.
 
-    It would stop every stream for tens of milliseconds to look at all records.
+    A step can't be part of a reference cycle, and traversing all records would pause
+    every stream for tens of milliseconds.
     """
 
 
 class Claimed(_Step, frozen=True, tag="claimed"):
-    """The key was won, so this node alone may dispatch."""
+    """The node has won the claim on the key, so it alone may dispatch the request."""
 
     at_ms: float
 
@@ -76,7 +78,7 @@
 
 
 class Replayed(_Step, frozen=True, tag="replayed"):
-    """An earlier try's answer was given again."""
+    """The answer of an earlier attempt was returned again."""
 
     at_ms: float
 
@@ -85,7 +87,7 @@
 
 
 class DecisionRecord(msgspec.Struct, gc=False):
-    """What was decided about one request, step by step."""
+    """Decisions about one request, step by step."""
 
     request_id: RequestId
     customer: CustomerName
@@ -95,9 +97,9 @@
 
 
 class ExplanationRing:
-    """Hold the newest records.
+    """Holds the newest records.
 
-    Invariant: about `max_records` records, at most BATCH more, of at most MAX_STEPS
+    Invariant: at most about `max_records` records (BATCH more) of at most MAX_STEPS
     steps each.
     """
 
@@ -110,11 +112,11 @@
         self._late_steps: dict[RequestId, list[Step]] = {}
 
     def __len__(self) -> int:
-        """Return how many records are held."""
+        """Return the number of records."""
         return len(self._open) + len(self._packed)
 
     def open(self, record: DecisionRecord) -> None:
-        """Start a record, pack older ones and drop the oldest when the ring is full."""
+        """Start a record, compress older ones and drop the oldest if full."""
         self._open[record.request_id] = record
         if len(self._open) >= MAX_OPEN + BATCH:
             oldest = [self._open.popitem(last=False) for _ in range(BATCH)]
@@ -123,14 +125,14 @@
                 self._late_steps.pop(dropped, None)
 
     def add_step(self, request_id: RequestId, step: Step) -> None:
-        """Append one step to a record that is still held."""
+        """Append a step to a record that is still held."""
         record = self._open.get(request_id)
         if record is not None:
             if len(record.steps) < MAX_STEPS:
                 record.steps = (*record.steps, step)
         elif request_id in self._packed:
-            # A stream may last longer than its record stays unpacked; how it ended is
-            # what is asked about most.
+            # A stream may outlast the time that its record stays uncompressed, and its
+            # end is what operators ask for most.
             late_steps = self._late_steps.setdefault(request_id, [])
             if len(late_steps) < MAX_STEPS:
                 late_steps.append(step)
--- a/packages/toucanyard/src/toucanyard/names.py
+++ b/packages/toucanyard/src/toucanyard/names.py
@@ -1,4 +1,4 @@
-"""Name types shared by every module, so that one name is not taken for another."""
+"""Distinct types for the names used in all modules, so that they can't be confused."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 PoolName = NewType("PoolName", str)
 ServiceName = NewType("ServiceName", str)
 EndpointName = NewType("EndpointName", str)
-# The name that a replica registers under; it may keep it when it starts again.
+# The name that a replica registers under; it may be unchanged after a restart.
 ReplicaId = NewType("ReplicaId", str)
 RequestId = NewType("RequestId", str)
-# Of what a request asks for; the same for each of its repeats.
+# Hash of a request's content; the same for each of its repeats.
 Fingerprint = NewType("Fingerprint", str)
-# An IP number and a port, "127.0.0.1:8080".
+# An IP address and a port, "127.0.0.1:8080".
 Address = NewType("Address", str)
 
 
 class NodeId(msgspec.Struct, frozen=True):
-    """One incarnation of one node; a restarted node is another one."""
+    """One incarnation of a node; a restart creates a new one."""
 
     node: NodeName
     incarnation: Incarnation
--- a/packages/toucanyard/src/toucanyard/packed_records.py
+++ b/packages/toucanyard/src/toucanyard/packed_records.py
@@ -1,7 +1,7 @@
-"""Keep older decision records packed: many of them compressed together.
+"""Keep older decision records in compressed batches.
 
-Records repeat the names of fields, endpoints and customers; sixty-four compressed at
-once take a tenth of what they take as objects.
+Records repeat the names of fields, endpoints and customers; sixty-four compressed
+together take a tenth of their size as objects.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from toucanyard.names import RequestId
 
 _LEVEL: Final = 1
-"""The fastest; a higher level saves little and takes several times as long."""
+"""The fastest level; higher ones save little and take several times as long."""
 
 T = TypeVar("T")
 
 
 class _Batch(msgspec.Struct, frozen=True):
-    """Records packed together, and the place of each by its request."""
+    """Records compressed together, and the position of each by its request."""
 
     ids: tuple[RequestId, ...]
     packed: bytes
 
 
 class PackedRecords(Generic[T]):
-    """Batches of records, the oldest batch dropped first.
+    """Batches of records, of which the oldest are dropped first.
 
-    Invariant: at most `max_batches` batches are held, and `_numbers` names exactly the
-    requests in them.
+    Invariant: at most `max_batches` batches are held, and `_batch_numbers` contains
+    exactly their requests.
     """
 
     __slots__ = ("_batches", "_decoder", "_max_batches", "_next", "_batch_numbers")
@@ -45,15 +45,15 @@
         self._next = 0
 
     def __contains__(self, request_id: RequestId) -> bool:
-        """Tell whether a request's record is held."""
+        """Return whether a request's record is held."""
         return request_id in self._batch_numbers
 
     def __len__(self) -> int:
-        """Return how many records are held."""
+        """Return the number of records."""
         return len(self._batch_numbers)
 
     def pack(self, ids: Sequence[RequestId], records: Sequence[T]) -> list[RequestId]:
-        """Add records, one for each id; return the ids of those that were dropped."""
+        """Add records, one for each id; return the ids of dropped records."""
         packed = zlib.compress(msgspec.msgpack.encode(records), _LEVEL)
         self._batches[self._next] = _Batch(tuple(ids), packed)
         self._batch_numbers.update(dict.fromkeys(ids, self._next))
--- a/packages/toucanyard/src/toucanyard/request_records.py
+++ b/packages/toucanyard/src/toucanyard/request_records.py
@@ -1,4 +1,4 @@
-"""Record what happens to requests: steps to explain them by, and statistics."""
+"""Record the steps of requests, to explain decisions, and statistics."""
 
 from __future__ import annotations
 
@@ -39,24 +39,24 @@
         self.explanations.open(record)
 
     def record_queued(self, request_id: RequestId, now_ms: float) -> None:
-        """Note that a request waits."""
+        """Record that a request is queued."""
         self.explanations.add_step(request_id, Queued(now_ms))
 
     def record_claimed(self, request_id: RequestId, now_ms: float) -> None:
-        """Note that a request's key was won."""
+        """Record that the claim on a request's key was won."""
         self.explanations.add_step(request_id, Claimed(now_ms))
 
     def record_sent(
         self, request_id: RequestId, placed: Placed, attempt: int, now_ms: float
     ) -> None:
-        """Note where a try was sent, and the alternatives."""
+        """Record where an attempt was sent, and the alternatives."""
         sent = Sent(now_ms, placed.endpoint, attempt, placed.level_depth, placed.scores)
         self.explanations.add_step(request_id, sent)
 
     def record_ended(
         self, request: Request, outcome: Outcome, sent_ms: float, now_ms: float
     ) -> None:
-        """Note how a try ended."""
+        """Record how an attempt ended."""
         waited_ms = sent_ms - request.arrived_ms
         self.statistics.record_outcome(
             request.customer, request.priority, outcome, waited_ms
@@ -72,7 +72,7 @@
         self.explanations.add_step(request.request_id, ended)
 
     def record_rejected(self, event: RequestTurnedAway, now_ms: float) -> None:
-        """Note that a face refused a request, which the core may never have seen."""
+        """Record that a request was rejected before it reached the core."""
         refusal = event.refusal
         if self.explanations.find(refusal.request_id) is None:
             self.explanations.open(
@@ -87,7 +87,7 @@
         self._add_refusal(refusal, event.customer, now_ms)
 
     def record_refused(self, request: Request, refusal: Refuse, now_ms: float) -> None:
-        """Note that a request was refused, and why."""
+        """Record that a request was refused, and why."""
         self._add_refusal(refusal, request.customer, now_ms)
 
     def _add_refusal(
@@ -104,5 +104,5 @@
         self.statistics.record_refusal(customer, refusal.kind)
 
     def record_replayed(self, request_id: RequestId, now_ms: float) -> None:
-        """Note that an earlier try's answer was given."""
+        """Record that the answer of an earlier attempt was returned."""
         self.explanations.add_step(request_id, Replayed(now_ms))
--- a/packages/toucanyard/src/toucanyard/silence_bounds.py
+++ b/packages/toucanyard/src/toucanyard/silence_bounds.py
@@ -1,8 +1,8 @@
-"""Work out, for each endpoint, after which silence its stream is probed.
+"""Compute the silence after which a stream of an endpoint is probed.
 
-Taken from the pauses that the endpoint's own streams showed: a bound below an engine's
-usual pause would probe healthy streams all the time, one far above it would leave
-callers waiting on a connection that is silent for good.
+Derived from the pauses observed in the endpoint's own streams. A bound below the usual
+pause of an engine would probe healthy streams all the time; one far above it would
+leave callers waiting on a connection that is dead.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from toucanyard.options import StreamLimits
 
 _PAUSE_FACTOR: Final = 3.0
-"""How many of its usual longest pauses an endpoint is waited for."""
+"""Factor on an endpoint's usual longest pause."""
 _DECAY: Final = 0.95
 _MAX_ENDPOINTS: Final = 20_000
 
 
 class SilenceBounds:
-    """The usual longest pause of each endpoint, and the bound that follows.
+    """Usual longest pause of each endpoint, and the bound derived from it.
 
     Invariant: a bound lies between the limits' `min_silence_ms` and `max_silence_ms`;
-    without any history it is the lower one.
+    without history it is the lower one.
     """
 
     __slots__ = ("_limits", "_pauses_ms")
@@ -32,7 +32,7 @@
         self._pauses_ms: dict[EndpointName, float] = {}
 
     def record_pause(self, endpoint: EndpointName, longest_ms: float) -> None:
-        """Take in the longest pause of one stream; older ones fade."""
+        """Record the longest pause of one stream; older values decay."""
         if len(self._pauses_ms) >= _MAX_ENDPOINTS and endpoint not in self._pauses_ms:
             self._pauses_ms.clear()
         faded_ms = self._pauses_ms.get(endpoint, 0.0) * _DECAY
--- a/packages/toucanyard/src/toucanyard/statistics.py
+++ b/packages/toucanyard/src/toucanyard/statistics.py
@@ -1,7 +1,7 @@
-"""Histograms for each customer and class: what the users measure.
+"""Collect latency and token histograms for each customer and priority class.
 
-Recorded where a dispatch ends; read by the operators' face and sent to statsd. The
-busiest customers of each class have histograms of their own, the others share one.
+Recorded when a dispatch ends; read by the operators' API and sent to statsd. The
+busiest customers of each class have their own histograms, all others share one.
 """
 
 from __future__ import annotations
@@ -21,18 +21,20 @@
 _HIGHEST_MS: Final = 600_000
 _HIGHEST_TOKENS: Final = 10_000_000
 _DIGITS: Final = 1
-"""Values are told apart by 6% or less; a second digit takes ten times the memory."""
+"""Significant digits: a relative error of at most 6%; a second digit takes ten times
+the memory."""
 _QUANTILES: Final = (50.0, 95.0, 99.0)
 MAX_DETAILED_CUSTOMERS: Final = 64
-"""Customers of one class with histograms of their own, 10 KB each."""
+"""Customers of one class with their own histograms, 10 KB each."""
 MAX_REFUSAL_COUNTS: Final = 4_096
-"""Customers and reasons of refusals that are counted apart."""
+"""Combinations of customer and refusal reason that are counted separately."""
 OTHER_CUSTOMERS: Final = CustomerName("")
-"""Stands for all customers without figures of their own; no customer has this name."""
+"""Represents all customers without their own histograms; no customer has this name."""
 _REPLACEMENT_FACTOR: Final = 2
-"""How much busier a customer must be than the idlest to take its place."""
+"""Factor by which a customer must be busier than the least active one to replace it."""
 _AGING_RECORDS: Final = 10_000
-"""After so many dispatches what went before counts half, to tell who is busy now."""
+"""Dispatches after which the activity counts of a class are halved, so that they show
+recent activity."""
 
 
 class Quantiles(msgspec.Struct, frozen=True):
@@ -46,10 +48,11 @@
 
 
 class GroupStatistics(msgspec.Struct, frozen=True):
-    """What was measured for one customer and class, or for the rest of a class.
+    """Statistics of one customer and class, or of all other customers of a class.
 
-    Totals are since the node started; quantiles are since the customer was among the
-    busiest, and what was recorded before is in those of the rest.
+    Totals cover the time since the node started. Quantiles cover the time since the
+    customer became one of the busiest; earlier values are in those of the other
+    customers.
     """
 
     customer: CustomerName
@@ -61,12 +64,12 @@
     cached_tokens: int
     hit_rate: float
     answers: int = 0
-    """Dispatches that gave a first token."""
+    """Dispatches that returned a first token."""
     is_rest: bool = False
 
 
 class RefusalCount(msgspec.Struct, frozen=True):
-    """How often one customer, or REST, was refused for one reason."""
+    """How often one customer, or OTHER_CUSTOMERS, was refused for one reason."""
 
     customer: CustomerName
     error: ErrorKind
@@ -74,14 +77,14 @@
 
 
 class Statistics(msgspec.Struct, frozen=True):
-    """Everything one node has measured since it started."""
+    """All statistics of one node since it started."""
 
     groups: tuple[GroupStatistics, ...]
     refusals: tuple[RefusalCount, ...]
 
 
 class _Totals(msgspec.Struct):
-    """Counts of one customer and class; they only grow, but `recent` fades."""
+    """Counts of one customer and class. Totals only grow, while `recent` decays."""
 
     answers: int = 0
     prompt_tokens: int = 0
@@ -89,14 +92,14 @@
     recent: float = 0.0
 
     def add(self, other: _Totals) -> None:
-        """Add another's counts."""
+        """Add the totals of another customer."""
         self.answers += other.answers
         self.prompt_tokens += other.prompt_tokens
         self.cached_tokens += other.cached_tokens
 
 
 class _Histograms:
-    """Histograms of one customer and class, or of the rest of a class."""
+    """Histograms of one customer and class, or of all other customers of a class."""
 
     __slots__ = ("first_token_ms", "recomputed_tokens", "token_gap_ms")
 
@@ -119,17 +122,17 @@
             _record(self.recomputed_tokens, recomputed, _HIGHEST_TOKENS)
 
     def add(self, other: _Histograms) -> None:
-        """Add all that another one recorded."""
+        """Add the values of other histograms."""
         self.first_token_ms.add(other.first_token_ms)
         self.token_gap_ms.add(other.token_gap_ms)
         self.recomputed_tokens.add(other.recomputed_tokens)
 
 
 class _ClassStatistics:
-    """Figures of one class.
+    """Statistics of one class.
 
-    Invariant: at most MAX_HELD customers have histograms, and each dispatch was
-    recorded in one of them or in `rest`.
+    Invariant: at most MAX_DETAILED_CUSTOMERS customers have their own histograms, and
+    each dispatch was recorded in one of them or in `rest`.
     """
 
     __slots__ = ("_records", "detailed", "rest", "totals")
@@ -158,7 +161,7 @@
                 each.recent /= 2
 
     def sum_rest(self) -> _Totals:
-        """Return the totals of all customers without histograms of their own."""
+        """Return the totals of all customers without their own histograms."""
         found = _Totals()
         for customer, totals in self.totals.items():
             if customer not in self.detailed:
@@ -179,7 +182,7 @@
 
 
 class _Group(msgspec.Struct, frozen=True):
-    """Histograms to compute quantiles of, and the totals beside them."""
+    """Histograms from which to compute quantiles, and the totals."""
 
     customer: CustomerName
     priority: PriorityClass
@@ -188,10 +191,10 @@
 
 
 class StatisticsCollector:
-    """Record outcomes and refusals.
+    """Records outcomes and refusals.
 
-    Invariant: whichever customers have histograms of their own, the counts of all
-    groups sum up to what was recorded.
+    Invariant: whichever customers have their own histograms, the counts of all groups
+    add up to what was recorded.
     """
 
     __slots__ = ("_classes", "_refusals")
@@ -221,17 +224,17 @@
         self._refusals[key] = self._refusals.get(key, 0) + 1
 
     def list_refusals(self) -> tuple[RefusalCount, ...]:
-        """Return how often each customer was refused, by reason."""
+        """Return the refusal counts by customer and reason."""
         return tuple(
             RefusalCount(customer, error, count)
             for (customer, error), count in sorted(self._refusals.items())
         )
 
     def iterate_groups(self) -> Iterator[GroupStatistics]:
-        """Yield all groups, those of the rest first, one at a time.
+        """Yield all groups, starting with those of other customers.
 
-        Quantiles of one group take a tenth of a millisecond, so a reader that shares
-        its thread with others can let them run in between.
+        Computing the quantiles of one group takes a tenth of a millisecond, so a reader
+        can yield to other tasks of its thread between two groups.
         """
         rest = [
             _Group(
@@ -243,15 +246,15 @@
             for priority, class_statistics in self._classes.items()
             if len(class_statistics.totals) > len(class_statistics.detailed)
         ]
-        # Listed before the first pause: what a customer that loses its place has
-        # recorded until now is then in its own group only, not in the rest as well.
+        # Listed before the first pause, so that the values of a customer that loses its
+        # histograms meanwhile count in its own group only, not also in the rest.
         groups = rest + sorted(
             self._list_detailed(), key=lambda each: (each.customer, each.priority)
         )
         yield from map(_compute_group, groups)
 
     def iterate_busiest(self, limit: int) -> Iterator[GroupStatistics]:
-        """Yield the groups with the most prompt tokens, one at a time."""
+        """Yield the groups with the most prompt tokens."""
         groups = heapq.nlargest(
             limit, self._list_detailed(), key=lambda group: group.totals.prompt_tokens
         )
