--- a/tests/placement_examples.py
+++ b/tests/placement_examples.py
@@ -1,4 +1,4 @@
-"""Requests, pools and configurations that placement and admission are tested with."""
+"""Example requests, pools and configurations for tests of placement and admission."""
 
 from __future__ import annotations
 
--- a/tests/toucanyard/relay_examples.py
+++ b/tests/toucanyard/relay_examples.py
@@ -1,4 +1,4 @@
-"""Build small inputs for the tests of modules that relay calls."""
+"""Build small inputs for tests of relayed calls."""
 
 from __future__ import annotations
 
--- a/tests/toucanyard/test_cache_view.py
+++ b/tests/toucanyard/test_cache_view.py
@@ -28,10 +28,11 @@
 
 
 def test_restart_forgets_and_late_events_do_not_bring_back() -> None:
-    """The engine dies and comes back empty; an event of its earlier run comes last.
+    """A restarted engine is empty, and a late event of its previous incarnation
+    arrives.
 
-    Without the list of replaced incarnations, the view would go back to the dead one
-    and callers would wait for a recomputation that was priced at nothing.
+    Without the list of replaced incarnations, the view would return to the dead one,
+    and callers would wait for a recomputation that was priced at zero.
     """
     view = CacheView(100)
     view.apply_events(make_events(FIRST, (1, "stored", (1, 2, 3))), 0.0)
@@ -45,10 +46,10 @@
 
 
 def test_reordered_events_end_as_in_order() -> None:
-    """An eviction arrives before the storing that it undoes.
+    """An eviction arrives before the stored event that it reverts.
 
-    Applied as they come, the block would stay for good, since no later event would
-    name it; held behind the gap, both are applied in the engine's order.
+    Applied in arrival order, the block would stay forever, since no later event names
+    it. Buffered behind the gap, both are applied in the engine's order.
     """
     view = CacheView(100)
     view.apply_dump(CacheDump(FIRST, 1, ()), 0.0)
@@ -59,9 +60,9 @@
 
 
 def test_gap_makes_doubtful_until_dump() -> None:
-    """Event 1 is lost; it may have been the eviction of the rulebook.
+    """Event 1 is lost, which may have been the eviction of the rulebook.
 
-    The view must not be trusted in full after that, and a dump makes it whole.
+    The view is not fully trusted after that, until a dump restores it.
     """
     view = CacheView(100)
     view.apply_dump(CacheDump(FIRST, 1, (5,)), 0.0)
@@ -85,8 +86,8 @@
 def test_other_customer_or_weights_never_match() -> None:
     """Two customers send the same text, and later the weights change.
 
-    A match would show one customer the timing of another's prompts, or run on blocks
-    that the new weights never computed.
+    A match would reveal the timing of another customer's prompts, or use blocks that
+    the new weights never computed.
     """
     view = CacheView(100)
     view.touch(compute_chain(CacheIdentity("a", "m", "", "w1"), PROMPT), 0.0)
@@ -101,9 +102,9 @@
 def test_any_order_never_returns_blocks_of_a_dead_incarnation(
     data: st.DataObject,
 ) -> None:
-    """Each run of the engine stores blocks of its own; messages come in any order.
+    """Each incarnation stores its own blocks, and messages arrive in any order.
 
-    Once a later incarnation has been seen, no block of an earlier one is warm.
+    Once a later incarnation has been seen, no block of an earlier one counts as cached.
     """
     runs = [Incarnation(f"i{number}") for number in range(3)]
     messages = data.draw(
--- a/tests/toucanyard/test_call_placement.py
+++ b/tests/toucanyard/test_call_placement.py
@@ -31,7 +31,7 @@
 
 
 class Calls:
-    """The placement of one node that heard from a store a moment ago."""
+    """The placement of one node to which a store has just answered."""
 
     def __init__(self) -> None:
         directory = ReplicaDirectory()
@@ -61,9 +61,9 @@
 
 
 def test_what_a_replica_reads_is_kept_in_a_store_and_told_to_peers() -> None:
-    """The replica that reads a part drops it a moment later, or dies.
+    """The replica that reads a block evicts it a moment later, or dies.
 
-    A later call fetches it from the store, sent there by whichever node.
+    A later call fetches the block from the store, whichever node sends it.
     """
     calls = Calls()
     dispatch = calls.place("q", build_prompt())
--- a/tests/toucanyard/test_collected_objects.py
+++ b/tests/toucanyard/test_collected_objects.py
@@ -1,8 +1,8 @@
-"""What a node holds by the ten thousand is not looked at by the collector of cycles.
+"""Objects that a node holds by the ten thousand are not tracked by the collector.
 
-A full pass of the collector stops every stream: with the claims, keys and records
-of the size wanted it took some 50 ms, and 30 for what is loaded. Callers saw streams
-pause together now and then, and first tokens late by as much.
+A full collection of reference cycles pauses every stream. It took about 50 ms for the
+required number of claims, keys and records, and 30 ms for the loaded code. Callers saw
+streams pause together and first tokens late by as much.
 """
 
 from __future__ import annotations
--- a/tests/toucanyard/test_endpoint_views.py
+++ b/tests/toucanyard/test_endpoint_views.py
@@ -12,9 +12,9 @@
 def test_bound_on_blocks_holds_for_any_number_of_endpoints(
     endpoints: int, blocks: int
 ) -> None:
-    """Endpoints come one by one and each offers more blocks than its share.
+    """Endpoints are added one by one, and each offers more blocks than its share.
 
-    With a fixed share each, the node's memory would grow with the fleet.
+    With a fixed share per endpoint, the node's memory would grow with the fleet.
     """
     views = EndpointViews(640)
     for number in range(endpoints):
@@ -36,8 +36,8 @@
 def test_long_chains_leave_no_room_behind_in_small_views() -> None:
     """Thousands of views hold a few blocks each, and long prompts pass through them.
 
-    Put in whole and trimmed, each chain would leave its view as large as it once was:
-    53 MB over 4,400 views in place of 33.
+    Inserted completely and then trimmed, each chain would leave its view at its largest
+    size: 53 MB over 4,400 views instead of 33 MB.
     """
     sizes = []
     for blocks in (24, 400):
--- a/tests/toucanyard/test_event_budget.py
+++ b/tests/toucanyard/test_event_budget.py
@@ -1,4 +1,4 @@
-"""Cache events of a large fleet take no more than their bound."""
+"""Received cache events of a large fleet stay within their limit."""
 
 from __future__ import annotations
 
--- a/tests/toucanyard/test_explanations.py
+++ b/tests/toucanyard/test_explanations.py
@@ -1,4 +1,4 @@
-"""Every decision that is still held can be asked about, packed or not."""
+"""Every retained decision can be explained, compressed or not."""
 
 from __future__ import annotations
 
@@ -53,10 +53,11 @@
 
 
 def test_step_of_a_request_that_outlasts_its_record_is_kept() -> None:
-    """A stream goes on while thousands of requests come after it, and then fails.
+    """A stream lasts while thousands of requests follow it, and then fails.
 
-    Its record was packed meanwhile; without how it ended the operator would read that
-    it was sent and nothing more. However many steps come, no more than the bound stay.
+    Its record has been compressed meanwhile. If its end were dropped, the operator
+    would only read that it was sent. The number of steps stays bounded however many are
+    added.
     """
     ring = ExplanationRing(MAX_RECORDS)
     fill(ring, MAX_OPEN + 2 * BATCH)
@@ -73,10 +74,10 @@
 
 
 def test_request_that_a_face_refused_can_be_asked_about() -> None:
-    """A customer names a model that no rule gives it, and shows us the request's id.
+    """A customer requests a model that no rule allows, and asks about the request id.
 
-    The core never saw the request, so without a note of the face the answer to "why"
-    would be that there is no such request.
+    The core never saw the request, so without the record of the API front end the
+    request would be unknown to the explanation.
     """
     records = RequestRecords()
     text = "no rule for the model"
--- a/tests/toucanyard/test_hot_prefixes.py
+++ b/tests/toucanyard/test_hot_prefixes.py
@@ -27,7 +27,7 @@
 
 
 def test_width_rises_at_once_and_falls_late() -> None:
-    """The load on a prefix moves to and fro about a bound of its width.
+    """The load on a prefix fluctuates around a threshold of its width.
 
     Narrowed at each fall, the prefix would be recomputed at each rise.
     """
@@ -40,7 +40,7 @@
 def test_node_that_saw_no_level_recur_agrees_on_the_home() -> None:
     """One node has seen the rulebook a hundred times, another has just started.
 
-    With a home by the deepest level known, each would compute it somewhere else.
+    If the deepest known level selected the endpoint, each would compute it elsewhere.
     """
     for front in range(100_000, 1_000_000, 100_000):
         shared = tuple(range(front, front + 24))
@@ -55,9 +55,10 @@
 
 
 def test_deep_levels_stay_within_the_homes_of_the_front() -> None:
-    """A template is hot and widened; one language of it is not.
+    """A template is hot and widened, one language of it is not.
 
-    Outside of the template's homes, the language would cost the template as well.
+    Outside the template's preferred endpoints, the language would recompute the
+    template.
     """
     prefixes = HotPrefixes(1000)
     chains = [(1, 2, 3, 100 + each, 200 + each, 300 + each) for each in range(20)]
--- a/tests/toucanyard/test_load_view.py
+++ b/tests/toucanyard/test_load_view.py
@@ -72,10 +72,10 @@
 
 
 def test_wait_behind_other_nodes_requests_is_not_slowness() -> None:
-    """Eight nodes send cold prompts to one endpoint in the same moment.
+    """Eight nodes send cold prompts to one endpoint at the same moment.
 
-    Each expects an idle endpoint; the next report shows all that was queued. Were the
-    wait taken for slowness, all would leave the endpoint and recompute elsewhere.
+    Each expects an idle endpoint, and the next report shows the common queue. If that
+    wait counted as slowness, all would leave the endpoint and recompute elsewhere.
     """
     view = LoadView()
     view.apply_report(make_report(), 0.0)
@@ -87,10 +87,10 @@
 
 
 def test_later_reports_do_not_excuse_a_slow_endpoint() -> None:
-    """A slow endpoint works off its queue at a quarter of the speed.
+    """A slow endpoint processes its queue at a quarter of the speed.
 
-    Each later report would explain a bit more of the wait, and the endpoint would
-    never be found slow.
+    If each later report accounted for more of the wait, the endpoint would never be
+    detected as slow.
     """
     view = LoadView()
     request_id = RequestId("r1")
--- a/tests/toucanyard/test_placement.py
+++ b/tests/toucanyard/test_placement.py
@@ -33,9 +33,9 @@
 
 
 def test_nodes_without_a_view_agree() -> None:
-    """Nodes come back together, know nothing, and a hot prefix comes to each of them.
+    """Nodes restart together without state, and each receives a hot prefix.
 
-    Without hashing each would compute it on an endpoint of its own.
+    Without hashing each would have it computed on another endpoint.
     """
     pool = make_pool(6)
     request = make_request(1, CHAIN)
@@ -48,9 +48,10 @@
 
 
 def test_own_dispatches_count_before_the_next_report() -> None:
-    """The load report is a second old and says that every endpoint is idle.
+    """The load report is a second old and shows every endpoint as idle.
 
-    Without its own dispatches added, the node would send all of a burst to one.
+    Without counting its own dispatches, the node would send a whole burst to one
+    endpoint.
     """
     placement, pool = make_placement(), make_pool(3)
     for endpoint in pool.endpoints:
@@ -86,9 +87,9 @@
 def test_only_candidates_are_chosen(
     size: int, usable: set[int], warm: int, seed: int
 ) -> None:
-    """The warmest endpoint is leaving, so membership doesn't offer it any more.
+    """The endpoint with the most cached blocks is leaving and no longer offered.
 
-    However warm it is, nothing is sent to it.
+    Nothing is sent to it, however much it has cached.
     """
     placement, pool = make_placement(seed), make_pool(size)
     offered = tuple(each for n, each in enumerate(pool.endpoints) if n in usable)
@@ -103,10 +104,10 @@
 
 
 def test_burst_on_a_cold_prefix_is_computed_once() -> None:
-    """After a main break, 24 drafts share an incident report nobody has cached.
+    """24 requests share a long prefix that no endpoint has cached.
 
-    Spread by load, each engine would compute the report; here all follow the first,
-    whose blocks are expected there from its dispatch on, before any event tells so.
+    Spread by load, each engine would compute it. All follow the first request, whose
+    blocks are expected at its endpoint from the dispatch on, before any cache event.
     """
     placement, pool = make_placement(), make_pool(6, PlacementPolicy(recompute_price=8))
     chosen = set()
@@ -144,10 +145,11 @@
 
 
 def test_replica_is_used_as_warm_until_it_has_the_new_weights() -> None:
-    """Operators patch new weights in; the replica that holds the prompt loads last.
+    """New weights are rolled out, and the replica with the prompt loads them last.
 
-    Scored by the blocks of the new weights, the warm replica looks as empty as all,
-    and the prompt is computed again on one that will not be its home either.
+    Scored by its blocks under the new weights, that replica looks as empty as the
+    others, and the prompt is computed again on one that is not its preferred endpoint
+    either.
     """
     placement, pool = make_placement(), make_pool(5)
     for each in pool.endpoints:
@@ -174,8 +176,8 @@
 def test_no_block_of_other_weights_counts_as_warm(data: st.DataObject) -> None:
     """Reports, dispatches and dumps of two weights versions come in any order.
 
-    Whatever the order, a replica counts as warm only for what is known of it under
-    the weights that it last reported.
+    A replica counts as warm only for blocks known under the weights that it last
+    reported.
     """
     placement, pool = make_placement(), make_pool(3)
     known: set[tuple[EndpointName, str]] = set()
@@ -210,9 +212,9 @@
 
 
 def test_cold_prompt_goes_to_a_replica_with_the_new_weights() -> None:
-    """A replica loads new weights, and its prompts come to the others meanwhile.
+    """A replica loads new weights, and its prompts are sent to the others meanwhile.
 
-    Computed where the old weights still run, they would be lost again within seconds.
+    Computed under the old weights, they would be lost again within seconds.
     """
     pool = make_pool(5)
     for seed in range(5):
@@ -226,11 +228,10 @@
 
 
 def test_second_home_of_a_hot_prefix_is_computed_before_the_first_is_swamped() -> None:
-    """One customer's template is hot; its first home has 5 s of work queued, all else
-    is idle.
+    """A customer's template is hot, and only its first endpoint has 5 s of work queued.
 
-    At the price of a single recomputation all would wait, and the second home, which
-    the load calls for, would stay idle and cold.
+    At the price of a single recomputation all requests would wait there, and the second
+    preferred endpoint, which the load calls for, would stay idle and cold.
     """
     policy = PlacementPolicy(recompute_price=8)
     placement, pool = make_placement(), make_pool(6, policy)
@@ -258,7 +259,7 @@
 
 
 def find_cold_choice(age_ms: float, used_blocks: int) -> bool:
-    """Return whether a cold prompt goes to its home, which has 1.5 s of work queued."""
+    """Return whether a cold prompt goes to its endpoint with 1.5 s of queued work."""
     placement, pool = make_placement(), make_pool(5, PlacementPolicy(recompute_price=8))
     placement.apply_node_count(8)
     placement.choose(make_request(0, (1, 2)), pool, pool.endpoints, 0.0)
@@ -282,13 +283,14 @@
 
 
 def test_restarted_node_expects_its_peers_requests_at_the_home() -> None:
-    """All nodes restart while the hot prefixes shift; each gets its first request for
-    a new rulebook within a second, and the home's report shows a queue.
-
-    The queue is the rulebook, sent by the peers. Taken for other work, it would move
-    the request to the next in line, and the rulebook would be computed there too. It
-    passes: after some seconds the node has seen for itself. And an empty fleet is
-    filled by load, or large customers with one home would fill one cache.
+    """All nodes restart while the hot prefixes change.
+
+    Each soon gets a first request for a new rulebook, while the preferred endpoint
+    reports a queue. That queue is the rulebook itself, sent by the peers. Mistaken for
+    other work, it would move the request to a fallback, and the rulebook would be
+    computed there too. The expectation ends after some seconds, when the node has its
+    own data. An empty fleet is filled by load instead, or large customers with one
+    preferred endpoint would fill one cache.
     """
     assert find_cold_choice(age_ms=100.0, used_blocks=800)
     assert not find_cold_choice(age_ms=40_000.0, used_blocks=800)
--- a/tests/toucanyard/test_prefix.py
+++ b/tests/toucanyard/test_prefix.py
@@ -19,9 +19,9 @@
 def test_chains_of_one_prompt_are_those_of_their_weights(
     customer: str, desired: str, other: str, prompt: bytes
 ) -> None:
-    """Replicas run two weights versions while new ones are rolled out.
+    """Replicas run two weights versions during a rollout.
 
-    A block of one version found for the other would be answered from older weights.
+    A block of one version that matched the other would be answered under older weights.
     """
     identity = CacheIdentity(customer, "m", "", desired)
     chains = PromptChains(identity, prompt)
--- a/tests/toucanyard/test_prompt_block_index.py
+++ b/tests/toucanyard/test_prompt_block_index.py
@@ -20,9 +20,9 @@
 
 
 def test_another_scope_never_matches() -> None:
-    """A part was read under older weights, or for a customer behind a wall.
+    """A block was read under older weights, or for an isolated customer.
 
-    Counted for another scope, a call would be placed for memory that it must not use.
+    Counted in another scope, it would attract calls that must not use it.
     """
     block_index = PromptBlockIndex()
     block_index.note(A, "m/1/", CHAIN, 0.0, 1_000)
@@ -41,9 +41,9 @@
 
 
 def test_call_that_was_not_run_takes_back_only_what_was_unread() -> None:
-    """A replica refuses a call; a part of its prompt was there before the call.
+    """A replica refuses a call, and a block of its prompt was there before the call.
 
-    Taking everything back would send the next call away from what is warm.
+    Removing all blocks would send the next call away from a replica that has them.
     """
     block_index = PromptBlockIndex()
     block_index.note(A, "s", CHAIN[:1], 0.0, 1_000)
--- a/tests/toucanyard/test_prompt_block_placement.py
+++ b/tests/toucanyard/test_prompt_block_placement.py
@@ -32,7 +32,7 @@
 
 
 class Pool:
-    """Some replicas, what they hold and what they do."""
+    """Some replicas with their blocks and calls."""
 
     def __init__(self, *names: str, version: int = 1) -> None:
         self.block_index = PromptBlockIndex()
@@ -87,9 +87,9 @@
 
 
 def test_cold_part_has_one_home_on_every_node() -> None:
-    """A burst on one cold part arrives at nodes that know nothing of each other.
+    """A burst of calls for one cold block arrives at nodes without shared knowledge.
 
-    Each would have another replica read it, and the same part be read five times.
+    Otherwise each would choose another replica, and the block would be read five times.
     """
     homes = {find_name(Pool(*names).choose()) for names in ("abcd", "dcba", "bdac")}
     assert len(homes) == 1
@@ -108,9 +108,9 @@
 
 
 def test_part_that_another_replica_reads_now_is_followed_there() -> None:
-    """The first call for a part has been sent, its reading takes a quarter second.
+    """The first call for a block has been sent and is read for a quarter second.
 
-    A second call at another replica would read the part again, for nothing.
+    A second call at another replica would read the block again for nothing.
     """
     for leader in "abcd":
         pool = Pool(*"abcd")
@@ -136,9 +136,9 @@
 
 
 def test_parts_of_older_weights_are_never_fetched() -> None:
-    """New weights are in place at one replica; the others still have the older ones.
+    """One replica has new weights, the others still have the older ones.
 
-    What was read under those must not go into the memory of the new ones.
+    Blocks read under the older weights must not be loaded under the new ones.
     """
     pool = Pool(*"ab", version=1)
     pool.note("a", PROMPT.parts[:2])
@@ -175,9 +175,9 @@
 
 
 def test_age_of_weights_counts_from_the_first_newer_version() -> None:
-    """Versions follow one another each second, faster than replicas can load them.
+    """New versions are announced each second, faster than replicas can load them.
 
-    Counted from the newest version, one of long ago would never be too old.
+    Measured from the newest version, a very old one would never be too old.
     """
     pool = Pool("a")
     for second in range(1, 9):
@@ -189,7 +189,7 @@
 def test_full_memory_makes_a_call_wait() -> None:
     """Calls of all nodes fill a replica's memory.
 
-    One more would have the engine drop a running call and read it again.
+    One more would make the engine preempt a running call and read it again.
     """
     pool = Pool("a")
     pool.load("a", 9, int(TRAITS.memory_tokens * FULL_SHARE / 9), 0)
@@ -218,9 +218,10 @@
 
 
 def test_all_nodes_keep_a_prompt_in_the_same_store() -> None:
-    """Three stores in one domain; each node saves what its replicas read.
+    """Three stores are in one domain, and each node saves what its replicas read.
 
-    With the first store alone, two thirds of the memory and of the links are idle.
+    With the first store alone, two thirds of the memory and of the links would be
+    unused.
     """
     far = DomainName("d1")
     chosen = [choose_store(STORES, f"part {number}", far) for number in range(300)]
@@ -232,9 +233,9 @@
 
 
 def test_replica_saves_to_a_store_of_its_domain() -> None:
-    """Stores in two domains; all memory is cold, and each replica saves what it reads.
+    """Stores are in two domains, and all replicas are cold and save what they read.
 
-    Transfers between domains take twice as long, and calls wait behind them.
+    Transfers between domains take twice as long, and calls queue behind them.
     """
     near = msgspec.structs.replace(STORES[0], domain=DomainName("d1"))
     stores = (*STORES[1:], near)
@@ -243,10 +244,10 @@
 
 
 def test_part_that_nobody_is_known_to_hold_is_asked_of_its_store() -> None:
-    """Among many replicas load sends a part elsewhere than hashing does.
+    """Among many replicas, load places a block elsewhere than hashing does.
 
-    Whoever read it saved it to the store that its name gives; a replica guessed by
-    hashing has it seldom.
+    Its reader saved it to the store that its name selects; a replica guessed by hashing
+    rarely has it.
     """
     placed = Pool(*MANY).choose(stores=STORES)
     assert placed is not None
@@ -282,10 +283,10 @@
 
 
 def test_calls_fetch_a_hot_part_from_all_that_hold_it_near_ones_first() -> None:
-    """Six of eight replicas hold a part that every call needs, in two domains.
+    """Six of eight replicas hold a block that every call needs, in two domains.
 
-    A holder's transfers run one after another: fetched by all from the same holder, a
-    hot part waits for seconds behind the others.
+    A holder runs its transfers one after another: if all calls fetched a hot block from
+    the same holder, they would queue for seconds.
     """
     pool = Pool()
     pool.known = [
@@ -330,17 +331,17 @@
 
 
 def test_long_prompts_leave_some_of_many_replicas_to_streams_of_short_ones() -> None:
-    """Forty replicas run streams of short prompts when long ones arrive.
+    """Forty replicas run streams of short prompts when long prompts arrive.
 
-    A stream event waits for a piece of each long prompt that is read beside it; two in
-    a row make every stream there late.
+    A stream event waits for a step of each long prompt read beside it; two in a row
+    make every stream there late.
     """
     pool = Pool(*SIDES)
     short = {choose_alone(f"s{number}", SHORT, pool) for number in range(60)}
     long = {choose_alone(f"l{number}", LONG, pool) for number in range(20)}
     assert not short & long
     assert len(short) == int(len(SIDES) * SHORT_SHARE)
-    # A subject that is hot is read at few of them and fetched by others.
+    # A hot subject is read at few of them and fetched by others.
     assert len(long) > 2 * CHOICES
 
 
@@ -355,13 +356,13 @@
 
 
 def test_few_replicas_serve_prompts_of_every_length() -> None:
-    """With five replicas and a third of them left to short prompts, long ones wait."""
+    """With a third of five replicas left to short prompts, long ones would wait."""
     pool = Pool(*"abcde")
     assert len({choose_alone(f"l{number}", LONG, pool) for number in range(5)}) == 5
 
 
 def test_call_waits_for_a_hot_part_that_one_of_many_replicas_reads() -> None:
-    """New weights are in place, all memory is cold, and calls need the same rulebook.
+    """After a weights change all memory is cold, and all calls need the same rulebook.
 
     Sent to the one replica that reads it they would queue there for seconds; sent
     elsewhere each would read it again. A moment later all can fetch it.
@@ -401,9 +402,9 @@
 
 
 def test_nodes_that_know_old_figures_do_not_all_choose_the_same_replica() -> None:
-    """Thirty nodes know the same figures, half a second old, and each sends one call.
+    """Thirty nodes have the same load data, half a second old, and each sends one call.
 
-    One replica looks a little idler than all others. Were it chosen by every node, its
+    One replica looks slightly less loaded than the others. If every node chose it, its
     calls would wait for seconds beside idle replicas.
     """
     chosen = []
@@ -417,7 +418,7 @@
 
 
 def test_calls_of_one_subject_go_to_a_replica_that_holds_it() -> None:
-    """Nodes know where a subject has been read, and of other idle replicas."""
+    """Nodes know where a subject has been read, and that other replicas are idle."""
     side = Pool(*SIDES)
     holder = min(choose_alone(f"l{node}", LONG, side) for node in range(30))
     chosen = set()
--- a/tests/toucanyard/test_statistics.py
+++ b/tests/toucanyard/test_statistics.py
@@ -1,4 +1,4 @@
-"""Histograms are bounded, and no dispatch is counted twice or lost."""
+"""Histograms are bounded, and each dispatch is counted exactly once."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 def test_groups_sum_up_to_what_was_recorded(
     steps: list[tuple[int, PriorityClass, int]],
 ) -> None:
-    """Customers get and lose histograms of their own in any order.
+    """Customers get and lose their own histograms in any order.
 
-    The sum over all groups must stay what was recorded: a customer's counts pass to
-    the rest with its place, and not a second time when it comes back.
+    The sum over all groups stays what was recorded: a customer's counts move to the
+    rest when it loses its histograms, and not a second time when it returns.
     """
     collector = StatisticsCollector()
     for number in range(MAX_DETAILED_CUSTOMERS + 4):
@@ -97,9 +97,9 @@
 
 
 def test_place_lost_while_groups_are_read_counts_once() -> None:
-    # The operators' face lets others run between two groups. A customer that loses
-    # its place meanwhile must be neither missed nor counted with the rest as well:
-    # the answer has what was recorded when it began.
+    # The operators' API yields to other tasks between two groups. A customer that loses
+    # its histograms meanwhile must be neither missed nor also counted with the rest:
+    # the result is what was recorded when it began.
     collector = StatisticsCollector()
     for number in range(MAX_DETAILED_CUSTOMERS + 1):
         record(collector, number, PriorityClass.CHAT)
