--- a/packages/toucanyard/src/toucanyard/call_placement.py
+++ b/packages/toucanyard/src/toucanyard/call_placement.py
@@ -78,9 +78,9 @@
         service = self.index.find_service(request.service)
         usable: Sequence[KnownReplica]
         usable = self._directory.find_usable(request.service, now_ms)
-        fresh = [each for each in usable if each.replica.name not in pending.tried]
+        untried = [each for each in usable if each.replica.name not in pending.tried]
         # If every usable replica has been tried, try them again.
-        usable = fresh or usable
+        usable = untried or usable
         if not usable:
             return None
         if pending.is_suspect:
--- a/packages/toucanyard/src/toucanyard/load_view.py
+++ b/packages/toucanyard/src/toucanyard/load_view.py
@@ -144,8 +144,8 @@
         if report is None:
             return 0.0
         since_ms = self.measured_ms
-        fresh = sum(own.sent_ms > since_ms for own in self.own.values())
-        surplus = report.running + report.waiting + fresh + 1 - slots
+        unreported = sum(own.sent_ms > since_ms for own in self.own.values())
+        surplus = report.running + report.waiting + unreported + 1 - slots
         return max(report.queued_blocks * ms_per_block, surplus * slot_ms, 0.0)
 
     def _account_for_queue(self, report: LoadReport) -> None:
--- a/packages/toucanyard/src/toucanyard/placement.py
+++ b/packages/toucanyard/src/toucanyard/placement.py
@@ -359,10 +359,10 @@
         view = self._view(name)
         report = view.load.report
         running = 0 if report is None else report.running
-        fresh = sum(
+        unreported = sum(
             own.sent_ms > view.load.measured_ms for own in view.load.own.values()
         )
-        total_ms = (running + fresh) * view.load.compute_slowness(now_ms)
+        total_ms = (running + unreported) * view.load.compute_slowness(now_ms)
         return Score(
             endpoint=name,
             total_ms=total_ms,
--- a/packages/toucanyard/src/toucanyard/prompt_block_sources.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_sources.py
@@ -104,8 +104,8 @@
         """Return the holders that this node should follow."""
         return [
             holder
-            for holder, most, is_store in self._list_holders(index, now_ms)
-            if self._is_follower(holder, most, is_store, now_ms)
+            for holder, follower_limit, is_store in self._list_holders(index, now_ms)
+            if self._is_follower(holder, follower_limit, is_store, now_ms)
         ]
 
     def find_stores(self, index: RouteIndex, now_ms: float) -> list[PromptStore]:
@@ -138,9 +138,13 @@
                 yield holder, service.engine.max_followers, False
 
     def _is_follower(
-        self, holder: PromptBlockHolder, most: int, is_store: bool, now_ms: float
+        self,
+        holder: PromptBlockHolder,
+        follower_limit: int,
+        is_store: bool,
+        now_ms: float,
     ) -> bool:
-        capacity = max(most - SPARE_FOLLOWERS, 1)
+        capacity = max(follower_limit - SPARE_FOLLOWERS, 1)
         if self._roster.count_nodes(now_ms) <= capacity:
             return True
         # In a large fleet hashing and peers' reports have to suffice for replicas:
--- a/tests/toucanyard/test_cache_view.py
+++ b/tests/toucanyard/test_cache_view.py
@@ -140,11 +140,11 @@
 def test_any_order_within_the_window_ends_alike(order: list[int]) -> None:
     kinds = {seq: "stored" if seq % 3 else "evicted" for seq in range(1, 9)}
     blocks = {seq: (seq % 4,) for seq in range(1, 9)}
-    view, straight = CacheView(50), CacheView(50)
-    for one, sequence in ((view, order), (straight, list(range(1, 9)))):
+    view, in_order = CacheView(50), CacheView(50)
+    for one, sequence in ((view, order), (in_order, list(range(1, 9)))):
         one.apply_dump(CacheDump(FIRST, 1, ()), 0.0)
         for seq in sequence:
             one.apply_events(make_events(FIRST, (seq, kinds[seq], blocks[seq])), 1.0)
     for block in range(4):
-        assert view.count_warm((block,)) == straight.count_warm((block,))
+        assert view.count_warm((block,)) == in_order.count_warm((block,))
     assert not view.is_doubtful
--- a/tests/toucanyard/test_call_placement.py
+++ b/tests/toucanyard/test_call_placement.py
@@ -68,8 +68,8 @@
     calls = Calls()
     dispatch = calls.place("q", build_prompt())
     assert dispatch.save_to == STORE.address
-    told = calls.placement.reports.take(0, 10.0)
-    assert {(each.replica, each.part) for each in told} == {
+    reported = calls.placement.reports.take(0, 10.0)
+    assert {(each.replica, each.part) for each in reported} == {
         (dispatch.replica, "book"),
         (dispatch.replica, "own"),
         (STORE_NAME, "book"),
--- a/tests/toucanyard/test_event_budget.py
+++ b/tests/toucanyard/test_event_budget.py
@@ -14,14 +14,14 @@
     steps: list[tuple[float, int]],
 ) -> None:
     budget = EventBudget(RATE, 0.0)
-    now_ms, taken, largest = 0.0, 0, 0
+    now_ms, received, largest = 0.0, 0, 0
     for passed_ms, size in steps:
         now_ms += passed_ms
         if budget.compute_wait_ms(now_ms) == 0:
             budget.spend(size, now_ms)
-            taken += size
+            received += size
             largest = max(largest, size)
-        assert taken <= RATE * (now_ms + BURST_MS) / 1_000 + largest + 1e-6
+        assert received <= RATE * (now_ms + BURST_MS) / 1_000 + largest + 1e-6
     now_ms += budget.compute_wait_ms(now_ms) + 0.01
     assert budget.compute_wait_ms(now_ms) == 0
 
--- a/tests/toucanyard/test_hot_prefixes.py
+++ b/tests/toucanyard/test_hot_prefixes.py
@@ -44,11 +44,11 @@
     """
     for front in range(100_000, 1_000_000, 100_000):
         shared = tuple(range(front, front + 24))
-        seasoned, new = HotPrefixes(1000), HotPrefixes(1000)
+        informed, new = HotPrefixes(1000), HotPrefixes(1000)
         for tail in range(100):
-            seasoned.record(sample_chain((*shared, tail, tail + 1)), float(tail))
+            informed.record(sample_chain((*shared, tail, tail + 1)), float(tail))
         chain = sample_chain((*shared, 777, 778))
-        known = find_preferred_endpoints(RING, seasoned, chain, 0.01, 100.0)
+        known = find_preferred_endpoints(RING, informed, chain, 0.01, 100.0)
         unknown = find_preferred_endpoints(RING, new, chain, 0.01, 100.0)
         assert (known.depth, unknown.depth) == (24, 0)
         assert known.names == unknown.names
--- a/tests/toucanyard/test_placement.py
+++ b/tests/toucanyard/test_placement.py
@@ -263,23 +263,23 @@
     placement, pool = make_placement(), make_pool(5, PlacementPolicy(recompute_price=8))
     placement.apply_node_count(8)
     placement.choose(make_request(0, (1, 2)), pool, pool.endpoints, 0.0)
-    home = make_placement().choose(
+    preferred = make_placement().choose(
         make_request(1, CHAIN * 3), pool, pool.endpoints, 0.0
     )
-    assert home is not None
+    assert preferred is not None
     for each in pool.endpoints:
         report = LoadReport(
             RUN,
             0,
             0.0,
-            queued_blocks=200 if each.name == home.endpoint else 0,
+            queued_blocks=200 if each.name == preferred.endpoint else 0,
             used_blocks=used_blocks,
             capacity_blocks=900,
         )
         placement.apply_load(each.name, report, age_ms)
     placed = placement.choose(make_request(1, CHAIN * 3), pool, pool.endpoints, age_ms)
     assert placed is not None
-    return placed.endpoint == home.endpoint
+    return placed.endpoint == preferred.endpoint
 
 
 def test_restarted_node_expects_its_peers_requests_at_the_home() -> None:
--- a/tests/toucanyard/test_prompt_block_index.py
+++ b/tests/toucanyard/test_prompt_block_index.py
@@ -84,12 +84,12 @@
     steps: list[tuple[str, int, bool]],
 ) -> None:
     block_index = PromptBlockIndex()
-    for name, tokens, is_told in steps:
-        if is_told:
+    for name, tokens, is_reported in steps:
+        if is_reported:
             block_index.record_stored(A, "s", name, tokens, 0.0)
         block_index.note(A, "s", (PromptBlock(name, tokens),), 0.0, 1_000)
-        kept = sum(
+        held_tokens = sum(
             block_index.count_leading(A, "s", (PromptBlock(each, 10_000),), LATE)
             for each in "abcdef"
         )
-        assert kept <= 1_000 * FILL_SHARE
+        assert held_tokens <= 1_000 * FILL_SHARE
--- a/tests/toucanyard/test_prompt_block_placement.py
+++ b/tests/toucanyard/test_prompt_block_placement.py
@@ -91,8 +91,8 @@
 
     Otherwise each would choose another replica, and the block would be read five times.
     """
-    homes = {find_name(Pool(*names).choose()) for names in ("abcd", "dcba", "bdac")}
-    assert len(homes) == 1
+    preferred = {find_name(Pool(*names).choose()) for names in ("abcd", "dcba", "bdac")}
+    assert len(preferred) == 1
 
 
 def test_busy_warm_replica_gives_its_parts_to_an_idle_one() -> None:
@@ -112,11 +112,11 @@
 
     A second call at another replica would read the block again for nothing.
     """
-    for leader in "abcd":
+    for reader in "abcd":
         pool = Pool(*"abcd")
-        pool.note(leader, PROMPT.parts[:2], ready_ms=1_250.0)
-        pool.load(leader, 1, 9_000, 9_000)
-        assert find_name(pool.choose()) == leader
+        pool.note(reader, PROMPT.parts[:2], ready_ms=1_250.0)
+        pool.load(reader, 1, 9_000, 9_000)
+        assert find_name(pool.choose()) == reader
 
 
 def test_store_gives_what_no_replica_holds_any_more() -> None:
@@ -203,18 +203,18 @@
     pool = Pool(*"ab")
     pool.note("a", PROMPT.parts[:1])
     pool.note("b", PROMPT.parts[:1])
-    favourite = find_name(pool.choose())
-    known = next(each for each in pool.known if each.replica.name == favourite)
+    first_choice = find_name(pool.choose())
+    known = next(each for each in pool.known if each.replica.name == first_choice)
     for _ in range(3):
         known.record_failure(1_000.0, is_dead=False)
-    assert find_name(pool.choose()) != favourite
+    assert find_name(pool.choose()) != first_choice
 
 
 STORES = tuple(
     PromptStore(Address(f"10.2.0.{at}:1"), DomainName("d2"), 700_000, 100_000.0, 12)
     for at in range(3)
 )
-MANY = [f"r{number}" for number in range(MANY_REPLICAS + 4)]
+MANY_NAMES = [f"r{number}" for number in range(MANY_REPLICAS + 4)]
 
 
 def test_all_nodes_keep_a_prompt_in_the_same_store() -> None:
@@ -249,12 +249,12 @@
     Its reader saved it to the store that its name selects; a replica guessed by hashing
     rarely has it.
     """
-    placed = Pool(*MANY).choose(stores=STORES)
+    placed = Pool(*MANY_NAMES).choose(stores=STORES)
     assert placed is not None
     store = choose_store(STORES, "subject", placed.replica.replica.domain)
     assert store is not None
     assert placed.source == store.address
-    own = Pool(*MANY)
+    own = Pool(*MANY_NAMES)
     own.note(find_name(placed), PROMPT.parts[:2])
     held = own.choose(stores=STORES)
     assert held is not None
@@ -316,7 +316,7 @@
 
 LONG = build_prompt(("book", 2_500), ("subject", 3_700), ("own", 2_800))
 SHORT = build_prompt(("greeting", 120), ("own", 700))
-SIDES = [f"r{number}" for number in range(40)]
+LARGE_SERVICE = [f"r{number}" for number in range(40)]
 
 
 def choose_alone(name: str, prompt: Prompt, pool: Pool) -> str:
@@ -336,17 +336,17 @@
     A stream event waits for a step of each long prompt read beside it; two in a row
     make every stream there late.
     """
-    pool = Pool(*SIDES)
+    pool = Pool(*LARGE_SERVICE)
     short = {choose_alone(f"s{number}", SHORT, pool) for number in range(60)}
     long = {choose_alone(f"l{number}", LONG, pool) for number in range(20)}
     assert not short & long
-    assert len(short) == int(len(SIDES) * SHORT_SHARE)
+    assert len(short) == int(len(LARGE_SERVICE) * SHORT_SHARE)
     # A hot subject is read at few of them and fetched by others.
     assert len(long) > 2 * CHOICES
 
 
 def test_call_that_finds_its_own_side_full_goes_across() -> None:
-    pool = Pool(*SIDES)
+    pool = Pool(*LARGE_SERVICE)
     short = {choose_alone(f"s{number}", SHORT, pool) for number in range(60)}
     for number, name in enumerate(sorted(short)):
         for call in range(TRAITS.slots):
@@ -367,10 +367,10 @@
     Sent to the one replica that reads it they would queue there for seconds; sent
     elsewhere each would read it again. A moment later all can fetch it.
     """
-    pool = Pool(*SIDES)
-    leader = choose_alone("first", PROMPT, pool)
-    pool.note(leader, PROMPT.parts[:1], ready_ms=1_150.0)
-    pool.load(leader, 20, 1_000, 9_000)
+    pool = Pool(*LARGE_SERVICE)
+    reader = choose_alone("first", PROMPT, pool)
+    pool.note(reader, PROMPT.parts[:1], ready_ms=1_150.0)
+    pool.load(reader, 20, 1_000, 9_000)
     for now_ms in (1_010.0, 1_140.0):
         assert pool.choose(now_ms, arrived_ms=1_010.0) is None
     assert (
@@ -379,14 +379,14 @@
     placed = pool.choose(1_151.0, arrived_ms=1_010.0)
     assert placed is not None
     assert placed.fetched_tokens == 2_500
-    assert find_name(placed) != leader
+    assert find_name(placed) != reader
 
 
 def test_stream_that_was_cut_does_not_wait_for_a_part() -> None:
-    pool = Pool(*SIDES)
-    leader = choose_alone("first", PROMPT, pool)
-    pool.note(leader, PROMPT.parts[:1], ready_ms=1_150.0)
-    pool.load(leader, 20, 1_000, 9_000)
+    pool = Pool(*LARGE_SERVICE)
+    reader = choose_alone("first", PROMPT, pool)
+    pool.note(reader, PROMPT.parts[:1], ready_ms=1_150.0)
+    pool.load(reader, 20, 1_000, 9_000)
     request = build_request("q", prompt=PROMPT, arrived_ms=1_000.0)
     placed = pool.placement.choose(
         request,
@@ -409,21 +409,21 @@
     """
     chosen = []
     for node in range(30):
-        pool = Pool(*SIDES)
-        for name in SIDES[1:]:
+        pool = Pool(*LARGE_SERVICE)
+        for name in LARGE_SERVICE[1:]:
             pool.load(name, 1, 1_000, 0)
         prompt = build_prompt(("book", 2_500), (f"s{node}", 3_700), ("own", 2_800))
         chosen.append(choose_alone(f"l{node}", prompt, pool))
-    assert max(chosen.count(name) for name in SIDES) <= 12
+    assert max(chosen.count(name) for name in LARGE_SERVICE) <= 12
 
 
 def test_calls_of_one_subject_go_to_a_replica_that_holds_it() -> None:
     """Nodes know where a subject has been read, and that other replicas are idle."""
-    side = Pool(*SIDES)
-    holder = min(choose_alone(f"l{node}", LONG, side) for node in range(30))
+    large_service = Pool(*LARGE_SERVICE)
+    holder = min(choose_alone(f"l{node}", LONG, large_service) for node in range(30))
     chosen = set()
     for node in range(20):
-        pool = Pool(*SIDES)
+        pool = Pool(*LARGE_SERVICE)
         pool.note(holder, LONG.parts[:2])
         chosen.add(choose_alone(f"l{node}", LONG, pool))
     assert chosen == {holder}
--- a/tests/toucanyard/test_statistics.py
+++ b/tests/toucanyard/test_statistics.py
@@ -68,8 +68,8 @@
     assert sum(group.answers for group in groups) == recorded
     assert sum(group.prompt_tokens for group in groups) == 100 * recorded
     for priority in CLASSES:
-        held = [each for each in groups if each.priority == priority]
-        assert len(held) <= MAX_DETAILED_CUSTOMERS + 1
+        detailed = [each for each in groups if each.priority == priority]
+        assert len(detailed) <= MAX_DETAILED_CUSTOMERS + 1
 
 
 def test_customer_that_becomes_busy_gets_figures_of_its_own_and_keeps_its_totals() -> (
