--- a/tests/toucanyard/test_collected_objects.py
+++ b/tests/toucanyard/test_collected_objects.py
@@ -1,8 +1,8 @@
 """Objects that a node holds by the ten thousand are not tracked by the collector.
 
 A full collection of reference cycles pauses every stream. It took about 50 ms for the
-required number of claims, keys and records, and 30 ms for the loaded code. Callers saw
-streams pause together and first tokens late by as much.
+required number of claims, keys and records, and 30 ms for objects loaded at startup.
+Callers saw streams pause together and first tokens late by as much.
 """
 
 from __future__ import annotations
