--- a/packages/toucanyard/src/toucanyard/call_placement.py
+++ b/packages/toucanyard/src/toucanyard/call_placement.py
@@ -1,4 +1,4 @@
-"""Choose where one relayed call goes, and note what its replica is sent to do."""
+"""Choose the replica of each relayed call and record what it will read."""
 
 from __future__ import annotations
 
@@ -9,19 +9,23 @@
 import msgspec
 import xxhash
 
-from toucanyard.candidates import MIN_MOVED_TOKENS
+from toucanyard.candidates import MIN_TRANSFER_TOKENS
 from toucanyard.names import EndpointName, Fingerprint, ServiceName
-from toucanyard.part_book import PartBook
-from toucanyard.part_placement import PartPlacement, PlacedPrompt
-from toucanyard.part_reports import PartReports
-from toucanyard.part_sources import PartSources, choose_store, name_store
 from toucanyard.pending_call import PendingCall
 from toucanyard.plain_placement import PlainPlacement
+from toucanyard.prompt_block_index import PromptBlockIndex
+from toucanyard.prompt_block_placement import PlacedPrompt, PromptBlockPlacement
+from toucanyard.prompt_block_reports import PromptBlockReports
+from toucanyard.prompt_block_sources import (
+    PromptBlockSources,
+    choose_store,
+    compute_store_name,
+)
 from toucanyard.relay_options import RelayOptions
 from toucanyard.relay_requests import PlacementReason, Prompt, RelayDispatch
 from toucanyard.rendezvous import compute_seed, compute_weight
 from toucanyard.replica_credits import ReplicaCredits
-from toucanyard.replica_uses import ReplicaUses
+from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.requests import Repeatability
 from toucanyard.routes import EngineTraits, PromptStore, RouteIndex, RouteTable
@@ -29,13 +33,15 @@
 
 MIN_PATIENCE_MS: Final = 400.0
 MAX_OLD_SHARE: Final = 0.8
-"""Share of the time for new weights in which a call may still begin on older ones."""
+"""Share of the deadline for new weights within which a call may still start on older
+ones."""
 
 
 class CallPlacement:
-    """The choice among all replicas of a call's service.
+    """Place calls on the replicas of their service.
 
-    Invariant: each dispatch that it gives is counted in `uses` until it is ended there.
+    Invariant: each dispatch that it returns is counted in `usage` until it is ended
+    there.
     """
 
     def __init__(
@@ -43,7 +49,7 @@
         options: RelayOptions,
         directory: ReplicaDirectory,
         goals: WeightsGoals,
-        sources: PartSources,
+        sources: PromptBlockSources,
         credits: ReplicaCredits,
         rng: random.Random,
     ) -> None:
@@ -54,31 +60,31 @@
         self._goals = goals
         self.index = RouteIndex(RouteTable())
         self.view_confirmed_ms = float("-inf")
-        """When the store last confirmed the list of replicas."""
-        self.reports = PartReports()
-        self.uses = ReplicaUses()
-        self.book = PartBook()
+        """Time at which the store last confirmed the list of replicas."""
+        self.reports = PromptBlockReports()
+        self.usage = ReplicaUsage()
+        self.block_index = PromptBlockIndex()
         max_old_ms = options.weights.deadline_ms * MAX_OLD_SHARE
-        self._placement = PartPlacement(
-            self.book, self.uses, max_old_ms, options.policy.placement
+        self._placement = PromptBlockPlacement(
+            self.block_index, self.usage, max_old_ms, options.policy.placement
         )
-        self._plain = PlainPlacement(options.domain, self.uses, rng)
+        self._plain = PlainPlacement(options.domain, self.usage, rng)
 
     def place(self, pending: PendingCall, now_ms: float) -> RelayDispatch | None:
-        """Choose a replica and count the call there; None if it has to wait."""
+        """Choose a replica and count the call there; None if the call has to wait."""
         if self._credits.is_asking(pending, now_ms):
             return None
         request = pending.request
         service = self.index.find_service(request.service)
         usable: Sequence[KnownReplica]
         usable = self._directory.find_usable(request.service, now_ms)
-        fresh = [each for each in usable if each.replica.name not in pending.tried]
-        # A single replica is tried again rather than nothing.
-        usable = fresh or usable
+        untried = [each for each in usable if each.replica.name not in pending.tried]
+        # If every usable replica has been tried, try them again.
+        usable = untried or usable
         if not usable:
             return None
         if pending.is_suspect:
-            usable = [_find_home(request.fingerprint, usable)]
+            usable = [_find_preferred_replica(request.fingerprint, usable)]
         usable = self._credits.select(pending, usable, now_ms)
         if not usable:
             return None
@@ -98,7 +104,7 @@
         assert prompt is not None
         goal = self._goals.find(prompt.model)
         if pending.has_begun and pending.weights_version is not None:
-            # What another version goes on with is no part of the same answer.
+            # Output of another weights version can't continue the same answer.
             version = pending.weights_version
             usable = [e for e in usable if e.weights.get(prompt.model) == version]
         stores = self._sources.find_stores(self.index, now_ms)
@@ -110,8 +116,8 @@
             goal,
             stores,
             now_ms,
-            # The caller of a stream that was cut should rather learn of it at once.
-            may_follow=not pending.has_begun,
+            # The caller of an interrupted stream should learn of a failure at once.
+            may_wait_for_reader=not pending.has_begun,
         )
         if placed is None:
             return None
@@ -122,26 +128,26 @@
         tokens = prompt.count_tokens() + prompt.max_output_tokens
         self._begin(pending, replica.name, tokens, placed.unread_tokens, now_ms)
         pending.scope = placed.scope
-        read_ms = placed.wait_ms + placed.unread_tokens / self.uses.tokens_per_ms
-        self.book.note(
+        read_ms = placed.wait_ms + placed.unread_tokens / self.usage.tokens_per_ms
+        self.block_index.note(
             replica.name,
             placed.scope,
             prompt.parts,
             now_ms + read_ms,
             engine.memory_tokens,
         )
-        for part in prompt.parts:
-            self.reports.note(
+        for block in prompt.parts:
+            self.reports.record_read(
                 replica.name,
                 placed.scope,
-                part.name,
-                part.tokens,
+                block.name,
+                block.tokens,
                 now_ms + read_ms,
-                is_new=part is placed.missing,
+                is_new=block is placed.missing,
             )
-        keeper = self._find_keeper(prompt, placed, stores)
-        if keeper is not None:
-            self._note_saved(keeper, placed, prompt, now_ms + read_ms)
+        target_store = self._find_target_store(prompt, placed, stores)
+        if target_store is not None:
+            self._record_saved(target_store, placed, prompt, now_ms + read_ms)
         reason = PlacementReason(
             total_ms=placed.total_ms,
             wait_ms=placed.wait_ms,
@@ -158,30 +164,39 @@
             weights_version=placed.weights_version,
             cache_scope=placed.scope,
             fetch_from=placed.source,
-            # What no replica had is kept aside: it outlives the replica that reads it.
-            save_to=None if keeper is None else keeper.address,
+            # Prompt blocks that nobody held are saved to a store, so that they outlive
+            # the replica that reads them.
+            save_to=None if target_store is None else target_store.address,
         )
 
-    def _find_keeper(
+    def _find_target_store(
         self, prompt: Prompt, placed: PlacedPrompt, stores: Sequence[PromptStore]
     ) -> PromptStore | None:
-        """Return the store that is to keep what the replica reads, if that is much."""
+        """Return the store to save what the replica reads, if that is worth saving."""
         shared = prompt.find_shared()
         if placed.missing is None or not shared or not self._policy.placement.saves:
             return None
-        if prompt.count_shared() < MIN_MOVED_TOKENS:
+        if prompt.count_shared() < MIN_TRANSFER_TOKENS:
             return None
         domain = placed.replica.replica.domain
         return choose_store(stores, shared[-1].name, domain)
 
-    def _note_saved(
-        self, keeper: PromptStore, placed: PlacedPrompt, prompt: Prompt, ready_ms: float
+    def _record_saved(
+        self,
+        target_store: PromptStore,
+        placed: PlacedPrompt,
+        prompt: Prompt,
+        ready_ms: float,
     ) -> None:
-        """Note that a store is to keep the shared parts of a prompt."""
-        name, shared = name_store(keeper), prompt.find_shared()
-        self.book.note(name, placed.scope, shared, ready_ms, keeper.memory_tokens)
-        for part in shared:
-            self.reports.note(name, placed.scope, part.name, part.tokens, ready_ms)
+        """Record that a store will hold the shared blocks of a prompt."""
+        name, shared = compute_store_name(target_store), prompt.find_shared()
+        self.block_index.note(
+            name, placed.scope, shared, ready_ms, target_store.memory_tokens
+        )
+        for block in shared:
+            self.reports.record_read(
+                name, placed.scope, block.name, block.tokens, ready_ms
+            )
 
     def _place_plain(
         self, pending: PendingCall, usable: Sequence[KnownReplica], now_ms: float
@@ -234,10 +249,10 @@
         pending.sent_ms = now_ms
         pending.dispatches += 1
         pending.sends += 1
-        self.uses.begin(replica, request_id, tokens, unread_tokens, now_ms)
+        self.usage.begin(replica, request_id, tokens, unread_tokens, now_ms)
 
     def _compute_patience(self, pending: PendingCall) -> float:
-        """Return how long to wait for an answer before trying elsewhere."""
+        """Return how long to wait for an answer before trying another replica."""
         request = pending.request
         is_last = pending.sends >= request.max_attempts
         if is_last or request.repeatability is not Repeatability.REPEATABLE:
@@ -247,11 +262,11 @@
         return max(request.target_ms * factor, MIN_PATIENCE_MS)
 
     def release(self, pending: PendingCall) -> None:
-        """Let a call that is over no longer ask for a replica."""
+        """Stop a finished call from asking for credit."""
         self._credits.release(pending)
 
     def is_limited(self, service: ServiceName, now_ms: float) -> bool:
-        """Tell whether all replicas that may get a service's calls name limits."""
+        """Return whether all replicas that may get a service's calls have limits."""
         if not self._credits.has_limits():
             return False
         usable = self._directory.find_usable(service, now_ms)
@@ -259,30 +274,31 @@
             self._credits.find_limit(each.replica.name) for each in usable
         )
 
-    def note_read(self, pending: PendingCall, now_ms: float) -> None:
-        """Note that a call's prompt has been read where it was sent."""
+    def record_read(self, pending: PendingCall, now_ms: float) -> None:
+        """Record that a call's prompt has been read by its replica."""
         prompt = pending.request.prompt
         service = self.index.find_service(pending.request.service)
         if prompt is None or service is None or service.engine is None:
             return
         if pending.replica is not None:
-            for part in prompt.find_shared():
-                if part.tokens >= MIN_MOVED_TOKENS:
-                    self.reports.note(
-                        pending.replica, pending.scope, part.name, part.tokens, now_ms
+            for block in prompt.find_shared():
+                if block.tokens >= MIN_TRANSFER_TOKENS:
+                    self.reports.record_read(
+                        pending.replica, pending.scope, block.name, block.tokens, now_ms
                     )
             memory_tokens = service.engine.memory_tokens
-            self.book.note(
+            self.block_index.note(
                 pending.replica, pending.scope, prompt.parts, now_ms, memory_tokens
             )
 
 
-def _find_home(
+def _find_preferred_replica(
     fingerprint: Fingerprint, usable: Sequence[KnownReplica]
 ) -> KnownReplica:
-    """Return the replica of a suspect, the same on all nodes.
+    """Return the replica for a suspected request, the same on all nodes.
 
-    Runs of one suspect then end one replica, and two suspects seldom share one.
+    Repeats of one suspect then crash at most one replica, and two suspects seldom share
+    one.
     """
     key = xxhash.xxh3_64_intdigest(fingerprint.encode())
     return max(
--- a/packages/toucanyard/src/toucanyard/endpoint_directory.py
+++ b/packages/toucanyard/src/toucanyard/endpoint_directory.py
@@ -1,8 +1,8 @@
-"""Tell the request flow which endpoints may get work, and learn from what it sees.
+"""Track which endpoints may get new work, from membership and observed results.
 
-Joins membership with the weights that endpoints report. The usable endpoints of a
-pool are worked out once per short interval, not once per request, and the same
-object is returned meanwhile: placement then does nothing per endpoint.
+Combines membership with the weights versions that endpoints report. The usable
+endpoints of a pool are computed once per short interval instead of once per request.
+The same object is returned meanwhile, so placement does no work per endpoint.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from toucanyard.membership_events import EndpointError
 from toucanyard.names import EndpointName
 
-_KEEP_MS: Final = 50.0
-_MAX_KEPT: Final = 256
+_CACHE_MS: Final = 50.0
+_MAX_CACHED: Final = 256
 _MIN_BACKOFF_MS: Final = 200.0
 _MAX_BACKOFF_MS: Final = 2_000.0
 
 
-class _Kept(msgspec.Struct):
+class _CachedUsable(msgspec.Struct):
     endpoints: Sequence[Endpoint]
     usable: Sequence[Endpoint]
     until_ms: float
@@ -35,46 +35,49 @@
 
 
 class EndpointDirectory:
-    """Usable endpoints and their weights, as this node sees them.
+    """Usable endpoints and their weights versions, as this node sees them.
 
-    Invariant: a list is at most `_KEEP_MS` old, and older than no own failure.
+    Invariant: a list is at most `_CACHE_MS` old, and newer than this node's last
+    observed failure.
     """
 
-    __slots__ = ("_backoffs", "_kept", "_membership", "_weights")
+    __slots__ = ("_backoffs", "_cached", "_membership", "_weights")
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
         self._weights: dict[EndpointName, str] = {}
-        self._kept: dict[int, _Kept] = {}
+        self._cached: dict[int, _CachedUsable] = {}
         self._backoffs: dict[EndpointName, _Backoff] = {}
 
     def find_usable(
         self, endpoints: Sequence[Endpoint], now_ms: float
     ) -> Sequence[Endpoint]:
-        """Return those that may get new work; the same object while unchanged."""
-        kept = self._kept.get(id(endpoints))
-        is_same = kept is not None and kept.endpoints is endpoints
-        if kept is not None and is_same and now_ms < kept.until_ms:
-            return kept.usable
+        """Return the endpoints that may get work; the same object while unchanged."""
+        cached = self._cached.get(id(endpoints))
+        is_same = cached is not None and cached.endpoints is endpoints
+        if cached is not None and is_same and now_ms < cached.until_ms:
+            return cached.usable
         usable: Sequence[Endpoint] = self._find_now(endpoints, now_ms)
-        if kept is not None and is_same and tuple(kept.usable) == tuple(usable):
-            usable = kept.usable
-        if len(self._kept) >= _MAX_KEPT:
-            self._kept.clear()
-        self._kept[id(endpoints)] = _Kept(endpoints, usable, now_ms + _KEEP_MS)
+        if cached is not None and is_same and tuple(cached.usable) == tuple(usable):
+            usable = cached.usable
+        if len(self._cached) >= _MAX_CACHED:
+            self._cached.clear()
+        self._cached[id(endpoints)] = _CachedUsable(
+            endpoints, usable, now_ms + _CACHE_MS
+        )
         return usable
 
     def is_backing_off(self, endpoint: EndpointName, now_ms: float) -> bool:
-        """Tell whether an endpoint turned this node away a moment ago."""
+        """Return whether an endpoint has recently refused a request of this node."""
         backoff = self._backoffs.get(endpoint)
         return backoff is not None and now_ms < backoff.until_ms
 
-    def note_refusal(self, endpoint: EndpointName, now_ms: float) -> None:
-        """Take in that an endpoint turned a request away without running it.
+    def record_refusal(self, endpoint: EndpointName, now_ms: float) -> None:
+        """Record that an endpoint refused a request without running it.
 
-        An engine that loads weights refuses for half a second or more while its load
-        looks low. Without a pause every request would try it first, and its retries
-        would use up the budget.
+        An engine that loads weights refuses requests for half a second or more while
+        its load looks low. Without a backoff every request would try it first, and the
+        retries would exhaust the budget.
         """
         backoff = self._backoffs.get(endpoint)
         wait_ms = _MIN_BACKOFF_MS
@@ -83,26 +86,26 @@
         self._backoffs[endpoint] = _Backoff(now_ms + wait_ms, wait_ms)
         self._expire(now_ms)
 
-    def note_success(self, endpoint: EndpointName) -> None:
-        """Take in that an endpoint ran a request."""
+    def record_success(self, endpoint: EndpointName) -> None:
+        """Record that an endpoint ran a request."""
         self._backoffs.pop(endpoint, None)
 
     def find_weights(self, endpoint: EndpointName) -> str | None:
         """Return the weights version that an endpoint last reported."""
         return self._weights.get(endpoint)
 
-    def note_weights(self, endpoint: EndpointName, version: str) -> None:
-        """Take in the weights version that an endpoint reports."""
+    def record_weights(self, endpoint: EndpointName, version: str) -> None:
+        """Record the weights version that an endpoint reports."""
         self._weights[endpoint] = version
 
     def retain(self, names: Set[EndpointName]) -> None:
-        """Drop what is known of other endpoints: a name may be given out again."""
+        """Forget all other endpoints, since a name may be reused."""
         for known in (self._weights, self._backoffs):
             for gone in known.keys() - names:
                 del known[gone]
 
-    def note_failure(self, endpoint: EndpointName, now_ms: float) -> None:
-        """Take in that a dispatch or a poll of this node failed there."""
+    def record_failure(self, endpoint: EndpointName, now_ms: float) -> None:
+        """Record that a dispatch to an endpoint or a poll of it failed."""
         self._expire(now_ms)
         self._membership.handle(EndpointError(endpoint), now_ms)
 
@@ -110,18 +113,18 @@
         self, endpoints: Sequence[Endpoint], now_ms: float
     ) -> Sequence[Endpoint]:
         usable = self._membership.find_usable(endpoints, now_ms)
-        resting = {
+        backing_off = {
             name
             for name, backoff in self._backoffs.items()
             if now_ms < backoff.until_ms
         }
-        if not resting:
+        if not backing_off:
             return usable
-        willing = [each for each in usable if each.name not in resting]
-        # With none left a request goes out all the same, to find out whether one
-        # takes work again.
-        return willing or usable
+        available = [each for each in usable if each.name not in backing_off]
+        # If all are backing off, send the request anyway to find out whether one
+        # accepts work again.
+        return available or usable
 
     def _expire(self, now_ms: float) -> None:
-        for kept in self._kept.values():
-            kept.until_ms = now_ms
+        for cached in self._cached.values():
+            cached.until_ms = now_ms
--- a/packages/toucanyard/src/toucanyard/placement.py
+++ b/packages/toucanyard/src/toucanyard/placement.py
@@ -1,10 +1,10 @@
-"""Choose the endpoint of each request: where its prompt is warm and the wait short.
+"""Choose the endpoint of each request by cached prefix and expected wait.
 
-Each possible endpoint gets a score in milliseconds: the wait expected there, plus the
-recomputation of the blocks it lacks at the pool's price. The endpoints scored are
-those that hashing gives for the prompt's shared levels, those known to be warm, and a
-random one. Hashing needs no shared state: nodes that have just started, or that saw
-different events, still send one prefix to the same few endpoints.
+Each considered endpoint gets a score in milliseconds: the expected wait, plus the
+recomputation of missing blocks at the pool's price. Considered are the endpoints that
+hashing selects for the prompt's shared levels, those known to have the prefix cached,
+and a random one. Hashing needs no shared state: nodes that have just started, or that
+saw different events, still send one prefix to the same few endpoints.
 """
 
 from __future__ import annotations
@@ -17,11 +17,17 @@
 from toucanyard.cache_view import CacheDump, CacheEvents
 from toucanyard.configuration import Endpoint, PlacementPolicy, Pool, Service
 from toucanyard.endpoint_views import EndpointView, EndpointViews
-from toucanyard.expected_blocks import compute_expected_share, expect_at_homes
+from toucanyard.expected_blocks import compute_expected_share, expect_at_preferred
 from toucanyard.hot_prefixes import HotPrefixes
 from toucanyard.load_view import LoadReport
 from toucanyard.names import EndpointName, Incarnation, RequestId
-from toucanyard.prefix_homes import MAX_POOLS, Homes, PoolUse, PoolUses, find_homes
+from toucanyard.preferred_endpoints import (
+    MAX_POOLS,
+    PoolRequestCost,
+    PoolRequestCosts,
+    PreferredEndpoints,
+    find_preferred_endpoints,
+)
 from toucanyard.rendezvous import EndpointRing
 from toucanyard.requests import (
     PROVED_NOT_RUN,
@@ -31,7 +37,7 @@
     Request,
 )
 from toucanyard.scoring import (
-    Considered,
+    EndpointCandidate,
     Prices,
     Score as Score,
     compute_scores,
@@ -39,20 +45,20 @@
 
 
 class PlacementLimits(msgspec.Struct, frozen=True):
-    """Bounds on what placement keeps, and prices that pools don't set."""
+    """Limits on the state of placement, and prices that pools don't set."""
 
     max_blocks: int = 400_000
-    """Blocks known over all endpoints; each gets a share."""
+    """Limit on known blocks over all endpoints; each endpoint gets a share."""
     max_prefixes: int = 20_000
     max_scored: int = 12
     target_use: float = 0.4
-    """Share of one replica that one prefix may use before it is widened."""
+    """Share of one replica that a prefix may use before it is widened."""
     dump_interval_ms: float = 1_000.0
     prices: Prices = Prices()
 
 
 class Placed(msgspec.Struct, frozen=True):
-    """The endpoint chosen and why; `scores` starts with the chosen one."""
+    """The chosen endpoint and the reasons; `scores` starts with the chosen one."""
 
     endpoint: EndpointName
     incarnation: Incarnation | None
@@ -60,24 +66,24 @@
     first_token_ms: float
     """Expected time from dispatch to the first token."""
     level_depth: int
-    """Blocks of the shared prefix that hashing followed; 0 when none recurs."""
+    """Depth in blocks of the shared prefix whose hash was used; 0 if none recurs."""
     width: int
-    """Endpoints that the prefix is spread over."""
+    """Number of endpoints that the prefix is spread over."""
     scores: tuple[Score, ...]
 
 
 class Placement:
-    """Views of endpoints and the choice among them; owned by one task."""
+    """Chooses endpoints based on views of them; owned by one task."""
 
     __slots__ = (
-        "_began_ms",
+        "_started_ms",
         "_limits",
         "_node_count",
         "_prefixes",
-        "_ring",
-        "_ring_of",
+        "_rings",
+        "_ring_endpoints",
         "_rng",
-        "_uses",
+        "_request_costs",
         "_views",
     )
 
@@ -89,13 +95,13 @@
         self._prefixes = HotPrefixes(self._limits.max_prefixes)
         self._views = EndpointViews(self._limits.max_blocks)
         self._node_count = 1
-        self._began_ms: float | None = None
-        self._uses = PoolUses()
-        self._ring: dict[str, EndpointRing] = {}
-        self._ring_of: dict[str, Sequence[Endpoint]] = {}
+        self._started_ms: float | None = None
+        self._request_costs = PoolRequestCosts()
+        self._rings: dict[str, EndpointRing] = {}
+        self._ring_endpoints: dict[str, Sequence[Endpoint]] = {}
 
     def apply_node_count(self, count: int) -> None:
-        """Take over how many nodes share the requests, to tell the whole load."""
+        """Set the number of nodes that share the requests, to scale the load."""
         self._node_count = max(count, 1)
 
     def choose(
@@ -105,28 +111,30 @@
         candidates: Sequence[Endpoint],
         now_ms: float,
     ) -> Placed | None:
-        """Return the best candidate for a model request, or None without any.
+        """Return the best candidate for a model request, or None if there is none.
 
-        Pass the same sequence object while membership stays the same: then nothing
-        is done for each endpoint of a large pool.
+        Pass the same sequence object while membership is unchanged: placement then does
+        no work per endpoint of a large pool.
         """
         target = request.target
         if not candidates or not isinstance(target, ModelTarget):
             return None
         ring = self._find_ring(pool.name, candidates)
-        keys = target.find_home_keys()
-        self._prefixes.note(keys, now_ms)
-        use = self._uses.get(pool.name)
-        homes = self._find_homes(ring, pool, use, keys, now_ms)
-        warm = self._count_warm(ring, homes, target, keys)
+        keys = target.find_affinity_keys()
+        self._prefixes.record(keys, now_ms)
+        request_cost = self._request_costs.get(pool.name)
+        preferred = self._find_preferred(ring, pool, request_cost, keys, now_ms)
+        warm = self._count_warm(ring, preferred, target, keys)
         considered = [
-            self._consider(name, target, blocks, homes, pool.placement, use)
+            self._build_candidate(
+                name, target, blocks, preferred, pool.placement, request_cost
+            )
             for name, blocks in warm.items()
         ]
         blocks = len(target.chain)
         share = compute_expected_share(self._compute_age(now_ms), self._node_count)
         scores = compute_scores(
-            expect_at_homes(considered, blocks, share),
+            expect_at_preferred(considered, blocks, share),
             blocks,
             pool.placement,
             self._limits.prices,
@@ -138,8 +146,8 @@
             incarnation=self._view(best.endpoint).cache.incarnation,
             queue_ms=best.queue_ms,
             first_token_ms=best.queue_ms + best.recompute_ms,
-            level_depth=homes.depth,
-            width=len(homes.names),
+            level_depth=preferred.depth,
+            width=len(preferred.names),
             scores=tuple(scores),
         )
 
@@ -150,7 +158,7 @@
         candidates: Sequence[Endpoint],
         now_ms: float,
     ) -> Placed | None:
-        """Return the less loaded of two random candidates, or None without any."""
+        """Return the less loaded of two random candidates, or None if there is none."""
         if not candidates:
             return None
         picked = self._rng.sample(list(candidates), min(2, len(candidates)))
@@ -167,13 +175,13 @@
             scores=tuple(scores),
         )
 
-    def note_dispatch(
+    def record_dispatch(
         self, request: Request, placed: Placed, pool: Pool | None, now_ms: float
     ) -> None:
         """Count a request that is being sent and expect its blocks to be stored."""
         view = self._view(placed.endpoint)
         work_ms = placed.first_token_ms - placed.queue_ms
-        view.load.note_dispatch(
+        view.load.record_dispatch(
             request.request_id,
             work_ms,
             placed.first_token_ms,
@@ -183,43 +191,45 @@
         if isinstance(request.target, ModelTarget):
             view.cache.touch(view.find_chain(request.target), now_ms)
         if pool is not None:
-            self._uses.get(pool.name).note_work(work_ms)
+            self._request_costs.get(pool.name).record_work(work_ms)
 
-    def note_first_token(
+    def record_first_token(
         self,
         request_id: RequestId,
         endpoint: EndpointName,
         after_ms: float,
         now_ms: float,
     ) -> None:
-        """Note the first token of a request and what it tells of the endpoint."""
-        self._view(endpoint).load.note_first_token(request_id, after_ms, now_ms)
+        """Record the first token of a request, which shows the endpoint's speed."""
+        self._view(endpoint).load.record_first_token(request_id, after_ms, now_ms)
 
-    def note_outcome(self, request: Request, outcome: Outcome, now_ms: float) -> None:
-        """Remove a dispatch that is over and correct the view by what it showed."""
+    def record_dispatch_end(
+        self, request: Request, outcome: Outcome, now_ms: float
+    ) -> None:
+        """Remove a finished dispatch and correct the view by its outcome."""
         view = self._view(outcome.endpoint)
-        view.load.note_end(outcome.request_id)
+        view.load.record_end(outcome.request_id)
         if outcome.incarnation is not None:
-            view.cache.note_incarnation(outcome.incarnation)
+            view.cache.record_incarnation(outcome.incarnation)
         if not isinstance(request.target, ModelTarget):
             return
         if outcome.ending == EndingSeen.COMPLETED and outcome.duration_ms > 0:
-            use = self._uses.get(request.target.pool)
-            use.note_duration(outcome.duration_ms)
+            request_cost = self._request_costs.get(request.target.pool)
+            request_cost.record_duration(outcome.duration_ms)
         if outcome.ending in PROVED_NOT_RUN:
-            # Nothing was computed there: expecting its blocks would draw the prefix.
+            # Nothing was computed there; expecting its blocks would attract the prefix.
             view.cache.is_doubtful = True
 
     def apply_load(
         self, endpoint: EndpointName, report: LoadReport, now_ms: float
     ) -> None:
-        """Take in a load report."""
+        """Apply a load report."""
         self._view(endpoint).apply_report(report, now_ms)
 
     def apply_cache_events(
         self, endpoint: EndpointName, events: CacheEvents, now_ms: float
     ) -> None:
-        """Take in cache events, which may be late, repeated or incomplete."""
+        """Apply cache events, which may be late, repeated or incomplete."""
         self._view(endpoint).cache.apply_events(events, now_ms)
 
     def apply_cache_dump(
@@ -228,23 +238,23 @@
         """Replace the view of an endpoint's cache."""
         self._view(endpoint).cache.apply_dump(dump, now_ms)
 
-    def note_incarnation(
+    def record_incarnation(
         self, endpoint: EndpointName, incarnation: Incarnation
     ) -> None:
         """Forget the endpoint's blocks if it has been restarted."""
-        self._view(endpoint).cache.note_incarnation(incarnation)
+        self._view(endpoint).cache.record_incarnation(incarnation)
 
     def retain_endpoints(self, names: Set[EndpointName]) -> None:
-        """Drop all that is known about other endpoints: they have gone."""
+        """Forget all other endpoints: they are gone."""
         self._views.retain(names)
 
     def find_doubtful(
         self, followed: Iterable[EndpointName], now_ms: float
     ) -> list[EndpointName]:
-        """Return which of some endpoints need a dump and weren't asked for just now.
+        """Return the endpoints that need a dump and weren't asked for one recently.
 
-        Only of engines whose events this node follows: the others' views have no gaps,
-        and a large fleet would be asked for thousands of lists a second.
+        Only followed engines count: the views of others have no gaps, and a large fleet
+        would be asked for thousands of dumps per second.
         """
         found: list[EndpointName] = []
         for name in followed:
@@ -252,56 +262,56 @@
             if view is None:
                 continue
             view.cache.check_gap(now_ms)
-            is_due = now_ms - view.asked_dump_ms >= self._limits.dump_interval_ms
+            is_due = now_ms - view.dump_requested_ms >= self._limits.dump_interval_ms
             if view.cache.is_doubtful and is_due:
                 found.append(name)
         return found
 
     def count_blocks(self) -> int:
-        """Return how many blocks are known over all endpoints."""
+        """Return the number of known blocks over all endpoints."""
         return self._views.count_blocks()
 
-    def note_dump_asked(self, endpoint: EndpointName, now_ms: float) -> None:
-        """Note that a dump has been asked for, so that it isn't asked again at once."""
-        self._view(endpoint).asked_dump_ms = now_ms
+    def record_dump_request(self, endpoint: EndpointName, now_ms: float) -> None:
+        """Record that a dump has been requested, to limit the rate of requests."""
+        self._view(endpoint).dump_requested_ms = now_ms
 
     def _compute_age(self, now_ms: float) -> float:
-        if self._began_ms is None:
-            self._began_ms = now_ms
-        return max(now_ms - self._began_ms, 0.0)
+        if self._started_ms is None:
+            self._started_ms = now_ms
+        return max(now_ms - self._started_ms, 0.0)
 
     def _view(self, name: EndpointName) -> EndpointView:
         return self._views.get(name)
 
     def _find_ring(self, pool: str, candidates: Sequence[Endpoint]) -> EndpointRing:
-        if self._ring_of.get(pool) is not candidates:
-            if len(self._ring) >= MAX_POOLS:
-                self._ring.clear()
-                self._ring_of.clear()
-            self._ring[pool] = EndpointRing([each.name for each in candidates])
-            self._ring_of[pool] = candidates
-        return self._ring[pool]
-
-    def _find_homes(
+        if self._ring_endpoints.get(pool) is not candidates:
+            if len(self._rings) >= MAX_POOLS:
+                self._rings.clear()
+                self._ring_endpoints.clear()
+            self._rings[pool] = EndpointRing([each.name for each in candidates])
+            self._ring_endpoints[pool] = candidates
+        return self._rings[pool]
+
+    def _find_preferred(
         self,
         ring: EndpointRing,
         pool: Pool,
-        use: PoolUse,
+        request_cost: PoolRequestCost,
         keys: Sequence[int],
         now_ms: float,
-    ) -> Homes:
-        share = use.compute_share(pool.placement.max_running)
+    ) -> PreferredEndpoints:
+        share = request_cost.compute_share(pool.placement.max_running)
         load_per_s = share * self._node_count / self._limits.target_use
-        return find_homes(ring, self._prefixes, keys, load_per_s, now_ms)
+        return find_preferred_endpoints(ring, self._prefixes, keys, load_per_s, now_ms)
 
     def _count_warm(
         self,
         ring: EndpointRing,
-        homes: Homes,
+        preferred: PreferredEndpoints,
         target: ModelTarget,
         keys: Sequence[int],
     ) -> dict[EndpointName, int]:
-        """Return the endpoints to score and how many blocks each has warm."""
+        """Return the endpoints to score and the number of cached blocks of each."""
         limit = self._limits.max_scored
         names = ring.names
         if len(names) > limit:
@@ -309,7 +319,7 @@
         warm = {name: self._view(name).count_warm(target) for name in names}
         if len(ring.names) <= limit:
             return warm
-        chosen = (*homes.names, *homes.seconds)[: limit // 2]
+        chosen = (*preferred.names, *preferred.fallbacks)[: limit // 2]
         warmest = sorted(names, key=lambda name: -warm[name])[: limit // 2]
         picked = dict.fromkeys((*chosen, *warmest, self._rng.choice(ring.names)))
         return {
@@ -317,31 +327,31 @@
             for name in picked
         }
 
-    def _consider(
+    def _build_candidate(
         self,
         name: EndpointName,
         target: ModelTarget,
         warm_blocks: int,
-        homes: Homes,
+        preferred: PreferredEndpoints,
         policy: PlacementPolicy,
-        use: PoolUse,
-    ) -> Considered:
+        request_cost: PoolRequestCost,
+    ) -> EndpointCandidate:
         view = self._view(name)
         slots = policy.max_running
         reported_ms = view.load.compute_reported_work(
-            policy.prefill_ms_per_block, slots, use.duration_ms / slots
+            policy.prefill_ms_per_block, slots, request_cost.duration_ms / slots
         )
         trust = self._limits.prices.doubtful_trust
         chain = view.find_chain(target)
-        rank = homes.find_rank(name)
-        return Considered(
+        rank = preferred.find_rank(name)
+        return EndpointCandidate(
             name=name,
             view=view,
             warm_blocks=warm_blocks,
             believed_blocks=view.cache.compute_believed(chain, warm_blocks, trust),
             rank=rank,
             reported_ms=reported_ms,
-            is_widened_home=rank == 0 and len(homes.names) > 1,
+            is_one_of_several=rank == 0 and len(preferred.names) > 1,
             has_old_weights=view.has_other_weights(target),
         )
 
@@ -349,10 +359,10 @@
         view = self._view(name)
         report = view.load.report
         running = 0 if report is None else report.running
-        fresh = sum(
+        unreported = sum(
             own.sent_ms > view.load.measured_ms for own in view.load.own.values()
         )
-        total_ms = (running + fresh) * view.load.compute_slowness(now_ms)
+        total_ms = (running + unreported) * view.load.compute_slowness(now_ms)
         return Score(
             endpoint=name,
             total_ms=total_ms,
--- a/packages/toucanyard/src/toucanyard/plain_placement.py
+++ b/packages/toucanyard/src/toucanyard/plain_placement.py
@@ -1,4 +1,4 @@
-"""Choose the replica of a plain call: the least used one, the nearest of equals."""
+"""Choose the least loaded replica of a plain call, preferably in the same domain."""
 
 from __future__ import annotations
 
@@ -9,47 +9,49 @@
 import msgspec
 
 from toucanyard.names import DomainName
-from toucanyard.replica_uses import ReplicaUses
+from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica
 
-OVERFILL: Final = 1.5
-"""Calls sent to a plain replica at once, as a share of its slots: the next one is there
-when a slot becomes free, and few wait where no one can order them."""
+MAX_OVERCOMMIT: Final = 1.5
+"""Maximum concurrent calls of a plain replica relative to its slots: the next call is
+already there when a slot becomes free, and few calls wait at the replica, where they
+can't be reordered."""
 FAR_SHARE: Final = 0.05
-"""Price of the way between failure domains, as a share of a full replica."""
+"""Price of a call to another failure domain, as a share of a full replica."""
 JITTER_SHARE: Final = 0.02
-"""Spread of equals, so that nodes that see the same don't all choose the same one."""
+"""Random spread among equal replicas, so that nodes with the same view don't all choose
+the same one."""
 
 
 class PlacedPlain(msgspec.Struct, frozen=True):
-    """The replica chosen for a plain call, and its use in shares of its slots."""
+    """The replica chosen for a plain call, and its load relative to its slots."""
 
     replica: KnownReplica
     load: float
 
 
 class PlainPlacement:
-    """The choice among replicas of a plain service."""
+    """Chooses among the replicas of a plain service."""
 
-    __slots__ = ("_domain", "_rng", "_uses")
+    __slots__ = ("_domain", "_rng", "_usage")
 
     def __init__(
-        self, domain: DomainName, uses: ReplicaUses, rng: random.Random
+        self, domain: DomainName, usage: ReplicaUsage, rng: random.Random
     ) -> None:
         self._domain = domain
-        self._uses = uses
+        self._usage = usage
         self._rng = rng
 
     def choose(
         self, usable: Sequence[KnownReplica], now_ms: float
     ) -> PlacedPlain | None:
-        """Return the best replica with room, or None if the call has to wait."""
+        """Return the best replica with capacity, or None if the call has to wait."""
         best: PlacedPlain | None = None
         for known in usable:
             replica = known.replica
             slots = max(replica.slots, 1)
-            running = self._uses.compute(replica.name, now_ms).running
-            if running and running >= slots * OVERFILL:
+            running = self._usage.compute(replica.name, now_ms).running
+            if running and running >= slots * MAX_OVERCOMMIT:
                 continue
             load = running / slots + known.compute_failures(now_ms)
             load += 0.0 if replica.domain == self._domain else FAR_SHARE
--- a/packages/toucanyard/src/toucanyard/statistics.py
+++ b/packages/toucanyard/src/toucanyard/statistics.py
@@ -1,7 +1,7 @@
-"""Histograms for each customer and class: what the users measure.
+"""Collect latency and token histograms for each customer and priority class.
 
-Recorded where a dispatch ends; read by the operators' face and sent to statsd. The
-busiest customers of each class have histograms of their own, the others share one.
+Recorded when a dispatch ends; read by the operators' API and sent to statsd. The
+busiest customers of each class have their own histograms, all others share one.
 """
 
 from __future__ import annotations
@@ -21,18 +21,20 @@
 _HIGHEST_MS: Final = 600_000
 _HIGHEST_TOKENS: Final = 10_000_000
 _DIGITS: Final = 1
-"""Values are told apart by 6% or less; a second digit takes ten times the memory."""
+"""Significant digits: a relative error of at most 6%; a second digit takes ten times
+the memory."""
 _QUANTILES: Final = (50.0, 95.0, 99.0)
-MAX_HELD: Final = 64
-"""Customers of one class with histograms of their own, 10 KB each."""
+MAX_DETAILED_CUSTOMERS: Final = 64
+"""Customers of one class with their own histograms, 10 KB each."""
 MAX_REFUSAL_COUNTS: Final = 4_096
-"""Customers and reasons of refusals that are counted apart."""
-REST: Final = CustomerName("")
-"""Stands for all customers without figures of their own; no customer has this name."""
-_LEAD: Final = 2
-"""How much busier a customer must be than the idlest to take its place."""
+"""Combinations of customer and refusal reason that are counted separately."""
+OTHER_CUSTOMERS: Final = CustomerName("")
+"""Represents all customers without their own histograms; no customer has this name."""
+_REPLACEMENT_FACTOR: Final = 2
+"""Factor by which a customer must be busier than the least active one to replace it."""
 _AGING_RECORDS: Final = 10_000
-"""After so many dispatches what went before counts half, to tell who is busy now."""
+"""Dispatches after which the activity counts of a class are halved, so that they show
+recent activity."""
 
 
 class Quantiles(msgspec.Struct, frozen=True):
@@ -46,10 +48,11 @@
 
 
 class GroupStatistics(msgspec.Struct, frozen=True):
-    """What was measured for one customer and class, or for the rest of a class.
+    """Statistics of one customer and class, or of all other customers of a class.
 
-    Totals are since the node started; quantiles are since the customer was among the
-    busiest, and what was recorded before is in those of the rest.
+    Totals cover the time since the node started. Quantiles cover the time since the
+    customer became one of the busiest; earlier values are in those of the other
+    customers.
     """
 
     customer: CustomerName
@@ -61,12 +64,12 @@
     cached_tokens: int
     hit_rate: float
     answers: int = 0
-    """Dispatches that gave a first token."""
+    """Dispatches that returned a first token."""
     is_rest: bool = False
 
 
 class RefusalCount(msgspec.Struct, frozen=True):
-    """How often one customer, or REST, was refused for one reason."""
+    """How often one customer, or OTHER_CUSTOMERS, was refused for one reason."""
 
     customer: CustomerName
     error: ErrorKind
@@ -74,14 +77,14 @@
 
 
 class Statistics(msgspec.Struct, frozen=True):
-    """Everything one node has measured since it started."""
+    """All statistics of one node since it started."""
 
     groups: tuple[GroupStatistics, ...]
     refusals: tuple[RefusalCount, ...]
 
 
 class _Totals(msgspec.Struct):
-    """Counts of one customer and class; they only grow, but `recent` fades."""
+    """Counts of one customer and class. Totals only grow, while `recent` decays."""
 
     answers: int = 0
     prompt_tokens: int = 0
@@ -89,14 +92,14 @@
     recent: float = 0.0
 
     def add(self, other: _Totals) -> None:
-        """Add another's counts."""
+        """Add the totals of another customer."""
         self.answers += other.answers
         self.prompt_tokens += other.prompt_tokens
         self.cached_tokens += other.cached_tokens
 
 
 class _Histograms:
-    """Histograms of one customer and class, or of the rest of a class."""
+    """Histograms of one customer and class, or of all other customers of a class."""
 
     __slots__ = ("first_token_ms", "recomputed_tokens", "token_gap_ms")
 
@@ -119,24 +122,24 @@
             _record(self.recomputed_tokens, recomputed, _HIGHEST_TOKENS)
 
     def add(self, other: _Histograms) -> None:
-        """Add all that another one recorded."""
+        """Add the values of other histograms."""
         self.first_token_ms.add(other.first_token_ms)
         self.token_gap_ms.add(other.token_gap_ms)
         self.recomputed_tokens.add(other.recomputed_tokens)
 
 
-class _Class:
-    """Figures of one class.
+class _ClassStatistics:
+    """Statistics of one class.
 
-    Invariant: at most MAX_HELD customers have histograms, and each dispatch was
-    recorded in one of them or in `rest`.
+    Invariant: at most MAX_DETAILED_CUSTOMERS customers have their own histograms, and
+    each dispatch was recorded in one of them or in `rest`.
     """
 
-    __slots__ = ("_records", "held", "rest", "totals")
+    __slots__ = ("_records", "detailed", "rest", "totals")
 
     def __init__(self) -> None:
         self._records = 0
-        self.held: dict[CustomerName, _Histograms] = {}
+        self.detailed: dict[CustomerName, _Histograms] = {}
         self.rest = _Histograms()
         self.totals: dict[CustomerName, _Totals] = {}
 
@@ -158,28 +161,28 @@
                 each.recent /= 2
 
     def sum_rest(self) -> _Totals:
-        """Return the totals of all customers without histograms of their own."""
+        """Return the totals of all customers without their own histograms."""
         found = _Totals()
         for customer, totals in self.totals.items():
-            if customer not in self.held:
+            if customer not in self.detailed:
                 found.add(totals)
         return found
 
     def _find_histograms(self, customer: CustomerName, totals: _Totals) -> _Histograms:
-        found = self.held.get(customer)
+        found = self.detailed.get(customer)
         if found is not None:
             return found
-        if len(self.held) >= MAX_HELD:
-            idlest = min(self.held, key=lambda each: self.totals[each].recent)
-            if totals.recent <= _LEAD * self.totals[idlest].recent:
+        if len(self.detailed) >= MAX_DETAILED_CUSTOMERS:
+            least_active = min(self.detailed, key=lambda each: self.totals[each].recent)
+            if totals.recent <= _REPLACEMENT_FACTOR * self.totals[least_active].recent:
                 return self.rest
-            self.rest.add(self.held.pop(idlest))
-        found = self.held[customer] = _Histograms()
+            self.rest.add(self.detailed.pop(least_active))
+        found = self.detailed[customer] = _Histograms()
         return found
 
 
 class _Group(msgspec.Struct, frozen=True):
-    """Histograms to compute quantiles of, and the totals beside them."""
+    """Histograms from which to compute quantiles, and the totals."""
 
     customer: CustomerName
     priority: PriorityClass
@@ -188,16 +191,16 @@
 
 
 class StatisticsCollector:
-    """Record outcomes and refusals.
+    """Records outcomes and refusals.
 
-    Invariant: whichever customers have histograms of their own, the counts of all
-    groups sum up to what was recorded.
+    Invariant: whichever customers have their own histograms, the counts of all groups
+    add up to what was recorded.
     """
 
     __slots__ = ("_classes", "_refusals")
 
     def __init__(self) -> None:
-        self._classes: dict[PriorityClass, _Class] = {}
+        self._classes: dict[PriorityClass, _ClassStatistics] = {}
         self._refusals: dict[tuple[CustomerName, ErrorKind], int] = {}
 
     def record_outcome(
@@ -208,55 +211,60 @@
         waited_ms: float,
     ) -> None:
         """Record one ended dispatch; `waited_ms` is the time before it."""
-        figures = self._classes.get(priority)
-        if figures is None:
-            figures = self._classes[priority] = _Class()
-        figures.record(customer, outcome, waited_ms)
+        class_statistics = self._classes.get(priority)
+        if class_statistics is None:
+            class_statistics = self._classes[priority] = _ClassStatistics()
+        class_statistics.record(customer, outcome, waited_ms)
 
     def record_refusal(self, customer: CustomerName, error: ErrorKind) -> None:
         """Count one refusal."""
         key = (customer, error)
         if key not in self._refusals and len(self._refusals) >= MAX_REFUSAL_COUNTS:
-            key = (REST, error)
+            key = (OTHER_CUSTOMERS, error)
         self._refusals[key] = self._refusals.get(key, 0) + 1
 
     def list_refusals(self) -> tuple[RefusalCount, ...]:
-        """Return how often each customer was refused, by reason."""
+        """Return the refusal counts by customer and reason."""
         return tuple(
             RefusalCount(customer, error, count)
             for (customer, error), count in sorted(self._refusals.items())
         )
 
     def iterate_groups(self) -> Iterator[GroupStatistics]:
-        """Yield all groups, those of the rest first, one at a time.
+        """Yield all groups, starting with those of other customers.
 
-        Quantiles of one group take a tenth of a millisecond, so a reader that shares
-        its thread with others can let them run in between.
+        Computing the quantiles of one group takes a tenth of a millisecond, so a reader
+        can yield to other tasks of its thread between two groups.
         """
         rest = [
-            _Group(REST, priority, figures.rest, figures.sum_rest())
-            for priority, figures in self._classes.items()
-            if len(figures.totals) > len(figures.held)
+            _Group(
+                OTHER_CUSTOMERS,
+                priority,
+                class_statistics.rest,
+                class_statistics.sum_rest(),
+            )
+            for priority, class_statistics in self._classes.items()
+            if len(class_statistics.totals) > len(class_statistics.detailed)
         ]
-        # Listed before the first pause: what a customer that loses its place has
-        # recorded until now is then in its own group only, not in the rest as well.
+        # Listed before the first pause, so that the values of a customer that loses its
+        # histograms meanwhile count in its own group only, not also in the rest.
         groups = rest + sorted(
-            self._list_held(), key=lambda each: (each.customer, each.priority)
+            self._list_detailed(), key=lambda each: (each.customer, each.priority)
         )
         yield from map(_compute_group, groups)
 
     def iterate_busiest(self, limit: int) -> Iterator[GroupStatistics]:
-        """Yield the groups with the most prompt tokens, one at a time."""
+        """Yield the groups with the most prompt tokens."""
         groups = heapq.nlargest(
-            limit, self._list_held(), key=lambda group: group.totals.prompt_tokens
+            limit, self._list_detailed(), key=lambda group: group.totals.prompt_tokens
         )
         yield from map(_compute_group, groups)
 
-    def _list_held(self) -> Sequence[_Group]:
+    def _list_detailed(self) -> Sequence[_Group]:
         return [
-            _Group(customer, priority, histograms, figures.totals[customer])
-            for priority, figures in self._classes.items()
-            for customer, histograms in figures.held.items()
+            _Group(customer, priority, histograms, class_statistics.totals[customer])
+            for priority, class_statistics in self._classes.items()
+            for customer, histograms in class_statistics.detailed.items()
         ]
 
 
@@ -273,7 +281,7 @@
         cached_tokens=totals.cached_tokens,
         hit_rate=totals.cached_tokens / prompt_tokens if prompt_tokens else 0.0,
         answers=totals.answers,
-        is_rest=group.customer == REST,
+        is_rest=group.customer == OTHER_CUSTOMERS,
     )
 
 
--- a/tests/toucanyard/test_prefix.py
+++ b/tests/toucanyard/test_prefix.py
@@ -19,9 +19,9 @@
 def test_chains_of_one_prompt_are_those_of_their_weights(
     customer: str, desired: str, other: str, prompt: bytes
 ) -> None:
-    """Replicas run two weights versions while new ones are rolled out.
+    """Replicas run two weights versions during a rollout.
 
-    A block of one version found for the other would be answered from older weights.
+    A block of one version that matched the other would be answered under older weights.
     """
     identity = CacheIdentity(customer, "m", "", desired)
     chains = PromptChains(identity, prompt)
@@ -37,9 +37,9 @@
 ) -> None:
     keys = PromptChains(
         CacheIdentity(customer, "m", "", first), prompt
-    ).compute_home_keys()
+    ).compute_affinity_keys()
     others = PromptChains(
         CacheIdentity(other, "m", "", second), prompt
-    ).compute_home_keys()
+    ).compute_affinity_keys()
     assert len(keys) == sum(depth * BLOCK_BYTES <= len(prompt) for depth in DEPTHS)
     assert bool(set(keys) & set(others)) == (customer == other and bool(keys))
--- a/tests/toucanyard/test_part_placement.py
+++ b/tests/toucanyard/test_prompt_block_placement.py
@@ -6,20 +6,20 @@
 import pytest
 
 from toucanyard.candidates import CHOICES, MANY_REPLICAS, SHORT_SHARE
-from toucanyard.fetch_sources import MOVE_PRICE
+from toucanyard.fetch_sources import TRANSFER_PRICE
 from toucanyard.names import Address, CustomerName, DomainName, EndpointName, RequestId
-from toucanyard.part_book import Part, PartBook
-from toucanyard.part_placement import (
+from toucanyard.prompt_block_index import PromptBlock, PromptBlockIndex
+from toucanyard.prompt_block_placement import (
     FULL_SHARE,
     LATE_AFTER_MS,
-    MAX_FOLLOW_MS,
-    PartPlacement,
+    MAX_READER_WAIT_MS,
     PlacedPrompt,
+    PromptBlockPlacement,
     compute_scope,
 )
-from toucanyard.part_sources import choose_store, name_store
+from toucanyard.prompt_block_sources import choose_store, compute_store_name
 from toucanyard.relay_requests import Prompt
-from toucanyard.replica_uses import ReplicaUses
+from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica
 from toucanyard.routes import PromptStore
 from toucanyard.weights_goals import Goal
@@ -32,14 +32,14 @@
 
 
 class Pool:
-    """Some replicas, what they hold and what they do."""
+    """Some replicas with their blocks and calls."""
 
     def __init__(self, *names: str, version: int = 1) -> None:
-        self.book = PartBook()
-        self.uses = ReplicaUses()
+        self.block_index = PromptBlockIndex()
+        self.usage = ReplicaUsage()
         self.goal = Goal()
         self.goal.apply(version, 0.0)
-        self.placement = PartPlacement(self.book, self.uses, MAX_OLD_MS)
+        self.placement = PromptBlockPlacement(self.block_index, self.usage, MAX_OLD_MS)
         weights = ((MODEL, version),)
         self.known = [
             KnownReplica(build_replica(name, weights=weights)) for name in names
@@ -57,14 +57,18 @@
             request, PROMPT, TRAITS, self.known, self.goal, stores, now_ms
         )
 
-    def note(self, name: str, parts: Sequence[Part], ready_ms: float = 0.0) -> None:
+    def note(
+        self, name: str, parts: Sequence[PromptBlock], ready_ms: float = 0.0
+    ) -> None:
         memory = TRAITS.memory_tokens
-        self.book.note(EndpointName(name), f"{MODEL}/1/", parts, ready_ms, memory)
+        self.block_index.note(
+            EndpointName(name), f"{MODEL}/1/", parts, ready_ms, memory
+        )
 
     def load(self, name: str, calls: int, tokens: int, unread: int) -> None:
         for number in range(calls):
             request_id = RequestId(f"{name}{number}")
-            self.uses.begin(EndpointName(name), request_id, tokens, unread, 0.0)
+            self.usage.begin(EndpointName(name), request_id, tokens, unread, 0.0)
 
 
 def find_name(placed: PlacedPrompt | None) -> str:
@@ -83,12 +87,12 @@
 
 
 def test_cold_part_has_one_home_on_every_node() -> None:
-    """A burst on one cold part arrives at nodes that know nothing of each other.
+    """A burst of calls for one cold block arrives at nodes without shared knowledge.
 
-    Each would have another replica read it, and the same part be read five times.
+    Otherwise each would choose another replica, and the block would be read five times.
     """
-    homes = {find_name(Pool(*names).choose()) for names in ("abcd", "dcba", "bdac")}
-    assert len(homes) == 1
+    preferred = {find_name(Pool(*names).choose()) for names in ("abcd", "dcba", "bdac")}
+    assert len(preferred) == 1
 
 
 def test_busy_warm_replica_gives_its_parts_to_an_idle_one() -> None:
@@ -104,21 +108,23 @@
 
 
 def test_part_that_another_replica_reads_now_is_followed_there() -> None:
-    """The first call for a part has been sent, its reading takes a quarter second.
+    """The first call for a block has been sent and is read for a quarter second.
 
-    A second call at another replica would read the part again, for nothing.
+    A second call at another replica would read the block again for nothing.
     """
-    for leader in "abcd":
+    for reader in "abcd":
         pool = Pool(*"abcd")
-        pool.note(leader, PROMPT.parts[:2], ready_ms=1_250.0)
-        pool.load(leader, 1, 9_000, 9_000)
-        assert find_name(pool.choose()) == leader
+        pool.note(reader, PROMPT.parts[:2], ready_ms=1_250.0)
+        pool.load(reader, 1, 9_000, 9_000)
+        assert find_name(pool.choose()) == reader
 
 
 def test_store_gives_what_no_replica_holds_any_more() -> None:
     pool = Pool(*"abcd")
-    name = name_store(STORE)
-    pool.book.note(name, f"{MODEL}/1/", PROMPT.parts[:2], 0.0, STORE.memory_tokens)
+    name = compute_store_name(STORE)
+    pool.block_index.note(
+        name, f"{MODEL}/1/", PROMPT.parts[:2], 0.0, STORE.memory_tokens
+    )
     placed = pool.choose(stores=(STORE,))
     assert placed is not None
     assert placed.source == STORE.address
@@ -130,9 +136,9 @@
 
 
 def test_parts_of_older_weights_are_never_fetched() -> None:
-    """New weights are in place at one replica; the others still have the older ones.
+    """One replica has new weights, the others still have the older ones.
 
-    What was read under those must not go into the memory of the new ones.
+    Blocks read under the older weights must not be loaded under the new ones.
     """
     pool = Pool(*"ab", version=1)
     pool.note("a", PROMPT.parts[:2])
@@ -149,9 +155,9 @@
 
 def test_walled_customer_has_a_scope_of_its_own() -> None:
     shared = compute_scope(build_request("q"), PROMPT, 1)
-    walled = compute_scope(build_request("q", is_walled=True), PROMPT, 1)
+    walled = compute_scope(build_request("q", is_isolated=True), PROMPT, 1)
     other = compute_scope(
-        build_request("q", is_walled=True, customer=CustomerName("d")), PROMPT, 1
+        build_request("q", is_isolated=True, customer=CustomerName("d")), PROMPT, 1
     )
     assert len({shared, walled, other}) == 3
 
@@ -169,9 +175,9 @@
 
 
 def test_age_of_weights_counts_from_the_first_newer_version() -> None:
-    """Versions follow one another each second, faster than replicas can load them.
+    """New versions are announced each second, faster than replicas can load them.
 
-    Counted from the newest version, one of long ago would never be too old.
+    Measured from the newest version, a very old one would never be too old.
     """
     pool = Pool("a")
     for second in range(1, 9):
@@ -183,13 +189,13 @@
 def test_full_memory_makes_a_call_wait() -> None:
     """Calls of all nodes fill a replica's memory.
 
-    One more would have the engine drop a running call and read it again.
+    One more would make the engine preempt a running call and read it again.
     """
     pool = Pool("a")
     pool.load("a", 9, int(TRAITS.memory_tokens * FULL_SHARE / 9), 0)
     assert pool.choose() is None
-    pool.uses.end(EndpointName("a"), RequestId("a0"))
-    pool.uses.end(EndpointName("a"), RequestId("a1"))
+    pool.usage.end(EndpointName("a"), RequestId("a0"))
+    pool.usage.end(EndpointName("a"), RequestId("a1"))
     assert pool.choose() is not None
 
 
@@ -197,24 +203,25 @@
     pool = Pool(*"ab")
     pool.note("a", PROMPT.parts[:1])
     pool.note("b", PROMPT.parts[:1])
-    favourite = find_name(pool.choose())
-    known = next(each for each in pool.known if each.replica.name == favourite)
+    first_choice = find_name(pool.choose())
+    known = next(each for each in pool.known if each.replica.name == first_choice)
     for _ in range(3):
-        known.note_failure(1_000.0, is_dead=False)
-    assert find_name(pool.choose()) != favourite
+        known.record_failure(1_000.0, is_dead=False)
+    assert find_name(pool.choose()) != first_choice
 
 
 STORES = tuple(
     PromptStore(Address(f"10.2.0.{at}:1"), DomainName("d2"), 700_000, 100_000.0, 12)
     for at in range(3)
 )
-MANY = [f"r{number}" for number in range(MANY_REPLICAS + 4)]
+MANY_NAMES = [f"r{number}" for number in range(MANY_REPLICAS + 4)]
 
 
 def test_all_nodes_keep_a_prompt_in_the_same_store() -> None:
-    """Three stores in one domain; each node saves what its replicas read.
+    """Three stores are in one domain, and each node saves what its replicas read.
 
-    With the first store alone, two thirds of the memory and of the links are idle.
+    With the first store alone, two thirds of the memory and of the links would be
+    unused.
     """
     far = DomainName("d1")
     chosen = [choose_store(STORES, f"part {number}", far) for number in range(300)]
@@ -226,9 +233,9 @@
 
 
 def test_replica_saves_to_a_store_of_its_domain() -> None:
-    """Stores in two domains; all memory is cold, and each replica saves what it reads.
+    """Stores are in two domains, and all replicas are cold and save what they read.
 
-    Transfers between domains take twice as long, and calls wait behind them.
+    Transfers between domains take twice as long, and calls queue behind them.
     """
     near = msgspec.structs.replace(STORES[0], domain=DomainName("d1"))
     stores = (*STORES[1:], near)
@@ -237,17 +244,17 @@
 
 
 def test_part_that_nobody_is_known_to_hold_is_asked_of_its_store() -> None:
-    """Among many replicas load sends a part elsewhere than hashing does.
+    """Among many replicas, load places a block elsewhere than hashing does.
 
-    Whoever read it saved it to the store that its name gives; a replica guessed by
-    hashing has it seldom.
+    Its reader saved it to the store that its name selects; a replica guessed by hashing
+    rarely has it.
     """
-    placed = Pool(*MANY).choose(stores=STORES)
+    placed = Pool(*MANY_NAMES).choose(stores=STORES)
     assert placed is not None
     store = choose_store(STORES, "subject", placed.replica.replica.domain)
     assert store is not None
     assert placed.source == store.address
-    own = Pool(*MANY)
+    own = Pool(*MANY_NAMES)
     own.note(find_name(placed), PROMPT.parts[:2])
     held = own.choose(stores=STORES)
     assert held is not None
@@ -265,19 +272,21 @@
     for store in (near, msgspec.structs.replace(near, domain=DomainName("d2"))):
         memory = store.memory_tokens
         parts = PROMPT.parts[:2]
-        pool.book.note(name_store(store), f"{MODEL}/1/", parts, 0.0, memory)
+        pool.block_index.note(
+            compute_store_name(store), f"{MODEL}/1/", parts, 0.0, memory
+        )
         placed = pool.choose(stores=(store,))
         assert placed is not None
         totals.append(placed.total_ms)
     fetch_ms = 6_200 * TRAITS.bytes_per_token * 8 / 1_000 / 1_000
-    assert totals[1] - totals[0] == pytest.approx(MOVE_PRICE * fetch_ms)
+    assert totals[1] - totals[0] == pytest.approx(TRANSFER_PRICE * fetch_ms)
 
 
 def test_calls_fetch_a_hot_part_from_all_that_hold_it_near_ones_first() -> None:
-    """Six of eight replicas hold a part that every call needs, in two domains.
+    """Six of eight replicas hold a block that every call needs, in two domains.
 
-    A holder's transfers run one after another: fetched by all from the same holder, a
-    hot part waits for seconds behind the others.
+    A holder runs its transfers one after another: if all calls fetched a hot block from
+    the same holder, they would queue for seconds.
     """
     pool = Pool()
     pool.known = [
@@ -307,7 +316,7 @@
 
 LONG = build_prompt(("book", 2_500), ("subject", 3_700), ("own", 2_800))
 SHORT = build_prompt(("greeting", 120), ("own", 700))
-SIDES = [f"r{number}" for number in range(40)]
+LARGE_SERVICE = [f"r{number}" for number in range(40)]
 
 
 def choose_alone(name: str, prompt: Prompt, pool: Pool) -> str:
@@ -317,95 +326,104 @@
     )
     chosen = find_name(placed)
     tokens = prompt.count_tokens()
-    pool.uses.begin(EndpointName(chosen), RequestId(name), tokens, tokens, 1_000.0)
+    pool.usage.begin(EndpointName(chosen), RequestId(name), tokens, tokens, 1_000.0)
     return chosen
 
 
 def test_long_prompts_leave_some_of_many_replicas_to_streams_of_short_ones() -> None:
-    """Forty replicas run streams of short prompts when long ones arrive.
+    """Forty replicas run streams of short prompts when long prompts arrive.
 
-    A stream event waits for a piece of each long prompt that is read beside it; two in
-    a row make every stream there late.
+    A stream event waits for a step of each long prompt read beside it; two in a row
+    make every stream there late.
     """
-    pool = Pool(*SIDES)
+    pool = Pool(*LARGE_SERVICE)
     short = {choose_alone(f"s{number}", SHORT, pool) for number in range(60)}
     long = {choose_alone(f"l{number}", LONG, pool) for number in range(20)}
     assert not short & long
-    assert len(short) == int(len(SIDES) * SHORT_SHARE)
-    # A subject that is hot is read at few of them and fetched by others.
+    assert len(short) == int(len(LARGE_SERVICE) * SHORT_SHARE)
+    # A hot subject is read at few of them and fetched by others.
     assert len(long) > 2 * CHOICES
 
 
 def test_call_that_finds_its_own_side_full_goes_across() -> None:
-    pool = Pool(*SIDES)
+    pool = Pool(*LARGE_SERVICE)
     short = {choose_alone(f"s{number}", SHORT, pool) for number in range(60)}
     for number, name in enumerate(sorted(short)):
         for call in range(TRAITS.slots):
             request_id = RequestId(f"full{number}-{call}")
-            pool.uses.begin(EndpointName(name), request_id, 10, 0, 1_000.0)
+            pool.usage.begin(EndpointName(name), request_id, 10, 0, 1_000.0)
     assert choose_alone("late", SHORT, pool) not in short
 
 
 def test_few_replicas_serve_prompts_of_every_length() -> None:
-    """With five replicas and a third of them left to short prompts, long ones wait."""
+    """With a third of five replicas left to short prompts, long ones would wait."""
     pool = Pool(*"abcde")
     assert len({choose_alone(f"l{number}", LONG, pool) for number in range(5)}) == 5
 
 
 def test_call_waits_for_a_hot_part_that_one_of_many_replicas_reads() -> None:
-    """New weights are in place, all memory is cold, and calls need the same rulebook.
+    """After a weights change all memory is cold, and all calls need the same rulebook.
 
     Sent to the one replica that reads it they would queue there for seconds; sent
     elsewhere each would read it again. A moment later all can fetch it.
     """
-    pool = Pool(*SIDES)
-    leader = choose_alone("first", PROMPT, pool)
-    pool.note(leader, PROMPT.parts[:1], ready_ms=1_150.0)
-    pool.load(leader, 20, 1_000, 9_000)
+    pool = Pool(*LARGE_SERVICE)
+    reader = choose_alone("first", PROMPT, pool)
+    pool.note(reader, PROMPT.parts[:1], ready_ms=1_150.0)
+    pool.load(reader, 20, 1_000, 9_000)
     for now_ms in (1_010.0, 1_140.0):
         assert pool.choose(now_ms, arrived_ms=1_010.0) is None
-    assert pool.choose(1_010.0, arrived_ms=1_010.0 - MAX_FOLLOW_MS - 1.0) is not None
+    assert (
+        pool.choose(1_010.0, arrived_ms=1_010.0 - MAX_READER_WAIT_MS - 1.0) is not None
+    )
     placed = pool.choose(1_151.0, arrived_ms=1_010.0)
     assert placed is not None
     assert placed.fetched_tokens == 2_500
-    assert find_name(placed) != leader
+    assert find_name(placed) != reader
 
 
 def test_stream_that_was_cut_does_not_wait_for_a_part() -> None:
-    pool = Pool(*SIDES)
-    leader = choose_alone("first", PROMPT, pool)
-    pool.note(leader, PROMPT.parts[:1], ready_ms=1_150.0)
-    pool.load(leader, 20, 1_000, 9_000)
+    pool = Pool(*LARGE_SERVICE)
+    reader = choose_alone("first", PROMPT, pool)
+    pool.note(reader, PROMPT.parts[:1], ready_ms=1_150.0)
+    pool.load(reader, 20, 1_000, 9_000)
     request = build_request("q", prompt=PROMPT, arrived_ms=1_000.0)
     placed = pool.placement.choose(
-        request, PROMPT, TRAITS, pool.known, pool.goal, (), 1_010.0, may_follow=False
+        request,
+        PROMPT,
+        TRAITS,
+        pool.known,
+        pool.goal,
+        (),
+        1_010.0,
+        may_wait_for_reader=False,
     )
     assert placed is not None
 
 
 def test_nodes_that_know_old_figures_do_not_all_choose_the_same_replica() -> None:
-    """Thirty nodes know the same figures, half a second old, and each sends one call.
+    """Thirty nodes have the same load data, half a second old, and each sends one call.
 
-    One replica looks a little idler than all others. Were it chosen by every node, its
+    One replica looks slightly less loaded than the others. If every node chose it, its
     calls would wait for seconds beside idle replicas.
     """
     chosen = []
     for node in range(30):
-        pool = Pool(*SIDES)
-        for name in SIDES[1:]:
+        pool = Pool(*LARGE_SERVICE)
+        for name in LARGE_SERVICE[1:]:
             pool.load(name, 1, 1_000, 0)
         prompt = build_prompt(("book", 2_500), (f"s{node}", 3_700), ("own", 2_800))
         chosen.append(choose_alone(f"l{node}", prompt, pool))
-    assert max(chosen.count(name) for name in SIDES) <= 12
+    assert max(chosen.count(name) for name in LARGE_SERVICE) <= 12
 
 
 def test_calls_of_one_subject_go_to_a_replica_that_holds_it() -> None:
-    """Nodes know where a subject has been read, and of other idle replicas."""
-    side = Pool(*SIDES)
-    holder = min(choose_alone(f"l{node}", LONG, side) for node in range(30))
+    """Nodes know where a subject has been read, and that other replicas are idle."""
+    large_service = Pool(*LARGE_SERVICE)
+    holder = min(choose_alone(f"l{node}", LONG, large_service) for node in range(30))
     chosen = set()
     for node in range(20):
-        pool = Pool(*SIDES)
+        pool = Pool(*LARGE_SERVICE)
         pool.note(holder, LONG.parts[:2])
         chosen.add(choose_alone(f"l{node}", LONG, pool))
     assert chosen == {holder}
