--- a/packages/toucanyard-emulator/src/toucanyard_emulator/relayed_call.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/relayed_call.py
@@ -15,7 +15,7 @@
     FirstEventSeen,
 )
 from toucanyard.relay_requests import RelayDispatch, RelayOutcome, RelayRequest
-from toucanyard.requests import EndingSeen, Refuse
+from toucanyard.requests import DispatchEnding, Refuse
 from toucanyard_emulator.arrivals import Arrival
 from toucanyard_emulator.engine import Engine, Job, JobEnd, Presence
 
@@ -126,7 +126,7 @@
         if dispatch is None:
             self._node.handle(CallerLeft(self.request.request_id))
         else:
-            self._report(dispatch, EndingSeen.CANCELLED)
+            self._report(dispatch, DispatchEnding.CANCELLED)
 
     def _stop_job(self) -> None:
         job, self._number = self.trace.job, self._number + 1
@@ -153,7 +153,7 @@
         if replica.presence is Presence.SILENT:
             self._node.after(
                 dispatch.connect_ms,
-                lambda: self._lose(number, EndingSeen.NOT_SENT, True),
+                lambda: self._lose(number, DispatchEnding.NOT_SENT, True),
             )
             return
         world.counts.connections += 1
@@ -171,7 +171,7 @@
             return
         replica = self._node.world.pool.find_replica(dispatch.replica)
         if replica is None or replica.presence is Presence.DOWN:
-            self._lose(number, EndingSeen.LOST, is_closed=True)
+            self._lose(number, DispatchEnding.LOST, is_closed=True)
             return
         if replica.presence is Presence.SILENT:
             return
@@ -222,7 +222,7 @@
             return
         bound_ms = max(self.arrival.kind.max_gap_ms * GAP_PATIENCE, MIN_GAP_MS)
         if self._node.now_ms - job.event_ms > bound_ms:
-            self._lose(number, EndingSeen.LOST)
+            self._lose(number, DispatchEnding.LOST)
         else:
             self._node.after(LOOK_MS, lambda: self._look(number))
 
@@ -234,13 +234,13 @@
             return
         if job is not None and job.holder is not None:
             job.holder.cancel(job)
-        self._lose(number, EndingSeen.LOST)
+        self._lose(number, DispatchEnding.LOST)
 
     def _end_plain(self, number: int, end: JobEnd) -> None:
         if number != self._number or self._is_over:
             return
         if end is JobEnd.REFUSED:
-            self._lose(number, EndingSeen.REFUSED)
+            self._lose(number, DispatchEnding.REFUSED)
             return
         self.first_ms = self._node.now_ms
         self._complete()
@@ -254,25 +254,25 @@
             case JobEnd.DONE:
                 self._complete()
             case JobEnd.REFUSED:
-                self._lose(number, EndingSeen.REFUSED)
+                self._lose(number, DispatchEnding.REFUSED)
             case JobEnd.OTHER_WEIGHTS:
-                self._lose(number, EndingSeen.REFUSED, has_other_weights=True)
+                self._lose(number, DispatchEnding.REFUSED, has_other_weights=True)
             case JobEnd.LOST:
-                self._lose(number, EndingSeen.LOST, is_closed=True)
+                self._lose(number, DispatchEnding.LOST, is_closed=True)
 
     def _complete(self) -> None:
         dispatch, self._dispatch = self._dispatch, None
         assert dispatch is not None
-        self._report(dispatch, EndingSeen.COMPLETED)
+        self._report(dispatch, DispatchEnding.COMPLETED)
         self._end(CallEnd(True))
 
     def _find_no_listener(self, number: int) -> None:
-        self._lose(number, EndingSeen.NOT_SENT, True, has_no_listener=True)
+        self._lose(number, DispatchEnding.NOT_SENT, True, has_no_listener=True)
 
     def _lose(
         self,
         number: int,
-        ending: EndingSeen,
+        ending: DispatchEnding,
         is_dead: bool = False,
         *,
         has_no_listener: bool = False,
@@ -295,7 +295,7 @@
     def _report(
         self,
         dispatch: RelayDispatch,
-        ending: EndingSeen,
+        ending: DispatchEnding,
         *,
         is_dead: bool = False,
         has_no_listener: bool = False,
@@ -312,7 +312,7 @@
             has_other_weights=has_other_weights,
             has_begun=self.first_ms is not None,
             weights_version=(
-                dispatch.weights_version if ending is EndingSeen.COMPLETED else None
+                dispatch.weights_version if ending is DispatchEnding.COMPLETED else None
             ),
         )
         self._node.handle(DispatchEnded(outcome))
--- a/packages/toucanyard-node/src/toucanyard_node/attempts.py
+++ b/packages/toucanyard-node/src/toucanyard_node/attempts.py
@@ -13,9 +13,9 @@
 from toucanyard.errorcodes import ANSWERS, Ending, ErrorKind
 from toucanyard.key_answers import compute_unclaimed_ending
 from toucanyard.requests import (
-    PROVED_NOT_RUN,
+    PROVEN_NOT_RUN,
     Dispatch,
-    EndingSeen,
+    DispatchEnding,
     Outcome,
     Refuse,
     Repeatability,
@@ -75,7 +75,7 @@
         """
         if self._is_refused:
             text = "the deadline passed before the request was sent"
-            raise DispatchFailedError(EndingSeen.NOT_SENT, text)
+            raise DispatchFailedError(DispatchEnding.NOT_SENT, text)
         self._is_in_flight = True
 
     def find_elapsed_ms(self) -> float:
@@ -85,7 +85,7 @@
     async def report_failure(
         self,
         dispatch: Dispatch,
-        ending: EndingSeen,
+        ending: DispatchEnding,
         text: str,
         weights_version: str = "",
     ) -> Dispatch | Refuse | Replay:
@@ -109,7 +109,7 @@
             verdict = await self._core.report(outcome)
             return self._check(verdict, text)
         self._core.tell_cancelled(
-            Outcome(request.request_id, dispatch.endpoint, EndingSeen.CANCELLED)
+            Outcome(request.request_id, dispatch.endpoint, DispatchEnding.CANCELLED)
         )
         return self.build_deadline_refusal()
 
@@ -160,9 +160,9 @@
             return False
         return compute_unclaimed_ending(request.key_age_ms) is Ending.UNKNOWN
 
-    def _settle(self, ending: EndingSeen) -> None:
+    def _settle(self, ending: DispatchEnding) -> None:
         self._is_in_flight = False
-        if ending not in PROVED_NOT_RUN:
+        if ending not in PROVEN_NOT_RUN:
             self._may_have_run = True
 
     def _check(
--- a/packages/toucanyard-node/src/toucanyard_node/caller_context.py
+++ b/packages/toucanyard-node/src/toucanyard_node/caller_context.py
@@ -13,7 +13,7 @@
 from toucanyard.names import RequestId
 from toucanyard.options import CallerLimits
 from toucanyard.requests import (
-    KeptAnswer,
+    CachedAnswer,
     ModelTarget,
     Refuse,
     Repeatability,
@@ -87,7 +87,7 @@
         match result:
             case Refuse():
                 await self.refuse(result)
-            case Replay(answer=KeptAnswer(status, content_type, body)):
+            case Replay(answer=CachedAnswer(status, content_type, body)):
                 await self.answer(status, content_type, body)
             case Response(status, headers, body):
                 content_type = headers.get("content-type", "application/json")
--- a/packages/toucanyard-node/src/toucanyard_node/core_task.py
+++ b/packages/toucanyard-node/src/toucanyard_node/core_task.py
@@ -17,7 +17,7 @@
 from toucanyard.core_events import (
     AppendToLog,
     CallerLeft,
-    DispatchOver,
+    DispatchFinished,
     FirstTokenSeen,
     OrderEnded,
     PatchAnswered,
@@ -121,7 +121,7 @@
                 return RequestArrived(request)
             case Report(outcome=outcome, reply=reply):
                 self._replies[outcome.request_id] = reply
-                return DispatchOver(outcome)
+                return DispatchFinished(outcome)
             case FirstToken(request_id=request_id, after_ms=after_ms):
                 return FirstTokenSeen(request_id, after_ms)
             case Abandon(request_id=request_id):
--- a/packages/toucanyard-node/src/toucanyard_node/drain.py
+++ b/packages/toucanyard-node/src/toucanyard_node/drain.py
@@ -59,12 +59,12 @@
     return False
 
 
-async def wait_handed_over(is_handed_over: Callable[[], bool], limit_ms: int) -> None:
+async def wait_handed_over(is_handover_done: Callable[[], bool], limit_ms: int) -> None:
     """Wait until peers hold this node's ended keys and all are told so.
 
     Without this step a retry of what this node answered could only be told that the
     outcome is unknown. The limit keeps a stop from waiting for peers that are gone.
     """
     with trio.move_on_after(limit_ms / 1000):
-        while not is_handed_over():
+        while not is_handover_done():
             await trio.sleep(_POLL_S)
--- a/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
@@ -18,7 +18,7 @@
 from toucanyard.core_events import (
     CacheDumpRead,
     CacheEventsRead,
-    EndpointSilent,
+    EndpointPollFailed,
     LoadRead,
 )
 from toucanyard.event_budget import DumpSizes, EventBudget
@@ -57,7 +57,7 @@
 _FAILING_POLLS_SHARE: Final = 4
 """How many times the polls of answering endpoints those that fail may take."""
 
-WatchEvent = LoadRead | EndpointSilent | CacheEventsRead | CacheDumpRead
+WatchEvent = LoadRead | EndpointPollFailed | CacheEventsRead | CacheDumpRead
 Emit = Callable[[WatchEvent], Awaitable[None]]
 
 
@@ -216,7 +216,7 @@
                     report = decode_load(await poller.get(target))
                 except (ConnectionFailedError, AnswerInvalidError) as error:
                     _LOG.debug("load_unread", endpoint=endpoint.name, error=str(error))
-                    await self._emit(EndpointSilent(endpoint.name))
+                    await self._emit(EndpointPollFailed(endpoint.name))
                     self._failing.add(endpoint.name)
                     wait_ms = compute_retry_wait_ms(
                         self._timings,
--- a/packages/toucanyard-node/src/toucanyard_node/engine_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/engine_client.py
@@ -10,7 +10,7 @@
 
 from toucanyard.names import Incarnation, RequestId
 from toucanyard.options import StreamLimits
-from toucanyard.requests import Dispatch, EndingSeen
+from toucanyard.requests import Dispatch, DispatchEnding
 from toucanyard_node.connection_pool import ConnectionPool
 from toucanyard_node.exchange import (
     REFUSING_STATUSES,
@@ -121,12 +121,14 @@
             else:
                 self._connection = await self._pool.open(address)
         except ConnectionFailedError as error:
-            raise DispatchFailedError(EndingSeen.NOT_SENT, str(error)) from error
+            raise DispatchFailedError(DispatchEnding.NOT_SENT, str(error)) from error
         try:
             return await self._try_send(path, headers, body)
         except ConnectionFailedError as error:
             if not self._is_used:
-                ending = EndingSeen.LOST if error.is_sent else EndingSeen.NOT_SENT
+                ending = (
+                    DispatchEnding.LOST if error.is_sent else DispatchEnding.NOT_SENT
+                )
                 raise DispatchFailedError(ending, str(error)) from error
         # The idle connection had died unnoticed. The request may be repeated, and
         # the endpoint itself is under no suspicion yet.
@@ -136,7 +138,7 @@
             self._connection = await self._pool.open(address)
             return await self._try_send(path, headers, body)
         except ConnectionFailedError as error:
-            raise DispatchFailedError(EndingSeen.LOST, str(error)) from error
+            raise DispatchFailedError(DispatchEnding.LOST, str(error)) from error
 
     async def _try_send(
         self, path: str, headers: Headers, body: bytes
@@ -161,15 +163,15 @@
             check_echo(head, self.request_id)
         if head.status in REFUSING_STATUSES:
             self.is_sent = False
-            raise DispatchFailedError(EndingSeen.REFUSED, f"status {head.status}")
+            raise DispatchFailedError(DispatchEnding.REFUSED, f"status {head.status}")
         if head.status >= 500:
-            raise DispatchFailedError(EndingSeen.FAILED, f"status {head.status}")
+            raise DispatchFailedError(DispatchEnding.FAILED, f"status {head.status}")
         self.incarnation = find_incarnation(head)
         wanted = self._dispatch.weights_version
         self.weights_version = head.headers.get("x-weights-version", wanted)
         if wanted and self.weights_version != wanted:
             text = f"weights version {self.weights_version}"
-            raise DispatchFailedError(EndingSeen.FAILED, text)
+            raise DispatchFailedError(DispatchEnding.FAILED, text)
 
     async def read(self) -> list[Event]:
         """Return the next new events; an empty list for a heartbeat.
@@ -205,7 +207,7 @@
         engine, which begins with what the caller already has.
         """
         if not self.is_sent:
-            raise DispatchFailedError(EndingSeen.NOT_SENT, reason)
+            raise DispatchFailedError(DispatchEnding.NOT_SENT, reason)
 
     def _start_timer(self) -> SilenceTimer:
         assert self._connection is not None
@@ -276,7 +278,7 @@
         while True:
             self._resumes += 1
             if self._resumes > self._limits.max_resumes:
-                raise DispatchFailedError(EndingSeen.LOST, f"{reason}, not resumed")
+                raise DispatchFailedError(DispatchEnding.LOST, f"{reason}, not resumed")
             await self._pool.distrust(address)
             await self.abandon()
             self._cutter = EventCutter()
@@ -299,19 +301,19 @@
         check_echo(head, self.request_id)
         if head.status != 200:
             text = f"{reason}, then status {head.status}"
-            raise DispatchFailedError(EndingSeen.LOST, text)
+            raise DispatchFailedError(DispatchEnding.LOST, text)
         found = find_incarnation(head)
         known = self.incarnation or self._dispatch.expected_incarnation
         # An engine that came back is empty: a stream of that name there would be
         # another one, and joining it to the first would mix two answers.
         if known is not None and found != known:
             text = f"{reason}, then another incarnation"
-            raise DispatchFailedError(EndingSeen.LOST, text)
+            raise DispatchFailedError(DispatchEnding.LOST, text)
         self.incarnation = found
         version = head.headers.get("x-weights-version", self.weights_version)
         if version != self.weights_version and self.weights_version:
             text = f"{reason}, then other weights"
-            raise DispatchFailedError(EndingSeen.LOST, text)
+            raise DispatchFailedError(DispatchEnding.LOST, text)
         self.weights_version = version
 
     async def read_rest(self) -> bytes:
@@ -320,7 +322,7 @@
         try:
             body = await self._connection.read_body()
         except ConnectionFailedError as error:
-            raise DispatchFailedError(EndingSeen.LOST, str(error)) from error
+            raise DispatchFailedError(DispatchEnding.LOST, str(error)) from error
         self.is_done = True
         return body
 
--- a/packages/toucanyard-node/src/toucanyard_node/exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/exchange.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from toucanyard.names import Incarnation, RequestId
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 from toucanyard_node.http_client import ResponseHead
 
 REFUSING_STATUSES: Final = frozenset((412, 429, 503))
@@ -15,7 +15,7 @@
 class DispatchFailedError(Exception):
     """One dispatch ended without a whole answer."""
 
-    def __init__(self, ending: EndingSeen, text: str) -> None:
+    def __init__(self, ending: DispatchEnding, text: str) -> None:
         super().__init__(text)
         self.ending = ending
         self.text = text
@@ -30,7 +30,7 @@
     echo = head.headers.get("x-request-id", "")
     if echo != request_id:
         text = f"the answer is for {echo or 'no request'}"
-        raise DispatchFailedError(EndingSeen.LOST, text)
+        raise DispatchFailedError(DispatchEnding.LOST, text)
 
 
 def is_bare_refusal(head: ResponseHead) -> bool:
--- a/packages/toucanyard-node/src/toucanyard_node/log_reader.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_reader.py
@@ -9,8 +9,8 @@
 import structlog
 import trio
 
-from toucanyard.core_events import LogExpired, LogRead, LogReread, LogStateSeen
-from toucanyard.log_patience import LogPatience
+from toucanyard.adaptive_log_timeout import AdaptiveLogTimeout
+from toucanyard.core_events import LogExpired, LogRead, LogReadRestarted, LogStateSeen
 from toucanyard.log_start import StartSearch
 from toucanyard.names import Address
 from toucanyard_node.log_client import (
@@ -32,7 +32,7 @@
 """Records that are read sooner than a place among them is found."""
 _LOG: Final = structlog.get_logger()
 
-LogEvent = LogRead | LogExpired | LogReread | LogStateSeen
+LogEvent = LogRead | LogExpired | LogReadRestarted | LogStateSeen
 
 
 class LateStart(msgspec.Struct, frozen=True):
@@ -47,14 +47,14 @@
     wait_ms: int,
     emit: Callable[[LogEvent], None],
     late_start: LateStart | None = None,
-    append_patience: LogPatience | None = None,
+    append_log_timeout: AdaptiveLogTimeout | None = None,
 ) -> None:
     """Read the log until cancelled, from its first record on or from a late start.
 
     `append_patience` learns from reads how slow the log is, before an append has to be
     given up to find out.
     """
-    reader = _Reader(address, wait_ms, emit, late_start, append_patience)
+    reader = _Reader(address, wait_ms, emit, late_start, append_log_timeout)
     await reader.run()
 
 
@@ -70,10 +70,10 @@
         wait_ms: int,
         emit: Callable[[LogEvent], None],
         late_start: LateStart | None,
-        append_patience: LogPatience | None,
+        append_log_timeout: AdaptiveLogTimeout | None,
     ) -> None:
         self._address = address
-        self._append_patience = append_patience
+        self._append_log_timeout = append_log_timeout
         self._wait_ms = wait_ms
         self._emit = emit
         self._late_start = late_start
@@ -82,7 +82,7 @@
         self._is_up: bool | None = None
         self._delay_ms = 0.0
         """How much later than its wait the last answer without records came."""
-        self._patience = LogPatience(_MARGIN_MS)
+        self._log_timeout = AdaptiveLogTimeout(_MARGIN_MS)
 
     async def run(self) -> None:
         """Read on until cancelled."""
@@ -116,9 +116,9 @@
             try:
                 records = (await self._ask(probe, 1, 0)).records
             except LogExpiredError as error:
-                search.note_expired(error.oldest)
+                search.raise_oldest(error.oldest)
                 continue
-            search.note(probe, records[0].at_ms if records else None)
+            search.apply_probe(probe, records[0].at_ms if records else None)
         _LOG.info("log_start_found", offset=search.start, oldest=oldest, head=head)
         if search.start == oldest:
             self._late_start = None
@@ -147,22 +147,22 @@
         self._take(start, page, asked_ms)
 
     async def _ask(self, start: int, limit: int, wait_ms: int) -> LogPage:
-        patience = self._patience
+        log_timeout = self._log_timeout
         began_ms = trio.current_time() * 1000
         try:
             page = await read_records(
-                self._address, start, limit, wait_ms, patience.timeout_ms
+                self._address, start, limit, wait_ms, log_timeout.timeout_ms
             )
         except LogSilentError:
             # A slow log must not be given up after the same time again and again.
-            patience.note_silence()
+            log_timeout.record_timeout()
             raise
         took_ms = trio.current_time() * 1000 - began_ms
-        patience.note_answer(max(took_ms - wait_ms, 0.0))
+        log_timeout.record_answer(max(took_ms - wait_ms, 0.0))
         if not page.records:
             self._delay_ms = max(took_ms - wait_ms, 0.0)
-            if self._append_patience is not None:
-                self._append_patience.note_delay(self._delay_ms)
+            if self._append_log_timeout is not None:
+                self._append_log_timeout.record_other_answer(self._delay_ms)
         return page
 
     def _take(self, start: int, page: LogPage, asked_ms: float) -> None:
@@ -191,7 +191,7 @@
         self._is_up = None
         # Claims can't be read back meanwhile, so keyed requests are refused at once.
         self._emit(LogStateSeen(False))
-        self._emit(LogReread())
+        self._emit(LogReadRestarted())
 
     def _shrink(self, start: int, asked_ms: float) -> None:
         _LOG.warning("log_page_too_large", offset=start, limit=self._limit)
--- a/packages/toucanyard-node/src/toucanyard_node/log_writer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_writer.py
@@ -7,9 +7,9 @@
 
 import trio
 
-from toucanyard.append_batch import AppendBatch, BatchGatherer
+from toucanyard.adaptive_log_timeout import AdaptiveLogTimeout
+from toucanyard.append_batch import AppendBatch, AppendBatcher
 from toucanyard.core_events import AppendSettled, AppendToLog
-from toucanyard.log_patience import LogPatience
 from toucanyard.names import Address
 from toucanyard.options import ClaimLimits
 from toucanyard.platform_log import AppendResult
@@ -23,22 +23,22 @@
     limits: ClaimLimits,
     outbox: trio.MemoryReceiveChannel[AppendToLog],
     emit: Callable[[AppendSettled], None],
-    patience: LogPatience | None = None,
+    log_timeout: AdaptiveLogTimeout | None = None,
 ) -> None:
     """Append what comes, at most `max_appends_per_s` times a second."""
-    gatherer = BatchGatherer(limits)
-    if patience is None:
-        patience = LogPatience(float(limits.append_timeout_ms))
+    gatherer = AppendBatcher(limits)
+    if log_timeout is None:
+        log_timeout = AdaptiveLogTimeout(float(limits.append_timeout_ms))
     while True:
         await _gather(gatherer, outbox)
-        batch = gatherer.take(trio.current_time() * 1000)
+        batch = gatherer.pop_due(trio.current_time() * 1000)
         if batch is not None:
-            answer = await _append(address, limits, batch, patience)
+            answer = await _append(address, limits, batch, log_timeout)
             emit(AppendSettled(batch.record_ids, answer.result))
 
 
 async def _gather(
-    gatherer: BatchGatherer, outbox: trio.MemoryReceiveChannel[AppendToLog]
+    gatherer: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
 ) -> None:
     """Take records in until a batch is due."""
     if len(gatherer) == 0:
@@ -50,7 +50,7 @@
 
 
 def _take_waiting(
-    gatherer: BatchGatherer, outbox: trio.MemoryReceiveChannel[AppendToLog]
+    gatherer: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
 ) -> None:
     while True:
         try:
@@ -64,25 +64,25 @@
     address: Address,
     limits: ClaimLimits,
     batch: AppendBatch,
-    patience: LogPatience,
+    log_timeout: AdaptiveLogTimeout,
 ) -> AppendAnswer:
     """Append one batch, again after a refusal that only the rate caused."""
-    answer = await _append_once(address, batch, patience)
+    answer = await _append_once(address, batch, log_timeout)
     for _ in range(_MAX_TRIES - 1):
         if not answer.is_over_rate:
             break
         await trio.sleep(1 / limits.max_appends_per_s)
-        answer = await _append_once(address, batch, patience)
+        answer = await _append_once(address, batch, log_timeout)
     return answer
 
 
 async def _append_once(
-    address: Address, batch: AppendBatch, patience: LogPatience
+    address: Address, batch: AppendBatch, log_timeout: AdaptiveLogTimeout
 ) -> AppendAnswer:
     began_s = trio.current_time()
-    answer = await append_records(address, batch.texts, patience.timeout_ms)
+    answer = await append_records(address, batch.texts, log_timeout.timeout_ms)
     if answer.result is AppendResult.UNKNOWN:
-        patience.note_silence()
+        log_timeout.record_timeout()
     else:
-        patience.note_answer((trio.current_time() - began_s) * 1000)
+        log_timeout.record_answer((trio.current_time() - began_s) * 1000)
     return answer
--- a/packages/toucanyard-node/src/toucanyard_node/model_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_face.py
@@ -11,7 +11,7 @@
 from toucanyard.names import RequestId
 from toucanyard.options import Options
 from toucanyard.requests import (
-    KeptAnswer,
+    CachedAnswer,
     Refuse,
     Repeatability,
     Replay,
@@ -191,7 +191,7 @@
             relay.finish_reason,
             usage,
         )
-        relay.report_gathered(KeptAnswer(200, _JSON, body))
+        relay.report_gathered(CachedAnswer(200, _JSON, body))
         return Response(200, {"content-type": _JSON}, body)
 
 
--- a/packages/toucanyard-node/src/toucanyard_node/node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/node.py
@@ -11,12 +11,12 @@
 import structlog
 import trio
 
+from toucanyard.adaptive_log_timeout import AdaptiveLogTimeout
 from toucanyard.claim_events import (
-    HandOverBegun,
+    HandoverBegun,
 )
 from toucanyard.configuration import Configuration
 from toucanyard.core_events import AppendToLog, DrainBegun, ReadDump, SendMessage
-from toucanyard.log_patience import LogPatience
 from toucanyard.log_start import compute_span_ms
 from toucanyard.names import Address, Incarnation
 from toucanyard.node_core import CoreEvent
@@ -125,7 +125,7 @@
         """Run all tasks until cancelled."""
         options = self._options
         platform = options.platform
-        patience = LogPatience(float(options.claims.append_timeout_ms))
+        log_timeout = AdaptiveLogTimeout(float(options.claims.append_timeout_ms))
         async with trio.open_nursery() as nursery:
             await nursery.start(self._face.run)
             nursery.start_soon(self._task.run)
@@ -138,7 +138,7 @@
                     compute_span_ms(options.claims, options.configuration),
                     self._core.log.needs_older,
                 ),
-                patience,
+                log_timeout,
             )
             nursery.start_soon(
                 write_log,
@@ -146,7 +146,7 @@
                 options.claims,
                 self._appends,
                 self._emit_now,
-                patience,
+                log_timeout,
             )
             nursery.start_soon(
                 poll_vm_list,
@@ -175,11 +175,11 @@
             self.drain_state, self._server, self._options, self._face.wait_idle
         )
         _LOG.info("drain_ended", is_clean=is_clean)
-        self._emit_now(HandOverBegun())
+        self._emit_now(HandoverBegun())
         claims = self._core.claims
         limit_ms = self._options.claims.hand_over_ms
-        await wait_handed_over(claims.is_handed_over, limit_ms)
-        left = claims.count_left_over()
+        await wait_handed_over(claims.is_handover_done, limit_ms)
+        left = claims.count_not_transferred()
         is_whole = left == 0
         _LOG.info("hand_over_ended", is_whole=is_whole, left=left)
 
--- a/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
@@ -20,7 +20,7 @@
     RelayRequest,
     RelayVerdict,
 )
-from toucanyard.requests import EndingSeen, Refuse
+from toucanyard.requests import DispatchEnding, Refuse
 from toucanyard_node.event_splitter import EventSplitter
 from toucanyard_node.held_answer import AnswerLostError, HeldAnswer
 from toucanyard_node.http_client import (
@@ -109,14 +109,14 @@
 
     def _settle(self, outcome: RelayOutcome) -> None:
         self._is_in_flight = False
-        if outcome.ending not in (EndingSeen.NOT_SENT, EndingSeen.REFUSED):
+        if outcome.ending not in (DispatchEnding.NOT_SENT, DispatchEnding.REFUSED):
             self._may_have_run = True
 
     def _give_up(self) -> None:
         """Tell the core that a dispatch without an end is over."""
         dispatch, self._dispatch = self._dispatch, None
         if dispatch is not None:
-            outcome = self._build(dispatch, EndingSeen.CANCELLED, "nobody waits")
+            outcome = self._build(dispatch, DispatchEnding.CANCELLED, "nobody waits")
             self._client.tell_ended(outcome)
             self._note_ended(dispatch, "given_up", 0)
 
@@ -148,7 +148,7 @@
             connection = await connect(dispatch.address, dispatch.connect_ms)
         except ConnectionFailedError as error:
             raise self._lose(
-                dispatch, EndingSeen.NOT_SENT, str(error), cause=error, is_dead=True
+                dispatch, DispatchEnding.NOT_SENT, str(error), cause=error, is_dead=True
             ) from error
         try:
             await self._exchange(dispatch, connection)
@@ -173,10 +173,10 @@
         if head.status >= SERVER_ERROR:
             self._held = held
             text = f"status {head.status}"
-            raise self._lose(dispatch, EndingSeen.FAILED, text, facts)
+            raise self._lose(dispatch, DispatchEnding.FAILED, text, facts)
         if self._responder.is_started:
             # A stream can't go on with something that is none.
-            raise self._lose(dispatch, EndingSeen.LOST, "no stream", facts)
+            raise self._lose(dispatch, DispatchEnding.LOST, "no stream", facts)
         self._complete(dispatch, facts, head.status)
         await self._send_whole(held)
 
@@ -185,7 +185,7 @@
     ) -> ResponseHead:
         left_ms = int(self._request.deadline_ms - trio.current_time() * 1000)
         if left_ms <= 0:
-            raise self._lose(dispatch, EndingSeen.NOT_SENT, "the deadline passed")
+            raise self._lose(dispatch, DispatchEnding.NOT_SENT, "the deadline passed")
         headers = self._codec.build_headers(
             self._http, self._request, dispatch, left_ms, self._splitter.last_id
         )
@@ -199,11 +199,11 @@
                     self._http.method, self._http.target, headers, body
                 )
         except ConnectionFailedError as error:
-            ending = EndingSeen.LOST if error.is_sent else EndingSeen.NOT_SENT
+            ending = DispatchEnding.LOST if error.is_sent else DispatchEnding.NOT_SENT
             raise self._lose(dispatch, ending, str(error), cause=error) from error
         except trio.TooSlowError as error:
             text = f"no answer within {dispatch.patience_ms:.0f} ms"
-            raise self._lose(dispatch, EndingSeen.LOST, text) from error
+            raise self._lose(dispatch, DispatchEnding.LOST, text) from error
 
     def _note_limit(self, dispatch: RelayDispatch, facts: AnswerFacts) -> None:
         """Tell the core of a limit that a replica names, or has ceased to name."""
@@ -225,7 +225,7 @@
             facts.caller_id != self._request.caller_id
         )
         if is_foreign:
-            raise self._lose(dispatch, EndingSeen.LOST, "the answer is another's")
+            raise self._lose(dispatch, DispatchEnding.LOST, "the answer is another's")
         if head.status == MISDIRECTED:
             is_replaced = bool(facts.incarnation) and (
                 facts.incarnation != dispatch.listed_as
@@ -234,7 +234,7 @@
                 RelayOutcome(
                     self._request.request_id,
                     dispatch.replica,
-                    EndingSeen.REFUSED,
+                    DispatchEnding.REFUSED,
                     text="another replica" if is_replaced else "other weights",
                     is_replaced=is_replaced,
                     has_other_weights=not is_replaced,
@@ -243,12 +243,12 @@
             )
         if facts.is_unrun:
             text = f"turned away with {head.status}"
-            raise self._lose(dispatch, EndingSeen.REFUSED, text, facts)
+            raise self._lose(dispatch, DispatchEnding.REFUSED, text, facts)
         is_success = head.status < 300
         if is_success and not (facts.is_signed and facts.caller_id):
-            raise self._lose(dispatch, EndingSeen.LOST, "unsigned answer", facts)
+            raise self._lose(dispatch, DispatchEnding.LOST, "unsigned answer", facts)
         if "content-encoding" in head.headers:
-            raise self._lose(dispatch, EndingSeen.LOST, "encoded answer", facts)
+            raise self._lose(dispatch, DispatchEnding.LOST, "encoded answer", facts)
 
     async def _read_whole(
         self, dispatch: RelayDispatch, connection: HttpConnection
@@ -257,7 +257,9 @@
             return await connection.read_body()
         except ConnectionFailedError as error:
             text = str(error)
-            raise self._lose(dispatch, EndingSeen.LOST, text, cause=error) from error
+            raise self._lose(
+                dispatch, DispatchEnding.LOST, text, cause=error
+            ) from error
 
     async def _relay(
         self,
@@ -284,7 +286,9 @@
                 self._client.tell_first(self._request.request_id)
             await self._responder.write(whole)
         if self._splitter.has_rest():
-            raise self._lose(dispatch, EndingSeen.LOST, "cut inside an event", facts)
+            raise self._lose(
+                dispatch, DispatchEnding.LOST, "cut inside an event", facts
+            )
         if not self._responder.is_started:
             await self._begin(head)
         self._complete(dispatch, facts, head.status)
@@ -301,10 +305,10 @@
                 return await connection.read_part()
         except ConnectionFailedError as error:
             raise self._lose(
-                dispatch, EndingSeen.LOST, str(error), facts, cause=error
+                dispatch, DispatchEnding.LOST, str(error), facts, cause=error
             ) from error
         except trio.TooSlowError as error:
-            raise self._lose(dispatch, EndingSeen.LOST, "silent", facts) from error
+            raise self._lose(dispatch, DispatchEnding.LOST, "silent", facts) from error
 
     def _compute_gap(self, dispatch: RelayDispatch) -> float:
         """Return the silence after which a stream is resumed elsewhere, in ms."""
@@ -317,7 +321,7 @@
     def _lose(
         self,
         dispatch: RelayDispatch,
-        ending: EndingSeen,
+        ending: DispatchEnding,
         text: str,
         facts: AnswerFacts | None = None,
         *,
@@ -333,7 +337,7 @@
     def _build(
         self,
         dispatch: RelayDispatch,
-        ending: EndingSeen,
+        ending: DispatchEnding,
         text: str,
         facts: AnswerFacts | None = None,
         *,
@@ -356,7 +360,7 @@
         self, dispatch: RelayDispatch, facts: AnswerFacts, status: int
     ) -> None:
         self._dispatch = None
-        outcome = self._build(dispatch, EndingSeen.COMPLETED, "", facts)
+        outcome = self._build(dispatch, DispatchEnding.COMPLETED, "", facts)
         self._client.tell_ended(outcome)
         self._note_ended(dispatch, "answered", status)
 
--- a/packages/toucanyard-node/src/toucanyard_node/service_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/service_face.py
@@ -12,9 +12,9 @@
 from toucanyard.names import ServiceName
 from toucanyard.options import Options
 from toucanyard.requests import (
+    CachedAnswer,
     Dispatch,
-    EndingSeen,
-    KeptAnswer,
+    DispatchEnding,
     Outcome,
     Refuse,
     Repeatability,
@@ -166,7 +166,7 @@
         """Tell the core that nobody waits for the answer any more."""
         if self._dispatch is None:
             return
-        outcome = self._build_outcome(self._dispatch, EndingSeen.CANCELLED)
+        outcome = self._build_outcome(self._dispatch, DispatchEnding.CANCELLED)
         self.attempts.report_end(outcome)
 
     async def _try(self, dispatch: Dispatch) -> Response:
@@ -175,13 +175,15 @@
         try:
             connection, is_used = await self._acquire(dispatch)
         except ConnectionFailedError as error:
-            raise DispatchFailedError(EndingSeen.NOT_SENT, str(error)) from error
+            raise DispatchFailedError(DispatchEnding.NOT_SENT, str(error)) from error
         try:
             return await self._exchange(dispatch, connection, is_used)
         except ConnectionFailedError as error:
             if not error.is_sent:
-                raise DispatchFailedError(EndingSeen.NOT_SENT, str(error)) from error
-            raise DispatchFailedError(EndingSeen.LOST, str(error)) from error
+                raise DispatchFailedError(
+                    DispatchEnding.NOT_SENT, str(error)
+                ) from error
+            raise DispatchFailedError(DispatchEnding.LOST, str(error)) from error
         finally:
             # Closed unless the answer was read to its end: what comes late on this
             # connection must never be taken for the answer to another call.
@@ -207,24 +209,24 @@
         # over with that answer, and is never sent again or called "not run".
         is_failure = head.status >= 500 or head.status == _TOO_MANY_REQUESTS
         if is_failure and self.attempts.is_repeatable():
-            raise DispatchFailedError(EndingSeen.FAILED, f"status {head.status}")
+            raise DispatchFailedError(DispatchEnding.FAILED, f"status {head.status}")
         content_type = head.headers.get("content-type", "application/octet-stream")
-        outcome = self._build_outcome(dispatch, EndingSeen.COMPLETED)
+        outcome = self._build_outcome(dispatch, DispatchEnding.COMPLETED)
         self.attempts.report_end(
             msgspec.structs.replace(
                 outcome,
                 incarnation=find_incarnation(head),
-                answer=self._keep(KeptAnswer(head.status, content_type, body)),
+                answer=self._keep(CachedAnswer(head.status, content_type, body)),
             )
         )
         self._dispatch = None
         return Response(head.status, {"content-type": content_type}, body)
 
-    def _keep(self, answer: KeptAnswer) -> KeptAnswer | None:
+    def _keep(self, answer: CachedAnswer) -> CachedAnswer | None:
         is_keyed = self.attempts.request.repeatability is Repeatability.KEYED
         return answer if is_keyed else None
 
-    def _build_outcome(self, dispatch: Dispatch, ending: EndingSeen) -> Outcome:
+    def _build_outcome(self, dispatch: Dispatch, ending: DispatchEnding) -> Outcome:
         return Outcome(
             self.attempts.request.request_id,
             dispatch.endpoint,
--- a/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
+++ b/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
@@ -15,9 +15,9 @@
 from toucanyard.names import Incarnation
 from toucanyard.options import StreamLimits
 from toucanyard.requests import (
+    CachedAnswer,
     Dispatch,
-    EndingSeen,
-    KeptAnswer,
+    DispatchEnding,
     Outcome,
     Refuse,
     Repeatability,
@@ -166,7 +166,7 @@
         engine, self._engine = self._engine, None
         if engine is not None:
             # Never NOT_SENT here: the core would try again for nobody.
-            self.attempts.report_end(self._build_outcome(EndingSeen.CANCELLED))
+            self.attempts.report_end(self._build_outcome(DispatchEnding.CANCELLED))
             self._spawn(engine.cancel)
         self._end(self._build_incomplete(text))
 
@@ -183,7 +183,7 @@
             # What was already said belongs to one version and goes on under none
             # other; before the first event any version will do.
             text = "the dispatch is for other weights"
-            raise DispatchFailedError(EndingSeen.NOT_SENT, text)
+            raise DispatchFailedError(DispatchEnding.NOT_SENT, text)
         is_stream = not self._call.is_plain_only or self._call.is_stream
         self._engine = EngineStream(
             self._pool,
@@ -225,7 +225,7 @@
         content_type = head.headers.get("content-type", "application/json")
         self._tell_first_token()
         self.is_over = True
-        kept = KeptAnswer(head.status, content_type, body)
+        kept = CachedAnswer(head.status, content_type, body)
         self._report_completed(kept)
         return Response(head.status, {"content-type": content_type}, body)
 
@@ -247,7 +247,7 @@
             except EventError as error:
                 # The events before it are kept and counted already: the caller would
                 # miss them, so the failure waits for the next read.
-                self._failure = DispatchFailedError(EndingSeen.FAILED, str(error))
+                self._failure = DispatchFailedError(DispatchEnding.FAILED, str(error))
                 break
             parts.append(self._keep(event.data))
         return parts[0] if len(parts) == 1 else b"".join(parts) or HEARTBEAT
@@ -292,19 +292,19 @@
         parts.append(self._keep(b"[DONE]"))
         if self._call.is_stream:
             body = b"".join(self._kept or ())
-            self._report_completed(KeptAnswer(200, EVENT_STREAM, body))
+            self._report_completed(CachedAnswer(200, EVENT_STREAM, body))
 
-    def report_gathered(self, answer: KeptAnswer) -> None:
+    def report_gathered(self, answer: CachedAnswer) -> None:
         """Report the end of an answer that was gathered from events."""
         self._report_completed(answer)
 
-    def _report_completed(self, kept: KeptAnswer | None) -> None:
-        outcome = self._build_outcome(EndingSeen.COMPLETED)
+    def _report_completed(self, kept: CachedAnswer | None) -> None:
+        outcome = self._build_outcome(DispatchEnding.COMPLETED)
         if self._kept is not None:
             outcome = msgspec.structs.replace(outcome, answer=kept)
         self.attempts.report_end(outcome)
 
-    def _build_outcome(self, ending: EndingSeen) -> Outcome:
+    def _build_outcome(self, ending: DispatchEnding) -> Outcome:
         assert self._dispatch is not None
         usage = self.last_chunk.usage if self.last_chunk is not None else None
         details = usage.prompt_tokens_details if usage is not None else None
@@ -372,7 +372,7 @@
     async def _start_again(self, dispatch: Dispatch) -> None:
         head = await self._start(dispatch)
         if not head.headers.get("content-type", "").startswith(EVENT_STREAM):
-            raise DispatchFailedError(EndingSeen.FAILED, f"status {head.status}")
+            raise DispatchFailedError(DispatchEnding.FAILED, f"status {head.status}")
 
     def _can_go_on(self) -> bool:
         """Tell whether prompt and text so far say all that another engine needs."""
@@ -391,7 +391,7 @@
     def _decline(self, dispatch: Dispatch) -> None:
         request_id = self.attempts.request.request_id
         self.attempts.report_end(
-            Outcome(request_id, dispatch.endpoint, EndingSeen.CANCELLED)
+            Outcome(request_id, dispatch.endpoint, DispatchEnding.CANCELLED)
         )
 
     def _build_incomplete(self, text: str) -> Refuse:
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_claims.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_claims.py
@@ -28,10 +28,10 @@
     ClaimEvent,
     ClaimRecordsRead,
     DispatchEnded,
-    KeyedArrived,
+    KeyedRequestArrived,
     LogState,
     RecordsSettled,
-    RefuseKeyed,
+    RefuseKeyedRequest,
     Ticked,
 )
 from toucanyard.core_events import (
@@ -43,7 +43,7 @@
 )
 from toucanyard.names import Address, CustomerName, Incarnation, NodeName, RequestId
 from toucanyard.options import ClaimLimits
-from toucanyard.requests import EndingSeen, KeptAnswer
+from toucanyard.requests import CachedAnswer, DispatchEnding
 from toucanyard_node.http_client import fetch
 from toucanyard_node.log_reader import LogEvent, follow_log
 from toucanyard_node.log_writer import write_log
@@ -65,7 +65,7 @@
 _LOG_APPENDS_PER_S: Final = 400
 _COLLECTORS: Final = 8
 _BIG_NODES: Final = 320
-_ANSWER: Final = KeptAnswer(200, "application/json", b"x" * 300)
+_ANSWER: Final = CachedAnswer(200, "application/json", b"x" * 300)
 
 
 class Sample(msgspec.Struct):
@@ -124,7 +124,7 @@
             # From the planned time on, so that a late sender doesn't hide a wait.
             self._sent_ms[request_id] = due_s * 1000
             deadline_ms = due_s * 1000 + 5_000
-            event = KeyedArrived(
+            event = KeyedRequestArrived(
                 request_id, _CUSTOMER, request_id, b"d" * 16, deadline_ms, 0
             )
             self._handle(event)
@@ -160,8 +160,10 @@
                 added_ms = now_ms - self._sent_ms.pop(request_id)
                 self._sample.added.record_value(max(1, int(added_ms * 1000)))
                 self._sample.allowed += 1
-                self._handle(DispatchEnded(request_id, EndingSeen.COMPLETED, _ANSWER))
-            case RefuseKeyed():
+                self._handle(
+                    DispatchEnded(request_id, DispatchEnding.COMPLETED, _ANSWER)
+                )
+            case RefuseKeyedRequest():
                 self._sample.refused += 1
             case _:
                 pass
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_requests.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_requests.py
@@ -13,7 +13,7 @@
 from toucanyard.admission import Admission
 from toucanyard.configuration import Configuration, PriorityClass
 from toucanyard.core_events import (
-    DispatchOver,
+    DispatchFinished,
     LogRead,
     LogStateSeen,
     Reply,
@@ -26,7 +26,7 @@
 from toucanyard.platform_log import (
     LogRecord,
 )
-from toucanyard.requests import Dispatch, EndingSeen, Outcome
+from toucanyard.requests import Dispatch, DispatchEnding, Outcome
 from toucanyard.scoring import Score
 from toucanyard.statistics import StatisticsCollector
 from toucanyard_standins import bench_placement_cost as placement_cost
@@ -44,7 +44,7 @@
 _OUTCOME: Final = Outcome(
     RequestId("r"),
     EndpointName("e"),
-    EndingSeen.COMPLETED,
+    DispatchEnding.COMPLETED,
     first_token_ms=200.0,
     duration_ms=2_000.0,
     prompt_tokens=1_000,
@@ -83,13 +83,13 @@
         outcome = Outcome(
             request.request_id,
             reply.verdict.endpoint,
-            EndingSeen.COMPLETED,
+            DispatchEnding.COMPLETED,
             first_token_ms=10.0,
             duration_ms=20.0,
             prompt_tokens=1_000,
             completion_tokens=10,
         )
-        core.handle(DispatchOver(outcome), now_ms + 20.0)
+        core.handle(DispatchFinished(outcome), now_ms + 20.0)
         times_us.append((time.perf_counter() - began) * 1e6)
     return statistics.median(times_us)
 
@@ -207,7 +207,7 @@
         sent = Sent(float(number), endpoint, 1, 12, scores)
         ring.add_step(request_id, sent)
         ended = Ended(
-            number + 30.5, endpoint, EndingSeen.COMPLETED, number + 0.3, 640, 1_000
+            number + 30.5, endpoint, DispatchEnding.COMPLETED, number + 0.3, 640, 1_000
         )
         ring.add_step(request_id, ended)
     return ring
--- a/packages/toucanyard-standins/src/toucanyard_standins/key_slopes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/key_slopes.py
@@ -14,21 +14,21 @@
 from toucanyard.claim_events import (
     ClaimRecordsRead,
     DispatchEnded,
-    KeyedArrived,
+    KeyedRequestArrived,
     LogState,
     PeerMessageArrived,
 )
 from toucanyard.key_messages import (
-    HandedKey,
-    HandKeys,
     KeyStatus,
-    NoteKeys,
     OpenLedger,
+    RecordKeys,
+    TransferKeys,
+    TransferredKey,
 )
 from toucanyard.key_records import (
     ClaimRecord,
     KeyName,
-    compute_mark,
+    compute_key_fingerprint,
     encode_record,
 )
 from toucanyard.names import (
@@ -42,7 +42,7 @@
 from toucanyard.platform_log import (
     LogRecord,
 )
-from toucanyard.requests import EndingSeen, KeptAnswer
+from toucanyard.requests import CachedAnswer, DispatchEnding
 from toucanyard_standins.platform import ReadBody
 from toucanyard_standins.platform_log import LogRecord as PageRecord
 
@@ -94,9 +94,11 @@
     for number in range(count):
         request_id = RequestId(f"a-1-{number}")
         key = core.issue_prefix(0) + "mine"
-        core.handle(KeyedArrived(request_id, _CUSTOMER, key, b"d" * 16, 1_000, 0), 0)
-        answer = KeptAnswer(200, "application/json", bytes(300))
-        core.handle(DispatchEnded(request_id, EndingSeen.COMPLETED, answer), 0)
+        core.handle(
+            KeyedRequestArrived(request_id, _CUSTOMER, key, b"d" * 16, 1_000, 0), 0
+        )
+        answer = CachedAnswer(200, "application/json", bytes(300))
+        core.handle(DispatchEnded(request_id, DispatchEnding.COMPLETED, answer), 0)
 
 
 def fill_notes(core: AtMostOnce, count: int) -> None:
@@ -105,7 +107,9 @@
     core.handle(PeerMessageArrived(owner, OpenLedger(Incarnation("a-1"), 1)), 0)
     for number in range(count):
         name = KeyName(_CUSTOMER, f"tk1~b~b-1~a~a-1~1~0~{number:016x}~mine")
-        note = NoteKeys(Incarnation("a-1"), 1, number, (compute_mark(name),))
+        note = RecordKeys(
+            Incarnation("a-1"), 1, number, (compute_key_fingerprint(name),)
+        )
         core.handle(PeerMessageArrived(owner, note), 0)
 
 
@@ -114,16 +118,16 @@
     owner = NodeId(NodeName("b"), Incarnation("b-1"))
     for start in range(0, count, 250):
         keys = tuple(make_handed(start + place) for place in range(250))
-        batch = HandKeys(Incarnation("a-1"), start, keys)
+        batch = TransferKeys(Incarnation("a-1"), start, keys)
         core.handle(PeerMessageArrived(owner, batch), 0)
 
 
-def make_handed(number: int) -> HandedKey:
+def make_handed(number: int) -> TransferredKey:
     """Return one ended key of another node."""
     name = KeyName(_CUSTOMER, f"tk1~b~b-1~a~a-1~1~0~{number:016x}~mine")
-    answer = KeptAnswer(200, "application/json", bytes(300))
+    answer = CachedAnswer(200, "application/json", bytes(300))
     digest = number.to_bytes(16, "big")
-    return HandedKey(name, "", KeyStatus.ANSWERED, digest, answer)
+    return TransferredKey(name, "", KeyStatus.ANSWERED, digest, answer)
 
 
 def print_slopes() -> None:
--- a/packages/toucanyard-standins/src/toucanyard_standins/note_costs.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/note_costs.py
@@ -18,17 +18,17 @@
     AllowDispatch,
     ClaimAction,
     DispatchEnded,
-    KeyedArrived,
+    KeyedRequestArrived,
     PeerMessageArrived,
     PeersChanged,
     PeerView,
     SendToPeer,
     Ticked,
 )
-from toucanyard.key_messages import KeyMessage, KeysNoted, NoteKeys
+from toucanyard.key_messages import KeyMessage, KeysRecorded, RecordKeys
 from toucanyard.names import CustomerName, Incarnation, NodeId, NodeName, RequestId
 from toucanyard.options import ClaimLimits
-from toucanyard.requests import EndingSeen, KeptAnswer
+from toucanyard.requests import CachedAnswer, DispatchEnding
 from toucanyard.wire import encode_message
 
 GATHERS_MS: Final = (1, 10, 20, 50, 100)
@@ -41,7 +41,7 @@
 _CUSTOMER: Final = CustomerName("lanchas")
 _ISSUER: Final = NodeId(NodeName("n001"), Incarnation("0123456789"))
 _WITNESS: Final = NodeId(NodeName("n002"), Incarnation("abcdef0123"))
-_ANSWER: Final = KeptAnswer(200, "application/json", b"x")
+_ANSWER: Final = CachedAnswer(200, "application/json", b"x")
 
 
 class NoteCosts(msgspec.Struct):
@@ -88,7 +88,9 @@
         key = issuer.issue_prefix(now_ms) + "mine"
         request_id = RequestId(f"r{now_ms}")
         self._arrived_ms[request_id] = now_ms
-        event = KeyedArrived(request_id, _CUSTOMER, key, b"d" * 16, now_ms + 30_000, 0)
+        event = KeyedRequestArrived(
+            request_id, _CUSTOMER, key, b"d" * 16, now_ms + 30_000, 0
+        )
         self._carry_out(_ISSUER, issuer.handle(event, now_ms), now_ms)
 
     def _put(self, at_ms: float, to: NodeId, message: KeyMessage | None) -> None:
@@ -114,7 +116,7 @@
                 case SendToPeer(message=message):
                     to = _WITNESS if node == _ISSUER else _ISSUER
                     self._put(now_ms + _HOP_MS, to, message)
-                    if isinstance(message, NoteKeys | KeysNoted):
+                    if isinstance(message, RecordKeys | KeysRecorded):
                         self.costs.messages += 1
                         size_bytes = len(encode_message(message)) + _FRAME_BYTES
                         self.costs.bytes_sent += size_bytes
@@ -127,7 +129,7 @@
         waited_ms = now_ms - self._arrived_ms.pop(request_id)
         self.costs.added_ms.append(waited_ms)
         self.costs.keys += 1
-        ended = DispatchEnded(request_id, EndingSeen.COMPLETED, _ANSWER)
+        ended = DispatchEnded(request_id, DispatchEnding.COMPLETED, _ANSWER)
         self._nodes[_ISSUER].handle(ended, now_ms)
 
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_engine.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_engine.py
@@ -16,7 +16,7 @@
 from toucanyard.cache_view import CacheDump, CacheEvent, CacheEventKind
 from toucanyard.load_view import LoadReport
 from toucanyard.names import EndpointName, Incarnation
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 from toucanyard_standins.virtual_clock import VirtualClock
 
 SNAPSHOT_MS: Final = 100.0
@@ -40,7 +40,7 @@
     tokens: int
     rank: int
     on_first_token: Callable[[Job], None]
-    on_end: Callable[[Job, EndingSeen], None]
+    on_end: Callable[[Job, DispatchEnding], None]
     warm_blocks: int = 0
     is_over: bool = False
 
@@ -92,13 +92,13 @@
         """Take one request, or refuse it while down."""
         if not self.is_up:
             job.is_over = True
-            job.on_end(job, EndingSeen.NOT_SENT)
+            job.on_end(job, DispatchEnding.NOT_SENT)
             return
         self._order += 1
         heapq.heappush(self.waiting, (job.rank, self._order, job))
         self._start_next()
 
-    def stop(self, ending: EndingSeen = EndingSeen.LOST) -> None:
+    def stop(self, ending: DispatchEnding = DispatchEnding.LOST) -> None:
         """Lose all state; what was under way ends with `ending`."""
         jobs = [job for _, _, job in self.waiting] + list(self.running.values())
         self.is_up = False
@@ -195,7 +195,7 @@
         job.is_over = True
         del self.running[order]
         del self.ends_ms[order]
-        job.on_end(job, EndingSeen.COMPLETED)
+        job.on_end(job, DispatchEnding.COMPLETED)
         self._start_next()
 
     def _store(self, chain: tuple[int, ...]) -> None:
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_node.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_node.py
@@ -17,7 +17,7 @@
 from toucanyard.names import EndpointName, RequestId
 from toucanyard.options import AdmissionLimits
 from toucanyard.placement import Placed
-from toucanyard.requests import EndingSeen, ModelTarget, Outcome, Refuse, Request
+from toucanyard.requests import DispatchEnding, ModelTarget, Outcome, Refuse, Request
 from toucanyard_standins.policy_conditions import Condition
 from toucanyard_standins.policy_engine import FakeEngine, Job
 from toucanyard_standins.policy_workload import Arrival
@@ -180,7 +180,7 @@
         self.placement.note_first_token(request_id, task.endpoint, after_ms, now_ms)
         self.admission.note_first_token(request_id, after_ms - work_ms, now_ms)
 
-    def _note_end(self, task: Task, job: Job, ending: EndingSeen) -> None:
+    def _note_end(self, task: Task, job: Job, ending: DispatchEnding) -> None:
         now_ms = self.run.clock.now_ms
         assert task.endpoint is not None
         if not self.is_gone:
@@ -194,7 +194,7 @@
                 duration_ms=now_ms - task.sent_ms,
             )
             self.placement.note_outcome(task.request, outcome, now_ms)
-        if ending == EndingSeen.COMPLETED:
+        if ending == DispatchEnding.COMPLETED:
             self.run.note_served(task)
             self._finish(task)
             return
--- a/packages/toucanyard/src/toucanyard/log_patience.py
+++ b/packages/toucanyard/src/toucanyard/adaptive_log_timeout.py
@@ -10,34 +10,34 @@
 from typing import Final
 
 _MAX_GROWTH: Final = 8.0
-_SLACK: Final = 3.0
+_SAFETY_FACTOR: Final = 3.0
 """How many times the last answer's time the next may take."""
 
 
-class LogPatience:
+class AdaptiveLogTimeout:
     """The time to wait for the next answer.
 
     Invariant: it lies between the one that is set and `_MAX_GROWTH` times that.
     """
 
-    __slots__ = ("_least_ms", "timeout_ms")
+    __slots__ = ("_min_ms", "timeout_ms")
 
     def __init__(self, least_ms: float) -> None:
-        self._least_ms = least_ms
+        self._min_ms = least_ms
         self.timeout_ms = least_ms
 
-    def note_answer(self, took_ms: float) -> None:
+    def record_answer(self, took_ms: float) -> None:
         """Take in that the log answered after so long."""
-        self._set(took_ms * _SLACK)
+        self._set(took_ms * _SAFETY_FACTOR)
 
-    def note_delay(self, took_ms: float) -> None:
+    def record_other_answer(self, took_ms: float) -> None:
         """Take in that another question was answered after so long; only lengthens."""
-        self._set(max(self.timeout_ms, took_ms * _SLACK))
+        self._set(max(self.timeout_ms, took_ms * _SAFETY_FACTOR))
 
-    def note_silence(self) -> None:
+    def record_timeout(self) -> None:
         """Take in that the log did not answer in time."""
         self._set(self.timeout_ms * 2)
 
     def _set(self, wanted_ms: float) -> None:
-        most_ms = self._least_ms * _MAX_GROWTH
-        self.timeout_ms = min(max(wanted_ms, self._least_ms), most_ms)
+        most_ms = self._min_ms * _MAX_GROWTH
+        self.timeout_ms = min(max(wanted_ms, self._min_ms), most_ms)
--- a/packages/toucanyard/src/toucanyard/kept_answers.py
+++ b/packages/toucanyard/src/toucanyard/answer_cache.py
@@ -7,12 +7,12 @@
 from toucanyard.key_records import (
     KeyName,
 )
-from toucanyard.requests import KeptAnswer
+from toucanyard.requests import CachedAnswer
 
 _OVERHEAD_BYTES: Final = 400
 
 
-class KeptAnswers:
+class AnswerCache:
     """Answers by key, oldest dropped first.
 
     Invariant: `used_bytes` is the sum over what is kept and never above the limit.
@@ -21,15 +21,15 @@
     __slots__ = ("_answers", "_limit_bytes", "used_bytes")
 
     def __init__(self, limit_bytes: int) -> None:
-        self._answers: dict[KeyName, KeptAnswer] = {}
+        self._answers: dict[KeyName, CachedAnswer] = {}
         self._limit_bytes = limit_bytes
         self.used_bytes = 0
 
-    def find(self, name: KeyName) -> KeptAnswer | None:
+    def find(self, name: KeyName) -> CachedAnswer | None:
         """Return the answer of a key unless it was dropped."""
         return self._answers.get(name)
 
-    def keep(self, name: KeyName, answer: KeptAnswer) -> None:
+    def keep(self, name: KeyName, answer: CachedAnswer) -> None:
         """Keep an answer, dropping the oldest ones that it displaces."""
         self.drop(name)
         size_bytes = _compute_size_bytes(answer)
@@ -47,5 +47,5 @@
             self.used_bytes -= _compute_size_bytes(answer)
 
 
-def _compute_size_bytes(answer: KeptAnswer) -> int:
+def _compute_size_bytes(answer: CachedAnswer) -> int:
     return len(answer.body) + len(answer.content_type) + _OVERHEAD_BYTES
--- a/packages/toucanyard/src/toucanyard/append_batch.py
+++ b/packages/toucanyard/src/toucanyard/append_batch.py
@@ -27,21 +27,27 @@
     texts: tuple[str, ...]
 
 
-class BatchGatherer:
+class AppendBatcher:
     """Records that wait for their append.
 
     Invariants: at most one batch is due each `1000 / max_appends_per_s`; records
     leave in the order in which they came.
     """
 
-    __slots__ = ("_due_ms", "_gap_ms", "_gather_ms", "_open_ms", "_waiting")
+    __slots__ = (
+        "_due_ms",
+        "_interval_ms",
+        "_gather_ms",
+        "_next_allowed_ms",
+        "_waiting",
+    )
 
     def __init__(self, limits: ClaimLimits) -> None:
         self._gather_ms = limits.gather_ms
-        self._gap_ms = 1_000 / limits.max_appends_per_s
+        self._interval_ms = 1_000 / limits.max_appends_per_s
         self._waiting: list[AppendToLog] = []
         self._due_ms = float("inf")
-        self._open_ms = float("-inf")
+        self._next_allowed_ms = float("-inf")
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -54,15 +60,15 @@
 
     def find_due_ms(self) -> float:
         """Return when the next batch is due; infinity when nothing waits."""
-        return max(self._due_ms, self._open_ms)
+        return max(self._due_ms, self._next_allowed_ms)
 
-    def take(self, now_ms: float) -> AppendBatch | None:
+    def pop_due(self, now_ms: float) -> AppendBatch | None:
         """Take the batch that is due, if any."""
         if not self._waiting or now_ms < self.find_due_ms():
             return None
         count = self._count_fitting()
         taken, self._waiting = self._waiting[:count], self._waiting[count:]
-        self._open_ms = now_ms + self._gap_ms
+        self._next_allowed_ms = now_ms + self._interval_ms
         self._due_ms = now_ms if self._waiting else float("inf")
         return AppendBatch(
             tuple(each.record_id for each in taken),
--- a/packages/toucanyard/src/toucanyard/at_most_once.py
+++ b/packages/toucanyard/src/toucanyard/at_most_once.py
@@ -21,8 +21,8 @@
     ClaimRecordsRead,
     DispatchEnded,
     DispatchStarted,
-    HandOverBegun,
-    KeyedArrived,
+    HandoverBegun,
+    KeyedRequestArrived,
     LogState,
     PeerMessageArrived,
     PeersChanged,
@@ -34,41 +34,41 @@
 from toucanyard.followed_keys import FollowedKeys
 from toucanyard.issued_keys import parse_issued_key
 from toucanyard.key_answers import refuse, refuse_unclaimed
-from toucanyard.key_book import KeyBook
 from toucanyard.key_entries import KeyEntry, Phase
 from toucanyard.key_handover import KeyHandover
 from toucanyard.key_issuer import KeyIssuer
 from toucanyard.key_messages import (
-    AskHanded,
     AskKey,
-    HandKeys,
+    AskTransferredKey,
+    HandoverAnnounced,
     KeyMessage,
-    KeysHandedOver,
-    KeysNoted,
-    KeysTaken,
+    KeyReport,
+    KeysAccepted,
+    KeysRecorded,
     KeyStatus,
-    KeyTold,
     LedgerOpened,
-    NoteKeys,
     OpenLedger,
-    SealAnswered,
-    SealKey,
+    RecordKeys,
+    RevocationAnswered,
+    RevokeKey,
+    TransferKeys,
 )
-from toucanyard.key_questions import KeyQuestions
+from toucanyard.key_query_handler import KeyQueryHandler
 from toucanyard.key_records import (
     KeyName,
 )
+from toucanyard.key_table import KeyTable
 from toucanyard.names import (
     Incarnation,
     NodeId,
     NodeName,
     RequestId,
 )
-from toucanyard.noted_keys import NotedKeys
 from toucanyard.options import ClaimLimits
-from toucanyard.requests import PROVED_NOT_RUN, EndingSeen
+from toucanyard.recorded_keys import RecordedKeys
+from toucanyard.requests import PROVEN_NOT_RUN, DispatchEnding
 
-_HAS_ANSWER: Final = frozenset({EndingSeen.COMPLETED, EndingSeen.FAILED})
+_HAS_ANSWER: Final = frozenset({DispatchEnding.COMPLETED, DispatchEnding.FAILED})
 
 MAX_KEY_CHARS: Final = 255
 
@@ -81,13 +81,13 @@
     """
 
     __slots__ = (
-        "_book",
+        "_table",
         "_claimed",
         "_followed",
         "_handover",
         "_issuer",
-        "_noted",
-        "_questions",
+        "_recorded",
+        "_queries",
     )
 
     def __init__(
@@ -98,93 +98,93 @@
         rng: random.Random,
     ) -> None:
         identity = NodeId(node, incarnation)
-        self._book = KeyBook(identity, limits, rng)
-        self._followed = FollowedKeys(self._book)
-        self._claimed = ClaimedKeys(self._book, self._followed)
-        self._noted = NotedKeys(self._book)
+        self._table = KeyTable(identity, limits, rng)
+        self._followed = FollowedKeys(self._table)
+        self._claimed = ClaimedKeys(self._table, self._followed)
+        self._recorded = RecordedKeys(self._table)
         self._issuer = KeyIssuer(
             identity, limits.ledger_ms, max_age_ms=limits.window_ms / 2
         )
-        self._questions = KeyQuestions(self._book, self._noted)
-        self._handover = KeyHandover(self._book)
+        self._queries = KeyQueryHandler(self._table, self._recorded)
+        self._handover = KeyHandover(self._table)
 
     def issue_prefix(self, now_ms: float) -> str:
         """Return a new key prefix for a caller to put before its own part."""
-        return self._issuer.issue(now_ms, self._book.rng)
+        return self._issuer.issue(now_ms, self._table.rng)
 
-    def may_dispatch(self, event: KeyedArrived) -> bool:
+    def may_dispatch(self, event: KeyedRequestArrived) -> bool:
         """Tell whether this try may be the one that is dispatched from this node.
 
         When false, `handle` leads to a refusal or to another try's answer, so there
         is no point in letting the request queue for an endpoint first.
         """
-        book = self._book
+        table = self._table
         name = KeyName(event.customer, event.key)
         if len(event.key) > MAX_KEY_CHARS:
             return False
-        if book.find_ended(name) is not None or book.find_entry(name) is not None:
+        if table.find_ended(name) is not None or table.find_entry(name) is not None:
             return False
         if self._handover.is_begun():
             return False
         issued = parse_issued_key(event.key)
         if issued is not None:
-            return issued.issuer == book.identity
-        return book.is_log_up and book.index.find(name) is None
+            return issued.issuer == table.identity
+        return table.is_log_up and table.index.find(name) is None
 
-    def is_handed_over(self) -> bool:
+    def is_handover_done(self) -> bool:
         """Tell whether a planned stop has nothing more to wait for."""
         return self._handover.is_done
 
-    def count_left_over(self) -> int:
+    def count_not_transferred(self) -> int:
         """Return how many ended keys a planned stop has not handed over."""
         return self._handover.count_left()
 
-    def count_handed(self) -> int:
+    def count_transferred(self) -> int:
         """Return how many ended keys are held for nodes that stopped."""
-        return len(self._book.handed)
+        return len(self._table.transferred)
 
     def count_keys(self) -> int:
         """Return how many keys are under way or ended on this node."""
-        return len(self._book)
+        return len(self._table)
 
     def count_claims(self) -> int:
         """Return how many claims of any node are remembered from the log."""
-        return len(self._book.index)
+        return len(self._table.index)
 
     def find_next_offset(self) -> int | None:
         """Return the log offset up to which claims were read."""
-        return self._book.index.next_offset
+        return self._table.index.next_offset
 
     def handle(self, event: ClaimEvent, now_ms: float) -> list[ClaimAction]:
         """Take one event in and return what must be done now, in this order."""
         actions = list(self._handle_one(event, now_ms))
-        while messages := self._book.take_loopback():
+        while messages := self._table.pop_loopback():
             for message in messages:
-                sender = self._book.identity
+                sender = self._table.identity
                 actions += self._handle_message(sender, message, now_ms)
         return actions
 
     def _handle_one(self, event: ClaimEvent, now_ms: float) -> Iterator[ClaimAction]:
         match event:
-            case KeyedArrived():
-                yield from self._arrive(event, now_ms)
+            case KeyedRequestArrived():
+                yield from self._handle_arrival(event, now_ms)
             case DispatchStarted(request_id=request_id):
-                self._start(request_id)
+                self._handle_start(request_id)
             case DispatchEnded():
                 yield from self._end_dispatch(event, now_ms)
             case CallerLeft(request_id=request_id):
-                yield from self._leave(request_id, now_ms)
+                yield from self._handle_caller_left(request_id, now_ms)
             case ClaimRecordsRead() | RecordsSettled() | LogState():
                 yield from self._handle_log(event, now_ms)
             case PeersChanged(peers=peers):
-                self._book.peers = peers
+                self._table.peers = peers
                 yield from self._renew_ledger(now_ms)
             case PeerMessageArrived(sender=sender, message=message):
                 yield from self._handle_message(sender, message, now_ms)
             case Ticked():
                 yield from self._tick(now_ms)
-            case HandOverBegun():
-                yield from self._begin_hand_over(now_ms)
+            case HandoverBegun():
+                yield from self._begin_handover(now_ms)
 
     def _handle_log(
         self, event: ClaimRecordsRead | RecordsSettled | LogState, now_ms: float
@@ -197,80 +197,84 @@
             case LogState(is_up=is_up):
                 yield from self._claimed.set_log_state(is_up, now_ms)
 
-    def _arrive(self, event: KeyedArrived, now_ms: float) -> Iterator[ClaimAction]:
-        book = self._book
+    def _handle_arrival(
+        self, event: KeyedRequestArrived, now_ms: float
+    ) -> Iterator[ClaimAction]:
+        table = self._table
         name = KeyName(event.customer, event.key)
-        ended = book.find_ended(name)
-        entry = book.find_entry(name)
+        ended = table.find_ended(name)
+        entry = table.find_entry(name)
         issued = parse_issued_key(event.key)
         age_ms = event.key_age_ms
         if len(event.key) > MAX_KEY_CHARS:
             # Bounds what `max_keys` keys can take; such a key never runs anywhere.
-            yield refuse(event, ErrorKind.BAD_REQUEST, book.rng)
+            yield refuse(event, ErrorKind.BAD_REQUEST, table.rng)
         elif age_ms is not None and self._may_outlive_window(event, age_ms, now_ms):
             # By the time it is claimed, the claim of an earlier try may be forgotten
             # everywhere, and the key would run again.
-            yield refuse(event, ErrorKind.KEY_EXPIRED, book.rng)
+            yield refuse(event, ErrorKind.KEY_EXPIRED, table.rng)
         elif ended is not None:
-            yield book.tell_ended(event, ended, now_ms)
+            yield table.compose_ended_reply(event, ended, now_ms)
         elif entry is not None:
             yield from self._join(entry, event, now_ms)
         elif self._handover.is_begun():
-            yield refuse_unclaimed(event, ErrorKind.DRAINING, book.rng)
+            yield refuse_unclaimed(event, ErrorKind.DRAINING, table.rng)
         elif issued is None:
-            yield from self._claimed.arrive(event, name, now_ms)
-        elif issued.issuer == book.identity:
-            yield from self._noted.arrive(event, name, issued, now_ms)
+            yield from self._claimed.handle_arrival(event, name, now_ms)
+        elif issued.issuer == table.identity:
+            yield from self._recorded.handle_arrival(event, name, issued, now_ms)
         else:
-            yield from self._followed.arrive_issued(event, name, issued, now_ms)
+            yield from self._followed.handle_issued(event, name, issued, now_ms)
 
     def _may_outlive_window(
-        self, event: KeyedArrived, age_ms: float, now_ms: float
+        self, event: KeyedRequestArrived, age_ms: float, now_ms: float
     ) -> bool:
         left_ms = max(event.deadline_ms - now_ms, 0)
-        return age_ms + left_ms >= self._book.limits.window_ms
+        return age_ms + left_ms >= self._table.limits.window_ms
 
     def _join(
-        self, entry: KeyEntry, event: KeyedArrived, now_ms: float
+        self, entry: KeyEntry, event: KeyedRequestArrived, now_ms: float
     ) -> Iterator[ClaimAction]:
         """Let a try wait for the end of a key that is under way here."""
         if entry.phase is Phase.ALLOWED and event.body_digest != entry.digest:
-            yield self._book.tell_running(event, entry, now_ms)
+            yield self._table.compose_running_reply(event, entry, now_ms)
         else:
-            self._book.wait(entry, event)
+            self._table.add_waiting(entry, event)
 
-    def _start(self, request_id: RequestId) -> None:
-        entry = self._book.find_entry_of(request_id)
+    def _handle_start(self, request_id: RequestId) -> None:
+        entry = self._table.find_entry_of(request_id)
         if entry is not None and entry.running == request_id:
             entry.is_started = True
 
     def _end_dispatch(
         self, event: DispatchEnded, now_ms: float
     ) -> Iterator[ClaimAction]:
-        book = self._book
-        entry = book.find_entry_of(event.request_id)
+        table = self._table
+        entry = table.find_entry_of(event.request_id)
         if entry is None or entry.running != event.request_id:
             return
-        is_cancelled = event.ending is EndingSeen.CANCELLED
-        if event.ending in PROVED_NOT_RUN or (is_cancelled and not entry.is_started):
-            yield from book.seal(entry, now_ms)
+        is_cancelled = event.ending is DispatchEnding.CANCELLED
+        if event.ending in PROVEN_NOT_RUN or (is_cancelled and not entry.is_started):
+            yield from table.revoke(entry, now_ms)
         elif event.ending in _HAS_ANSWER and event.answer is not None:
-            book.keep_answer(entry, event.answer)
-            yield from book.finish(entry, KeyStatus.ANSWERED, now_ms)
+            table.store_answer(entry, event.answer)
+            yield from table.finish(entry, KeyStatus.ANSWERED, now_ms)
         else:
-            yield from book.finish(entry, KeyStatus.UNKNOWN, now_ms)
+            yield from table.finish(entry, KeyStatus.UNKNOWN, now_ms)
 
-    def _leave(self, request_id: RequestId, now_ms: float) -> Iterator[ClaimAction]:
-        book = self._book
-        entry = book.find_entry_of(request_id)
+    def _handle_caller_left(
+        self, request_id: RequestId, now_ms: float
+    ) -> Iterator[ClaimAction]:
+        table = self._table
+        entry = table.find_entry_of(request_id)
         if entry is None:
             return
         if entry.running == request_id:
             # Nobody is left who would tell the end of this dispatch.
-            ended = DispatchEnded(request_id, EndingSeen.CANCELLED)
+            ended = DispatchEnded(request_id, DispatchEnding.CANCELLED)
             yield from self._end_dispatch(ended, now_ms)
             return
-        book.forget_try(entry, request_id)
+        table.remove_waiting(entry, request_id)
         if not entry.waiting:
             yield from self._drop_unwanted(entry, ErrorKind.CALLER_GONE, now_ms)
 
@@ -279,12 +283,12 @@
     ) -> Iterator[ClaimAction]:
         """End a key that no more than an expired try waits for."""
         match entry.phase:
-            case Phase.NOTING:
-                yield from self._book.seal(entry, now_ms)
+            case Phase.RECORDING:
+                yield from self._table.revoke(entry, now_ms)
             case Phase.CLAIMING:
                 yield from self._claimed.give_up(entry, kind, now_ms)
             case Phase.FOLLOWING:
-                self._book.remove(entry)
+                self._table.remove(entry)
             case Phase.ALLOWED:
                 pass
 
@@ -292,85 +296,91 @@
         self, sender: NodeId, message: KeyMessage, now_ms: float
     ) -> Iterator[ClaimAction]:
         # A message for an earlier incarnation of this node, which knew other keys.
-        if message.to != self._book.identity.incarnation:
+        if message.to != self._table.identity.incarnation:
             return
         match message:
-            case KeyTold():
-                yield from self._followed.take_told(sender, message, now_ms)
-            case KeysNoted():
-                yield from self._noted.take_noted(sender, message, now_ms)
-            case SealAnswered():
-                yield from self._followed.take_seal(sender, message, now_ms)
+            case KeyReport():
+                yield from self._followed.handle_report(sender, message, now_ms)
+            case KeysRecorded():
+                yield from self._recorded.handle_recorded(sender, message, now_ms)
+            case RevocationAnswered():
+                yield from self._followed.handle_revocation(sender, message, now_ms)
             case LedgerOpened():
-                self._issuer.take_ledger(sender, message)
-            case HandKeys():
-                yield from self._take_handed(sender, message, now_ms)
-            case KeysTaken():
-                yield from self._handover.take_ack(sender, message, now_ms)
-            case KeysHandedOver(holders=holders):
-                self._book.note_stopped(sender, holders, now_ms)
-            case AskKey() | AskHanded() | OpenLedger() | NoteKeys() | SealKey():
-                yield from self._questions.answer(sender, message, now_ms)
-
-    def _begin_hand_over(self, now_ms: float) -> Iterator[ClaimAction]:
+                self._issuer.accept_ledger(sender, message)
+            case TransferKeys():
+                yield from self._accept_transfer(sender, message, now_ms)
+            case KeysAccepted():
+                yield from self._handover.handle_ack(sender, message, now_ms)
+            case HandoverAnnounced(holders=holders):
+                self._table.record_stopped(sender, holders, now_ms)
+            case (
+                AskKey()
+                | AskTransferredKey()
+                | OpenLedger()
+                | RecordKeys()
+                | RevokeKey()
+            ):
+                yield from self._queries.answer(sender, message, now_ms)
+
+    def _begin_handover(self, now_ms: float) -> Iterator[ClaimAction]:
         """Decide what is undecided, and hand over what has ended."""
         if self._handover.is_begun():
             return
-        for entry in self._book.find_entries(Phase.NOTING):
-            yield from self._book.seal(entry, now_ms)
+        for entry in self._table.find_entries(Phase.RECORDING):
+            yield from self._table.revoke(entry, now_ms)
         yield from self._claimed.give_up_all(ErrorKind.DRAINING, now_ms)
         yield from self._handover.begin(now_ms)
 
-    def _take_handed(
-        self, sender: NodeId, message: HandKeys, now_ms: float
+    def _accept_transfer(
+        self, sender: NodeId, message: TransferKeys, now_ms: float
     ) -> Iterator[ClaimAction]:
         # What is taken once the own hand-over has begun would end with this node.
-        has_room = self._book.handed.has_room(message.keys)
+        has_room = self._table.transferred.has_room(message.keys)
         is_taken = has_room and not self._handover.is_begun()
         if is_taken:
-            self._book.handed.take(message.keys, now_ms)
+            self._table.transferred.accept(message.keys, now_ms)
             for key in message.keys:
-                yield from self._followed.take_held(key, now_ms)
-        ack = KeysTaken(sender.incarnation, message.batch, is_taken)
-        yield from self._book.send(sender, ack)
+                yield from self._followed.handle_transferred(key, now_ms)
+        ack = KeysAccepted(sender.incarnation, message.batch, is_taken)
+        yield from self._table.send(sender, ack)
 
     def _tick(self, now_ms: float) -> Iterator[ClaimAction]:
-        for entry in self._book.find_entries():
+        for entry in self._table.find_entries():
             yield from self._tick_entry(entry, now_ms)
-        yield from self._noted.send_waiting(now_ms)
-        self._book.forget_old(now_ms)
-        self._questions.forget_old(now_ms)
+        yield from self._recorded.send_waiting(now_ms)
+        self._table.forget_old(now_ms)
+        self._queries.forget_old(now_ms)
         yield from self._renew_ledger(now_ms)
         yield from self._handover.tick(now_ms)
 
     def _tick_entry(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
         for expired in entry.find_expired(now_ms):
             yield from self._expire(entry, expired, now_ms)
-        if self._book.find_entry(entry.name) is not entry:
+        if self._table.find_entry(entry.name) is not entry:
             return
         if entry.phase is Phase.FOLLOWING:
             yield from self._followed.tick(entry, now_ms)
-        elif entry.phase is Phase.NOTING:
-            yield from self._noted.tick(entry, now_ms)
+        elif entry.phase is Phase.RECORDING:
+            yield from self._recorded.tick(entry, now_ms)
 
     def _expire(
-        self, entry: KeyEntry, expired: KeyedArrived, now_ms: float
+        self, entry: KeyEntry, expired: KeyedRequestArrived, now_ms: float
     ) -> Iterator[ClaimAction]:
         """Answer a try whose deadline has passed while its key is undecided."""
-        is_own = entry.phase in (Phase.NOTING, Phase.CLAIMING)
+        is_own = entry.phase in (Phase.RECORDING, Phase.CLAIMING)
         if is_own and len(entry.waiting) == 1:
             # The last try gets the ending that giving up proves.
             yield from self._drop_unwanted(entry, ErrorKind.DEADLINE_EXCEEDED, now_ms)
             return
-        self._book.forget_try(entry, expired.request_id)
+        self._table.remove_waiting(entry, expired.request_id)
         is_known = entry.phase is not Phase.FOLLOWING or entry.is_target_running
         kind = ErrorKind.KEY_IN_PROGRESS if is_known else ErrorKind.OUTCOME_UNKNOWN
-        yield refuse(expired, kind, self._book.rng)
+        yield refuse(expired, kind, self._table.rng)
         if not entry.waiting:
             yield from self._drop_unwanted(entry, kind, now_ms)
 
     def _renew_ledger(self, now_ms: float) -> Iterator[ClaimAction]:
-        book = self._book
+        table = self._table
         yield from self._issuer.renew(
-            book.peers, now_ms, book.limits.resend_ms, book.rng
+            table.peers, now_ms, table.limits.resend_ms, table.rng
         )
--- a/packages/toucanyard/src/toucanyard/witness_ledgers.py
+++ b/packages/toucanyard/src/toucanyard/backup_ledgers.py
@@ -14,7 +14,7 @@
 )
 from toucanyard.key_records import (
     KeyName,
-    compute_mark,
+    compute_key_fingerprint,
 )
 from toucanyard.names import (
     NodeId,
@@ -30,7 +30,7 @@
     status: dict[bytes, LedgerStatus] = field(default_factory=dict)
 
 
-class WitnessLedgers:
+class BackupLedgers:
     """What this node witnesses for others.
 
     Invariants: a key's status in a ledger never changes once set; a ledger's number
@@ -66,13 +66,17 @@
             self._next_ledger += 1
         return opened[request]
 
-    def note(self, owner: NodeId, ledger: int, mark: bytes) -> LedgerStatus:
+    def record_key(
+        self, owner: NodeId, ledger: int, fingerprint: bytes
+    ) -> LedgerStatus:
         """Note a key unless it is sealed; return its status afterwards."""
-        return self._set_once(owner, ledger, mark, LedgerStatus.NOTED)
+        return self._set_once(owner, ledger, fingerprint, LedgerStatus.RECORDED)
 
-    def seal(self, owner: NodeId, ledger: int, name: KeyName) -> LedgerStatus:
+    def revoke(self, owner: NodeId, ledger: int, name: KeyName) -> LedgerStatus:
         """Seal a key unless it is noted; return its status afterwards."""
-        return self._set_once(owner, ledger, compute_mark(name), LedgerStatus.SEALED)
+        return self._set_once(
+            owner, ledger, compute_key_fingerprint(name), LedgerStatus.REVOKED
+        )
 
     def forget_old(self, now_ms: float) -> None:
         """Forget ledgers all of whose keys are past the window."""
@@ -82,17 +86,17 @@
             self._drop(ledger)
 
     def _set_once(
-        self, owner: NodeId, number: int, mark: bytes, wanted: LedgerStatus
+        self, owner: NodeId, number: int, fingerprint: bytes, wanted: LedgerStatus
     ) -> LedgerStatus:
         ledger = self._ledgers.get(number)
         if ledger is None or ledger.owner != owner:
             return LedgerStatus.GONE
-        status = ledger.status.get(mark)
+        status = ledger.status.get(fingerprint)
         if status is not None:
             return status
         if self._key_count >= self._max_keys:
             return LedgerStatus.GONE
-        ledger.status[mark] = wanted
+        ledger.status[fingerprint] = wanted
         self._key_count += 1
         return wanted
 
--- a/packages/toucanyard/src/toucanyard/call_retries.py
+++ b/packages/toucanyard/src/toucanyard/call_retries.py
@@ -7,7 +7,7 @@
 from toucanyard.relay_options import RetryLimits
 from toucanyard.relay_policy import RetryPolicy
 from toucanyard.relay_requests import RelayOutcome
-from toucanyard.requests import PROVED_NOT_RUN, EndingSeen, Repeatability
+from toucanyard.requests import PROVEN_NOT_RUN, DispatchEnding, Repeatability
 from toucanyard.retry_budget import SharedRetryBudget
 
 
@@ -32,7 +32,7 @@
         """Return whether a call is tried elsewhere, and spend a retry if so."""
         request = pending.request
         is_safe = (
-            outcome.ending in PROVED_NOT_RUN
+            outcome.ending in PROVEN_NOT_RUN
             or request.repeatability is Repeatability.REPEATABLE
         )
         pending.has_begun = pending.has_begun or outcome.has_begun
@@ -45,7 +45,7 @@
         if pending.dispatches > 2 * request.max_attempts + 2:
             return False
         pending.tried = (*pending.tried, outcome.replica)
-        if outcome.ending is EndingSeen.NOT_SENT:
+        if outcome.ending is DispatchEnding.NOT_SENT:
             return True
         if not self._policy.is_bounded:
             return True
--- a/packages/toucanyard/src/toucanyard/claim_events.py
+++ b/packages/toucanyard/src/toucanyard/claim_events.py
@@ -8,10 +8,10 @@
 from toucanyard.key_messages import KeyMessage
 from toucanyard.names import CustomerName, Incarnation, NodeId, NodeName, RequestId
 from toucanyard.platform_log import AppendResult, LogRecord
-from toucanyard.requests import EndingSeen, KeptAnswer
+from toucanyard.requests import CachedAnswer, DispatchEnding
 
 
-class KeyedArrived(msgspec.Struct, frozen=True):
+class KeyedRequestArrived(msgspec.Struct, frozen=True):
     """A request that carries a key has come from a caller.
 
     `key_age_ms` is the time since the caller first sent this key, by the caller's
@@ -36,8 +36,8 @@
     """An allowed request is over, also when it was never dispatched (NOT_SENT)."""
 
     request_id: RequestId
-    ending: EndingSeen
-    answer: KeptAnswer | None = None
+    ending: DispatchEnding
+    answer: CachedAnswer | None = None
 
 
 class CallerLeft(msgspec.Struct, frozen=True):
@@ -95,12 +95,12 @@
     """Time has passed; wanted at least every `ClaimLimits.resend_ms`."""
 
 
-class HandOverBegun(msgspec.Struct, frozen=True):
+class HandoverBegun(msgspec.Struct, frozen=True):
     """This node stops as planned; its last request has ended, or had time to."""
 
 
 ClaimEvent = (
-    KeyedArrived
+    KeyedRequestArrived
     | DispatchStarted
     | DispatchEnded
     | CallerLeft
@@ -110,7 +110,7 @@
     | PeersChanged
     | PeerMessageArrived
     | Ticked
-    | HandOverBegun
+    | HandoverBegun
 )
 
 
@@ -120,7 +120,7 @@
     request_id: RequestId
 
 
-class RefuseKeyed(msgspec.Struct, frozen=True):
+class RefuseKeyedRequest(msgspec.Struct, frozen=True):
     """Answer this request at once with this refusal."""
 
     request_id: RequestId
@@ -134,7 +134,7 @@
     """Answer this request with what an earlier try of its key got."""
 
     request_id: RequestId
-    answer: KeptAnswer
+    answer: CachedAnswer
 
 
 class AppendRecord(msgspec.Struct, frozen=True):
@@ -152,4 +152,6 @@
     message: KeyMessage
 
 
-ClaimAction = AllowDispatch | RefuseKeyed | ReplayAnswer | AppendRecord | SendToPeer
+ClaimAction = (
+    AllowDispatch | RefuseKeyedRequest | ReplayAnswer | AppendRecord | SendToPeer
+)
--- a/packages/toucanyard/src/toucanyard/claims.py
+++ b/packages/toucanyard/src/toucanyard/claims.py
@@ -17,7 +17,7 @@
 from toucanyard.key_records import (
     AbandonRecord,
     ClaimRecord,
-    HandedOverRecord,
+    HandoverRecord,
     KeyName,
     decode_record,
 )
@@ -28,7 +28,7 @@
     LogRecord,
 )
 
-_REMEMBER_IN_WINDOWS: Final = 1.25
+_RETENTION_WINDOWS: Final = 1.25
 """Longer than a key may be used, so that clocks that drift apart do no harm."""
 
 
@@ -46,7 +46,7 @@
     """When the log took it, by the log's clock."""
     read_ms: float
     is_abandoned: bool
-    is_sure: bool
+    is_certain: bool
     """False when an earlier claim may have won: one missed for want of room, or one
     that is old by the log's clock only."""
 
@@ -68,24 +68,24 @@
     __slots__ = (
         "_given_up",
         "_claims",
-        "_hole_at_ms",
-        "_hole_read_ms",
+        "_missed_at_ms",
+        "_missed_read_ms",
         "_log_now_ms",
         "_max_keys",
-        "_remember_ms",
+        "_retention_ms",
         "_window_ms",
         "next_offset",
     )
 
     def __init__(self, window_ms: float, max_keys: int) -> None:
         self._window_ms = window_ms
-        self._remember_ms = window_ms * _REMEMBER_IN_WINDOWS
+        self._retention_ms = window_ms * _RETENTION_WINDOWS
         self._max_keys = max_keys
         self._claims: dict[KeyName, Claim] = {}
         self._given_up: dict[str, float] = {}
         self._log_now_ms = float("-inf")
-        self._hole_at_ms: float | None = None
-        self._hole_read_ms = 0.0
+        self._missed_at_ms: float | None = None
+        self._missed_read_ms = 0.0
         self.next_offset: int | None = None
 
     def __len__(self) -> int:
@@ -98,7 +98,7 @@
     def is_winner(self, claim_id: str, name: KeyName) -> bool:
         """Tell whether this claim was surely the first of its key."""
         claim = self._claims.get(name)
-        return claim is not None and claim.claim_id == claim_id and claim.is_sure
+        return claim is not None and claim.claim_id == claim_id and claim.is_certain
 
     def is_fresh(self, name: KeyName, claim_id: str, now_ms: float) -> bool:
         """Tell whether no node can have forgotten this claim of a key yet.
@@ -114,7 +114,7 @@
 
     def is_complete(self) -> bool:
         """Tell whether every claim of the window has been remembered."""
-        return self._hole_at_ms is None
+        return self._missed_at_ms is None
 
     def is_given_up(self, claim_id: str) -> bool:
         """Tell whether this node gave its claim up before having read it."""
@@ -126,11 +126,11 @@
 
     def read(
         self, event: ClaimRecordsRead, now_ms: float
-    ) -> list[ClaimRecord | HandedOverRecord]:
+    ) -> list[ClaimRecord | HandoverRecord]:
         """Take in records in offset order; return those that others must act on."""
         start = event.from_offset if self.next_offset is None else self.next_offset
         self.next_offset = max(start, event.next_offset)
-        found: list[ClaimRecord | HandedOverRecord] = []
+        found: list[ClaimRecord | HandoverRecord] = []
         for record in event.records:
             # A read that overlaps the last one would otherwise count a claim twice.
             if record.offset < start:
@@ -138,11 +138,11 @@
             self._log_now_ms = max(self._log_now_ms, record.at_ms)
             match decode_record(record.text):
                 case ClaimRecord() as claim:
-                    self._take_claim(claim, record, now_ms)
+                    self._apply_claim(claim, record, now_ms)
                     found.append(claim)
                 case AbandonRecord(claim_id=claim_id, name=name):
                     self.abandon(claim_id, name)
-                case HandedOverRecord() as handed_over:
+                case HandoverRecord() as handed_over:
                     found.append(handed_over)
         return found
 
@@ -161,14 +161,14 @@
             del self._claims[name]
         while self._given_up:
             claim_id = next(iter(self._given_up))
-            if now_ms - self._given_up[claim_id] < 2 * self._remember_ms:
+            if now_ms - self._given_up[claim_id] < 2 * self._retention_ms:
                 break
             del self._given_up[claim_id]
-        hole_at_ms = self._hole_at_ms
-        if hole_at_ms is not None and self._is_old(
-            hole_at_ms, self._hole_read_ms, now_ms
+        missed_at_ms = self._missed_at_ms
+        if missed_at_ms is not None and self._is_old(
+            missed_at_ms, self._missed_read_ms, now_ms
         ):
-            self._hole_at_ms = None
+            self._missed_at_ms = None
 
     def _find_old(self, now_ms: float) -> list[KeyName]:
         old = []
@@ -179,28 +179,30 @@
         return old
 
     def _is_old(self, at_ms: float, read_ms: float, now_ms: float) -> bool:
-        if now_ms - read_ms < self._remember_ms:
+        if now_ms - read_ms < self._retention_ms:
             return False
-        return self._log_now_ms - at_ms >= self._remember_ms
+        return self._log_now_ms - at_ms >= self._retention_ms
 
-    def _take_claim(self, claim: ClaimRecord, record: LogRecord, now_ms: float) -> None:
+    def _apply_claim(
+        self, claim: ClaimRecord, record: LogRecord, now_ms: float
+    ) -> None:
         known = self._claims.get(claim.name)
         if known is None and len(self._claims) >= self._max_keys:
-            self._hole_at_ms = record.at_ms
-            self._hole_read_ms = now_ms
+            self._missed_at_ms = record.at_ms
+            self._missed_read_ms = now_ms
         elif known is None:
-            self._add(claim, record, now_ms, is_sure=self.is_complete())
-        elif self._log_now_ms - known.at_ms >= self._remember_ms:
+            self._add(claim, record, now_ms, is_certain=self.is_complete())
+        elif self._log_now_ms - known.at_ms >= self._retention_ms:
             # Nodes forget at different times. Another one may have forgotten the
             # earlier claim and run this one: passed over, this one would be unknown
             # here once the earlier is forgotten, and the key would run again. Whether
             # the other one did so is not sure while this node's clock says otherwise.
             is_old = self._is_old(known.at_ms, known.read_ms, now_ms)
-            is_sure = is_old and self.is_complete()
-            self._add(claim, record, now_ms, is_sure)
+            is_certain = is_old and self.is_complete()
+            self._add(claim, record, now_ms, is_certain)
 
     def _add(
-        self, claim: ClaimRecord, record: LogRecord, now_ms: float, is_sure: bool
+        self, claim: ClaimRecord, record: LogRecord, now_ms: float, is_certain: bool
     ) -> None:
         self._claims.pop(claim.name, None)
         self._claims[claim.name] = Claim(
@@ -210,5 +212,5 @@
             record.at_ms,
             now_ms,
             is_abandoned=False,
-            is_sure=is_sure,
+            is_certain=is_certain,
         )
--- a/packages/toucanyard/src/toucanyard/configuration_log.py
+++ b/packages/toucanyard/src/toucanyard/configuration_log.py
@@ -27,8 +27,7 @@
 from toucanyard.configuration_versions import ConfigurationVersions
 from toucanyard.currency import Currency
 from toucanyard.errorcodes import ErrorKind
-from toucanyard.log_counts import LogCounts
-from toucanyard.missed_records import KeptBack, MissedRecords
+from toucanyard.missed_records import BufferedPatch, MissedRecords
 from toucanyard.options import ConfigurationTimings
 from toucanyard.patch_results import PatchMemory, PatchResult as PatchResult
 from toucanyard.patches import (
@@ -37,6 +36,7 @@
     apply_patch,
     check_configuration,
 )
+from toucanyard.skipped_record_counts import SkippedRecordCounts
 
 _NOTHING: Final = Configuration()
 
@@ -71,7 +71,7 @@
         self._missed = MissedRecords()
         self._is_caught_up = False
         self.next_offset = 0
-        self.counts = LogCounts()
+        self.counts = SkippedRecordCounts()
 
     @property
     def configuration(self) -> Configuration:
@@ -101,7 +101,7 @@
     @property
     def is_missing(self) -> bool:
         """Tell whether records were missed that no checkpoint has covered yet."""
-        return self._missed.is_any()
+        return self._missed.has_missed_records()
 
     @property
     def unknown_kinds(self) -> dict[str, int]:
@@ -218,7 +218,7 @@
         record = decode_record(text)
         match record:
             case PatchRecord() if self.is_missing:
-                self._missed.keep_back(KeptBack(offset, at_ms, record))
+                self._missed.buffer_patch(BufferedPatch(offset, at_ms, record))
                 return None
             case PatchRecord():
                 return self._apply(offset, at_ms, record)
@@ -229,7 +229,7 @@
                 self._note_unknown(offset, record)
                 return None
             case Skipped():
-                self.counts.note(record.reason)
+                self.counts.record_skip(record.reason)
                 return None
 
     def build_delta(self, base: int) -> ConfigurationDelta | None:
@@ -289,7 +289,7 @@
         self._versions.keep(checkpoint.configuration)
         self._memory.merge(checkpoint.history)
         self.next_offset = max(self.next_offset, checkpoint.next_offset)
-        for each in self._missed.take_from(checkpoint.next_offset):
+        for each in self._missed.take_buffered_from(checkpoint.next_offset):
             self._apply(each.offset, each.at_ms, each.record)
         return is_new
 
@@ -320,7 +320,7 @@
         return self._missed.is_covered_by(checkpoint.next_offset)
 
     def _note_unknown(self, offset: int, record: UnknownRecord) -> None:
-        self.counts.note_unknown(record.kind)
+        self.counts.record_unknown_kind(record.kind)
         # Newer nodes may have made a version out of it. Applying the next patch on
         # the old base here would give two values to one number; the last good version
         # stays until a checkpoint or a peer gives a higher one. A record that names
--- a/packages/toucanyard/src/toucanyard/core_events.py
+++ b/packages/toucanyard/src/toucanyard/core_events.py
@@ -57,7 +57,7 @@
     after_ms: float
 
 
-class DispatchOver(msgspec.Struct, frozen=True):
+class DispatchFinished(msgspec.Struct, frozen=True):
     """A dispatch has ended; answered by one Reply."""
 
     outcome: Outcome
@@ -79,7 +79,7 @@
     oldest: int
 
 
-class LogReread(msgspec.Struct, frozen=True):
+class LogReadRestarted(msgspec.Struct, frozen=True):
     """Reading begins again at the first record; what was read since comes again."""
 
 
@@ -144,7 +144,7 @@
     dump: CacheDump
 
 
-class EndpointSilent(msgspec.Struct, frozen=True):
+class EndpointPollFailed(msgspec.Struct, frozen=True):
     """An endpoint did not answer a poll."""
 
     endpoint: EndpointName
--- a/packages/toucanyard/src/toucanyard/crash_watch.py
+++ b/packages/toucanyard/src/toucanyard/crash_watch.py
@@ -17,7 +17,7 @@
 from toucanyard.names import EndpointName, Fingerprint
 from toucanyard.relay_requests import RelayOutcome
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 
 LOSS_TTL_MS: Final = 5_000.0
 """How long a lost call waits for word of its replica; the store drops a replica that
@@ -107,7 +107,7 @@
         """Record how a dispatch ended; return whether its replica surely ended."""
         if outcome.has_no_listener or outcome.is_replaced:
             return True
-        if outcome.ending is not EndingSeen.LOST or not fingerprint:
+        if outcome.ending is not DispatchEnding.LOST or not fingerprint:
             return False
         known = self._directory.find(outcome.replica)
         if known is None or not known.is_listed(now_ms):
--- a/packages/toucanyard/src/toucanyard/dispatch_feedback.py
+++ b/packages/toucanyard/src/toucanyard/dispatch_feedback.py
@@ -10,10 +10,12 @@
 from toucanyard.pending_requests import PendingRequest
 from toucanyard.placement import Placed, Placement
 from toucanyard.request_records import RequestRecords
-from toucanyard.requests import PROVED_NOT_RUN, EndingSeen, ModelTarget, Outcome
+from toucanyard.requests import PROVEN_NOT_RUN, DispatchEnding, ModelTarget, Outcome
 from toucanyard.silence_bounds import SilenceBounds
 
-_FAILED: Final = frozenset({EndingSeen.NOT_SENT, EndingSeen.FAILED, EndingSeen.LOST})
+_FAILED: Final = frozenset(
+    {DispatchEnding.NOT_SENT, DispatchEnding.FAILED, DispatchEnding.LOST}
+)
 
 
 class DispatchFeedback:
@@ -65,16 +67,16 @@
     ) -> None:
         """Learn from the end of a dispatch."""
         request = pending.request
-        if outcome.ending not in PROVED_NOT_RUN:
+        if outcome.ending not in PROVEN_NOT_RUN:
             pending.may_have_run = True
         if pending.weights_version is not None and outcome.weights_version:
             pending.weights_version = outcome.weights_version
         self._placement.note_outcome(request, outcome, now_ms)
         if outcome.longest_pause_ms > 0:
             self._silences.note_pause(outcome.endpoint, outcome.longest_pause_ms)
-        if outcome.ending in PROVED_NOT_RUN:
+        if outcome.ending in PROVEN_NOT_RUN:
             self._directory.note_refusal(outcome.endpoint, now_ms)
-        elif outcome.ending is EndingSeen.COMPLETED:
+        elif outcome.ending is DispatchEnding.COMPLETED:
             self._directory.note_success(outcome.endpoint)
         if outcome.ending in _FAILED:
             self._admission.note_failure(request.request_id, now_ms)
@@ -86,7 +88,9 @@
     ) -> None:
         """Take a dispatch back that never left: its work is no load of the endpoint."""
         request = pending.request
-        cancelled = Outcome(request.request_id, placed.endpoint, EndingSeen.CANCELLED)
+        cancelled = Outcome(
+            request.request_id, placed.endpoint, DispatchEnding.CANCELLED
+        )
         self._placement.note_outcome(request, cancelled, now_ms)
 
     def _find_sent_weights(self, pending: PendingRequest, placed: Placed) -> str | None:
--- a/packages/toucanyard/src/toucanyard/explanations.py
+++ b/packages/toucanyard/src/toucanyard/explanations.py
@@ -15,7 +15,7 @@
 from toucanyard.names import CustomerName, EndpointName, RequestId
 from toucanyard.packed_records import PackedRecords
 from toucanyard.placement import Score
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 
 MAX_RECORDS: Final = 20_000
 MAX_STEPS: Final = 24
@@ -59,7 +59,7 @@
 
     at_ms: float
     endpoint: EndpointName
-    ending: EndingSeen
+    ending: DispatchEnding
     first_token_ms: float | None
     cached_tokens: int
     prompt_tokens: int
--- a/packages/toucanyard/src/toucanyard/issued_keys.py
+++ b/packages/toucanyard/src/toucanyard/issued_keys.py
@@ -16,7 +16,7 @@
     NodeName,
 )
 
-_MARK: Final = "tk1"
+_PREFIX_TAG: Final = "tk1"
 _SEPARATOR: Final = "~"
 
 
@@ -24,7 +24,7 @@
     """What the text of an issued key tells."""
 
     issuer: NodeId
-    witness: NodeId | None
+    backup: NodeId | None
     """None when the issuer knew no other node."""
     ledger: int
     issued_ms: float
@@ -33,13 +33,13 @@
 
 def format_prefix(key: IssuedKey, nonce: int) -> str:
     """Return the prefix that a caller puts before its own part of the key."""
-    witness = key.witness or NodeId(NodeName(""), Incarnation(""))
+    backup = key.backup or NodeId(NodeName(""), Incarnation(""))
     fields = (
-        _MARK,
+        _PREFIX_TAG,
         key.issuer.node,
         key.issuer.incarnation,
-        witness.node,
-        witness.incarnation,
+        backup.node,
+        backup.incarnation,
         str(key.ledger),
         str(int(key.issued_ms)),
         f"{nonce:016x}",
@@ -51,16 +51,14 @@
 def parse_issued_key(key: str) -> IssuedKey | None:
     """Return what an issued key tells, or None when a caller chose the key."""
     fields = key.split(_SEPARATOR, 8)
-    if len(fields) != 9 or fields[0] != _MARK:
+    if len(fields) != 9 or fields[0] != _PREFIX_TAG:
         return None
-    _, node, incarnation, witness, witness_incarnation, ledger, issued, _, _ = fields
+    _, node, incarnation, backup, backup_incarnation, ledger, issued, _, _ = fields
     if not ledger.isdecimal() or not issued.isdecimal():
         return None
     return IssuedKey(
         NodeId(NodeName(node), Incarnation(incarnation)),
-        NodeId(NodeName(witness), Incarnation(witness_incarnation))
-        if witness
-        else None,
+        NodeId(NodeName(backup), Incarnation(backup_incarnation)) if backup else None,
         int(ledger),
         float(issued),
     )
--- a/packages/toucanyard/src/toucanyard/key_answers.py
+++ b/packages/toucanyard/src/toucanyard/key_answers.py
@@ -6,15 +6,15 @@
 from typing import Final
 
 from toucanyard.claim_events import (
-    KeyedArrived,
-    RefuseKeyed,
+    KeyedRequestArrived,
+    RefuseKeyedRequest,
     ReplayAnswer,
 )
 from toucanyard.errorcodes import ANSWERS, Ending, ErrorKind
 from toucanyard.key_messages import (
     KeyStatus,
 )
-from toucanyard.requests import KeptAnswer
+from toucanyard.requests import CachedAnswer
 
 _RETRY_AFTER_MS: Final = 500
 
@@ -42,15 +42,17 @@
     return Ending.NOT_RUN if key_age_ms == 0 else Ending.UNKNOWN
 
 
-def refuse(event: KeyedArrived, kind: ErrorKind, rng: random.Random) -> RefuseKeyed:
+def refuse(
+    event: KeyedRequestArrived, kind: ErrorKind, rng: random.Random
+) -> RefuseKeyedRequest:
     """Refuse with the ending that the kind's table entry proves."""
     ending = ANSWERS[kind].ending
     return _compose(event, kind, Ending.UNKNOWN if ending is None else ending, rng)
 
 
 def refuse_unclaimed(
-    event: KeyedArrived, kind: ErrorKind, rng: random.Random
-) -> RefuseKeyed:
+    event: KeyedRequestArrived, kind: ErrorKind, rng: random.Random
+) -> RefuseKeyedRequest:
     """Refuse a try that this node never will dispatch, of a key it knows too little of.
 
     The kind's own ending speaks of one try; a keyed refusal speaks of the key.
@@ -58,13 +60,13 @@
     return _compose(event, kind, compute_unclaimed_ending(event.key_age_ms), rng)
 
 
-def tell_status(
-    event: KeyedArrived,
+def compose_status_reply(
+    event: KeyedRequestArrived,
     status: KeyStatus,
     digest: bytes,
-    answer: KeptAnswer | None,
+    answer: CachedAnswer | None,
     rng: random.Random,
-) -> RefuseKeyed | ReplayAnswer:
+) -> RefuseKeyedRequest | ReplayAnswer:
     """Tell a try how its key ended; an empty digest says that no body is known."""
     if digest and digest != event.body_digest:
         return refuse(event, ErrorKind.KEY_REUSED, rng)
@@ -80,9 +82,9 @@
 
 
 def _compose(
-    event: KeyedArrived, kind: ErrorKind, ending: Ending, rng: random.Random
-) -> RefuseKeyed:
+    event: KeyedRequestArrived, kind: ErrorKind, ending: Ending, rng: random.Random
+) -> RefuseKeyedRequest:
     # Spread, so that callers refused together don't come back together.
     retry_after_ms = int(_RETRY_AFTER_MS * (1 + rng.random()))
     text = _TEXTS[kind]
-    return RefuseKeyed(event.request_id, kind, ending, text, retry_after_ms)
+    return RefuseKeyedRequest(event.request_id, kind, ending, text, retry_after_ms)
--- a/packages/toucanyard/src/toucanyard/key_entries.py
+++ b/packages/toucanyard/src/toucanyard/key_entries.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from toucanyard.claim_events import (
-    KeyedArrived,
+    KeyedRequestArrived,
 )
 from toucanyard.issued_keys import IssuedKey
 from toucanyard.key_messages import (
@@ -28,7 +28,7 @@
 
     CLAIMING = "claiming"
     """This node's claim has not been read from the log yet."""
-    NOTING = "noting"
+    RECORDING = "noting"
     """This node issued the key; its witness has not noted it yet."""
     ALLOWED = "allowed"
     """One request of the key may be dispatched, or has been."""
@@ -56,29 +56,33 @@
     sent_ms: float = float("-inf")
     heard_ms: float = 0.0
     """When the target last said that the key is under way."""
-    is_seal_refused: bool = False
+    is_revocation_refused: bool = False
     is_target_running: bool = False
     running: RequestId | None = None
     is_started: bool = False
-    waiting: dict[RequestId, KeyedArrived] = field(default_factory=dict)
+    waiting: dict[RequestId, KeyedRequestArrived] = field(default_factory=dict)
     askers: dict[NodeId, str] = field(default_factory=dict)
     """Nodes that wait for the end, with the claim that each asked about."""
-    denied: set[NodeId] = field(default_factory=set)
+    uninformed_holders: set[NodeId] = field(default_factory=set)
     """Holders of the stopped target's keys that don't know how this one ended."""
 
     def __post_init__(self) -> None:
         """Count silence of the target from the start."""
         self.heard_ms = self.started_ms
 
-    def find_expired(self, now_ms: float) -> list[KeyedArrived]:
+    def find_expired(self, now_ms: float) -> list[KeyedRequestArrived]:
         """Return the waiting tries whose deadline has passed."""
-        return [try_ for try_ in self.waiting.values() if try_.deadline_ms <= now_ms]
+        return [
+            attempt
+            for attempt in self.waiting.values()
+            if attempt.deadline_ms <= now_ms
+        ]
 
-    def find_first_live(self, now_ms: float) -> KeyedArrived | None:
+    def find_first_eligible(self, now_ms: float) -> KeyedRequestArrived | None:
         """Return the first waiting try that carries the claimed body in time."""
-        for try_ in self.waiting.values():
-            if try_.body_digest == self.digest and try_.deadline_ms > now_ms:
-                return try_
+        for attempt in self.waiting.values():
+            if attempt.body_digest == self.digest and attempt.deadline_ms > now_ms:
+                return attempt
         return None
 
 
--- a/packages/toucanyard/src/toucanyard/key_handover.py
+++ b/packages/toucanyard/src/toucanyard/key_handover.py
@@ -12,13 +12,13 @@
     ClaimAction,
     PeerView,
 )
-from toucanyard.key_book import KeyBook
 from toucanyard.key_messages import (
-    HandedKey,
-    HandKeys,
-    KeysHandedOver,
-    KeysTaken,
+    HandoverAnnounced,
+    KeysAccepted,
+    TransferKeys,
+    TransferredKey,
 )
+from toucanyard.key_table import KeyTable
 from toucanyard.names import (
     NodeId,
 )
@@ -28,8 +28,8 @@
 _MAX_BATCH_BYTES: Final = 128_000
 _MAX_ANSWER_BYTES: Final = 1_000_000
 _KEY_BYTES: Final = 200
-_PATIENCE_IN_RESENDS: Final = 5
-_HANDING_SHARE: Final = 0.8
+_ACK_TIMEOUT_RESENDS: Final = 5
+_TRANSFER_SHARE: Final = 0.8
 """Share of the time that goes to handing; the rest is for telling who holds what."""
 _ANNOUNCEMENTS: Final = 3
 
@@ -59,23 +59,23 @@
         "_announcements",
         "_batches",
         "_begun_ms",
-        "_book",
+        "_table",
         "_holders",
         "_keys",
-        "_most_taken",
+        "_max_accepted",
         "_receivers",
         "_refused_by",
         "is_done",
     )
 
-    def __init__(self, book: KeyBook) -> None:
-        self._book = book
+    def __init__(self, table: KeyTable) -> None:
+        self._table = table
         self._begun_ms: float | None = None
-        self._keys: list[HandedKey] = []
+        self._keys: list[TransferredKey] = []
         self._receivers: list[_Receiver] = []
         self._refused_by: set[NodeId] = set()
         self._holders: list[NodeId] = []
-        self._most_taken = 0
+        self._max_accepted = 0
         self._batches = 0
         self._announcements = 0
         self._announced_ms = 0.0
@@ -87,19 +87,21 @@
 
     def count_left(self) -> int:
         """Return how many keys no peer has taken yet, so that they will be unknown."""
-        return len(self._keys) - self._most_taken
+        return len(self._keys) - self._max_accepted
 
     def begin(self, now_ms: float) -> Iterator[ClaimAction]:
         """Begin to hand over what has ended up to now."""
         self._begun_ms = now_ms
-        self._keys = [_bound(key) for key in self._book.list_handed()]
+        self._keys = [
+            _drop_large_answer(key) for key in self._table.list_transferable()
+        ]
         if not self._keys:
             self.is_done = True
             return
-        yield from self._go_on(now_ms)
+        yield from self._continue(now_ms)
 
-    def take_ack(
-        self, sender: NodeId, ack: KeysTaken, now_ms: float
+    def handle_ack(
+        self, sender: NodeId, ack: KeysAccepted, now_ms: float
     ) -> Iterator[ClaimAction]:
         """Send the next batch, or turn to another peer after a refusal."""
         if self._begun_ms is None or self._announcements > 0:
@@ -109,53 +111,53 @@
                 continue
             if ack.is_taken:
                 receiver.start = receiver.end
-                self._most_taken = max(self._most_taken, receiver.start)
+                self._max_accepted = max(self._max_accepted, receiver.start)
                 receiver.sent_ms = float("-inf")
                 if sender not in self._holders:
                     self._holders.append(sender)
             else:
                 self._refused_by.add(sender)
-        yield from self._go_on(now_ms)
+        yield from self._continue(now_ms)
 
     def tick(self, now_ms: float) -> Iterator[ClaimAction]:
         """Repeat what may have been lost, and end in time."""
         if self._begun_ms is None or self.is_done:
             return
         if self._announcements == 0:
-            yield from self._go_on(now_ms)
+            yield from self._continue(now_ms)
             return
-        if now_ms - self._announced_ms < self._book.limits.resend_ms:
+        if now_ms - self._announced_ms < self._table.limits.resend_ms:
             return
-        is_logged = not self._book.has_owed() or not self._book.is_log_up
+        is_logged = not self._table.has_unconfirmed() or not self._table.is_log_up
         if self._announcements >= _ANNOUNCEMENTS and is_logged:
             self.is_done = True
         else:
             yield from self._announce(now_ms)
 
-    def _go_on(self, now_ms: float) -> Iterator[ClaimAction]:
+    def _continue(self, now_ms: float) -> Iterator[ClaimAction]:
         assert self._begun_ms is not None
         self._choose_receivers()
         unfinished = [each for each in self._receivers if each.start < len(self._keys)]
-        limit_ms = self._book.limits.hand_over_ms * _HANDING_SHARE
-        is_over = not unfinished and bool(self._book.peers)
+        limit_ms = self._table.limits.hand_over_ms * _TRANSFER_SHARE
+        is_over = not unfinished and bool(self._table.peers)
         if is_over or now_ms - self._begun_ms >= limit_ms:
             yield from self._announce(now_ms)
             return
-        patience_ms = self._book.limits.resend_ms * _PATIENCE_IN_RESENDS
+        ack_timeout_ms = self._table.limits.resend_ms * _ACK_TIMEOUT_RESENDS
         for receiver in unfinished:
-            if now_ms - receiver.sent_ms >= patience_ms:
+            if now_ms - receiver.sent_ms >= ack_timeout_ms:
                 yield from self._send_batch(receiver, now_ms)
 
     def _choose_receivers(self) -> None:
         """Replace peers that are gone or refused; prefer other failure domains."""
         live = [
             peer
-            for peer in self._book.peers
+            for peer in self._table.peers
             if NodeId(peer.node, peer.incarnation) not in self._refused_by
         ]
         known = {NodeId(peer.node, peer.incarnation) for peer in live}
         self._receivers = [each for each in self._receivers if each.peer in known]
-        self._book.rng.shuffle(live)
+        self._table.rng.shuffle(live)
         live.sort(key=_is_same_domain)
         for peer in live:
             if len(self._receivers) >= _HOLDERS:
@@ -171,8 +173,8 @@
             receiver.batch = self._batches
         receiver.sent_ms = now_ms
         keys = tuple(self._keys[receiver.start : receiver.end])
-        message = HandKeys(receiver.peer.incarnation, receiver.batch, keys)
-        yield from self._book.send(receiver.peer, message)
+        message = TransferKeys(receiver.peer.incarnation, receiver.batch, keys)
+        yield from self._table.send(receiver.peer, message)
 
     def _find_end(self, start: int) -> int:
         size_bytes = 0
@@ -194,23 +196,23 @@
         self._announced_ms = now_ms
         self._announcements += 1
         if self._announcements == 1:
-            yield from self._book.append_handed_over(holders)
-        for peer in self._book.peers:
-            news = KeysHandedOver(peer.incarnation, holders)
-            yield from self._book.send(NodeId(peer.node, peer.incarnation), news)
+            yield from self._table.append_handover(holders)
+        for peer in self._table.peers:
+            news = HandoverAnnounced(peer.incarnation, holders)
+            yield from self._table.send(NodeId(peer.node, peer.incarnation), news)
 
 
 def _is_same_domain(peer: PeerView) -> bool:
     return not peer.is_other_domain
 
 
-def _bound(key: HandedKey) -> HandedKey:
+def _drop_large_answer(key: TransferredKey) -> TransferredKey:
     """Leave out an answer that would hold up all other keys."""
     if key.answer is None or len(key.answer.body) <= _MAX_ANSWER_BYTES:
         return key
     return msgspec.structs.replace(key, answer=None)
 
 
-def _compute_size_bytes(key: HandedKey) -> int:
+def _compute_size_bytes(key: TransferredKey) -> int:
     body = key.answer.body if key.answer is not None else b""
     return _KEY_BYTES + len(key.name.key) + len(body)
--- a/packages/toucanyard/src/toucanyard/key_issuer.py
+++ b/packages/toucanyard/src/toucanyard/key_issuer.py
@@ -18,7 +18,7 @@
     NodeId,
 )
 
-_PATIENCE_IN_RESENDS: Final = 10
+_REQUEST_TIMEOUT_RESENDS: Final = 10
 
 
 class KeyIssuer:
@@ -33,14 +33,14 @@
         "_request",
         "_requested",
         "_requested_ms",
-        "_witness",
+        "_backup",
     )
 
     def __init__(self, identity: NodeId, ledger_ms: float, max_age_ms: float) -> None:
         self._max_age_ms = max_age_ms
         self._identity = identity
         self._ledger_ms = ledger_ms
-        self._witness: NodeId | None = None
+        self._backup: NodeId | None = None
         self._ledger = 0
         self._opened_ms = 0.0
         self._request = 0
@@ -52,8 +52,8 @@
         # A witness forgets old ledgers. After a pause, a key issued on one would be
         # refused although its issuer is well.
         is_usable = now_ms - self._opened_ms < self._max_age_ms
-        witness = self._witness if is_usable else None
-        key = IssuedKey(self._identity, witness, self._ledger, now_ms)
+        backup = self._backup if is_usable else None
+        key = IssuedKey(self._identity, backup, self._ledger, now_ms)
         return format_prefix(key, rng.getrandbits(64))
 
     def renew(
@@ -65,14 +65,14 @@
     ) -> list[SendToPeer]:
         """Ask for a ledger when there is none, it is old or its witness is gone."""
         live = {NodeId(peer.node, peer.incarnation) for peer in peers}
-        if self._witness is not None and self._witness not in live:
-            self._witness = None
+        if self._backup is not None and self._backup not in live:
+            self._backup = None
         is_fresh = now_ms - self._opened_ms < self._ledger_ms
-        if not peers or (self._witness is not None and is_fresh):
+        if not peers or (self._backup is not None and is_fresh):
             return []
         if (
             self._requested in live
-            and now_ms - self._requested_ms < resend_ms * _PATIENCE_IN_RESENDS
+            and now_ms - self._requested_ms < resend_ms * _REQUEST_TIMEOUT_RESENDS
         ):
             return []
         elsewhere = [peer for peer in peers if peer.is_other_domain]
@@ -83,11 +83,11 @@
         message = OpenLedger(chosen.incarnation, self._request)
         return [SendToPeer(chosen.node, message)]
 
-    def take_ledger(self, sender: NodeId, message: LedgerOpened) -> None:
+    def accept_ledger(self, sender: NodeId, message: LedgerOpened) -> None:
         """Take the ledger that was asked for last; ignore any other answer."""
         if sender != self._requested or message.request != self._request:
             return
-        self._witness = sender
+        self._backup = sender
         self._ledger = message.ledger
         # The ledger is no older than the request for it.
         self._opened_ms = self._requested_ms
--- a/packages/toucanyard/src/toucanyard/key_messages.py
+++ b/packages/toucanyard/src/toucanyard/key_messages.py
@@ -8,7 +8,7 @@
 
 from toucanyard.key_records import KeyName
 from toucanyard.names import Incarnation, NodeId
-from toucanyard.requests import KeptAnswer
+from toucanyard.requests import CachedAnswer
 
 
 class KeyStatus(enum.StrEnum):
@@ -24,8 +24,8 @@
 class LedgerStatus(enum.StrEnum):
     """What a witness says about one issued key."""
 
-    NOTED = "noted"
-    SEALED = "sealed"
+    RECORDED = "noted"
+    REVOKED = "sealed"
     GONE = "gone"
     """The witness doesn't know the ledger (any more) or has no room."""
 
@@ -41,7 +41,7 @@
     claim_id: str
 
 
-class KeyTold(msgspec.Struct, frozen=True, tag="key_told"):
+class KeyReport(msgspec.Struct, frozen=True, tag="key_told"):
     """Tell how the request of a key stands; `digest` is that of the claimed body.
 
     `claim_id` repeats the question's, so that a late answer isn't taken for another.
@@ -52,7 +52,7 @@
     claim_id: str
     status: KeyStatus
     digest: bytes
-    answer: KeptAnswer | None = None
+    answer: CachedAnswer | None = None
 
 
 class OpenLedger(msgspec.Struct, frozen=True, tag="open_ledger"):
@@ -70,16 +70,16 @@
     ledger: int
 
 
-class NoteKeys(msgspec.Struct, frozen=True, array_like=True, tag="note"):
+class RecordKeys(msgspec.Struct, frozen=True, array_like=True, tag="note"):
     """Ask the witness to note keys, so that they can't be sealed any more."""
 
     to: Incarnation
     ledger: int
     batch: int
-    marks: tuple[bytes, ...]
+    key_fingerprints: tuple[bytes, ...]
 
 
-class KeysNoted(msgspec.Struct, frozen=True, array_like=True, tag="noted"):
+class KeysRecorded(msgspec.Struct, frozen=True, array_like=True, tag="noted"):
     """Answer a NoteKeys: all keys of the batch are noted but those listed."""
 
     to: Incarnation
@@ -88,7 +88,7 @@
     """Places in the batch of keys that are sealed, or whose ledger is gone or full."""
 
 
-class SealKey(msgspec.Struct, frozen=True, tag="seal_key"):
+class RevokeKey(msgspec.Struct, frozen=True, tag="seal_key"):
     """Ask the witness to seal a key, so that it can't be noted any more."""
 
     to: Incarnation
@@ -97,7 +97,7 @@
     name: KeyName
 
 
-class SealAnswered(msgspec.Struct, frozen=True, tag="seal_answered"):
+class RevocationAnswered(msgspec.Struct, frozen=True, tag="seal_answered"):
     """Answer a SealKey."""
 
     to: Incarnation
@@ -106,7 +106,7 @@
     status: LedgerStatus
 
 
-class HandedKey(msgspec.Struct, frozen=True):
+class TransferredKey(msgspec.Struct, frozen=True):
     """How a key ended on the only node that might dispatch it.
 
     This is a fact about the past and gives nobody the right to dispatch the key.
@@ -117,18 +117,18 @@
     claim_id: str
     status: KeyStatus
     digest: bytes
-    answer: KeptAnswer | None = None
+    answer: CachedAnswer | None = None
 
 
-class HandKeys(msgspec.Struct, frozen=True, tag="hand_keys"):
+class TransferKeys(msgspec.Struct, frozen=True, tag="hand_keys"):
     """Ask a node to hold ended keys of a node that stops as planned."""
 
     to: Incarnation
     batch: int
-    keys: tuple[HandedKey, ...]
+    keys: tuple[TransferredKey, ...]
 
 
-class KeysTaken(msgspec.Struct, frozen=True, tag="keys_taken"):
+class KeysAccepted(msgspec.Struct, frozen=True, tag="keys_taken"):
     """Answer a HandKeys; the node takes all keys of the batch or none."""
 
     to: Incarnation
@@ -136,14 +136,14 @@
     is_taken: bool
 
 
-class KeysHandedOver(msgspec.Struct, frozen=True, tag="keys_handed_over"):
+class HandoverAnnounced(msgspec.Struct, frozen=True, tag="keys_handed_over"):
     """Tell that the sender stops as planned and which nodes hold its ended keys."""
 
     to: Incarnation
     holders: tuple[NodeId, ...]
 
 
-class AskHanded(msgspec.Struct, frozen=True, tag="ask_handed"):
+class AskTransferredKey(msgspec.Struct, frozen=True, tag="ask_handed"):
     """Ask a holder how a key of a stopped node ended; answered by a KeyTold."""
 
     to: Incarnation
@@ -151,20 +151,20 @@
     claim_id: str
 
 
-NoteMessage = NoteKeys | KeysNoted
+RecordingMessage = RecordKeys | KeysRecorded
 """Messages as arrays, since one of each goes with every issued key."""
 
-AskingMessage = (
+KeyControlMessage = (
     AskKey
-    | KeyTold
+    | KeyReport
     | OpenLedger
     | LedgerOpened
-    | SealKey
-    | SealAnswered
-    | HandKeys
-    | KeysTaken
-    | KeysHandedOver
-    | AskHanded
+    | RevokeKey
+    | RevocationAnswered
+    | TransferKeys
+    | KeysAccepted
+    | HandoverAnnounced
+    | AskTransferredKey
 )
 
-KeyMessage = AskingMessage | NoteMessage
+KeyMessage = KeyControlMessage | RecordingMessage
--- /dev/null
+++ b/packages/toucanyard/src/toucanyard/key_query_handler.py
@@ -0,0 +1,148 @@
+"""Answer what peers ask about keys: as executor, as witness and as holder."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from toucanyard.backup_ledgers import BackupLedgers
+from toucanyard.claim_events import (
+    ClaimAction,
+)
+from toucanyard.key_entries import EndedKey
+from toucanyard.key_messages import (
+    AskKey,
+    AskTransferredKey,
+    KeyMessage,
+    KeyReport,
+    KeysRecorded,
+    KeyStatus,
+    LedgerOpened,
+    LedgerStatus,
+    OpenLedger,
+    RecordKeys,
+    RevocationAnswered,
+    RevokeKey,
+)
+from toucanyard.key_table import KeyTable
+from toucanyard.large_answer_throttle import LargeAnswerThrottle
+from toucanyard.names import (
+    NodeId,
+)
+from toucanyard.recorded_keys import RecordedKeys
+
+
+class KeyQueryHandler:
+    """What this node tells its peers about keys.
+
+    Invariant: "not run" is said only of a key that this node alone might dispatch and
+    never will, of one that it sealed as witness, or of one handed over as such.
+    """
+
+    __slots__ = ("_table", "_large", "_recorded", "_ledgers")
+
+    def __init__(self, table: KeyTable, noted: RecordedKeys) -> None:
+        self._table = table
+        self._recorded = noted
+        self._large = LargeAnswerThrottle()
+        limits = table.limits
+        self._ledgers = BackupLedgers(2 * limits.window_ms, limits.max_keys)
+
+    def answer(
+        self,
+        sender: NodeId,
+        message: AskKey | AskTransferredKey | OpenLedger | RecordKeys | RevokeKey,
+        now_ms: float,
+    ) -> Iterator[ClaimAction]:
+        """Answer one question of a peer."""
+        match message:
+            case AskKey():
+                yield from self._answer_ask(sender, message, now_ms)
+            case AskTransferredKey():
+                yield from self._answer_transferred(sender, message, now_ms)
+            case OpenLedger() | RecordKeys() | RevokeKey():
+                yield from self._answer_ledger_request(sender, message, now_ms)
+
+    def forget_old(self, now_ms: float) -> None:
+        """Forget what was witnessed for keys past the window."""
+        self._ledgers.forget_old(now_ms)
+        self._large.forget_old(now_ms)
+
+    def _answer_ledger_request(
+        self,
+        sender: NodeId,
+        message: OpenLedger | RecordKeys | RevokeKey,
+        now_ms: float,
+    ) -> Iterator[ClaimAction]:
+        to = sender.incarnation
+        answer: KeyMessage
+        match message:
+            case OpenLedger(request=request):
+                ledger = self._ledgers.open(sender, request, now_ms)
+                answer = LedgerOpened(to, request, ledger)
+            case RecordKeys(batch=batch):
+                answer = KeysRecorded(to, batch, self._record_batch(sender, message))
+            case RevokeKey(ledger=ledger, issuer=issuer, name=name):
+                status = self._ledgers.revoke(issuer, ledger, name)
+                answer = RevocationAnswered(to, ledger, name, status)
+        yield from self._table.send(sender, answer)
+
+    def _record_batch(self, sender: NodeId, message: RecordKeys) -> tuple[int, ...]:
+        """Note the keys of a batch; return the places of those that can't be."""
+        ledger = message.ledger
+        statuses = [
+            self._ledgers.record_key(sender, ledger, each)
+            for each in message.key_fingerprints
+        ]
+        return tuple(
+            place
+            for place, status in enumerate(statuses)
+            if status is not LedgerStatus.RECORDED
+        )
+
+    def _answer_ask(
+        self, sender: NodeId, ask: AskKey, now_ms: float
+    ) -> Iterator[ClaimAction]:
+        ended = self._find_status(sender, ask, now_ms)
+        report = self._table.compose_report(sender, ask.name, ask.claim_id, ended)
+        yield from self._send_report(sender, report, now_ms)
+
+    def _find_status(self, sender: NodeId, ask: AskKey, now_ms: float) -> EndedKey:
+        table = self._table
+        name, claim_id = ask.name, ask.claim_id
+        claim = table.index.find(name)
+        entry = table.find_entry(name)
+        ended = table.find_ended(name)
+        if claim is not None and claim.is_abandoned_as(claim_id):
+            return EndedKey(KeyStatus.NOT_RUN, claim.digest, now_ms)
+        if table.index.is_given_up(claim_id):
+            # Whether that claim won, and so whether the key ran, may be open here.
+            return EndedKey(KeyStatus.RUNNING, b"", now_ms)
+        if entry is not None and entry.claim_id == claim_id:
+            entry.askers[sender] = claim_id
+            return EndedKey(KeyStatus.RUNNING, entry.digest, now_ms)
+        if ended is None and not claim_id:
+            ended = self._recorded.revoke_unseen(name, now_ms)
+        # A later claim of a key that is used anew says nothing of the earlier one,
+        # which a node that forgets later may ask about.
+        if ended is None or ended.claim_id != claim_id:
+            return EndedKey(KeyStatus.UNKNOWN, b"", now_ms)
+        return ended
+
+    def _answer_transferred(
+        self, sender: NodeId, ask: AskTransferredKey, now_ms: float
+    ) -> Iterator[ClaimAction]:
+        name, claim_id, to = ask.name, ask.claim_id, sender.incarnation
+        report = KeyReport(to, name, claim_id, KeyStatus.UNKNOWN, b"")
+        found = self._table.transferred.find(name, claim_id)
+        if found is not None:
+            status, digest, answer = found.status, found.digest, found.answer
+            report = KeyReport(to, name, claim_id, status, digest, answer)
+        yield from self._send_report(sender, report, now_ms)
+
+    def _send_report(
+        self, sender: NodeId, report: KeyReport, now_ms: float
+    ) -> Iterator[ClaimAction]:
+        if self._large.was_sent_recently(sender, report.name, report.answer, now_ms):
+            return
+        self._large.record_sent(sender, report.name, report.answer, now_ms)
+        yield from self._table.send(sender, report)
--- a/packages/toucanyard/src/toucanyard/key_records.py
+++ b/packages/toucanyard/src/toucanyard/key_records.py
@@ -12,7 +12,7 @@
 
 from toucanyard.names import CustomerName, NodeId
 
-_MARK_BYTES: Final = 16
+_FINGERPRINT_BYTES: Final = 16
 
 
 class KeyName(msgspec.Struct, frozen=True):
@@ -22,14 +22,14 @@
     key: str
 
 
-def compute_mark(name: KeyName) -> bytes:
+def compute_key_fingerprint(name: KeyName) -> bytes:
     """Return the 16 bytes that name a key where its own text isn't needed.
 
     Two keys of one mark do no harm at a witness: both are noted or both are sealed.
     """
     customer, key = name.customer.encode(), name.key.encode()
     text = len(customer).to_bytes(4, "big") + customer + key
-    return hashlib.blake2b(text, digest_size=_MARK_BYTES).digest()
+    return hashlib.blake2b(text, digest_size=_FINGERPRINT_BYTES).digest()
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, tag_field="kind", tag="claim"):
@@ -48,16 +48,14 @@
     name: KeyName
 
 
-class HandedOverRecord(
-    msgspec.Struct, frozen=True, tag_field="kind", tag="handed_over"
-):
+class HandoverRecord(msgspec.Struct, frozen=True, tag_field="kind", tag="handed_over"):
     """Tell that a node stops as planned and which nodes hold its ended keys."""
 
     stopped: NodeId
     holders: tuple[NodeId, ...]
 
 
-KeyRecord = ClaimRecord | AbandonRecord | HandedOverRecord
+KeyRecord = ClaimRecord | AbandonRecord | HandoverRecord
 
 
 def encode_record(record: KeyRecord) -> str:
--- a/packages/toucanyard/src/toucanyard/key_book.py
+++ b/packages/toucanyard/src/toucanyard/key_table.py
@@ -7,47 +7,47 @@
 from collections.abc import Iterator
 from typing import Final
 
+from toucanyard.answer_cache import AnswerCache
 from toucanyard.claim_events import (
     AllowDispatch,
     AppendRecord,
     ClaimAction,
-    KeyedArrived,
+    KeyedRequestArrived,
     PeerView,
     SendToPeer,
 )
 from toucanyard.claims import ClaimIndex
 from toucanyard.errorcodes import ErrorKind
-from toucanyard.handed_keys import HandedKeys
 from toucanyard.issued_keys import IssuedKey
-from toucanyard.kept_answers import KeptAnswers
-from toucanyard.key_answers import refuse, tell_status
+from toucanyard.key_answers import compose_status_reply, refuse
 from toucanyard.key_entries import EndedKey, KeyEntry, Phase
 from toucanyard.key_messages import (
-    HandedKey,
     KeyMessage,
+    KeyReport,
     KeyStatus,
-    KeyTold,
+    TransferredKey,
 )
 from toucanyard.key_records import (
     AbandonRecord,
-    HandedOverRecord,
+    HandoverRecord,
     KeyName,
     encode_record,
 )
-from toucanyard.large_answers import is_passable
+from toucanyard.large_answer_throttle import is_forwardable
 from toucanyard.names import (
     CustomerName,
     NodeId,
     RequestId,
 )
 from toucanyard.options import ClaimLimits
-from toucanyard.requests import KeptAnswer
+from toucanyard.requests import CachedAnswer
 from toucanyard.stopped_nodes import StoppedNodes
+from toucanyard.transferred_keys import TransferredKeys
 
-_MAX_OWED_RECORDS: Final = 10_000
+_MAX_UNCONFIRMED_RECORDS: Final = 10_000
 
 
-class KeyBook:
+class KeyTable:
     """Keys under way, ended and held for others, the index of claims, and the peers.
 
     Invariants: a key is in at most one of entries and ended; what an ended key's
@@ -58,11 +58,11 @@
         "_count_by_customer",
         "_ended",
         "_entries",
-        "_kept",
+        "_answers",
         "_loopback",
         "_name_by_request",
-        "_owed",
-        "handed",
+        "_unconfirmed",
+        "transferred",
         "identity",
         "index",
         "is_log_up",
@@ -82,14 +82,14 @@
         self.index = ClaimIndex(limits.window_ms, max_claims)
         self.peers: tuple[PeerView, ...] = ()
         self.is_log_up = False
-        self.handed = HandedKeys(limits)
+        self.transferred = TransferredKeys(limits)
         self.stopped = StoppedNodes(2 * limits.window_ms)
-        self._kept = KeptAnswers(limits.kept_answers_bytes)
+        self._answers = AnswerCache(limits.kept_answers_bytes)
         self._entries: dict[KeyName, KeyEntry] = {}
         self._ended: dict[KeyName, EndedKey] = {}
         self._name_by_request: dict[RequestId, KeyName] = {}
         self._count_by_customer: Counter[CustomerName] = Counter()
-        self._owed: dict[str, str] = {}
+        self._unconfirmed: dict[str, str] = {}
         self._loopback: list[KeyMessage] = []
 
     def __len__(self) -> int:
@@ -143,18 +143,18 @@
         """Tell whether this incarnation was replaced or has stopped as planned."""
         return self.is_replaced(node) or self.stopped.is_stopped(node)
 
-    def add(self, entry: KeyEntry, event: KeyedArrived) -> None:
+    def add(self, entry: KeyEntry, event: KeyedRequestArrived) -> None:
         """Add a key that its first try on this node brought."""
         self._entries[entry.name] = entry
         self._count_by_customer[entry.name.customer] += 1
-        self.wait(entry, event)
+        self.add_waiting(entry, event)
 
-    def wait(self, entry: KeyEntry, event: KeyedArrived) -> None:
+    def add_waiting(self, entry: KeyEntry, event: KeyedRequestArrived) -> None:
         """Let one more try wait for the key."""
         entry.waiting[event.request_id] = event
         self._name_by_request[event.request_id] = entry.name
 
-    def forget_try(self, entry: KeyEntry, request_id: RequestId) -> None:
+    def remove_waiting(self, entry: KeyEntry, request_id: RequestId) -> None:
         """Let a try no longer wait."""
         entry.waiting.pop(request_id, None)
         self._name_by_request.pop(request_id, None)
@@ -168,21 +168,21 @@
         if entry.running is not None:
             self._name_by_request.pop(entry.running, None)
 
-    def keep_ended(self, name: KeyName, ended: EndedKey) -> None:
+    def store_ended(self, name: KeyName, ended: EndedKey) -> None:
         """Remember how a key ended."""
         if self._ended.pop(name, None) is None:
             self._count_by_customer[name.customer] += 1
         self._ended[name] = ended
 
-    def keep_answer(self, entry: KeyEntry, answer: KeptAnswer) -> None:
+    def store_answer(self, entry: KeyEntry, answer: CachedAnswer) -> None:
         """Keep the whole answer of a key for its other tries."""
-        self._kept.keep(entry.name, answer)
+        self._answers.keep(entry.name, answer)
 
     def allow(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
         """Allow the first try that is still in time, or seal the key."""
-        chosen = entry.find_first_live(now_ms)
+        chosen = entry.find_first_eligible(now_ms)
         if chosen is None:
-            yield from self.seal(entry, now_ms)
+            yield from self.revoke(entry, now_ms)
             return
         entry.phase = Phase.ALLOWED
         entry.running = chosen.request_id
@@ -190,10 +190,10 @@
         yield AllowDispatch(chosen.request_id)
         for other in list(entry.waiting.values()):
             if other.body_digest != entry.digest:
-                self.forget_try(entry, other.request_id)
-                yield self.tell_running(other, entry, now_ms)
+                self.remove_waiting(entry, other.request_id)
+                yield self.compose_running_reply(other, entry, now_ms)
 
-    def seal(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
+    def revoke(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
         """End a key that this node alone might dispatch and never will."""
         if entry.claim_id:
             yield from self.abandon(entry.claim_id, entry.name)
@@ -203,61 +203,61 @@
         """Tell the log that the winning claim of a key is never dispatched."""
         self.index.abandon(claim_id, name)
         record_id = f"abandon-{claim_id}"
-        self._owed[record_id] = encode_record(AbandonRecord(claim_id, name))
-        if len(self._owed) > _MAX_OWED_RECORDS:
-            del self._owed[next(iter(self._owed))]
+        self._unconfirmed[record_id] = encode_record(AbandonRecord(claim_id, name))
+        if len(self._unconfirmed) > _MAX_UNCONFIRMED_RECORDS:
+            del self._unconfirmed[next(iter(self._unconfirmed))]
         if self.is_log_up:
-            yield AppendRecord(record_id, self._owed[record_id], is_urgent=False)
+            yield AppendRecord(record_id, self._unconfirmed[record_id], is_urgent=False)
 
-    def append_handed_over(self, holders: tuple[NodeId, ...]) -> Iterator[ClaimAction]:
+    def append_handover(self, holders: tuple[NodeId, ...]) -> Iterator[ClaimAction]:
         """Tell the log who holds this node's ended keys."""
-        record_id = self._find_handed_over_id()
-        record = HandedOverRecord(self.identity, holders)
-        self._owed[record_id] = encode_record(record)
+        record_id = self._compose_handover_id()
+        record = HandoverRecord(self.identity, holders)
+        self._unconfirmed[record_id] = encode_record(record)
         if self.is_log_up:
-            yield AppendRecord(record_id, self._owed[record_id], is_urgent=True)
+            yield AppendRecord(record_id, self._unconfirmed[record_id], is_urgent=True)
 
-    def note_stopped(
+    def record_stopped(
         self, stopped: NodeId, holders: tuple[NodeId, ...], now_ms: float
     ) -> None:
         """Remember who holds the ended keys of a node that stopped as planned."""
-        self.stopped.note(stopped, holders, now_ms)
+        self.stopped.record_stop(stopped, holders, now_ms)
         if stopped == self.identity:
-            self.settle_owed(self._find_handed_over_id())
+            self.confirm_record(self._compose_handover_id())
 
-    def has_owed(self) -> bool:
+    def has_unconfirmed(self) -> bool:
         """Tell whether a record of this node may not have reached the log."""
-        return bool(self._owed)
+        return bool(self._unconfirmed)
 
-    def append_owed(self) -> Iterator[ClaimAction]:
+    def append_unconfirmed(self) -> Iterator[ClaimAction]:
         """Append again what may not have reached the log."""
-        for record_id, text in self._owed.items():
+        for record_id, text in self._unconfirmed.items():
             yield AppendRecord(record_id, text, is_urgent=False)
 
-    def settle_owed(self, record_id: str) -> None:
+    def confirm_record(self, record_id: str) -> None:
         """Forget a record that the log has."""
-        self._owed.pop(record_id, None)
+        self._unconfirmed.pop(record_id, None)
 
     def finish(
         self, entry: KeyEntry, status: KeyStatus, now_ms: float
     ) -> Iterator[ClaimAction]:
         """Record how a key ended here and tell everyone who waits for it."""
         ended = EndedKey(status, entry.digest, now_ms, entry.claim_id)
-        self.keep_ended(entry.name, ended)
+        self.store_ended(entry.name, ended)
         self.remove(entry)
         for waiting in entry.waiting.values():
-            yield self.tell_ended(waiting, ended, now_ms)
+            yield self.compose_ended_reply(waiting, ended, now_ms)
         for asker, claim_id in entry.askers.items():
-            told = self.compose_told(asker, entry.name, claim_id, ended)
-            yield from self.send(asker, told)
+            report = self.compose_report(asker, entry.name, claim_id, ended)
+            yield from self.send(asker, report)
 
-    def tell(
+    def compose_reply(
         self,
-        event: KeyedArrived,
+        event: KeyedRequestArrived,
         claim_id: str,
         status: KeyStatus,
         digest: bytes,
-        answer: KeptAnswer | None,
+        answer: CachedAnswer | None,
         now_ms: float,
     ) -> ClaimAction:
         """Compose what a try is told of a claim, or of an issued key.
@@ -270,48 +270,48 @@
         name = KeyName(event.customer, event.key)
         if is_denial and claim_id and not self.index.is_fresh(name, claim_id, now_ms):
             return refuse(event, ErrorKind.OUTCOME_UNKNOWN, self.rng)
-        return tell_status(event, status, digest, answer, self.rng)
+        return compose_status_reply(event, status, digest, answer, self.rng)
 
-    def tell_ended(
-        self, event: KeyedArrived, ended: EndedKey, now_ms: float
+    def compose_ended_reply(
+        self, event: KeyedRequestArrived, ended: EndedKey, now_ms: float
     ) -> ClaimAction:
         """Compose what a try is told about a key that ended here."""
-        answer = self._kept.find(KeyName(event.customer, event.key))
-        return self.tell(
+        answer = self._answers.find(KeyName(event.customer, event.key))
+        return self.compose_reply(
             event, ended.claim_id, ended.status, ended.digest, answer, now_ms
         )
 
-    def tell_running(
-        self, event: KeyedArrived, entry: KeyEntry, now_ms: float
+    def compose_running_reply(
+        self, event: KeyedRequestArrived, entry: KeyEntry, now_ms: float
     ) -> ClaimAction:
         """Compose what a try is told that can't wait for a key under way here."""
-        return self.tell(
+        return self.compose_reply(
             event, entry.claim_id, KeyStatus.RUNNING, entry.digest, None, now_ms
         )
 
-    def compose_told(
+    def compose_report(
         self, to: NodeId, name: KeyName, claim_id: str, ended: EndedKey
-    ) -> KeyTold:
+    ) -> KeyReport:
         """Compose what a peer is told about a key."""
         answer = None
         status = ended.status
         if status is KeyStatus.ANSWERED:
-            answer = self._kept.find(name)
-            if answer is not None and not is_passable(answer):
+            answer = self._answers.find(name)
+            if answer is not None and not is_forwardable(answer):
                 answer = None
             # The request ran, but its answer is too large for a message, or had to
             # make room for others.
             status = KeyStatus.UNKNOWN if answer is None else status
-        return KeyTold(to.incarnation, name, claim_id, status, ended.digest, answer)
+        return KeyReport(to.incarnation, name, claim_id, status, ended.digest, answer)
 
-    def list_handed(self) -> list[HandedKey]:
+    def list_transferable(self) -> list[TransferredKey]:
         """Return all that this node knows of ended keys, the latest first."""
         own = [
-            HandedKey(name, ended.claim_id, ended.status, ended.digest, answer)
+            TransferredKey(name, ended.claim_id, ended.status, ended.digest, answer)
             for name, ended in reversed(self._ended.items())
-            for answer in (self._kept.find(name),)
+            for answer in (self._answers.find(name),)
         ]
-        return own + self.handed.list_all()
+        return own + self.transferred.list_all()
 
     def send(self, to: NodeId, message: KeyMessage) -> Iterator[ClaimAction]:
         """Send to a peer, or to this node itself."""
@@ -320,7 +320,7 @@
         else:
             yield SendToPeer(to.node, message)
 
-    def take_loopback(self) -> list[KeyMessage]:
+    def pop_loopback(self) -> list[KeyMessage]:
         """Take the messages that this node sent to itself."""
         taken = self._loopback
         self._loopback = []
@@ -329,7 +329,7 @@
     def forget_old(self, now_ms: float) -> None:
         """Forget what is older than the window."""
         self.index.forget_old(now_ms)
-        self.handed.forget_old(now_ms)
+        self.transferred.forget_old(now_ms)
         self.stopped.forget_old(now_ms)
         old = []
         for name, ended in self._ended.items():
@@ -339,9 +339,9 @@
         for name in old:
             del self._ended[name]
             self._uncount(name)
-            self._kept.drop(name)
+            self._answers.drop(name)
 
-    def _find_handed_over_id(self) -> str:
+    def _compose_handover_id(self) -> str:
         return f"handed-over-{self.identity.incarnation}"
 
     def _uncount(self, name: KeyName) -> None:
--- a/packages/toucanyard/src/toucanyard/large_answers.py
+++ b/packages/toucanyard/src/toucanyard/large_answer_throttle.py
@@ -6,21 +6,21 @@
 
 from toucanyard.key_records import KeyName
 from toucanyard.names import NodeId
-from toucanyard.requests import KeptAnswer
+from toucanyard.requests import CachedAnswer
 
-MAX_PASSED_BYTES: Final = 3_500_000
+MAX_FORWARDED_BYTES: Final = 3_500_000
 """Largest answer that fits a message between nodes, with room for the rest of it."""
 _LARGE_BYTES: Final = 20_000
-_AGAIN_MS: Final = 5_000
+_MIN_REPEAT_MS: Final = 5_000
 """Longer than the largest answer takes on a link of 1 MB/s."""
 
 
-def is_passable(answer: KeptAnswer) -> bool:
+def is_forwardable(answer: CachedAnswer) -> bool:
     """Tell whether an answer may go to a peer; a larger one would close the link."""
-    return len(answer.body) <= MAX_PASSED_BYTES
+    return len(answer.body) <= MAX_FORWARDED_BYTES
 
 
-class LargeAnswers:
+class LargeAnswerThrottle:
     """When which peer was last sent which large answer.
 
     A peer repeats its question until the answer is there. A copy for each would hold
@@ -33,17 +33,17 @@
     def __init__(self) -> None:
         self._sent_ms: dict[tuple[NodeId, KeyName], float] = {}
 
-    def is_under_way(
-        self, to: NodeId, name: KeyName, answer: KeptAnswer | None, now_ms: float
+    def was_sent_recently(
+        self, to: NodeId, name: KeyName, answer: CachedAnswer | None, now_ms: float
     ) -> bool:
         """Tell whether a peer was sent this large answer a short time ago."""
         if answer is None or len(answer.body) < _LARGE_BYTES:
             return False
         sent_ms = self._sent_ms.get((to, name), float("-inf"))
-        return now_ms - sent_ms < _AGAIN_MS
+        return now_ms - sent_ms < _MIN_REPEAT_MS
 
-    def note(
-        self, to: NodeId, name: KeyName, answer: KeptAnswer | None, now_ms: float
+    def record_sent(
+        self, to: NodeId, name: KeyName, answer: CachedAnswer | None, now_ms: float
     ) -> None:
         """Remember that a peer is being sent an answer, if it is a large one."""
         if answer is not None and len(answer.body) >= _LARGE_BYTES:
@@ -54,7 +54,7 @@
         old = [
             each
             for each, sent_ms in self._sent_ms.items()
-            if now_ms - sent_ms >= _AGAIN_MS
+            if now_ms - sent_ms >= _MIN_REPEAT_MS
         ]
         for each in old:
             del self._sent_ms[each]
--- a/packages/toucanyard/src/toucanyard/log_start.py
+++ b/packages/toucanyard/src/toucanyard/log_start.py
@@ -18,7 +18,7 @@
 _CHECKPOINT_INTERVALS: Final = 1.5
 """A checkpoint comes after 1.25 intervals at the latest; it covers up to a moment
 before its own place."""
-_MAX_LEFT: Final = 1_000
+_MAX_REMAINING: Final = 1_000
 """Records between the bounds at which the search ends: one page."""
 
 
@@ -47,17 +47,17 @@
 
     def find_probe(self) -> int | None:
         """Return the offset of the record to look at next; None at the end."""
-        if self._high - self.start <= _MAX_LEFT:
+        if self._high - self.start <= _MAX_REMAINING:
             return None
         return (self.start + self._high) // 2
 
-    def note(self, probe: int, at_ms: float | None) -> None:
+    def apply_probe(self, probe: int, at_ms: float | None) -> None:
         """Take in when the log took the record at a probe; None where it has none."""
         if at_ms is not None and at_ms < self._cutoff_ms:
             self.start = probe
         else:
             self._high = probe
 
-    def note_expired(self, oldest: int) -> None:
+    def raise_oldest(self, oldest: int) -> None:
         """Take in that the log dropped records meanwhile."""
         self.start = max(self.start, oldest)
--- a/packages/toucanyard/src/toucanyard/missed_records.py
+++ b/packages/toucanyard/src/toucanyard/missed_records.py
@@ -9,10 +9,10 @@
 
 from toucanyard.configuration_records import PatchRecord
 
-_MAX_KEPT: Final = 1_024
+_MAX_BUFFERED: Final = 1_024
 
 
-class KeptBack(msgspec.Struct, frozen=True):
+class BufferedPatch(msgspec.Struct, frozen=True):
     """A patch that can't be judged yet, and where and when it stands in the log."""
 
     offset: int
@@ -26,15 +26,15 @@
     Invariant: while records are missing, every patch from `_until` on is kept back.
     """
 
-    __slots__ = ("_kept", "_until")
+    __slots__ = ("_buffered", "_missed_until")
 
     def __init__(self) -> None:
-        self._until: int | None = None
-        self._kept: deque[KeptBack] = deque()
+        self._missed_until: int | None = None
+        self._buffered: deque[BufferedPatch] = deque()
 
-    def is_any(self) -> bool:
+    def has_missed_records(self) -> bool:
         """Tell whether records were missed that nothing has covered yet."""
-        return self._until is not None
+        return self._missed_until is not None
 
     def is_covered_by(self, next_offset: int) -> bool:
         """Tell whether a state up to an offset and what was kept leave no gap.
@@ -42,26 +42,26 @@
         Every record from there on must have been seen, or a patch between would be
         lost and this node would number versions differently.
         """
-        return self._until is None or next_offset >= self._until
+        return self._missed_until is None or next_offset >= self._missed_until
 
     def start(self, until: int) -> None:
         """Take in that some records before an offset were not seen."""
-        self._until = until
-        self._kept.clear()
+        self._missed_until = until
+        self._buffered.clear()
 
     def end(self) -> None:
         """Take in that nothing is missing any more."""
-        self._until = None
-        self._kept.clear()
+        self._missed_until = None
+        self._buffered.clear()
 
-    def keep_back(self, patch: KeptBack) -> None:
+    def buffer_patch(self, patch: BufferedPatch) -> None:
         """Keep a patch; without room the oldest one is missing as well."""
-        self._kept.append(patch)
-        if len(self._kept) > _MAX_KEPT:
-            self._until = self._kept.popleft().offset + 1
+        self._buffered.append(patch)
+        if len(self._buffered) > _MAX_BUFFERED:
+            self._missed_until = self._buffered.popleft().offset + 1
 
-    def take_from(self, next_offset: int) -> list[KeptBack]:
+    def take_buffered_from(self, next_offset: int) -> list[BufferedPatch]:
         """Return the patches from an offset on; nothing is missing any more."""
-        kept = [each for each in self._kept if each.offset >= next_offset]
+        buffered = [each for each in self._buffered if each.offset >= next_offset]
         self.end()
-        return kept
+        return buffered
--- a/packages/toucanyard/src/toucanyard/node_core.py
+++ b/packages/toucanyard/src/toucanyard/node_core.py
@@ -14,7 +14,7 @@
 from toucanyard.claim_events import (
     ClaimAction,
     ClaimRecordsRead,
-    HandOverBegun,
+    HandoverBegun,
     LogState,
     PeerMessageArrived,
     RecordsSettled,
@@ -31,15 +31,15 @@
     CacheDumpRead,
     CacheEventsRead,
     CallerLeft,
-    DispatchOver,
+    DispatchFinished,
     DrainBegun,
-    EndpointSilent,
+    EndpointPollFailed,
     FirstTokenSeen,
     LinksChanged,
     LoadRead,
     LogExpired,
     LogRead,
-    LogReread,
+    LogReadRestarted,
     LogStateSeen,
     MessageRead,
     OrderEnded,
@@ -91,10 +91,10 @@
     | RequestTurnedAway
     | CallerLeft
     | FirstTokenSeen
-    | DispatchOver
+    | DispatchFinished
     | LogRead
     | LogExpired
-    | LogReread
+    | LogReadRestarted
     | LogStateSeen
     | AppendSettled
     | VmsRead
@@ -104,11 +104,11 @@
     | LoadRead
     | CacheEventsRead
     | CacheDumpRead
-    | EndpointSilent
+    | EndpointPollFailed
     | StateRead
     | OrderEnded
     | DrainBegun
-    | HandOverBegun
+    | HandoverBegun
     | TickPassed
 )
 CoreAction = (
@@ -195,19 +195,19 @@
                 | RequestTurnedAway()
                 | CallerLeft()
                 | FirstTokenSeen()
-                | DispatchOver()
+                | DispatchFinished()
             ):
                 yield from self._handle_request(event, now_ms)
             case (
                 LogRead()
                 | LogExpired()
-                | LogReread()
+                | LogReadRestarted()
                 | LogStateSeen()
                 | AppendSettled()
             ):
                 yield from self._handle_log(event, now_ms)
             case VmsRead(vms=vms):
-                self._count_nodes(vms)
+                self._update_node_count(vms)
                 read = VmListRead(vms)
                 yield from self._apply_membership(
                     self.membership.handle(read, now_ms), now_ms
@@ -227,7 +227,7 @@
                 self.membership.handle(NodeLeaves(address), now_ms)
                 yield from self.duties.duties.release(now_ms)
                 self._is_draining = True
-            case HandOverBegun():
+            case HandoverBegun():
                 yield from self._apply_claims(self.claims.handle(event, now_ms), now_ms)
             case _:
                 yield from self._handle_endpoint(event, now_ms)
@@ -238,7 +238,7 @@
         | RequestTurnedAway
         | CallerLeft
         | FirstTokenSeen
-        | DispatchOver,
+        | DispatchFinished,
         now_ms: float,
     ) -> Iterator[CoreAction]:
         match event:
@@ -250,12 +250,12 @@
                 yield from _to_core(self.flow.leave(request_id, now_ms))
             case FirstTokenSeen():
                 self.flow.note_first_token(event.request_id, event.after_ms, now_ms)
-            case DispatchOver(outcome=outcome):
+            case DispatchFinished(outcome=outcome):
                 yield from _to_core(self.flow.end_dispatch(outcome, now_ms))
 
     def _handle_log(
         self,
-        event: LogRead | LogExpired | LogReread | LogStateSeen | AppendSettled,
+        event: LogRead | LogExpired | LogReadRestarted | LogStateSeen | AppendSettled,
         now_ms: float,
     ) -> Iterator[CoreAction]:
         match event:
@@ -269,7 +269,7 @@
             case LogExpired(oldest=oldest):
                 self.log.note_expired(oldest)
                 self.duties.duties.note_expired()
-            case LogReread():
+            case LogReadRestarted():
                 self.log.note_reread()
             case LogStateSeen(is_up=is_up):
                 state = LogState(is_up)
@@ -277,7 +277,7 @@
             case AppendSettled():
                 yield from self._settle(event, now_ms)
 
-    def _count_nodes(self, vms: Sequence[Vm]) -> None:
+    def _update_node_count(self, vms: Sequence[Vm]) -> None:
         """Tell the flow how many nodes share the endpoints, this one included."""
         names = {vm.name for vm in vms if vm.runs == "node"}
         count = len(names | {self.identity.node})
@@ -321,7 +321,7 @@
         event: LoadRead
         | CacheEventsRead
         | CacheDumpRead
-        | EndpointSilent
+        | EndpointPollFailed
         | StateRead
         | OrderEnded,
         now_ms: float,
@@ -344,7 +344,7 @@
                 self.duties.note_state(event.endpoint, event.state, event.asked_ms)
             case OrderEnded(sent=sent, outcome=outcome):
                 self.duties.note_outcome(sent, outcome, now_ms)
-            case EndpointSilent(endpoint=endpoint):
+            case EndpointPollFailed(endpoint=endpoint):
                 self.directory.note_failure(endpoint, now_ms)
 
     def _tick(self, now_ms: float) -> Iterator[CoreAction]:
--- a/packages/toucanyard/src/toucanyard/pending_requests.py
+++ b/packages/toucanyard/src/toucanyard/pending_requests.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from toucanyard.claim_events import KeyedArrived
+from toucanyard.claim_events import KeyedRequestArrived
 from toucanyard.errorcodes import ErrorKind
 from toucanyard.names import EndpointName
 from toucanyard.placement import Placed
@@ -45,11 +45,11 @@
     return ErrorKind.OUTCOME_UNKNOWN
 
 
-def build_key_event(request: Request) -> KeyedArrived | None:
+def build_key_event(request: Request) -> KeyedRequestArrived | None:
     """Return the event for the decision on a key; None without one."""
     if request.repeatability is not Repeatability.KEYED:
         return None
-    return KeyedArrived(
+    return KeyedRequestArrived(
         request.request_id,
         request.customer,
         request.key,
--- a/packages/toucanyard/src/toucanyard/placement.py
+++ b/packages/toucanyard/src/toucanyard/placement.py
@@ -24,8 +24,8 @@
 from toucanyard.prefix_homes import MAX_POOLS, Homes, PoolUse, PoolUses, find_homes
 from toucanyard.rendezvous import EndpointRing
 from toucanyard.requests import (
-    PROVED_NOT_RUN,
-    EndingSeen,
+    PROVEN_NOT_RUN,
+    DispatchEnding,
     ModelTarget,
     Outcome,
     Request,
@@ -203,10 +203,10 @@
             view.cache.note_incarnation(outcome.incarnation)
         if not isinstance(request.target, ModelTarget):
             return
-        if outcome.ending == EndingSeen.COMPLETED and outcome.duration_ms > 0:
+        if outcome.ending == DispatchEnding.COMPLETED and outcome.duration_ms > 0:
             use = self._uses.get(request.target.pool)
             use.note_duration(outcome.duration_ms)
-        if outcome.ending in PROVED_NOT_RUN:
+        if outcome.ending in PROVEN_NOT_RUN:
             # Nothing was computed there: expecting its blocks would draw the prefix.
             view.cache.is_doubtful = True
 
--- a/packages/toucanyard/src/toucanyard/relay_core.py
+++ b/packages/toucanyard/src/toucanyard/relay_core.py
@@ -59,7 +59,7 @@
 from toucanyard.replica_probes import ReplicaProbes
 from toucanyard.replicas import ReplicaDirectory
 from toucanyard.request_guard import RequestGuard
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 from toucanyard.rollout_leader import RolloutLeader
 from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
@@ -274,7 +274,7 @@
             case DispatchEnded(outcome=outcome):
                 yield from self.flow.end_dispatch(outcome, now_ms)
                 yield from self.probes.ask_lost(now_ms)
-                if outcome.ending is EndingSeen.REFUSED:
+                if outcome.ending is DispatchEnding.REFUSED:
                     # Each node would else find out by calls of its own, and have some
                     # of them refused that may be sent only once.
                     self.gossip.note(outcome.replica, now_ms)
--- a/packages/toucanyard/src/toucanyard/relay_flow.py
+++ b/packages/toucanyard/src/toucanyard/relay_flow.py
@@ -29,7 +29,7 @@
 )
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.request_guard import Rejection, RequestGuard
-from toucanyard.requests import PROVED_NOT_RUN, EndingSeen
+from toucanyard.requests import PROVEN_NOT_RUN, DispatchEnding
 from toucanyard.routes import RouteIndex
 from toucanyard.weights_goals import WeightsGoals
 
@@ -149,7 +149,7 @@
             yield RelayReply(outcome.request_id, None)
             return
         self._learn(pending, outcome, now_ms)
-        if outcome.ending in (EndingSeen.COMPLETED, EndingSeen.CANCELLED):
+        if outcome.ending in (DispatchEnding.COMPLETED, DispatchEnding.CANCELLED):
             yield RelayReply(outcome.request_id, None)
             yield from self._finish(pending, now_ms)
             return
@@ -191,7 +191,9 @@
         for service, queue in self._queues.items():
             if not queue:
                 continue
-            for pending in [each for each in queue if self._is_hopeless(each, now_ms)]:
+            for pending in [
+                each for each in queue if self._is_unanswerable(each, now_ms)
+            ]:
                 queue.remove(pending)
                 pending.is_waiting = False
                 text = "no replica had room in time"
@@ -295,7 +297,7 @@
             return self._refusals.compute_limited_wait(pending, queue, now_ms)
         return self._refusals.compute_wait(pending, queue, now_ms)
 
-    def _is_hopeless(self, pending: PendingCall, now_ms: float) -> bool:
+    def _is_unanswerable(self, pending: PendingCall, now_ms: float) -> bool:
         """Tell whether a waiting call is better told now than later.
 
         What is left of its time when it is refused is what its caller can retry in.
@@ -322,29 +324,29 @@
         if prompt is not None and outcome.weights_version is not None:
             self._note_weights(known, prompt.model, outcome.weights_version)
         match outcome.ending:
-            case EndingSeen.COMPLETED:
+            case DispatchEnding.COMPLETED:
                 known.note_success()
-            case EndingSeen.NOT_SENT | EndingSeen.LOST:
+            case DispatchEnding.NOT_SENT | DispatchEnding.LOST:
                 is_dead = outcome.is_dead and self._policy.retries.rests
                 known.note_failure(now_ms, is_dead=is_dead)
-            case EndingSeen.FAILED:
+            case DispatchEnding.FAILED:
                 known.note_failure(now_ms, is_dead=False)
-            case EndingSeen.REFUSED if outcome.is_replaced:
+            case DispatchEnding.REFUSED if outcome.is_replaced:
                 self._directory.note_replaced(outcome.replica, now_ms)
-            case EndingSeen.REFUSED if outcome.has_other_weights:
+            case DispatchEnding.REFUSED if outcome.has_other_weights:
                 self._guess_weights(known, pending)
-            case EndingSeen.REFUSED:
+            case DispatchEnding.REFUSED:
                 known.note_refusal(now_ms)
 
     def _note_sends(
         self, pending: PendingCall, outcome: RelayOutcome, now_ms: float
     ) -> None:
-        if outcome.ending not in PROVED_NOT_RUN:
+        if outcome.ending not in PROVEN_NOT_RUN:
             pending.may_have_run = True
-            pending.has_failed = outcome.ending is EndingSeen.FAILED
+            pending.has_failed = outcome.ending is DispatchEnding.FAILED
         else:
             self._limits.on_not_run(pending, now_ms)
-        if outcome.ending is EndingSeen.NOT_SENT:
+        if outcome.ending is DispatchEnding.NOT_SENT:
             # It reached nobody, so it is none of the attempts that a route allows.
             pending.sends -= 1
 
--- a/packages/toucanyard/src/toucanyard/relay_requests.py
+++ b/packages/toucanyard/src/toucanyard/relay_requests.py
@@ -14,7 +14,7 @@
     ServiceName,
 )
 from toucanyard.part_book import Part
-from toucanyard.requests import EndingSeen, Refuse, Repeatability
+from toucanyard.requests import DispatchEnding, Refuse, Repeatability
 
 
 class Prompt(msgspec.Struct, frozen=True):
@@ -122,7 +122,7 @@
 
     request_id: RequestId
     replica: EndpointName
-    ending: EndingSeen
+    ending: DispatchEnding
     text: str = ""
     is_dead: bool = False
     """Nothing answered at the replica's address."""
--- a/packages/toucanyard/src/toucanyard/request_flow.py
+++ b/packages/toucanyard/src/toucanyard/request_flow.py
@@ -20,7 +20,7 @@
     ClaimAction,
     DispatchEnded,
     DispatchStarted,
-    RefuseKeyed,
+    RefuseKeyedRequest,
     ReplayAnswer,
     SendToPeer,
 )
@@ -42,9 +42,9 @@
 from toucanyard.placement import Placed, Placement
 from toucanyard.request_records import RequestRecords
 from toucanyard.requests import (
-    PROVED_NOT_RUN,
+    PROVEN_NOT_RUN,
     Dispatch,
-    EndingSeen,
+    DispatchEnding,
     Outcome,
     Refuse,
     Repeatability,
@@ -123,7 +123,7 @@
         if pending is None:
             return
         if pending.placed is not None:
-            yield from self._take_back(pending, pending.placed, now_ms)
+            yield from self._cancel_unsent(pending, pending.placed, now_ms)
             return
         if pending.request.repeatability is Repeatability.KEYED:
             actions = self._claims.handle(KeyCallerLeft(request_id), now_ms)
@@ -131,7 +131,7 @@
         actions_freed = self._admission.abandon(request_id, now_ms)
         yield from self._apply_admission(actions_freed, now_ms)
 
-    def _take_back(
+    def _cancel_unsent(
         self, pending: PendingRequest, placed: Placed, now_ms: float
     ) -> Iterator[FlowAction]:
         """End a dispatch whose order found no one: the caller had just left.
@@ -141,7 +141,7 @@
         """
         request_id = pending.request.request_id
         self._feedback.note_unsent(pending, placed, now_ms)
-        unsent = Outcome(request_id, placed.endpoint, EndingSeen.NOT_SENT)
+        unsent = Outcome(request_id, placed.endpoint, DispatchEnding.NOT_SENT)
         yield from self._finish(pending, unsent, now_ms)
 
     def note_first_token(
@@ -159,7 +159,7 @@
             yield Reply(outcome.request_id, None)
             return
         self._feedback.note_outcome(pending, outcome, now_ms)
-        if outcome.ending in (EndingSeen.COMPLETED, EndingSeen.CANCELLED):
+        if outcome.ending in (DispatchEnding.COMPLETED, DispatchEnding.CANCELLED):
             yield from self._finish(pending, outcome, now_ms)
             yield Reply(outcome.request_id, None)
             return
@@ -177,7 +177,7 @@
             match action:
                 case AllowDispatch(request_id=request_id):
                     yield from self._allow(request_id, now_ms)
-                case RefuseKeyed():
+                case RefuseKeyedRequest():
                     refusal = Refuse(
                         action.request_id,
                         action.kind,
@@ -201,7 +201,7 @@
                 case Admit(request=request, priority=priority):
                     yield from self._admit(request, priority, now_ms)
                 case Refuse():
-                    yield from self._refuse(self._limit_claim(action), now_ms)
+                    yield from self._refuse(self._limit_refusal(action), now_ms)
 
     def _admit(
         self, request: Request, priority: int, now_ms: float
@@ -219,7 +219,7 @@
     def _allow(self, request_id: RequestId, now_ms: float) -> Iterator[FlowAction]:
         pending = self._pending.get(request_id)
         if pending is None:
-            ended = DispatchEnded(request_id, EndingSeen.NOT_SENT)
+            ended = DispatchEnded(request_id, DispatchEnding.NOT_SENT)
             yield from self.apply_claims(self._claims.handle(ended, now_ms), now_ms)
             return
         pending.is_key_allowed = True
@@ -273,7 +273,7 @@
     ) -> Iterator[FlowAction]:
         request = pending.request
         is_safe = (
-            outcome.ending in PROVED_NOT_RUN
+            outcome.ending in PROVEN_NOT_RUN
             or request.repeatability is Repeatability.REPEATABLE
         )
         if not is_safe:
@@ -298,7 +298,7 @@
         that turn away are left alone for a while, so such retries can't multiply an
         overload: they need no budget, only an endpoint that is willing.
         """
-        if outcome.ending not in PROVED_NOT_RUN:
+        if outcome.ending not in PROVEN_NOT_RUN:
             return self._admission.may_retry(pending.attempt)
         if pending.attempt >= self._max_attempts:
             return False
@@ -322,7 +322,9 @@
             kind = find_unknown_kind(request)
         ending = ANSWERS[kind].ending or Ending.UNKNOWN
         if outcome is None:
-            outcome = Outcome(request.request_id, EndpointName(""), EndingSeen.NOT_SENT)
+            outcome = Outcome(
+                request.request_id, EndpointName(""), DispatchEnding.NOT_SENT
+            )
         retry_after_ms = self._admission.compute_retry_after(request, now_ms)
         refusal = Refuse(request.request_id, kind, ending, text, retry_after_ms)
         yield from self._refuse(refusal, now_ms, outcome)
@@ -357,7 +359,7 @@
         freed = self._admission.release(request_id, now_ms)
         yield from self._apply_admission(freed, now_ms)
 
-    def _limit_claim(self, refusal: Refuse) -> Refuse:
+    def _limit_refusal(self, refusal: Refuse) -> Refuse:
         """Say of a keyed request no more than is known about its key."""
         pending = self._pending.get(refusal.request_id)
         if pending is None:
--- a/packages/toucanyard/src/toucanyard/request_guard.py
+++ b/packages/toucanyard/src/toucanyard/request_guard.py
@@ -28,7 +28,7 @@
 from toucanyard.relay_policy import GuardPolicy
 from toucanyard.relay_requests import RelayOutcome, RelayRequest
 from toucanyard.replicas import ReplicaDirectory
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 
 QUARANTINE_RETRY_MS: Final = 60_000
 """When to ask again for a request under quarantine; by then it may be released."""
@@ -114,7 +114,7 @@
         now_ms: float,
     ) -> None:
         """Learn from the end of a dispatch that was sent at `sent_ms`."""
-        if outcome.ending is EndingSeen.COMPLETED:
+        if outcome.ending is DispatchEnding.COMPLETED:
             self.watch.record_answer(
                 outcome.replica, request.fingerprint, sent_ms, now_ms
             )
--- a/packages/toucanyard/src/toucanyard/requests.py
+++ b/packages/toucanyard/src/toucanyard/requests.py
@@ -110,7 +110,7 @@
     retry_after_ms: int
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
+class CachedAnswer(msgspec.Struct, frozen=True):
     """The whole answer to a keyed request, as first given."""
 
     status: int
@@ -122,10 +122,10 @@
     """Give the caller the answer that an earlier try got."""
 
     request_id: RequestId
-    answer: KeptAnswer
+    answer: CachedAnswer
 
 
-class EndingSeen(enum.StrEnum):
+class DispatchEnding(enum.StrEnum):
     """How one dispatch ended, as the task that held the connection saw it."""
 
     COMPLETED = "completed"
@@ -141,7 +141,7 @@
     """The caller went away."""
 
 
-PROVED_NOT_RUN: Final = frozenset({EndingSeen.NOT_SENT, EndingSeen.REFUSED})
+PROVEN_NOT_RUN: Final = frozenset({DispatchEnding.NOT_SENT, DispatchEnding.REFUSED})
 """Endings after which the request surely did not run."""
 
 
@@ -150,7 +150,7 @@
 
     request_id: RequestId
     endpoint: EndpointName
-    ending: EndingSeen
+    ending: DispatchEnding
     incarnation: Incarnation | None = None
     weights_version: str = ""
     first_token_ms: float | None = None
@@ -162,7 +162,7 @@
     events_relayed: int = 0
     longest_pause_ms: float = 0.0
     """Longest time between two parts of a stream, a resumed one's included."""
-    answer: KeptAnswer | None = None
+    answer: CachedAnswer | None = None
     """Set for keyed requests that completed."""
 
 
--- a/packages/toucanyard/src/toucanyard/log_counts.py
+++ b/packages/toucanyard/src/toucanyard/skipped_record_counts.py
@@ -11,7 +11,7 @@
 _MAX_UNKNOWN_KINDS: Final = 16
 
 
-class LogCounts(msgspec.Struct):
+class SkippedRecordCounts(msgspec.Struct):
     """How many records were passed over, and why."""
 
     foreign: int = 0
@@ -21,7 +21,7 @@
     refused_checkpoints: int = 0
     by_unknown_kind: dict[str, int] = msgspec.field(default_factory=dict)
 
-    def note(self, reason: SkipReason) -> None:
+    def record_skip(self, reason: SkipReason) -> None:
         """Count one record that was passed over."""
         match reason:
             case SkipReason.FOREIGN:
@@ -31,7 +31,7 @@
             case SkipReason.OVERSIZED:
                 self.oversized += 1
 
-    def note_unknown(self, kind: str) -> None:
+    def record_unknown_kind(self, kind: str) -> None:
         """Count one record of a configuration kind that newer nodes may understand."""
         self.unknown_kinds += 1
         known = self.by_unknown_kind
--- a/packages/toucanyard/src/toucanyard/stopped_nodes.py
+++ b/packages/toucanyard/src/toucanyard/stopped_nodes.py
@@ -15,7 +15,7 @@
 @dataclass(slots=True)
 class _Stopped:
     holders: tuple[NodeId, ...]
-    noted_ms: float
+    recorded_ms: float
 
 
 class StoppedNodes:
@@ -31,7 +31,9 @@
         self._keep_ms = keep_ms
         self._stopped: dict[NodeId, _Stopped] = {}
 
-    def note(self, stopped: NodeId, holders: tuple[NodeId, ...], now_ms: float) -> None:
+    def record_stop(
+        self, stopped: NodeId, holders: tuple[NodeId, ...], now_ms: float
+    ) -> None:
         """Remember a stopped node; repeated news change nothing."""
         if stopped in self._stopped:
             return
@@ -68,6 +70,6 @@
         """Forget nodes whose keys nobody holds any more."""
         while self._stopped:
             node = next(iter(self._stopped))
-            if now_ms - self._stopped[node].noted_ms < self._keep_ms:
+            if now_ms - self._stopped[node].recorded_ms < self._keep_ms:
                 return
             del self._stopped[node]
--- a/packages/toucanyard/src/toucanyard/wire.py
+++ b/packages/toucanyard/src/toucanyard/wire.py
@@ -18,11 +18,11 @@
     DigestMessage,
 )
 from toucanyard.key_messages import (
-    AskingMessage,
+    KeyControlMessage,
     KeyMessage,
-    KeysNoted,
-    NoteKeys,
-    NoteMessage,
+    KeysRecorded,
+    RecordingMessage,
+    RecordKeys,
 )
 from toucanyard.snapshots import (
     SnapshotBusy,
@@ -38,11 +38,11 @@
 
 
 class _KeyFrame(msgspec.Struct, frozen=True, array_like=True, tag="k"):
-    message: AskingMessage
+    message: KeyControlMessage
 
 
-class _NoteFrame(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    message: NoteMessage
+class _RecordingFrame(msgspec.Struct, frozen=True, array_like=True, tag="n"):
+    message: RecordingMessage
 
 
 class _DigestFrame(msgspec.Struct, frozen=True, array_like=True, tag="d"):
@@ -59,7 +59,9 @@
 
 # Digests and notes are arrays, since they are sent all the time; the codec can't tell
 # arrays and maps apart in one union, so a frame says which family a message is of.
-_Frame = _KeyFrame | _NoteFrame | _DigestFrame | _ConfigurationFrame | _SnapshotFrame
+_Frame = (
+    _KeyFrame | _RecordingFrame | _DigestFrame | _ConfigurationFrame | _SnapshotFrame
+)
 
 
 def encode_message(message: PeerMessage) -> bytes:
@@ -72,8 +74,8 @@
             frame = _ConfigurationFrame(message)
         case SnapshotRequest() | SnapshotPart() | SnapshotBusy():
             frame = _SnapshotFrame(message)
-        case NoteKeys() | KeysNoted():
-            frame = _NoteFrame(message)
+        case RecordKeys() | KeysRecorded():
+            frame = _RecordingFrame(message)
         case _:
             frame = _KeyFrame(message)
     return cbor2.dumps(msgspec.to_builtins(frame, builtin_types=(bytes,)))
--- a/tests/key_machine.py
+++ b/tests/key_machine.py
@@ -17,12 +17,14 @@
 from toucanyard.platform_log import (
     AppendResult,
 )
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 
 PLACES = st.integers(0, 3)
 NODES = st.sampled_from(NAMES)
 DIGESTS = st.sampled_from((b"one", b"one", b"one", b"two"))
-ENDINGS = st.sampled_from((EndingSeen.COMPLETED, EndingSeen.LOST, EndingSeen.CANCELLED))
+ENDINGS = st.sampled_from(
+    (DispatchEnding.COMPLETED, DispatchEnding.LOST, DispatchEnding.CANCELLED)
+)
 
 
 class KeysUnderFaults(RuleBasedStateMachine):
@@ -39,7 +41,7 @@
 
     def begin(self, max_keys: int) -> None:
         self.world = World(max_keys)
-        self.world.pump(3, None)
+        self.world.run_rounds(3, None)
         self.dead: list[Node] = []
         self.make_key(NAMES[0], True, CUSTOMERS[0])
         self.make_key(NAMES[0], False, CUSTOMERS[0])
@@ -55,23 +57,25 @@
             self.world.keys.append(Key(customer, text))
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, place=PLACES, digest=DIGESTS, tells_age=st.booleans())
-    def send(self, name: NodeName, place: int, digest: bytes, tells_age: bool) -> None:
+    @rule(name=NODES, place=PLACES, digest=DIGESTS, declares_age=st.booleans())
+    def send(
+        self, name: NodeName, place: int, digest: bytes, declares_age: bool
+    ) -> None:
         node = self.world.nodes[name]
         key = self.world.keys[place % len(self.world.keys)]
         if node is not None:
-            self.world.send(node, key, digest, tells_age)
+            self.world.send(node, key, digest, declares_age)
 
     @precondition(lambda self: self.world.keys)
-    @rule(place=PLACES, tells_age=st.booleans())
-    def send_to_issuer(self, place: int, tells_age: bool) -> None:
+    @rule(place=PLACES, declares_age=st.booleans())
+    def send_to_issuer(self, place: int, declares_age: bool) -> None:
         """Send a key to the node that issued it and let that node work."""
         key = self.world.keys[place % len(self.world.keys)]
         issued = parse_issued_key(key.text)
         node = None if issued is None else self.world.nodes[issued.issuer.node]
         if node is not None:
-            self.world.send(node, key, b"one", tells_age)
-            self.world.work(node)
+            self.world.send(node, key, b"one", declares_age)
+            self.world.run_node(node)
 
     @precondition(lambda self: self.world.keys)
     @rule(place=PLACES, rounds=st.integers(1, 3))
@@ -80,19 +84,19 @@
         world = self.world
         key = world.keys[place % len(world.keys)]
         issued = parse_issued_key(key.text)
-        home = None if issued is None else world.nodes[issued.issuer.node]
-        if home is None:
+        issuer_node = None if issued is None else world.nodes[issued.issuer.node]
+        if issuer_node is None:
             return
-        world.send(home, key, b"one", tells_age=True)
-        others = [node for node in world.live() if node is not home]
+        world.send(issuer_node, key, b"one", declares_age=True)
+        others = [node for node in world.live() if node is not issuer_node]
         for node in others:
-            world.send(node, key, b"one", tells_age=True)
+            world.send(node, key, b"one", declares_age=True)
         for _ in range(rounds):
             for node in others:
-                world.work(node)
+                world.run_node(node)
             world.deliver_all()
             world.advance(200)
-        world.pump(2, None)
+        world.run_rounds(2, None)
 
     @rule(name=NODES, place=PLACES, is_retried=st.booleans())
     def claim_and_leave(self, name: NodeName, place: int, is_retried: bool) -> None:
@@ -100,14 +104,14 @@
         node = self.world.nodes[name]
         key = self.world.keys[place % len(self.world.keys)]
         if node is not None:
-            self.world.send(node, key, b"one", tells_age=True)
-            self.world.work(node)
+            self.world.send(node, key, b"one", declares_age=True)
+            self.world.run_node(node)
             self.world.leave(node, len(node.waiting) - 1)
-            self.world.work(node)
+            self.world.run_node(node)
             if is_retried:
-                self.world.send(node, key, b"one", tells_age=True)
-                self.world.work(node)
-                self.world.pump(3, None)
+                self.world.send(node, key, b"one", declares_age=True)
+                self.world.run_node(node)
+                self.world.run_rounds(3, None)
 
     @precondition(lambda self: self.world.keys)
     @rule(place=PLACES, rounds=st.integers(0, 3))
@@ -115,12 +119,12 @@
         """Retry one key on every node at once."""
         key = self.world.keys[place % len(self.world.keys)]
         for node in self.world.live():
-            self.world.send(node, key, b"one", tells_age=True)
+            self.world.send(node, key, b"one", declares_age=True)
             if rounds == 0:
-                self.world.work(node)
-        self.world.pump(rounds, None)
+                self.world.run_node(node)
+        self.world.run_rounds(rounds, None)
         if rounds == 0:
-            self.land_in_turn()
+            self.commit_in_turn()
 
     @precondition(lambda self: self.world.keys)
     @rule(name=NODES, other=NODES, place=PLACES)
@@ -128,17 +132,17 @@
         """Use a key anew after its window, which one node sees over before others."""
         world = self.world
         key = world.keys[place % len(world.keys)]
-        world.pump(3, EndingSeen.COMPLETED)
+        world.run_rounds(3, DispatchEnding.COMPLETED)
         world.advance(70_000)
         first, second = world.nodes[name], world.nodes[other]
         if first is None or second is None:
             return
         world.read(first)
         first.inbox.append(Ticked())
-        world.work(first)
+        world.run_node(first)
         for node in (first, second):
-            world.send(node, key, b"one", tells_age=False)
-            world.pump(3, EndingSeen.COMPLETED)
+            world.send(node, key, b"one", declares_age=False)
+            world.run_rounds(3, DispatchEnding.COMPLETED)
             world.advance(50)
 
     @precondition(lambda self: self.world.keys)
@@ -162,31 +166,31 @@
         behind, first = world.nodes[name], world.nodes[other]
         if behind is None or first is None or behind is first:
             return
-        world.send(behind, key, b"one", tells_age=True)
-        world.work(behind)
+        world.send(behind, key, b"one", declares_age=True)
+        world.run_node(behind)
         if is_left:
             world.leave(behind, len(behind.waiting) - 1)
-            world.land_all()
+            world.commit_all()
             world.read(behind)
-            world.work(behind)
-        world.land_all()
+            world.run_node(behind)
+        world.commit_all()
         world.read(first)
-        world.work(first)
+        world.run_node(first)
         world.advance(70_000)
         world.read(first)
         first.inbox.append(Ticked())
-        world.work(first)
-        world.send(first, key, b"two", tells_age=False)
+        world.run_node(first)
+        world.send(first, key, b"two", declares_age=False)
         for _ in range(2):
-            world.work(first)
-            world.land_all()
+            world.run_node(first)
+            world.commit_all()
             world.read(first)
-        world.work(first)
+        world.run_node(first)
         if is_read:
             world.read(behind)
-        world.work(behind)
-        world.send(behind, key, b"two", tells_age=False)
-        world.pump(2, EndingSeen.COMPLETED)
+        world.run_node(behind)
+        world.send(behind, key, b"two", declares_age=False)
+        world.run_rounds(2, DispatchEnding.COMPLETED)
 
     @rule(name=NODES, count=st.integers(1, 4))
     def step(self, name: NodeName, count: int) -> None:
@@ -203,7 +207,7 @@
             self.world.act(node, is_sent)
 
     @rule(name=NODES, ending=ENDINGS)
-    def end_dispatch(self, name: NodeName, ending: EndingSeen) -> None:
+    def end_dispatch(self, name: NodeName, ending: DispatchEnding) -> None:
         node = self.world.nodes[name]
         if node is not None:
             self.world.end_dispatch(node, ending)
@@ -215,16 +219,16 @@
         append = world.appends[place % len(world.appends)]
         if how == "late":
             # The node is told that the result is unknown; the effect comes later.
-            world.tell_append(append, AppendResult.UNKNOWN)
+            world.report_append(append, AppendResult.UNKNOWN)
             return
         world.appends.remove(append)
-        if how != "refused" or append.is_told:
-            world.land(append.text)
+        if how != "refused" or append.is_announced:
+            world.commit(append.text)
         if how == "done":
-            world.tell_append(append, AppendResult.DONE)
-        elif not append.is_told:
+            world.report_append(append, AppendResult.DONE)
+        elif not append.is_announced:
             result = AppendResult.UNKNOWN if how == "lost" else AppendResult.REFUSED
-            world.tell_append(append, result)
+            world.report_append(append, result)
 
     @rule(name=NODES, overlap=st.integers(0, 3))
     def read_log(self, name: NodeName, overlap: int) -> None:
@@ -249,46 +253,46 @@
             self.world.leave(node, place)
 
     @rule(name=NODES)
-    def work(self, name: NodeName) -> None:
+    def run_node(self, name: NodeName) -> None:
         node = self.world.nodes[name]
         if node is not None:
-            self.world.work(node)
+            self.world.run_node(node)
 
     @rule()
-    def land_all(self) -> None:
-        self.world.land_all()
+    def commit_all(self) -> None:
+        self.world.commit_all()
 
     @rule()
-    def land_in_turn(self) -> None:
+    def commit_in_turn(self) -> None:
         """Let each node act on its own append before the next takes effect."""
         while self.world.appends and self.world.is_log_up:
             append = self.world.appends.pop(0)
-            self.world.land(append.text)
+            self.world.commit(append.text)
             node = self.world.nodes[append.node.node]
             if node is not None:
                 self.world.read(node)
-                self.world.work(node)
+                self.world.run_node(node)
 
     @rule(name=NODES, place=PLACES)
-    def oversleep(self, name: NodeName, place: int) -> None:
+    def pause_past_deadline(self, name: NodeName, place: int) -> None:
         """Pause a node past its deadlines after it has read the log or its peers."""
         node = self.world.nodes[name]
         key = self.world.keys[place % len(self.world.keys)]
         if node is not None:
-            self.world.send(node, key, b"one", tells_age=True)
-            self.world.work(node)
-            self.world.land_all()
+            self.world.send(node, key, b"one", declares_age=True)
+            self.world.run_node(node)
+            self.world.commit_all()
             self.world.read(node)
             self.world.advance(1_200)
-            self.world.work(node)
+            self.world.run_node(node)
 
     @rule()
     def deliver_all(self) -> None:
         self.world.deliver_all()
 
     @rule(rounds=st.integers(1, 3), ending=st.none() | ENDINGS)
-    def pump(self, rounds: int, ending: EndingSeen | None) -> None:
-        self.world.pump(rounds, ending)
+    def run_rounds(self, rounds: int, ending: DispatchEnding | None) -> None:
+        self.world.run_rounds(rounds, ending)
 
     @rule(ms=st.sampled_from((50, 400, 400, 1_200, 1_200, 6_000, 21_000, 70_000)))
     def advance(self, ms: int) -> None:
@@ -308,29 +312,29 @@
             self.world.kill(node.identity.node)
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, place=PLACES, is_told=st.booleans())
-    def kill_after_run(self, name: NodeName, place: int, is_told: bool) -> None:
+    @rule(name=NODES, place=PLACES, is_announced=st.booleans())
+    def kill_after_run(self, name: NodeName, place: int, is_announced: bool) -> None:
         """Lose a node while it runs a key; its caller retries on the others."""
         key = self.world.keys[place % len(self.world.keys)]
         issued = parse_issued_key(key.text)
-        home = self.world.nodes[name if issued is None else issued.issuer.node]
-        if home is None:
+        issuer_node = self.world.nodes[name if issued is None else issued.issuer.node]
+        if issuer_node is None:
             return
-        self.world.send(home, key, b"one", tells_age=True)
-        self.world.pump(3, None)
-        self.kill(home.identity.node)
-        if is_told:
-            self.restart(home.identity.node)
+        self.world.send(issuer_node, key, b"one", declares_age=True)
+        self.world.run_rounds(3, None)
+        self.kill(issuer_node.identity.node)
+        if is_announced:
+            self.restart(issuer_node.identity.node)
         for node in self.world.live():
-            self.world.send(node, key, b"one", tells_age=True)
+            self.world.send(node, key, b"one", declares_age=True)
         self.world.advance(400)
-        self.world.pump(3, None)
+        self.world.run_rounds(3, None)
 
     @rule(name=NODES)
     def restart(self, name: NodeName) -> None:
         if self.world.nodes[name] is None:
             self.world.start(name)
-            self.world.tell_views()
+            self.world.send_views()
 
     @rule(name=NODES, is_stale=st.booleans(), place=PLACES)
     def change_view(self, name: NodeName, is_stale: bool, place: int) -> None:
@@ -343,7 +347,7 @@
             seen = [self.dead[place % len(self.dead)], *seen]
         elif seen:
             seen = seen[place % len(seen) :]
-        self.world.tell_view(node, seen)
+        self.world.send_view(node, seen)
 
     @rule(is_up=st.sampled_from((True, True, False)))
     def switch_log(self, is_up: bool) -> None:
@@ -357,7 +361,7 @@
             world.heal()
             world.check_all_ended()
             world.advance(later_ms)
-            world.pump(1, EndingSeen.COMPLETED)
+            world.run_rounds(1, DispatchEnding.COMPLETED)
             self.retry_everywhere()
         world.heal()
         world.check_all_ended()
@@ -379,7 +383,7 @@
             for text in (f"fresh{number}", prefix + "fresh"):
                 key = Key(CUSTOMERS[0], text)
                 world.keys.append(key)
-                world.send(node, key, b"one", tells_age=True)
+                world.send(node, key, b"one", declares_age=True)
         world.heal()
         world.check_all_ended()
         for key in world.keys[-2 * len(world.live()) :]:
--- a/tests/key_stop_machine.py
+++ b/tests/key_stop_machine.py
@@ -9,7 +9,7 @@
 from key_world import NAMES, Node
 from toucanyard.issued_keys import parse_issued_key
 from toucanyard.names import NodeName
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 
 ROUNDS = st.integers(0, 6)
 
@@ -24,15 +24,15 @@
     @initialize(
         max_keys=st.sampled_from((1_000, 1_000, 1_000, 2)),
         rounds=st.none() | ROUNDS,
-        is_told=st.booleans(),
+        is_announced=st.booleans(),
     )
     def start(
-        self, max_keys: int, rounds: int | None = None, is_told: bool = False
+        self, max_keys: int, rounds: int | None = None, is_announced: bool = False
     ) -> None:
         """Begin with a planned stop in most runs, since few reach one otherwise."""
         self.begin(max_keys)
         if rounds is not None:
-            self.stop_now(NAMES[0], 0, rounds, is_told)
+            self.stop_now(NAMES[0], 0, rounds, is_announced)
 
     @rule(name=NODES)
     def begin_stop(self, name: NodeName) -> None:
@@ -40,11 +40,11 @@
         self.world.begin_stop(name)
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, place=PLACES, rounds=ROUNDS, is_told=st.booleans())
+    @rule(name=NODES, place=PLACES, rounds=ROUNDS, is_announced=st.booleans())
     def stop_after_run(
-        self, name: NodeName, place: int, rounds: int, is_told: bool
+        self, name: NodeName, place: int, rounds: int, is_announced: bool
     ) -> None:
-        self.stop_now(name, place, rounds, is_told)
+        self.stop_now(name, place, rounds, is_announced)
 
     @rule(name=NODES, rounds=ROUNDS)
     def stop_others(self, name: NodeName, rounds: int) -> None:
@@ -53,12 +53,14 @@
         for node in others:
             self.world.begin_stop(node.identity.node)
         for _ in range(rounds):
-            self.world.pump(1, None)
+            self.world.run_rounds(1, None)
             self.world.advance(100)
         for node in others:
             self.kill_now(node)
 
-    def stop_now(self, name: NodeName, place: int, rounds: int, is_told: bool) -> None:
+    def stop_now(
+        self, name: NodeName, place: int, rounds: int, is_announced: bool
+    ) -> None:
         """Stop a node at any point of its hand-over, and retry its keys elsewhere.
 
         It has answered one key and is still running another.
@@ -66,27 +68,27 @@
         answered = self.world.keys[place % len(self.world.keys)]
         running = self.world.keys[(place + 1) % len(self.world.keys)]
         issued = parse_issued_key(answered.text)
-        home = self.world.nodes[name if issued is None else issued.issuer.node]
-        if home is None:
+        issuer_node = self.world.nodes[name if issued is None else issued.issuer.node]
+        if issuer_node is None:
             return
-        self.world.send(home, answered, b"one", tells_age=True)
-        self.world.pump(3, EndingSeen.COMPLETED)
-        self.world.send(home, running, b"one", tells_age=True)
-        self.world.pump(3, None)
-        self.world.begin_stop(home.identity.node)
+        self.world.send(issuer_node, answered, b"one", declares_age=True)
+        self.world.run_rounds(3, DispatchEnding.COMPLETED)
+        self.world.send(issuer_node, running, b"one", declares_age=True)
+        self.world.run_rounds(3, None)
+        self.world.begin_stop(issuer_node.identity.node)
         for _ in range(rounds):
-            self.world.pump(1, None)
+            self.world.run_rounds(1, None)
             self.world.advance(100)
-        self.kill_now(home)
-        if is_told:
-            self.restart_now(home.identity.node)
+        self.kill_now(issuer_node)
+        if is_announced:
+            self.restart_now(issuer_node.identity.node)
         for node in self.world.live():
-            self.world.send(node, answered, b"two", tells_age=True)
-            self.world.send(node, answered, b"one", tells_age=True)
-            self.world.send(node, running, b"one", tells_age=True)
-        self.world.pump(2, None)
+            self.world.send(node, answered, b"two", declares_age=True)
+            self.world.send(node, answered, b"one", declares_age=True)
+            self.world.send(node, running, b"one", declares_age=True)
+        self.world.run_rounds(2, None)
         self.world.advance(400)
-        self.world.pump(2, None)
+        self.world.run_rounds(2, None)
 
     def kill_now(self, node: Node) -> None:
         self.dead.append(node)
@@ -94,4 +96,4 @@
 
     def restart_now(self, name: NodeName) -> None:
         self.world.start(name)
-        self.world.tell_views()
+        self.world.send_views()
