--- a/tests/key_world.py
+++ b/tests/key_world.py
@@ -20,14 +20,14 @@
     ClaimRecordsRead,
     DispatchEnded,
     DispatchStarted,
-    HandOverBegun,
-    KeyedArrived,
+    HandoverBegun,
+    KeyedRequestArrived,
     LogState,
     PeerMessageArrived,
     PeersChanged,
     PeerView,
     RecordsSettled,
-    RefuseKeyed,
+    RefuseKeyedRequest,
     ReplayAnswer,
     SendToPeer,
     Ticked,
@@ -49,7 +49,7 @@
     AppendResult,
     LogRecord,
 )
-from toucanyard.requests import EndingSeen, KeptAnswer
+from toucanyard.requests import CachedAnswer, DispatchEnding
 
 WINDOW_MS = 20_000
 DEADLINE_MS = 1_000
@@ -71,12 +71,12 @@
     request_id: RequestId
     digest: bytes
     allowed_ms: float
-    is_age_told: bool
-    answer: KeptAnswer
+    is_age_declared: bool
+    answer: CachedAnswer
 
 
 @dataclass
-class Try:
+class Attempt:
     request_id: RequestId
     node: NodeId
     sent_ms: float
@@ -91,9 +91,9 @@
 
     customer: CustomerName
     text: str
-    tries: list[Try] = field(default_factory=list)
+    tries: list[Attempt] = field(default_factory=list)
     executions: list[Execution] = field(default_factory=list)
-    refused: list[tuple[float, Try, ErrorKind]] = field(default_factory=list)
+    refused: list[tuple[float, Attempt, ErrorKind]] = field(default_factory=list)
 
     def is_issued(self) -> bool:
         return parse_issued_key(self.text) is not None
@@ -124,7 +124,9 @@
             apart_ms = later_ms - earlier_ms
             assert apart_ms >= WINDOW_MS - 2 * DEADLINE_MS, f"{self.text} ran again"
 
-    def _check_late_refusal(self, at_ms: float, refused: Try, kind: ErrorKind) -> None:
+    def _check_late_refusal(
+        self, at_ms: float, refused: Attempt, kind: ErrorKind
+    ) -> None:
         """Fail when "not run" was said of a run that began in the window before it.
 
         The key may be in use anew, and what a node remembers of its first use proves
@@ -145,11 +147,11 @@
         return [
             each
             for each in self.executions
-            if each.allowed_ms < end_ms or each.is_age_told
+            if each.allowed_ms < end_ms or each.is_age_declared
         ]
 
     def _check_refusal(
-        self, at_ms: float, refused: Try, kind: ErrorKind, execution: Execution
+        self, at_ms: float, refused: Attempt, kind: ErrorKind, execution: Execution
     ) -> None:
         if at_ms >= self.tries[0].sent_ms + WINDOW_MS and not self.is_issued():
             return
@@ -172,7 +174,7 @@
     node: NodeId
     record_id: str
     text: str
-    is_told: bool = False
+    is_announced: bool = False
 
 
 @dataclass
@@ -199,9 +201,9 @@
         self.core = AtMostOnce(name, self.identity.incarnation, limits, rng)
         self.inbox: list[ClaimEvent] = []
         self.outbox: list[ClaimAction] = []
-        self.running: list[tuple[RequestId, KeptAnswer | None]] = []
+        self.running: list[tuple[RequestId, CachedAnswer | None]] = []
         self.allowed_ms: dict[RequestId, float] = {}
-        self.waiting: dict[RequestId, tuple[Key, Try]] = {}
+        self.waiting: dict[RequestId, tuple[Key, Attempt]] = {}
         self.is_stopping = False
 
     def now(self, world_ms: float) -> float:
@@ -214,7 +216,7 @@
         self.max_keys = max_keys
         self.log: list[LogRecord] = []
         self.log_ahead_ms = 0.0
-        self.landed_ms: dict[int, float] = {}
+        self.committed_ms: dict[int, float] = {}
         self.next_offset = 0
         self.oldest = 0
         self.is_log_up = True
@@ -226,7 +228,7 @@
         self.requests = 0
         for name in NAMES:
             self.start(name)
-        self.tell_views()
+        self.send_views()
 
     def start(self, name: NodeName) -> None:
         rate = RATES[self.started % len(RATES)]
@@ -240,8 +242,8 @@
         node = self.nodes[name]
         if node is None:
             return
-        for _, tried in node.waiting.values():
-            tried.endings.append("cut")
+        for _, attempt in node.waiting.values():
+            attempt.endings.append("cut")
         self.nodes[name] = None
 
     def begin_stop(self, name: NodeName) -> None:
@@ -249,16 +251,16 @@
         node = self.nodes[name]
         if node is not None:
             node.is_stopping = True
-            node.inbox.append(HandOverBegun())
+            node.inbox.append(HandoverBegun())
 
     def live(self) -> list[Node]:
         return [node for node in self.nodes.values() if node is not None]
 
-    def tell_views(self) -> None:
+    def send_views(self) -> None:
         for node in self.live():
-            self.tell_view(node, self.live())
+            self.send_view(node, self.live())
 
-    def tell_view(self, node: Node, seen: list[Node]) -> None:
+    def send_view(self, node: Node, seen: list[Node]) -> None:
         views = tuple(
             PeerView(each.identity.node, each.identity.incarnation, True)
             for each in seen
@@ -266,23 +268,23 @@
         )
         node.inbox.append(PeersChanged(views))
 
-    def send(self, node: Node, key: Key, digest: bytes, tells_age: bool) -> Try:
+    def send(self, node: Node, key: Key, digest: bytes, declares_age: bool) -> Attempt:
         self.requests += 1
         request_id = RequestId(f"r{self.requests}")
         first_ms = key.tries[0].sent_ms if key.tries else self.now_ms
-        age_ms = self.now_ms - first_ms if tells_age else None
+        age_ms = self.now_ms - first_ms if declares_age else None
         if age_ms == 0 and key.tries:
             age_ms = 1.0
-        tried = Try(request_id, node.identity, self.now_ms, digest, age_ms)
-        key.tries.append(tried)
-        node.waiting[request_id] = (key, tried)
+        attempt = Attempt(request_id, node.identity, self.now_ms, digest, age_ms)
+        key.tries.append(attempt)
+        node.waiting[request_id] = (key, attempt)
         deadline_ms = node.now(self.now_ms) + DEADLINE_MS
         node.inbox.append(
-            KeyedArrived(
+            KeyedRequestArrived(
                 request_id, key.customer, key.text, digest, deadline_ms, age_ms
             )
         )
-        return tried
+        return attempt
 
     def step(self, node: Node) -> None:
         """Let a node decide on the next event."""
@@ -292,13 +294,13 @@
             node.outbox += actions
             for action in actions:
                 if isinstance(action, AllowDispatch):
-                    self._note_allowed(node, action.request_id)
+                    self._record_allowed(node, action.request_id)
 
-    def _note_allowed(self, node: Node, request_id: RequestId) -> None:
+    def _record_allowed(self, node: Node, request_id: RequestId) -> None:
         node.allowed_ms[request_id] = self.now_ms
         if request_id in node.waiting:
-            _, tried = node.waiting[request_id]
-            late_ms = self.now_ms - tried.sent_ms
+            _, attempt = node.waiting[request_id]
+            late_ms = self.now_ms - attempt.sent_ms
             assert late_ms * node.rate < DEADLINE_MS, "allowed after its deadline"
 
     def leave(self, node: Node, place: int) -> None:
@@ -306,8 +308,8 @@
         undecided = [each for each in node.waiting if each not in node.allowed_ms]
         if undecided:
             request_id = undecided[place % len(undecided)]
-            _, tried = node.waiting.pop(request_id)
-            tried.endings.append("left")
+            _, attempt = node.waiting.pop(request_id)
+            attempt.endings.append("left")
             node.inbox.append(CallerLeft(request_id))
 
     def act(self, node: Node, is_sent: bool = True) -> None:
@@ -317,7 +319,7 @@
         match node.outbox.pop(0):
             case AllowDispatch(request_id=request_id):
                 self._dispatch(node, request_id, is_sent)
-            case RefuseKeyed() as refusal:
+            case RefuseKeyedRequest() as refusal:
                 self._refuse(node, refusal)
             case ReplayAnswer(request_id=request_id, answer=answer):
                 self._replay(node, request_id, answer)
@@ -328,67 +330,67 @@
 
     def _dispatch(self, node: Node, request_id: RequestId, is_sent: bool) -> None:
         if request_id not in node.waiting:
-            node.inbox.append(DispatchEnded(request_id, EndingSeen.NOT_SENT))
+            node.inbox.append(DispatchEnded(request_id, DispatchEnding.NOT_SENT))
             return
-        key, tried = node.waiting[request_id]
+        key, attempt = node.waiting[request_id]
         node.inbox.append(DispatchStarted(request_id))
         if not is_sent:
             node.running.append((request_id, None))
             return
         number = len(key.executions)
-        body = f"{key.customer} {key.text} {tried.digest!r} {number}".encode()
-        answer = KeptAnswer(200, "text/plain", body)
+        body = f"{key.customer} {key.text} {attempt.digest!r} {number}".encode()
+        answer = CachedAnswer(200, "text/plain", body)
         key.executions.append(
             Execution(
                 request_id,
-                tried.digest,
+                attempt.digest,
                 node.allowed_ms[request_id],
-                tried.key_age_ms is not None,
+                attempt.key_age_ms is not None,
                 answer,
             )
         )
         node.running.append((request_id, answer))
         key.check()
 
-    def end_dispatch(self, node: Node, ending: EndingSeen) -> None:
+    def end_dispatch(self, node: Node, ending: DispatchEnding) -> None:
         if not node.running:
             return
         request_id, answer = node.running.pop(0)
         if answer is None:
-            ending = EndingSeen.NOT_SENT
-        kept = answer if ending is EndingSeen.COMPLETED else None
+            ending = DispatchEnding.NOT_SENT
+        kept = answer if ending is DispatchEnding.COMPLETED else None
         node.inbox.append(DispatchEnded(request_id, ending, kept))
-        _, tried = node.waiting.pop(request_id)
-        tried.endings.append(ending)
+        _, attempt = node.waiting.pop(request_id)
+        attempt.endings.append(ending)
 
-    def _refuse(self, node: Node, refusal: RefuseKeyed) -> None:
+    def _refuse(self, node: Node, refusal: RefuseKeyedRequest) -> None:
         if refusal.request_id not in node.waiting:
             return
-        key, tried = node.waiting.pop(refusal.request_id)
-        tried.endings.append(refusal.kind)
+        key, attempt = node.waiting.pop(refusal.request_id)
+        attempt.endings.append(refusal.kind)
         if refusal.ending is Ending.NOT_RUN:
-            key.refused.append((self.now_ms, tried, refusal.kind))
+            key.refused.append((self.now_ms, attempt, refusal.kind))
         key.check()
 
-    def _replay(self, node: Node, request_id: RequestId, answer: KeptAnswer) -> None:
+    def _replay(self, node: Node, request_id: RequestId, answer: CachedAnswer) -> None:
         if request_id not in node.waiting:
             return
-        key, tried = node.waiting.pop(request_id)
-        tried.endings.append("replayed")
+        key, attempt = node.waiting.pop(request_id)
+        attempt.endings.append("replayed")
         fitting = [
-            each.answer for each in key.executions if each.digest == tried.digest
+            each.answer for each in key.executions if each.digest == attempt.digest
         ]
         assert answer in fitting, f"{key.text} got another request's answer"
 
-    def land(self, text: str) -> None:
+    def commit(self, text: str) -> None:
         """Let an append take effect."""
         at_ms = self.now_ms + self.log_ahead_ms
         self.log.append(LogRecord(self.next_offset, at_ms, text))
-        self.landed_ms[self.next_offset] = self.now_ms
+        self.committed_ms[self.next_offset] = self.now_ms
         self.next_offset += 1
 
-    def tell_append(self, append: Append, result: AppendResult) -> None:
-        append.is_told = True
+    def report_append(self, append: Append, result: AppendResult) -> None:
+        append.is_announced = True
         node = self.nodes[append.node.node]
         if node is not None and node.identity == append.node:
             node.inbox.append(RecordsSettled((append.record_id,), result))
@@ -412,9 +414,11 @@
     def advance(self, ms: float) -> None:
         self.now_ms += ms
         # Records of other kinds come in all the time and move the log's clock on.
-        self.land('{"kind":"checkpoint"}')
+        self.commit('{"kind":"checkpoint"}')
         expired_ms = self.now_ms - 3 * WINDOW_MS
-        kept = [each for each in self.log if self.landed_ms[each.offset] > expired_ms]
+        kept = [
+            each for each in self.log if self.committed_ms[each.offset] > expired_ms
+        ]
         self.log = kept
         self.oldest = kept[0].offset if kept else self.next_offset
         for node in self.live():
@@ -425,36 +429,36 @@
         for node in self.live():
             node.inbox.append(LogState(is_up))
 
-    def work(self, node: Node) -> None:
+    def run_node(self, node: Node) -> None:
         """Let a node do all that it has before it."""
         while node.inbox or node.outbox:
             self.step(node)
             while node.outbox:
                 self.act(node)
 
-    def land_all(self) -> None:
+    def commit_all(self) -> None:
         """Let every append take effect, or be refused while the log is down."""
         appends, self.appends = self.appends, []
         for append in appends:
             if self.is_log_up:
-                self.land(append.text)
+                self.commit(append.text)
             result = AppendResult.DONE if self.is_log_up else AppendResult.REFUSED
-            self.tell_append(append, result)
+            self.report_append(append, result)
 
     def deliver_all(self) -> None:
         messages, self.network = self.network, []
         for message in messages:
             self.deliver(message)
 
-    def pump(self, rounds: int, ending: EndingSeen | None) -> None:
+    def run_rounds(self, rounds: int, ending: DispatchEnding | None) -> None:
         """Work without faults for a number of rounds."""
         for _ in range(rounds):
             for node in self.live():
                 self.read(node)
-                self.work(node)
+                self.run_node(node)
                 if ending is not None:
                     self.end_dispatch(node, ending)
-            self.land_all()
+            self.commit_all()
             self.deliver_all()
 
     def heal(self) -> None:
@@ -466,13 +470,13 @@
             if self.nodes[name] is None:
                 self.start(name)
         self.set_log(True)
-        self.tell_views()
+        self.send_views()
         for _ in range(5):
-            self.pump(2, EndingSeen.COMPLETED)
+            self.run_rounds(2, DispatchEnding.COMPLETED)
             self.advance(300)
-        self.pump(3, EndingSeen.COMPLETED)
+        self.run_rounds(3, DispatchEnding.COMPLETED)
 
     def check_all_ended(self) -> None:
         for key in self.keys:
-            for tried in key.tries:
-                assert len(tried.endings) == 1, f"{key.text} {tried}"
+            for attempt in key.tries:
+                assert len(attempt.endings) == 1, f"{key.text} {attempt}"
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -34,7 +34,7 @@
 from toucanyard.options import ListenOptions, Options, PlatformOptions, StreamLimits
 from toucanyard.requests import (
     Dispatch,
-    EndingSeen,
+    DispatchEnding,
     Outcome,
     Refuse,
     Replay,
@@ -143,7 +143,7 @@
                 case RequestTurnedAway():
                     self.turned_away.append(message)
 
-    def find_endings(self) -> list[EndingSeen]:
+    def find_endings(self) -> list[DispatchEnding]:
         """Return how the dispatches ended."""
         return [outcome.ending for outcome in self.outcomes]
 
@@ -169,12 +169,12 @@
         )
 
     def _follow(self, outcome: Outcome) -> Verdict | None:
-        if outcome.ending in (EndingSeen.COMPLETED, EndingSeen.CANCELLED):
+        if outcome.ending in (DispatchEnding.COMPLETED, DispatchEnding.CANCELLED):
             return None
         request = next(
             each for each in self.requests if each.request_id == outcome.request_id
         )
-        is_not_run = outcome.ending in (EndingSeen.NOT_SENT, EndingSeen.REFUSED)
+        is_not_run = outcome.ending in (DispatchEnding.NOT_SENT, DispatchEnding.REFUSED)
         if self.is_refusing_retries:
             kind, not_run = ErrorKind.OVERLOADED, Ending.NOT_RUN
             return Refuse(outcome.request_id, kind, not_run, "too much at once", 800)
--- a/tests/toucanyard/crash_fleet.py
+++ b/tests/toucanyard/crash_fleet.py
@@ -48,7 +48,7 @@
     RelayReply,
     RelayRequest,
 )
-from toucanyard.requests import EndingSeen, Refuse, Repeatability
+from toucanyard.requests import DispatchEnding, Refuse, Repeatability
 
 from .relay_examples import DESK, build_replica, build_request, build_table
 from .relay_fleet import put
@@ -155,7 +155,7 @@
         outcome = RelayOutcome(
             call.request.request_id,
             replica,
-            EndingSeen.LOST,
+            DispatchEnding.LOST,
             text="closed before an answer" if is_closed else "silent",
             is_closed=is_closed,
             has_begun=call.has_begun and not call.request.is_resumable,
@@ -170,13 +170,13 @@
             outcome = RelayOutcome(
                 request_id,
                 dispatch.replica,
-                EndingSeen.NOT_SENT,
+                DispatchEnding.NOT_SENT,
                 is_dead=True,
                 has_no_listener=True,
             )
         elif engine.name != dispatch.replica:
             outcome = RelayOutcome(
-                request_id, dispatch.replica, EndingSeen.REFUSED, is_replaced=True
+                request_id, dispatch.replica, DispatchEnding.REFUSED, is_replaced=True
             )
         if outcome is not None:
             self.handle(call.node, DispatchEnded(outcome))
@@ -205,7 +205,7 @@
     def _complete(self, call: Call, engine: Engine) -> None:
         request_id = call.request.request_id
         if engine.calls.pop(request_id, None) is not None:
-            outcome = RelayOutcome(request_id, engine.name, EndingSeen.COMPLETED)
+            outcome = RelayOutcome(request_id, engine.name, DispatchEnding.COMPLETED)
             self._end(call, "completed")
             self.handle(call.node, DispatchEnded(outcome))
 
--- a/tests/toucanyard/fleet_fakes.py
+++ b/tests/toucanyard/fleet_fakes.py
@@ -18,8 +18,8 @@
 from toucanyard.core_events import (
     AppendSettled,
     AppendToLog,
-    DispatchOver,
-    EndpointSilent,
+    DispatchFinished,
+    EndpointPollFailed,
     LinksChanged,
     LoadRead,
     LogExpired,
@@ -53,7 +53,7 @@
 from toucanyard.platform_log import AppendResult, LogRecord
 from toucanyard.requests import (
     Dispatch,
-    EndingSeen,
+    DispatchEnding,
     ModelTarget,
     Outcome,
     Repeatability,
@@ -72,7 +72,7 @@
 VM_LIST_MS = 1_000.0
 PATCH_MS = 4_000.0
 PAGE = 100
-_BAD_FATES = (
+_APPEND_FAILURES = (
     (AppendResult.UNKNOWN, True),
     (AppendResult.UNKNOWN, False),
     (AppendResult.REFUSED, False),
@@ -121,9 +121,9 @@
         self.now_ms = 0.0
         self.rng = random.Random(seed)
         self._number = 0
-        self.is_cut = False
+        self.is_partitioned = False
         self.retention_ms = float("inf")
-        self.slow_ms = (LATENCY_MS, LATENCY_MS)
+        self.log_delay_range_ms = (LATENCY_MS, LATENCY_MS)
         self.bad_share = 0.0
         self.records: list[LogRecord] = []
         self.oldest = 0
@@ -151,8 +151,8 @@
         names += [(f"{AWAY}-node-{n}", AWAY) for n in range(away)]
         self.nodes = [FleetNode(name, region, "a") for name, region in names]
 
-    def is_parted(self, region: str, other: str) -> bool:
-        return self.is_cut and region != other
+    def is_separated(self, region: str, other: str) -> bool:
+        return self.is_partitioned and region != other
 
     def submit(self, node: FleetNode, patch_id: str, put: Put) -> None:
         """Let an operator submit a patch on the version that a node shows."""
@@ -227,7 +227,9 @@
             self.handle(node, event)
         self._read_log(node)
         self._write_log(node)
-        if self.now_ms >= node.next_list_ms and not self.is_parted(node.region, HOME):
+        if self.now_ms >= node.next_list_ms and not self.is_separated(
+            node.region, HOME
+        ):
             node.next_list_ms = self.now_ms + VM_LIST_MS
             self.handle(node, VmsRead(self._build_list()))
         if self.now_ms >= node.next_poll_ms:
@@ -242,7 +244,7 @@
         linked = frozenset(
             other.identity
             for other in self.nodes
-            if other is not node and not self.is_parted(node.region, other.region)
+            if other is not node and not self.is_separated(node.region, other.region)
         )
         if linked != node.linked:
             node.linked = linked
@@ -265,8 +267,8 @@
 
     def _poll(self, node: FleetNode) -> None:
         for each in node.core.find_watched():
-            if self.is_parted(node.region, each.domain):
-                self.handle(node, EndpointSilent(each.name))
+            if self.is_separated(node.region, each.domain):
+                self.handle(node, EndpointPollFailed(each.name))
                 continue
             state = self.engines[each.name].state
             report = LoadReport(
@@ -292,7 +294,7 @@
             self.handle(node, RequestArrived(request))
 
     def _read_log(self, node: FleetNode) -> None:
-        if self.is_parted(node.region, HOME):
+        if self.is_separated(node.region, HOME):
             if node.is_up is not False:
                 self.handle(node, LogStateSeen(False))
             node.is_up = False
@@ -307,15 +309,15 @@
         records = tuple(self.records[start : node.read])
         node.read_done_ms = self.now_ms + self._find_delay_ms()
         read = LogRead(start, node.read, records, head, self.now_ms)
-        self._later(node, node.read_done_ms, read)
+        self._schedule(node, node.read_done_ms, read)
         if node.read == head and not node.is_up:
             node.is_up = True
-            self._later(node, node.read_done_ms, LogStateSeen(True))
+            self._schedule(node, node.read_done_ms, LogStateSeen(True))
 
     def _find_delay_ms(self) -> float:
-        return self.rng.uniform(*self.slow_ms)
+        return self.rng.uniform(*self.log_delay_range_ms)
 
-    def _later(self, node: FleetNode, due_ms: float, event: CoreEvent) -> None:
+    def _schedule(self, node: FleetNode, due_ms: float, event: CoreEvent) -> None:
         self._number += 1
         self.events.append((due_ms, self._number, node, event))
 
@@ -330,19 +332,19 @@
             case PatchAnswered(patch_id=patch_id):
                 self.answers[patch_id] = action
             case ReadState(endpoint=endpoint):
-                if not self._is_away(node, endpoint):
+                if not self._is_unreachable(node, endpoint):
                     state = self.engines[endpoint].state
                     self.handle(node, StateRead(endpoint, state, self.now_ms))
             case SendOrder(endpoint=endpoint):
                 outcome = OrderOutcome.LOST
-                if not self._is_away(node, endpoint):
+                if not self._is_unreachable(node, endpoint):
                     outcome = self.engines[endpoint].take(action.order)
-                self._later(node, self.now_ms, OrderEnded(action, outcome))
+                self._schedule(node, self.now_ms, OrderEnded(action, outcome))
             case _:
                 pass
 
-    def _is_away(self, node: FleetNode, endpoint: EndpointName) -> bool:
-        return self.is_parted(node.region, endpoint.partition("-")[0])
+    def _is_unreachable(self, node: FleetNode, endpoint: EndpointName) -> bool:
+        return self.is_separated(node.region, endpoint.partition("-")[0])
 
     def _write_log(self, node: FleetNode) -> None:
         """Append what waits as one batch, once the last one is over."""
@@ -350,31 +352,31 @@
             return
         batch, node.waiting = node.waiting, []
         ids = tuple(each.record_id for each in batch)
-        if self.is_parted(node.region, HOME):
-            self._later(node, self.now_ms, AppendSettled(ids, AppendResult.REFUSED))
+        if self.is_separated(node.region, HOME):
+            self._schedule(node, self.now_ms, AppendSettled(ids, AppendResult.REFUSED))
             return
         node.append_free_ms = done_ms = self.now_ms + self._find_delay_ms()
         result, has_effect = AppendResult.DONE, True
         if self.rng.random() < self.bad_share:
-            result, has_effect = self.rng.choice(_BAD_FATES)
+            result, has_effect = self.rng.choice(_APPEND_FAILURES)
         if has_effect:
             self.appends += [(done_ms, each.text) for each in batch]
-        self._later(node, done_ms, AppendSettled(ids, result))
+        self._schedule(node, done_ms, AppendSettled(ids, result))
 
     def _send(self, node: FleetNode, name: NodeName, event: MessageRead) -> None:
         for other in self.nodes:
-            is_parted = self.is_parted(node.region, other.region)
-            if other.name == name and not is_parted:
-                self._later(other, self.now_ms + LATENCY_MS, event)
+            is_separated = self.is_separated(node.region, other.region)
+            if other.name == name and not is_separated:
+                self._schedule(other, self.now_ms + LATENCY_MS, event)
 
     def _dispatch(self, node: FleetNode, dispatch: Dispatch) -> None:
         endpoint = dispatch.endpoint
         self.sent.append(Sent(self.now_ms, node.name, node.region, endpoint))
-        ending = EndingSeen.COMPLETED
-        if self._is_away(node, endpoint):
-            ending = EndingSeen.NOT_SENT
+        ending = DispatchEnding.COMPLETED
+        if self._is_unreachable(node, endpoint):
+            ending = DispatchEnding.NOT_SENT
         outcome = Outcome(dispatch.request_id, endpoint, ending, duration_ms=50.0)
-        self._later(node, self.now_ms, DispatchOver(outcome))
+        self._schedule(node, self.now_ms, DispatchFinished(outcome))
 
     def _measure(self) -> None:
         for node in self.nodes:
--- a/tests/toucanyard/store_fleet.py
+++ b/tests/toucanyard/store_fleet.py
@@ -25,7 +25,7 @@
 )
 from toucanyard.relay_options import RelayOptions
 from toucanyard.relay_requests import RelayDispatch, RelayOutcome, RelayReply
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 
 from .relay_examples import DESK, build_replica, build_request
 from .relay_fleet import PlannedFleet, put
@@ -112,7 +112,9 @@
         if not isinstance(verdict, RelayDispatch):
             return
         self.sent.append(Sent(name, verdict.replica, self.now_ms))
-        ended = RelayOutcome(verdict.request_id, verdict.replica, EndingSeen.COMPLETED)
+        ended = RelayOutcome(
+            verdict.request_id, verdict.replica, DispatchEnding.COMPLETED
+        )
         self.cores[name].handle(DispatchEnded(ended), self.now_ms)
 
     def run(self, for_ms: float, *, with_calls: bool = False) -> None:
--- /dev/null
+++ b/tests/toucanyard/test_adaptive_log_timeout.py
@@ -0,0 +1,40 @@
+from __future__ import annotations
+
+from hypothesis import given, strategies as st
+
+from toucanyard.adaptive_log_timeout import AdaptiveLogTimeout
+
+
+def test_slow_log_is_waited_for_and_a_quick_one_no_longer_than_set() -> None:
+    # A log that answers after 1.5 s with 1 s set: the first append is lost, the second
+    # is answered.
+    log_timeout = AdaptiveLogTimeout(1_000.0)
+    log_timeout.record_timeout()
+    assert log_timeout.timeout_ms == 2_000
+    log_timeout.record_answer(1_500.0)
+    assert log_timeout.timeout_ms == 4_500
+    log_timeout.record_answer(5.0)
+    assert log_timeout.timeout_ms == 1_000
+
+
+@given(st.lists(st.none() | st.floats(0, 1e6)))
+def test_wait_stays_within_its_bounds(answers: list[float | None]) -> None:
+    log_timeout = AdaptiveLogTimeout(1_000.0)
+    for took_ms in answers:
+        if took_ms is None:
+            log_timeout.record_timeout()
+        else:
+            log_timeout.record_answer(took_ms)
+        assert 1_000 <= log_timeout.timeout_ms <= 8_000
+
+
+def test_reads_of_a_slow_log_lengthen_the_time_for_appends_only() -> None:
+    """Fast reads must not shorten it: a log may be slow for appends alone, and each
+    would be given up after the least time again."""
+    log_timeout = AdaptiveLogTimeout(1_000.0)
+    log_timeout.record_other_answer(2_000.0)
+    assert log_timeout.timeout_ms == 6_000.0
+    log_timeout.record_other_answer(1.0)
+    assert log_timeout.timeout_ms == 6_000.0
+    log_timeout.record_answer(10.0)
+    assert log_timeout.timeout_ms == 1_000.0
--- a/tests/toucanyard/test_append_batch.py
+++ b/tests/toucanyard/test_append_batch.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given, strategies as st
 
-from toucanyard.append_batch import BatchGatherer
+from toucanyard.append_batch import AppendBatcher
 from toucanyard.core_events import AppendToLog
 from toucanyard.options import ClaimLimits
 
@@ -15,7 +15,7 @@
 
     More than one append in 50 ms would use another node's share of the log's rate.
     """
-    gatherer = BatchGatherer(LIMITS)
+    gatherer = AppendBatcher(LIMITS)
     added: list[str] = []
     taken: list[str] = []
     taken_ms: list[float] = []
@@ -25,13 +25,13 @@
         added.append(str(number))
         while gatherer.find_due_ms() <= now_ms + 200:
             at_ms = gatherer.find_due_ms()
-            batch = gatherer.take(at_ms)
+            batch = gatherer.pop_due(at_ms)
             assert batch is not None
             assert sum(map(len, batch.texts)) <= 450_000
             taken += batch.record_ids
             taken_ms.append(at_ms)
     while (at_ms := gatherer.find_due_ms()) != float("inf"):
-        batch = gatherer.take(at_ms)
+        batch = gatherer.pop_due(at_ms)
         assert batch is not None
         taken += batch.record_ids
         taken_ms.append(at_ms)
@@ -41,10 +41,10 @@
 
 
 def test_urgent_record_takes_waiting_ones_along() -> None:
-    gatherer = BatchGatherer(LIMITS)
+    gatherer = AppendBatcher(LIMITS)
     gatherer.add(AppendToLog("abandon", "a", is_urgent=False), 0)
     gatherer.add(AppendToLog("claim", "c", is_urgent=True), 1)
-    assert gatherer.take(5) is None
-    batch = gatherer.take(6)
+    assert gatherer.pop_due(5) is None
+    batch = gatherer.pop_due(6)
     assert batch is not None
     assert batch.record_ids == ("abandon", "claim")
--- a/tests/toucanyard/test_at_most_once.py
+++ b/tests/toucanyard/test_at_most_once.py
@@ -13,18 +13,18 @@
     ClaimAction,
     ClaimRecordsRead,
     DispatchEnded,
-    KeyedArrived,
+    KeyedRequestArrived,
     LogState,
     PeerMessageArrived,
     PeersChanged,
     PeerView,
-    RefuseKeyed,
+    RefuseKeyedRequest,
     ReplayAnswer,
     SendToPeer,
     Ticked,
 )
 from toucanyard.errorcodes import Ending, ErrorKind
-from toucanyard.key_messages import AskKey, KeyStatus, KeyTold, SealKey
+from toucanyard.key_messages import AskKey, KeyReport, KeyStatus, RevokeKey
 from toucanyard.key_records import (
     AbandonRecord,
     ClaimRecord,
@@ -42,10 +42,10 @@
 from toucanyard.platform_log import (
     LogRecord,
 )
-from toucanyard.requests import EndingSeen, KeptAnswer
+from toucanyard.requests import CachedAnswer, DispatchEnding
 from toucanyard.wire import encode_message
 
-ANSWER = KeptAnswer(200, "text/plain", b"seat held")
+ANSWER = CachedAnswer(200, "text/plain", b"seat held")
 
 
 def make_node(name: str = "a", max_keys: int = 1_000) -> AtMostOnce:
@@ -57,8 +57,10 @@
 
 def arrive(
     request: str, key: str = "k", body: bytes = b"d", age_ms: float | None = None
-) -> KeyedArrived:
-    return KeyedArrived(RequestId(request), CustomerName("c"), key, body, 1_000, age_ms)
+) -> KeyedRequestArrived:
+    return KeyedRequestArrived(
+        RequestId(request), CustomerName("c"), key, body, 1_000, age_ms
+    )
 
 
 def find_append(actions: list[ClaimAction]) -> AppendRecord:
@@ -77,11 +79,11 @@
     claim = find_append(node.handle(arrive("r1"), 0))
     assert node.handle(arrive("r2"), 1) == []
     assert node.handle(read(0, claim.text), 2) == [AllowDispatch(RequestId("r1"))]
-    ended = DispatchEnded(RequestId("r1"), EndingSeen.COMPLETED, ANSWER)
+    ended = DispatchEnded(RequestId("r1"), DispatchEnding.COMPLETED, ANSWER)
     assert node.handle(ended, 3) == [ReplayAnswer(RequestId("r2"), ANSWER)]
     assert node.handle(arrive("r3"), 4) == [ReplayAnswer(RequestId("r3"), ANSWER)]
     refusal = node.handle(arrive("r4", body=b"other"), 5)[0]
-    assert isinstance(refusal, RefuseKeyed)
+    assert isinstance(refusal, RefuseKeyedRequest)
     assert refusal.kind is ErrorKind.KEY_REUSED
 
 
@@ -96,12 +98,12 @@
     pending = node.handle(arrive("r0", "k0", age_ms=0), 0)
     assert isinstance(pending[0], AppendRecord)
     first, *rest = node.handle(LogState(False), 1)
-    assert isinstance(first, RefuseKeyed)
+    assert isinstance(first, RefuseKeyedRequest)
     assert first.ending is Ending.NOT_RUN
     assert rest == []
     for age_ms, ending in ((0, Ending.NOT_RUN), (None, Ending.UNKNOWN)):
         refusal = node.handle(arrive("r1", "k1", age_ms=age_ms), 2)[0]
-        assert isinstance(refusal, RefuseKeyed)
+        assert isinstance(refusal, RefuseKeyedRequest)
         assert refusal.kind is ErrorKind.LOG_UNAVAILABLE
         assert refusal.ending is ending
     issued = node.issue_prefix(2) + "mine"
@@ -109,14 +111,14 @@
 
 
 def test_issued_key_waits_for_its_witness() -> None:
-    issuer, witness = make_node("a"), make_node("b")
+    issuer, backup = make_node("a"), make_node("b")
     view = PeerView(NodeName("b"), Incarnation("b1"), True)
     asked = issuer.handle(PeersChanged((view,)), 0)
-    exchange(issuer, witness, asked, 0)
+    exchange(issuer, backup, asked, 0)
     key = issuer.issue_prefix(1) + "mine"
     noting = issuer.handle(arrive("r1", key), 2)
     assert all(isinstance(each, SendToPeer) for each in noting)
-    assert exchange(issuer, witness, noting, 3) == [AllowDispatch(RequestId("r1"))]
+    assert exchange(issuer, backup, noting, 3) == [AllowDispatch(RequestId("r1"))]
 
 
 def test_notes_of_a_short_time_go_together_and_each_key_gets_its_own_answer() -> None:
@@ -125,27 +127,27 @@
     The first note goes out at once, the others together. Only what was noted is
     dispatched, and neither a stranger's answer nor a repeated one counts.
     """
-    issuer, witness = make_node("a"), make_node("b")
+    issuer, backup = make_node("a"), make_node("b")
     view = PeerView(NodeName("b"), Incarnation("b1"), True)
-    exchange(issuer, witness, issuer.handle(PeersChanged((view,)), 0), 0)
+    exchange(issuer, backup, issuer.handle(PeersChanged((view,)), 0), 0)
     keys = [issuer.issue_prefix(1) + f"{number}" for number in range(3)]
     sealed = KeyName(CustomerName("c"), keys[1])
     a1 = NodeId(NodeName("a"), Incarnation("a1"))
     stranger = NodeId(NodeName("x"), Incarnation("x1"))
-    seal = SealKey(Incarnation("b1"), 1, a1, sealed)
-    witness.handle(PeerMessageArrived(stranger, seal), 1)
+    revoke = RevokeKey(Incarnation("b1"), 1, a1, sealed)
+    backup.handle(PeerMessageArrived(stranger, revoke), 1)
     first = issuer.handle(arrive("r0", keys[0]), 2)
     assert issuer.handle(arrive("r1", keys[1]), 2) == []
     assert issuer.handle(arrive("r2", keys[2]), 2) == []
-    assert exchange(issuer, witness, first, 2) == [AllowDispatch(RequestId("r0"))]
+    assert exchange(issuer, backup, first, 2) == [AllowDispatch(RequestId("r0"))]
     [gathered] = issuer.handle(Ticked(), 3)
     assert isinstance(gathered, SendToPeer)
-    [answer] = witness.handle(PeerMessageArrived(a1, gathered.message), 4)
+    [answer] = backup.handle(PeerMessageArrived(a1, gathered.message), 4)
     assert isinstance(answer, SendToPeer)
     assert issuer.handle(PeerMessageArrived(stranger, answer.message), 5) == []
     b1 = NodeId(NodeName("b"), Incarnation("b1"))
     refusal, allowed = issuer.handle(PeerMessageArrived(b1, answer.message), 5)
-    assert isinstance(refusal, RefuseKeyed)
+    assert isinstance(refusal, RefuseKeyedRequest)
     assert refusal.kind is ErrorKind.KEY_SEALED
     assert allowed == AllowDispatch(RequestId("r2"))
     assert issuer.handle(PeerMessageArrived(b1, answer.message), 6) == []
@@ -161,9 +163,11 @@
     return ClaimRecordsRead(offset, offset + 1, (LogRecord(offset, at_ms, text),))
 
 
-def retry_at(now_ms: float, body: bytes = b"d") -> KeyedArrived:
+def retry_at(now_ms: float, body: bytes = b"d") -> KeyedRequestArrived:
     deadline_ms = now_ms + 1_000
-    return KeyedArrived(RequestId("late"), CustomerName("c"), "k", body, deadline_ms)
+    return KeyedRequestArrived(
+        RequestId("late"), CustomerName("c"), "k", body, deadline_ms
+    )
 
 
 def test_claim_missed_for_want_of_room_is_never_reported_as_not_run() -> None:
@@ -184,9 +188,9 @@
     node.handle(Ticked(), 800_000)
     assert node.count_claims() == 0
     node.handle(ClaimRecordsRead(3, 4, (LogRecord(3, 800_000, own.text),)), 800_000)
-    retry = KeyedArrived(RequestId("r2"), CustomerName("c"), "k", b"d", 801_000)
+    retry = KeyedRequestArrived(RequestId("r2"), CustomerName("c"), "k", b"d", 801_000)
     refusal = node.handle(retry, 800_000)[0]
-    assert isinstance(refusal, RefuseKeyed)
+    assert isinstance(refusal, RefuseKeyedRequest)
     assert refusal.ending is Ending.UNKNOWN
 
 
@@ -201,7 +205,7 @@
     node.handle(read(0, make_claim("z", "first")), 0)
     node.handle(read(1, make_claim("y", "second")), 0)
     assert node.count_claims() == 1
-    assert isinstance(node.handle(arrive("r1", "second"), 0)[0], RefuseKeyed)
+    assert isinstance(node.handle(arrive("r1", "second"), 0)[0], RefuseKeyedRequest)
 
 
 def test_body_of_a_claim_that_may_have_lost_is_no_proof() -> None:
@@ -217,8 +221,8 @@
     node.handle(Ticked(), 800_000)
     node.handle(read_at(3, 800_000, make_claim("x", "k", b"lost")), 800_000)
     assert node.count_claims() == 1
-    told = node.handle(retry_at(800_000, b"ran"), 800_000)
-    assert not any(isinstance(each, RefuseKeyed) for each in told)
+    reply = node.handle(retry_at(800_000, b"ran"), 800_000)
+    assert not any(isinstance(each, RefuseKeyedRequest) for each in reply)
 
 
 def test_key_used_anew_is_known_where_its_old_claim_is_remembered() -> None:
@@ -249,7 +253,10 @@
     node.handle(read(0, make_claim("b", "k")), 1)
     node.handle(read_at(1, 3_600_000, own.text), 2)
     for action in node.handle(retry_at(3), 3):
-        assert not isinstance(action, RefuseKeyed) or action.ending is Ending.UNKNOWN
+        assert (
+            not isinstance(action, RefuseKeyedRequest)
+            or action.ending is Ending.UNKNOWN
+        )
 
 
 def test_claim_past_its_window_proves_no_more_that_nothing_ran() -> None:
@@ -266,9 +273,9 @@
         (599_000, ErrorKind.KEY_SEALED),
         (601_000, ErrorKind.OUTCOME_UNKNOWN),
     ):
-        [told] = node.handle(retry_at(now_ms), now_ms)
-        assert isinstance(told, RefuseKeyed)
-        assert told.kind is kind
+        [reply] = node.handle(retry_at(now_ms), now_ms)
+        assert isinstance(reply, RefuseKeyedRequest)
+        assert reply.kind is kind
 
 
 def test_claimer_that_slept_past_the_window_asks_who_ran_the_key() -> None:
@@ -296,7 +303,7 @@
     node = make_node()
     first = find_append(node.handle(arrive("r1"), 0))
     node.handle(read(0, first.text), 1)
-    node.handle(DispatchEnded(RequestId("r1"), EndingSeen.COMPLETED, ANSWER), 2)
+    node.handle(DispatchEnded(RequestId("r1"), DispatchEnding.COMPLETED, ANSWER), 2)
     node.handle(read_at(1, 760_000, '{"kind":"checkpoint"}'), 760_000)
     node.handle(Ticked(), 760_000)
     second = find_append(node.handle(retry_at(760_000), 760_000))
@@ -304,10 +311,10 @@
     name = KeyName(CustomerName("c"), "k")
     ask = AskKey(Incarnation("a1"), name, first.record_id)
     sender = NodeId(NodeName("b"), Incarnation("b1"))
-    [told] = node.handle(PeerMessageArrived(sender, ask), 762_000)
-    assert isinstance(told, SendToPeer)
-    assert isinstance(told.message, KeyTold)
-    assert told.message.status is KeyStatus.UNKNOWN
+    [reply] = node.handle(PeerMessageArrived(sender, ask), 762_000)
+    assert isinstance(reply, SendToPeer)
+    assert isinstance(reply.message, KeyReport)
+    assert reply.message.status is KeyStatus.UNKNOWN
 
 
 @pytest.mark.parametrize(
@@ -325,14 +332,14 @@
     node = make_node()
     own = find_append(node.handle(arrive("r1"), 0))
     node.handle(read(0, own.text), 1)
-    answer = KeptAnswer(200, "application/pdf", bytes(size_bytes))
-    node.handle(DispatchEnded(RequestId("r1"), EndingSeen.COMPLETED, answer), 2)
+    answer = CachedAnswer(200, "application/pdf", bytes(size_bytes))
+    node.handle(DispatchEnded(RequestId("r1"), DispatchEnding.COMPLETED, answer), 2)
     ask = AskKey(Incarnation("a1"), KeyName(CustomerName("c"), "k"), own.record_id)
     sender = NodeId(NodeName("b"), Incarnation("b1"))
     copies = []
     for now_ms in (100, 200, 6_000):
-        told = node.handle(PeerMessageArrived(sender, ask), now_ms)
-        messages = [each.message for each in told if isinstance(each, SendToPeer)]
+        reply = node.handle(PeerMessageArrived(sender, ask), now_ms)
+        messages = [each.message for each in reply if isinstance(each, SendToPeer)]
         answers = [each for each in messages if getattr(each, "answer", None)]
         copies.append(len(answers))
         assert all(len(encode_message(each)) < MAX_MESSAGE_BYTES for each in messages)
@@ -350,7 +357,7 @@
     own = find_append(node.handle(arrive("r1"), 0))
     actions = node.handle(read(5, own.text), 1)
     assert not any(isinstance(each, AllowDispatch) for each in actions)
-    assert isinstance(actions[0], RefuseKeyed)
+    assert isinstance(actions[0], RefuseKeyedRequest)
 
 
 def test_issuer_that_slept_names_no_witness_that_may_have_forgotten_it() -> None:
@@ -359,12 +366,14 @@
     On the old ledger the witness would answer "gone" and the fresh key would be
     refused although nothing is wrong. Without a witness the key runs.
     """
-    issuer, witness = make_node("a"), make_node("b")
+    issuer, backup = make_node("a"), make_node("b")
     view = PeerView(NodeName("b"), Incarnation("b1"), True)
-    exchange(issuer, witness, issuer.handle(PeersChanged((view,)), 0), 0)
+    exchange(issuer, backup, issuer.handle(PeersChanged((view,)), 0), 0)
     late_ms = 4 * ClaimLimits().window_ms
     key = issuer.issue_prefix(late_ms) + "mine"
-    tried = KeyedArrived(RequestId("r"), CustomerName("c"), key, b"d", late_ms + 1_000)
+    tried = KeyedRequestArrived(
+        RequestId("r"), CustomerName("c"), key, b"d", late_ms + 1_000
+    )
     assert issuer.handle(tried, late_ms) == [AllowDispatch(RequestId("r"))]
 
 
@@ -374,25 +383,25 @@
     The witness has not noted the key, so it seals it: the caller may take a new key.
     The same key that the issuer had begun would have been noted, and so unknown.
     """
-    issuer, witness = make_node("a"), make_node("b")
+    issuer, backup = make_node("a"), make_node("b")
     view = PeerView(NodeName("b"), Incarnation("b1"), True)
-    exchange(issuer, witness, issuer.handle(PeersChanged((view,)), 0), 0)
+    exchange(issuer, backup, issuer.handle(PeersChanged((view,)), 0), 0)
     unseen = issuer.issue_prefix(1) + "unseen"
     begun = issuer.issue_prefix(1) + "begun"
-    exchange(issuer, witness, issuer.handle(arrive("r1", begun), 2), 2)
-    witness.handle(PeersChanged((PeerView(NodeName("a"), Incarnation("a2"), True),)), 3)
-    told = []
+    exchange(issuer, backup, issuer.handle(arrive("r1", begun), 2), 2)
+    backup.handle(PeersChanged((PeerView(NodeName("a"), Incarnation("a2"), True),)), 3)
+    reply = []
     for key in (unseen, begun):
-        told += witness.handle(arrive("r2", key), 4)
-        told += witness.handle(Ticked(), 200)
-    endings = [each.ending for each in told if isinstance(each, RefuseKeyed)]
+        reply += backup.handle(arrive("r2", key), 4)
+        reply += backup.handle(Ticked(), 200)
+    endings = [each.ending for each in reply if isinstance(each, RefuseKeyedRequest)]
     assert endings == [Ending.NOT_RUN, Ending.UNKNOWN]
 
 
 def test_overlong_key_is_refused_and_not_remembered() -> None:
     node = make_node()
     refusal = node.handle(arrive("r", "k" * 256), 0)[0]
-    assert isinstance(refusal, RefuseKeyed)
+    assert isinstance(refusal, RefuseKeyedRequest)
     assert refusal.kind is ErrorKind.BAD_REQUEST
     assert node.count_keys() == 0
 
@@ -411,13 +420,13 @@
     assert [type(each) for each in actions] == [
         AllowDispatch,
         AllowDispatch,
-        RefuseKeyed,
+        RefuseKeyedRequest,
     ]
     key = node.issue_prefix(0)
-    other = KeyedArrived(RequestId("o"), CustomerName("other"), key, b"d", 1_000)
+    other = KeyedRequestArrived(RequestId("o"), CustomerName("other"), key, b"d", 1_000)
     assert node.handle(other, 0) == [AllowDispatch(RequestId("o"))]
     for number in range(2):
-        ended = DispatchEnded(RequestId(f"r{number}"), EndingSeen.COMPLETED, ANSWER)
+        ended = DispatchEnded(RequestId(f"r{number}"), DispatchEnding.COMPLETED, ANSWER)
         node.handle(ended, 1)
     node.handle(Ticked(), 2 * ClaimLimits().window_ms)
     assert node.count_keys() == 1
--- a/tests/toucanyard/test_at_most_once_handover.py
+++ b/tests/toucanyard/test_at_most_once_handover.py
@@ -7,19 +7,19 @@
     PeerMessageArrived,
     SendToPeer,
 )
-from toucanyard.handed_keys import HandedKeys
 from toucanyard.issued_keys import parse_issued_key
 from toucanyard.key_messages import (
-    HandedKey,
-    HandKeys,
-    KeysTaken,
+    KeysAccepted,
     KeyStatus,
+    TransferKeys,
+    TransferredKey,
 )
 from toucanyard.key_records import (
     KeyName,
 )
 from toucanyard.options import ClaimLimits
-from toucanyard.requests import EndingSeen, KeptAnswer
+from toucanyard.requests import CachedAnswer, DispatchEnding
+from toucanyard.transferred_keys import TransferredKeys
 
 A, B, C = NAMES
 TICK_MS = 100
@@ -27,7 +27,7 @@
 
 def make_world(max_keys: int = 1_000) -> World:
     world = World(max_keys)
-    world.pump(3, None)
+    world.run_rounds(3, None)
     return world
 
 
@@ -43,8 +43,8 @@
     prefix = node.core.issue_prefix(node.now(world.now_ms)) if is_issued else ""
     key = Key(CUSTOMERS[0], prefix + f"k{len(world.keys)}")
     world.keys.append(key)
-    world.send(node, key, b"one", tells_age=True)
-    world.pump(4, EndingSeen.COMPLETED)
+    world.send(node, key, b"one", declares_age=True)
+    world.run_rounds(4, DispatchEnding.COMPLETED)
     assert len(key.executions) == 1
     return key
 
@@ -54,7 +54,7 @@
     node = get_node(world, number)
     world.begin_stop(NAMES[number])
     for _ in range(rounds):
-        world.pump(1, None)
+        world.run_rounds(1, None)
         world.advance(TICK_MS)
     world.kill(NAMES[number])
     return node
@@ -62,11 +62,11 @@
 
 def retry(world: World, number: int, key: Key, body: bytes = b"one") -> str:
     """Send a key once more and return how the try ended."""
-    tried = world.send(get_node(world, number), key, body, tells_age=True)
+    attempt = world.send(get_node(world, number), key, body, declares_age=True)
     for _ in range(4):
-        world.pump(2, None)
+        world.run_rounds(2, None)
         world.advance(TICK_MS)
-    return tried.endings[0]
+    return attempt.endings[0]
 
 
 @pytest.mark.parametrize("is_issued", (False, True))
@@ -79,7 +79,7 @@
     world = make_world()
     key = run_key(world, is_issued)
     stopped = run_hand_over(world, 0).core
-    assert stopped.is_handed_over() and stopped.count_left_over() == 0
+    assert stopped.is_handover_done() and stopped.count_not_transferred() == 0
     for number in (1, 2):
         assert retry(world, number, key) == "replayed"
         assert retry(world, number, key, b"two") == "key_reused"
@@ -96,8 +96,8 @@
     run_hand_over(world, 0)
     world.kill(C)
     world.start(C)
-    world.tell_views()
-    world.pump(2, None)
+    world.send_views()
+    world.run_rounds(2, None)
     assert retry(world, 2, key) == "replayed"
 
 
@@ -111,8 +111,8 @@
     for number in (0, 1, 2):
         run_hand_over(world, number)
         world.start(NAMES[number])
-        world.tell_views()
-        world.pump(3, None)
+        world.send_views()
+        world.run_rounds(3, None)
     for number in (0, 1, 2):
         assert retry(world, number, key) == "replayed"
     assert len(key.executions) == 1
@@ -126,7 +126,7 @@
     world = make_world()
     key = run_key(world, is_issued=True)
     world.set_log(is_up=False)
-    assert run_hand_over(world, 0).core.is_handed_over()
+    assert run_hand_over(world, 0).core.is_handover_done()
     assert retry(world, 1, key) == "replayed"
 
 
@@ -142,16 +142,16 @@
     world.begin_stop(A)
     for _ in range(46):
         for node in world.live():
-            world.work(node)
+            world.run_node(node)
         world.network = [
             each
             for each in world.network
-            if each.to != C or not isinstance(each.message, HandKeys)
+            if each.to != C or not isinstance(each.message, TransferKeys)
         ]
         world.deliver_all()
         world.advance(TICK_MS)
     world.kill(A)
-    assert get_node(world, 2).core.count_handed() == 0
+    assert get_node(world, 2).core.count_transferred() == 0
     assert retry(world, 2, key) == "replayed"
 
 
@@ -160,14 +160,14 @@
     world = make_world(max_keys=4)
     node, sender = get_node(world, 1), get_node(world, 0).identity
     keys = tuple(
-        HandedKey(KeyName(CUSTOMERS[0], f"k{number}"), "", KeyStatus.NOT_RUN, b"")
+        TransferredKey(KeyName(CUSTOMERS[0], f"k{number}"), "", KeyStatus.NOT_RUN, b"")
         for number in range(3)
     )
     for batch, is_taken in ((keys, False), (keys[:2], True), (keys[:2], True)):
-        message = HandKeys(node.identity.incarnation, 7, batch)
-        answer = SendToPeer(A, KeysTaken(sender.incarnation, 7, is_taken))
-        told = PeerMessageArrived(sender, message)
-        assert node.core.handle(told, 1_000) == [answer]
+        message = TransferKeys(node.identity.incarnation, 7, batch)
+        answer = SendToPeer(A, KeysAccepted(sender.incarnation, 7, is_taken))
+        arrived = PeerMessageArrived(sender, message)
+        assert node.core.handle(arrived, 1_000) == [answer]
 
 
 def test_lost_messages_are_sent_again_and_late_ones_change_nothing() -> None:
@@ -179,19 +179,19 @@
     world = make_world()
     key = run_key(world, is_issued=False)
     world.begin_stop(A)
-    world.work(get_node(world, 0))
+    world.run_node(get_node(world, 0))
     lost, world.network = world.network, []
-    handed = [each for each in lost if isinstance(each.message, HandKeys)]
+    handed = [each for each in lost if isinstance(each.message, TransferKeys)]
     assert {each.to for each in handed} == {B, C}
     for _ in range(14):
-        world.pump(1, None)
+        world.run_rounds(1, None)
         world.advance(TICK_MS)
     world.kill(A)
     assert retry(world, 1, key) == "replayed"
     for message in handed * 2:
         world.deliver(message)
     assert retry(world, 2, key) == "replayed"
-    assert get_node(world, 1).core.count_handed() == 1
+    assert get_node(world, 1).core.count_transferred() == 1
 
 
 def test_stop_that_is_cut_short_leaves_the_outcome_unknown() -> None:
@@ -203,13 +203,13 @@
     world = make_world()
     key = run_key(world, is_issued=False)
     world.begin_stop(A)
-    world.work(get_node(world, 0))
+    world.run_node(get_node(world, 0))
     world.network.clear()
-    assert get_node(world, 0).core.count_left_over() == 1
+    assert get_node(world, 0).core.count_not_transferred() == 1
     world.kill(A)
     world.start(A)
-    world.tell_views()
-    world.pump(2, None)
+    world.send_views()
+    world.run_rounds(2, None)
     assert retry(world, 1, key) == "outcome_unknown"
 
 
@@ -221,13 +221,13 @@
     world = make_world()
     run_hand_over(world, 1, rounds=0)
     world.start(B)
-    world.tell_views()
-    world.pump(3, None)
+    world.send_views()
+    world.run_rounds(3, None)
     key = run_key(world, is_issued=False)
     world.begin_stop(B)
-    world.work(get_node(world, 1))
+    world.run_node(get_node(world, 1))
     run_hand_over(world, 0)
-    assert get_node(world, 1).core.count_handed() == 0
+    assert get_node(world, 1).core.count_transferred() == 0
     assert retry(world, 2, key) == "replayed"
 
 
@@ -241,8 +241,8 @@
     run_key(world, is_issued=False)
     running = Key(CUSTOMERS[0], "running")
     world.keys.append(running)
-    world.send(get_node(world, 0), running, b"one", tells_age=True)
-    world.pump(4, None)
+    world.send(get_node(world, 0), running, b"one", declares_age=True)
+    world.run_rounds(4, None)
     run_hand_over(world, 0)
     assert retry(world, 1, running) == "outcome_unknown"
     assert len(running.executions) == 1
@@ -265,13 +265,16 @@
     Batches without room are refused, large answers are dropped but the key stays, and
     a later claim of the same key gets nothing of the earlier one's answer.
     """
-    held = HandedKeys(ClaimLimits(max_keys=4, kept_answers_bytes=2_000, window_ms=50))
-    answer = KeptAnswer(200, "text/plain", b"x" * 500)
+    held = TransferredKeys(
+        ClaimLimits(max_keys=4, kept_answers_bytes=2_000, window_ms=50)
+    )
+    answer = CachedAnswer(200, "text/plain", b"x" * 500)
     names = [KeyName(CUSTOMERS[0], f"k{number}") for number in range(3)]
     keys = [
-        HandedKey(name, "claim", KeyStatus.ANSWERED, b"d", answer) for name in names
+        TransferredKey(name, "claim", KeyStatus.ANSWERED, b"d", answer)
+        for name in names
     ]
-    held.take(keys[:2], 0)
+    held.accept(keys[:2], 0)
     assert held.has_room(keys[:2])
     assert not held.has_room(keys)
     found = [held.find(name, "claim") for name in names]
@@ -285,11 +288,11 @@
 def test_keys_for_another_incarnation_are_not_taken() -> None:
     world = make_world()
     node = get_node(world, 1)
-    key = HandedKey(KeyName(CUSTOMERS[0], "k"), "", KeyStatus.NOT_RUN, b"")
-    message = HandKeys(get_node(world, 2).identity.incarnation, 1, (key,))
+    key = TransferredKey(KeyName(CUSTOMERS[0], "k"), "", KeyStatus.NOT_RUN, b"")
+    message = TransferKeys(get_node(world, 2).identity.incarnation, 1, (key,))
     sender = get_node(world, 0).identity
     assert node.core.handle(PeerMessageArrived(sender, message), 1_000) == []
-    assert node.core.count_handed() == 0
+    assert node.core.count_transferred() == 0
 
 
 def test_issuer_and_witness_that_stopped_together_leave_no_one_to_wait_for() -> None:
@@ -301,21 +304,21 @@
     """
     world = make_world()
     issued = parse_issued_key(run_key(world, is_issued=True).text)
-    assert issued is not None and issued.witness is not None
-    witness = NAMES.index(issued.witness.node)
-    run_key(world, is_issued=False, number=witness)
+    assert issued is not None and issued.backup is not None
+    backup = NAMES.index(issued.backup.node)
+    run_key(world, is_issued=False, number=backup)
     issuer = get_node(world, 0)
     prefix = issuer.core.issue_prefix(issuer.now(world.now_ms))
     running = Key(CUSTOMERS[0], prefix + "running")
     world.keys.append(running)
-    world.send(issuer, running, b"one", tells_age=True)
+    world.send(issuer, running, b"one", declares_age=True)
     world.advance(TICK_MS)
-    world.pump(4, None)
+    world.run_rounds(4, None)
     assert len(running.executions) == 1
-    for number in (0, witness):
+    for number in (0, backup):
         run_hand_over(world, number)
-        world.tell_views()
-        world.pump(1, None)
+        world.send_views()
+        world.run_rounds(1, None)
     [left] = world.live()
-    assert left.core.count_handed() == 2
+    assert left.core.count_transferred() == 2
     assert retry(world, NAMES.index(left.identity.node), running) == "outcome_unknown"
--- a/tests/toucanyard/test_claims.py
+++ b/tests/toucanyard/test_claims.py
@@ -4,12 +4,12 @@
 
 from core_world import CUSTOMER, SERVICE, CoreWorld
 from toucanyard.configuration import PriorityClass
-from toucanyard.core_events import DispatchOver, RequestArrived
+from toucanyard.core_events import DispatchFinished, RequestArrived
 from toucanyard.names import CustomerName, RequestId
 from toucanyard.requests import (
+    CachedAnswer,
     Dispatch,
-    EndingSeen,
-    KeptAnswer,
+    DispatchEnding,
     Outcome,
     Repeatability,
     Replay,
@@ -46,11 +46,11 @@
 
 def complete(world: CoreWorld, verdict: Verdict | None, text: bytes) -> None:
     assert isinstance(verdict, Dispatch)
-    answer = KeptAnswer(200, "application/json", text)
+    answer = CachedAnswer(200, "application/json", text)
     outcome = Outcome(
-        verdict.request_id, verdict.endpoint, EndingSeen.COMPLETED, answer=answer
+        verdict.request_id, verdict.endpoint, DispatchEnding.COMPLETED, answer=answer
     )
-    world.handle(DispatchOver(outcome))
+    world.handle(DispatchFinished(outcome))
 
 
 def test_equal_keys_of_two_customers_are_two_keys() -> None:
--- a/tests/toucanyard/test_crash_watch.py
+++ b/tests/toucanyard/test_crash_watch.py
@@ -14,7 +14,7 @@
 from toucanyard.names import EndpointName, Fingerprint, RequestId
 from toucanyard.relay_requests import RelayOutcome
 from toucanyard.replicas import ReplicaDirectory
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 
 from .relay_examples import build_replica
 
@@ -33,7 +33,7 @@
         outcome = RelayOutcome(
             RequestId("q"),
             ONE,
-            EndingSeen.LOST,
+            DispatchEnding.LOST,
             **(fields | changes),  # type: ignore[arg-type]
         )
         return self.watch.record_outcome(outcome, BODY, at_ms - 10.0, at_ms)
@@ -115,7 +115,7 @@
 
 def test_call_that_may_not_have_run_is_no_loss() -> None:
     world = World()
-    outcome = RelayOutcome(RequestId("q"), ONE, EndingSeen.REFUSED)
+    outcome = RelayOutcome(RequestId("q"), ONE, DispatchEnding.REFUSED)
     assert not world.watch.record_outcome(outcome, BODY, 0.0, 1.0)
     assert not world.watch.has_open_loss(BODY)
 
--- a/tests/toucanyard/test_explanations.py
+++ b/tests/toucanyard/test_explanations.py
@@ -17,7 +17,7 @@
 )
 from toucanyard.names import CustomerName, EndpointName, RequestId
 from toucanyard.request_records import RequestRecords
-from toucanyard.requests import EndingSeen, Refuse
+from toucanyard.requests import DispatchEnding, Refuse
 from toucanyard.scoring import Score
 
 ENDPOINT = EndpointName("e")
@@ -60,7 +60,7 @@
     """
     ring = ExplanationRing(MAX_RECORDS)
     fill(ring, MAX_OPEN + 2 * BATCH)
-    ended = Ended(9.0, ENDPOINT, EndingSeen.LOST, None, 0, 0)
+    ended = Ended(9.0, ENDPOINT, DispatchEnding.LOST, None, 0, 0)
     ring.add_step(make_id(3), ended)
     record = ring.find(make_id(3))
     assert record is not None
--- a/tests/toucanyard/test_fleet.py
+++ b/tests/toucanyard/test_fleet.py
@@ -38,14 +38,14 @@
     """
     world = FleetWorld(home=4, away=0, engines=2, seed=seed)
     start(world)
-    world.slow_ms, world.bad_share = (500.0, 3_000.0), 0.4
+    world.log_delay_range_ms, world.bad_share = (500.0, 3_000.0), 0.4
     for number in range(12):
         for node in world.rng.sample(world.nodes, 2):
             patch_id = f"p{number}-{node.name}"
             world.submit(node, patch_id, build_small_put(number))
         world.run(world.rng.uniform(1_000, 15_000))
     assert world.find_current().version >= 5
-    world.slow_ms, world.bad_share = (20.0, 20.0), 0.0
+    world.log_delay_range_ms, world.bad_share = (20.0, 20.0), 0.0
     world.run(16_000)
     assert len(world.find_versions()) == 1
     check_answers(world)
@@ -67,7 +67,7 @@
     world.retention_ms = kept_minutes * MINUTE_MS
     start(world)
     world.run(MINUTE_MS, 500.0)
-    world.is_cut = True
+    world.is_partitioned = True
     for number in range(6):
         world.run(5 * MINUTE_MS, QUIET_STEP_MS)
         world.submit(world.nodes[0], f"p{number}", build_small_put(number))
@@ -88,7 +88,7 @@
     assert world.nodes[4].core.configuration.version == 1
     assert world.engines[EndpointName(f"{HOME}-0")].state.weights_version == "w2"
     assert world.engines[EndpointName(f"{AWAY}-0")].state.weights_version == "w1"
-    world.is_cut = False
+    world.is_partitioned = False
     healed_ms = world.now_ms
     world.run(5_000)
     assert {version for version, _ in world.find_versions()} == {14}
--- a/tests/toucanyard/test_log_start.py
+++ b/tests/toucanyard/test_log_start.py
@@ -9,7 +9,7 @@
 from hypothesis import example, given, settings, strategies as st
 
 from core_world import ANY_PORT
-from toucanyard.core_events import LogExpired, LogRead, LogReread
+from toucanyard.core_events import LogExpired, LogRead, LogReadRestarted
 from toucanyard.duties import DutyRecord
 from toucanyard.log_start import StartSearch, compute_span_ms
 from toucanyard.names import DomainName, Incarnation, NodeId, NodeName, PoolName
@@ -46,7 +46,7 @@
     looks = 0
     while (probe := search.find_probe()) is not None:
         looks += 1
-        search.note(probe, times_ms[probe])
+        search.apply_probe(probe, times_ms[probe])
     return search.start, looks
 
 
@@ -143,7 +143,7 @@
     core.handle(LogExpired(4), 5_000.0)
     assert read(core, texts, 4) == 0
     assert core.log.needs_older()
-    core.handle(LogReread(), 5_000.0)
+    core.handle(LogReadRestarted(), 5_000.0)
     assert read(core, texts, 0, cut) == 0
     assert read(core, texts, cut) == 5
     assert not core.log.needs_older()
@@ -153,7 +153,7 @@
     _, texts = build_log(4)
     core = build_core()
     assert read(core, texts, 0) == 5
-    core.handle(LogReread(), 5_000.0)
+    core.handle(LogReadRestarted(), 5_000.0)
     assert core.log.next_offset == len(texts)
     assert read(core, texts, 0, 2) == 5
 
@@ -175,6 +175,6 @@
     read(core, texts, 5)
     holder = core.duties.duties.find_holder(pool)
     assert holder is not None and holder.node == "node-9"
-    core.handle(LogReread(), 5_000.0)
+    core.handle(LogReadRestarted(), 5_000.0)
     read(core, texts, 0, 30)
     assert core.duties.duties.find_holder(pool) == holder
--- a/tests/toucanyard/test_node_core.py
+++ b/tests/toucanyard/test_node_core.py
@@ -141,7 +141,7 @@
             assert dispatch.expected_incarnation == "new"
 
 
-def count_let_in(world: CoreWorld) -> int:
+def count_admitted(world: CoreWorld) -> int:
     return sum(world.arrive(f"r{number}") in world.replies for number in range(80))
 
 
@@ -154,7 +154,7 @@
         for number in range(2, 10)
     )
     crowded.handle(VmsRead(vms))
-    assert 0 < count_let_in(crowded) < count_let_in(CoreWorld())
+    assert 0 < count_admitted(crowded) < count_admitted(CoreWorld())
 
 
 def test_patch_whose_append_was_not_answered_is_appended_again() -> None:
@@ -182,8 +182,8 @@
     link(world)
     digest = world.core.log.digest
     for seen, expected in ((digest + 1, {PEER.node}), (digest, set())):
-        told = Digest(PEER.node, 1.0, world.now_ms, 1, seen, 0.0)
-        world.handle(MessageRead(PEER, told))
+        digest_of_peer = Digest(PEER.node, 1.0, world.now_ms, 1, seen, 0.0)
+        world.handle(MessageRead(PEER, digest_of_peer))
         assert world.core.spread.divergent == expected
 
 
--- a/tests/toucanyard/test_relay_flow.py
+++ b/tests/toucanyard/test_relay_flow.py
@@ -25,7 +25,7 @@
 from toucanyard.replica_limits import ReplicaLimits
 from toucanyard.replicas import ReplicaDirectory
 from toucanyard.request_guard import RequestGuard
-from toucanyard.requests import EndingSeen, Refuse, Repeatability
+from toucanyard.requests import DispatchEnding, Refuse, Repeatability
 from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
 from toucanyard.weights_goals import WantedWeights, WeightsGoals
@@ -43,8 +43,8 @@
 )
 
 SLOTS = 4
-UNPROVED = [EndingSeen.LOST, EndingSeen.FAILED]
-UNRUN = [EndingSeen.NOT_SENT, EndingSeen.REFUSED]
+UNPROVED = [DispatchEnding.LOST, DispatchEnding.FAILED]
+UNRUN = [DispatchEnding.NOT_SENT, DispatchEnding.REFUSED]
 
 
 class Node:
@@ -97,7 +97,7 @@
         return request
 
     def end(
-        self, name: str, ending: EndingSeen, now_ms: float = 10.0, **facts: object
+        self, name: str, ending: DispatchEnding, now_ms: float = 10.0, **facts: object
     ) -> None:
         dispatch = self.find_dispatch(name)
         outcome = RelayOutcome(
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("ending", UNPROVED)
-def test_call_that_may_run_once_is_never_sent_again(ending: EndingSeen) -> None:
+def test_call_that_may_run_once_is_never_sent_again(ending: DispatchEnding) -> None:
     """A replica resets the connection, or fails, after it got a seat hold.
 
     The hold may have run: sent elsewhere it would run twice, and "not run" would make
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("ending", UNRUN)
-def test_call_that_surely_did_not_run_goes_elsewhere(ending: EndingSeen) -> None:
+def test_call_that_surely_did_not_run_goes_elsewhere(ending: DispatchEnding) -> None:
     node = Node()
     node.arrive("q", repeatability=Repeatability.RUN_ONCE)
     first = node.find_dispatch("q").replica
@@ -152,8 +152,8 @@
 def test_attempts_bound_the_sends_that_reached_a_replica() -> None:
     node = Node()
     node.arrive("q", repeatability=Repeatability.RUN_ONCE, max_attempts=1)
-    node.end("q", EndingSeen.NOT_SENT, is_dead=True)
-    node.end("q", EndingSeen.REFUSED)
+    node.end("q", DispatchEnding.NOT_SENT, is_dead=True)
+    node.end("q", DispatchEnding.REFUSED)
     refusal = node.find_refusal("q")
     assert refusal.ending is Ending.NOT_RUN
     assert refusal.retry_after_ms > 0
@@ -166,14 +166,14 @@
     """
     node = Node()
     node.arrive("q", max_attempts=2)
-    node.end("q", EndingSeen.LOST)
-    node.end("q", EndingSeen.REFUSED)
+    node.end("q", DispatchEnding.LOST)
+    node.end("q", DispatchEnding.REFUSED)
     assert node.find_refusal("q").ending is Ending.UNKNOWN
 
 
 @pytest.mark.parametrize("ending", UNPROVED)
 def test_call_given_up_in_the_queue_after_such_a_try_is_no_not_run(
-    ending: EndingSeen,
+    ending: DispatchEnding,
 ) -> None:
     """A receipt is lost, or fails, at the only replica, which then loads weights.
 
@@ -189,7 +189,7 @@
     assert node.flow.count_waiting() == 1
     node.take(node.flow.tick(1_990.0))
     assert node.flow.count_pending() == 0
-    if ending is EndingSeen.FAILED:
+    if ending is DispatchEnding.FAILED:
         assert node.find_last("q") is None
     else:
         assert node.find_refusal("q").ending is Ending.UNKNOWN
@@ -199,8 +199,8 @@
 def test_replicas_own_failure_is_passed_on_when_nothing_is_left() -> None:
     node = Node()
     node.arrive("q", max_attempts=2)
-    node.end("q", EndingSeen.FAILED)
-    node.end("q", EndingSeen.FAILED)
+    node.end("q", DispatchEnding.FAILED)
+    node.end("q", DispatchEnding.FAILED)
     assert node.find_last("q") is None
 
 
@@ -215,10 +215,10 @@
     for number in range(100):
         name = f"q{number}"
         node.arrive(name, float(number))
-        node.end(name, EndingSeen.FAILED, float(number))
+        node.end(name, DispatchEnding.FAILED, float(number))
         if isinstance(node.find_last(name), RelayDispatch):
             retries += 1
-            node.end(name, EndingSeen.FAILED, float(number))
+            node.end(name, DispatchEnding.FAILED, float(number))
     limits = OPTIONS.retries
     assert 0 < retries <= limits.slack / 4 + limits.ratio * 100
 
@@ -239,11 +239,11 @@
     first = node.find_dispatch("q").replica
     other = "b" if first == "a" else "a"
     node.directory.apply(build_replica(other, weights=((MODEL, 2),)), 0.0)
-    node.end("q", EndingSeen.LOST, has_begun=True)
+    node.end("q", DispatchEnding.LOST, has_begun=True)
     assert node.find_refusal("q").kind is ErrorKind.ENDPOINT_LOST
     node = Node()
     node.arrive("q", **stream)
-    node.end("q", EndingSeen.LOST, has_begun=True)
+    node.end("q", DispatchEnding.LOST, has_begun=True)
     assert node.find_dispatch("q").weights_version == 1
 
 
@@ -256,7 +256,7 @@
         is_stream=True,
         repeatability=Repeatability.RUN_ONCE,
     )
-    node.end("q", EndingSeen.LOST, has_begun=True)
+    node.end("q", DispatchEnding.LOST, has_begun=True)
     assert node.find_refusal("q").ending is Ending.UNKNOWN
 
 
@@ -268,7 +268,7 @@
     node.arrive("late", 1.0, rank=2)
     node.arrive("urgent", 2.0, rank=0)
     assert node.flow.count_waiting() == 2
-    node.end("r0", EndingSeen.COMPLETED, 20.0)
+    node.end("r0", DispatchEnding.COMPLETED, 20.0)
     assert node.find_dispatch("urgent").replica == "x"
     assert node.find_last("late") == "nothing"
 
@@ -326,7 +326,7 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["arrive", "end", "leave", "tick"]),
-        st.sampled_from(list(EndingSeen)),
+        st.sampled_from(list(DispatchEnding)),
         st.sampled_from(list(Repeatability)[:2]),
         st.integers(0, 5),
     ),
@@ -336,7 +336,7 @@
 
 @given(STEPS)
 def test_every_question_gets_one_reply_and_nothing_is_left(
-    steps: list[tuple[str, EndingSeen, Repeatability, int]],
+    steps: list[tuple[str, DispatchEnding, Repeatability, int]],
 ) -> None:
     """Calls come, end and are left in any order.
 
--- a/tests/toucanyard/test_request_flow.py
+++ b/tests/toucanyard/test_request_flow.py
@@ -3,20 +3,20 @@
 import pytest
 
 from core_world import CoreWorld
-from toucanyard.core_events import CallerLeft, DispatchOver, LogStateSeen
+from toucanyard.core_events import CallerLeft, DispatchFinished, LogStateSeen
 from toucanyard.errorcodes import Ending, ErrorKind
 from toucanyard.names import RequestId
 from toucanyard.requests import (
+    CachedAnswer,
     Dispatch,
-    EndingSeen,
-    KeptAnswer,
+    DispatchEnding,
     Outcome,
     Refuse,
     Repeatability,
     Replay,
 )
 
-ANSWER = KeptAnswer(200, "application/json", b"{}")
+ANSWER = CachedAnswer(200, "application/json", b"{}")
 
 
 @pytest.fixture
@@ -24,26 +24,26 @@
     return CoreWorld()
 
 
-def end(world: CoreWorld, request_id: RequestId, ending: EndingSeen) -> None:
+def end(world: CoreWorld, request_id: RequestId, ending: DispatchEnding) -> None:
     dispatch = world.find_last(request_id)
     assert isinstance(dispatch, Dispatch)
-    answer = ANSWER if ending is EndingSeen.COMPLETED else None
+    answer = ANSWER if ending is DispatchEnding.COMPLETED else None
     outcome = Outcome(request_id, dispatch.endpoint, ending, answer=answer)
-    world.handle(DispatchOver(outcome))
+    world.handle(DispatchFinished(outcome))
 
 
 def test_request_is_dispatched_and_ends_with_one_reply_each(world: CoreWorld) -> None:
     request_id = world.arrive("r1")
-    end(world, request_id, EndingSeen.COMPLETED)
+    end(world, request_id, DispatchEnding.COMPLETED)
     assert isinstance(world.replies[request_id][0], Dispatch)
     assert world.replies[request_id][1:] == [None]
     assert world.core.flow.count_pending() == 0
     assert world.core.admission.count_running() == 0
 
 
-@pytest.mark.parametrize("ending", [EndingSeen.NOT_SENT, EndingSeen.FAILED])
+@pytest.mark.parametrize("ending", [DispatchEnding.NOT_SENT, DispatchEnding.FAILED])
 def test_retry_goes_to_an_endpoint_that_was_not_tried(
-    world: CoreWorld, ending: EndingSeen
+    world: CoreWorld, ending: DispatchEnding
 ) -> None:
     # The caller sees one answer. An endpoint that failed is left out of the next try,
     # or a retry would spend the budget on the same endpoint.
@@ -59,7 +59,7 @@
     # The caller sees "outcome unknown". The connection died after the request left:
     # a second try could hold a second seat, and "not run" could be false.
     request_id = world.arrive("r1", Repeatability.RUN_ONCE, is_service=True)
-    end(world, request_id, EndingSeen.LOST)
+    end(world, request_id, DispatchEnding.LOST)
     refusal = world.find_last(request_id)
     assert isinstance(refusal, Refuse)
     assert refusal.kind is ErrorKind.OUTCOME_UNKNOWN
@@ -70,9 +70,9 @@
     # The caller sees "unknown" with a time to come back. The first try was lost and may
     # have run; that the later ones provably did not changes nothing about it.
     request_id = world.arrive("r1")
-    end(world, request_id, EndingSeen.LOST)
+    end(world, request_id, DispatchEnding.LOST)
     while isinstance(world.find_last(request_id), Dispatch):
-        end(world, request_id, EndingSeen.NOT_SENT)
+        end(world, request_id, DispatchEnding.NOT_SENT)
     refusal = world.find_last(request_id)
     assert isinstance(refusal, Refuse)
     assert refusal.ending is Ending.UNKNOWN
@@ -93,7 +93,7 @@
 def test_retry_of_an_answered_key_gets_the_first_answer(world: CoreWorld) -> None:
     first = world.arrive("r1", Repeatability.KEYED, "hold-1", is_service=True)
     world.read_log()
-    end(world, first, EndingSeen.COMPLETED)
+    end(world, first, DispatchEnding.COMPLETED)
     second = world.arrive("r2", Repeatability.KEYED, "hold-1", is_service=True)
     assert world.find_last(second) == Replay(second, ANSWER)
     assert world.core.admission.count_running() == 0
@@ -124,8 +124,8 @@
 
 def test_every_step_of_a_request_is_explained(world: CoreWorld) -> None:
     request_id = world.arrive("r1")
-    end(world, request_id, EndingSeen.NOT_SENT)
-    end(world, request_id, EndingSeen.COMPLETED)
+    end(world, request_id, DispatchEnding.NOT_SENT)
+    end(world, request_id, DispatchEnding.COMPLETED)
     record = world.core.flow.records.explanations.find(request_id)
     assert record is not None
     names = [type(step).__name__ for step in record.steps]
@@ -139,7 +139,7 @@
     first = world.arrive("r1")
     dispatch = world.find_last(first)
     assert isinstance(dispatch, Dispatch)
-    end(world, first, EndingSeen.REFUSED)
+    end(world, first, DispatchEnding.REFUSED)
     later = [world.find_last(world.arrive(f"r{number}")) for number in range(2, 8)]
     assert all(isinstance(each, Dispatch) for each in later)
     assert dispatch.endpoint not in {
@@ -152,13 +152,13 @@
     # that all turn away would multiply an overload.
     request_id = world.arrive("r1")
     while isinstance(world.find_last(request_id), Dispatch):
-        end(world, request_id, EndingSeen.REFUSED)
+        end(world, request_id, DispatchEnding.REFUSED)
     refusal = world.find_last(request_id)
     assert isinstance(refusal, Refuse)
     assert refusal.ending is Ending.NOT_RUN
     assert len(world.replies[request_id]) <= 4
     later = world.arrive("r2")
-    end(world, later, EndingSeen.REFUSED)
+    end(world, later, DispatchEnding.REFUSED)
     assert isinstance(world.find_last(later), Refuse)
 
 
--- a/tests/toucanyard/test_statistics.py
+++ b/tests/toucanyard/test_statistics.py
@@ -7,7 +7,7 @@
 from toucanyard.configuration import PriorityClass
 from toucanyard.errorcodes import ErrorKind
 from toucanyard.names import CustomerName, EndpointName, RequestId
-from toucanyard.requests import EndingSeen, Outcome
+from toucanyard.requests import DispatchEnding, Outcome
 from toucanyard.statistics import (
     MAX_HELD,
     MAX_REFUSAL_COUNTS,
@@ -19,7 +19,7 @@
 OUTCOME = Outcome(
     RequestId("r"),
     EndpointName("e"),
-    EndingSeen.COMPLETED,
+    DispatchEnding.COMPLETED,
     first_token_ms=200.0,
     duration_ms=2_000.0,
     cached_tokens=64,
--- a/tests/toucanyard/test_wire.py
+++ b/tests/toucanyard/test_wire.py
@@ -34,12 +34,12 @@
 )
 from toucanyard.key_messages import (
     AskKey,
-    KeysNoted,
+    KeyReport,
+    KeysRecorded,
     KeyStatus,
-    KeyTold,
-    NoteKeys,
     OpenLedger,
-    SealKey,
+    RecordKeys,
+    RevokeKey,
 )
 from toucanyard.key_records import (
     KeyName,
@@ -76,11 +76,11 @@
     ConfigurationOffer(CheckpointRecord(configuration=Configuration(2), next_offset=3)),
     ConfigurationDelta(1, (build_patch("second", 1),), HISTORY, 2, 7),
     AskKey(SELF, NAME, "c"),
-    KeyTold(SELF, NAME, "c", KeyStatus.RUNNING, b"d"),
+    KeyReport(SELF, NAME, "c", KeyStatus.RUNNING, b"d"),
     OpenLedger(SELF, 1),
-    NoteKeys(SELF, 1, 2, (b"m" * 16,)),
-    KeysNoted(SELF, 2, (0,)),
-    SealKey(SELF, 1, PEER, NAME),
+    RecordKeys(SELF, 1, 2, (b"m" * 16,)),
+    KeysRecorded(SELF, 2, (0,)),
+    RevokeKey(SELF, 1, PEER, NAME),
     SnapshotRequest(1, 0),
     SnapshotPart(1, 0, 1, 7, b"x"),
     SnapshotBusy(1, 5.0),
--- a/tests/toucanyard_node/test_callers_face.py
+++ b/tests/toucanyard_node/test_callers_face.py
@@ -22,8 +22,8 @@
 from support.engines import ScriptedEngine, Step, Then
 from toucanyard.names import Address, RequestId
 from toucanyard.requests import (
-    EndingSeen,
-    KeptAnswer,
+    CachedAnswer,
+    DispatchEnding,
     ModelTarget,
     Repeatability,
     Replay,
@@ -163,7 +163,7 @@
 
 async def test_answer_kept_by_core() -> None:
     async with serve_in_memory([]) as served:
-        kept = KeptAnswer(200, "text/event-stream", b"data: [DONE]\n\n")
+        kept = CachedAnswer(200, "text/event-stream", b"data: [DONE]\n\n")
         served.core.replay = Replay(RequestId("n1-x7-0"), kept)
         answer = await served.complete()
         assert answer.body == kept.body
@@ -210,10 +210,10 @@
 @pytest.mark.parametrize(
     ("step", "headers", "code", "is_not_run", "ending"),
     [
-        (Step(status=503), ONCE, "no_endpoint", True, EndingSeen.REFUSED),
-        (Step(status=412), ONCE, "no_endpoint", True, EndingSeen.REFUSED),
-        (Step(status=500), ONCE, "outcome_unknown", False, EndingSeen.FAILED),
-        (Step(status=500), AUTHORIZED, "endpoint_lost", False, EndingSeen.FAILED),
+        (Step(status=503), ONCE, "no_endpoint", True, DispatchEnding.REFUSED),
+        (Step(status=412), ONCE, "no_endpoint", True, DispatchEnding.REFUSED),
+        (Step(status=500), ONCE, "outcome_unknown", False, DispatchEnding.FAILED),
+        (Step(status=500), AUTHORIZED, "endpoint_lost", False, DispatchEnding.FAILED),
     ],
 )
 async def test_endings(
@@ -222,7 +222,7 @@
     headers: Headers,
     code: str,
     is_not_run: bool,
-    ending: EndingSeen,
+    ending: DispatchEnding,
 ) -> None:
     """An engine answers that it did not run a request, or that it failed at it.
 
@@ -242,7 +242,7 @@
         served.network.remove(served.core.addresses[0])
         answer = await served.complete(headers=ONCE)
         assert read_error(answer)["not_run"] is True
-        assert served.core.find_endings() == [EndingSeen.NOT_SENT]
+        assert served.core.find_endings() == [DispatchEnding.NOT_SENT]
 
 
 async def test_refusal_after_a_lost_try(autojump_clock: MockClock) -> None:
@@ -266,7 +266,10 @@
     async with serve_in_memory([lost, refusing]) as served:
         answer = await served.complete()
         assert read_error(answer)["not_run"] is False
-        assert served.core.find_endings() == [EndingSeen.FAILED, EndingSeen.REFUSED]
+        assert served.core.find_endings() == [
+            DispatchEnding.FAILED,
+            DispatchEnding.REFUSED,
+        ]
 
 
 async def test_idle_connection_died(autojump_clock: MockClock) -> None:
@@ -280,7 +283,7 @@
         answer = await served.complete()
         assert answer.status == 200
         assert len(engine.find_requests("POST")) == 3
-        assert served.core.find_endings() == [EndingSeen.COMPLETED] * 2
+        assert served.core.find_endings() == [DispatchEnding.COMPLETED] * 2
 
 
 async def test_run_once_uses_new_connection(autojump_clock: MockClock) -> None:
--- a/tests/toucanyard_node/test_drain.py
+++ b/tests/toucanyard_node/test_drain.py
@@ -15,7 +15,7 @@
     serve_in_memory,
 )
 from support.engines import ScriptedEngine, Step
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 from toucanyard_node.drain import drain
 from toucanyard_node.http_client import ConnectionFailedError
 
@@ -77,5 +77,5 @@
         await trio.sleep(15)
         assert not results
         await trio.sleep(15)
-        assert served.core.find_endings() == [EndingSeen.COMPLETED]
+        assert served.core.find_endings() == [DispatchEnding.COMPLETED]
     assert results == [True]
--- a/tests/toucanyard_node/test_endpoint_watch.py
+++ b/tests/toucanyard_node/test_endpoint_watch.py
@@ -11,7 +11,7 @@
 from toucanyard.core_events import (
     CacheDumpRead,
     CacheEventsRead,
-    EndpointSilent,
+    EndpointPollFailed,
     LoadRead,
 )
 from toucanyard.names import Address, DomainName, EndpointName
@@ -113,7 +113,7 @@
         scene = Scene(nursery)
         await trio.sleep(2)
         assert 6 <= scene.count(LoadRead) <= 9
-        assert scene.count(EndpointSilent) == 0
+        assert scene.count(EndpointPollFailed) == 0
         assert scene.engine.asked_after[:3] == ["-1", "3", "3"]
         await scene.watch.read_dump(ENDPOINT.name)
         dump = next(each for each in scene.events if isinstance(each, CacheDumpRead))
@@ -156,10 +156,10 @@
         await trio.sleep(0.4)
         scene.engine.hangs = False
         await trio.sleep(2)
-        assert scene.count(EndpointSilent) == 0
+        assert scene.count(EndpointPollFailed) == 0
         scene.engine.hangs = True
         await trio.sleep(3)
-        assert scene.count(EndpointSilent) >= 2
+        assert scene.count(EndpointPollFailed) >= 2
         nursery.cancel_scope.cancel()
 
 
@@ -170,7 +170,7 @@
         scene = Scene(nursery)
         scene.network.remove(ENDPOINT.address)
         await trio.sleep(1)
-        assert scene.count(EndpointSilent) >= 4
+        assert scene.count(EndpointPollFailed) >= 4
         nursery.cancel_scope.cancel()
 
 
@@ -246,11 +246,11 @@
         scene = Scene(nursery)
         scene.network.remove(ENDPOINT.address)
         await trio.sleep(5)
-        assert scene.count(EndpointSilent) >= 15
+        assert scene.count(EndpointPollFailed) >= 15
         await trio.sleep(60)
-        before = scene.count(EndpointSilent)
+        before = scene.count(EndpointPollFailed)
         await trio.sleep(60)
-        assert 25 <= scene.count(EndpointSilent) - before <= 35
+        assert 25 <= scene.count(EndpointPollFailed) - before <= 35
         scene.network.serve(ENDPOINT.address, scene.engine.handle)
         await trio.sleep(10)
         assert scene.count(LoadRead) >= 25
@@ -311,14 +311,14 @@
         scene.count_of_endpoints = 4_400
         scene.network.remove(ENDPOINT.address)
         await trio.sleep(2)
-        assert scene.count(EndpointSilent) >= 7
+        assert scene.count(EndpointPollFailed) >= 7
         others = [
             msgspec.structs.replace(ENDPOINT, name=EndpointName(f"e{number}"))
             for number in range(40)
         ]
         scene.wanted = [Watched(each, True, is_followed=False) for each in others]
         await trio.sleep(6)
-        before = scene.count(EndpointSilent)
+        before = scene.count(EndpointPollFailed)
         await trio.sleep(10)
-        assert 100 <= scene.count(EndpointSilent) - before <= 170
+        assert 100 <= scene.count(EndpointPollFailed) - before <= 170
         nursery.cancel_scope.cancel()
--- a/tests/toucanyard_node/test_kept_streams.py
+++ b/tests/toucanyard_node/test_kept_streams.py
@@ -19,7 +19,7 @@
 )
 from support.engines import ScriptedEngine, Step, Then
 from toucanyard.options import StreamLimits
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 from toucanyard_node.http_client import ConnectionFailedError, Headers, HttpConnection
 from toucanyard_node.http_exchange import Responder
 
@@ -127,7 +127,7 @@
         await connection.close()
         await trio.sleep(1.5)
         assert engine.cancelled == ["n1-x7-0"]
-        assert served.core.find_endings() == [EndingSeen.CANCELLED]
+        assert served.core.find_endings() == [DispatchEnding.CANCELLED]
 
 
 async def test_caller_gone_before_first_byte(autojump_clock: MockClock) -> None:
@@ -175,7 +175,7 @@
         await trio.sleep(10)
         assert not engine.cancelled
         [outcome] = served.core.outcomes
-        assert outcome.ending is EndingSeen.COMPLETED
+        assert outcome.ending is DispatchEnding.COMPLETED
         assert outcome.answer is not None
         body_kept = outcome.answer.body
         if is_stream:
--- a/tests/toucanyard_node/test_log_reader.py
+++ b/tests/toucanyard_node/test_log_reader.py
@@ -8,8 +8,8 @@
 import pytest
 import trio
 
-from toucanyard.core_events import LogExpired, LogRead, LogReread, LogStateSeen
-from toucanyard.log_patience import LogPatience
+from toucanyard.adaptive_log_timeout import AdaptiveLogTimeout
+from toucanyard.core_events import LogExpired, LogRead, LogReadRestarted, LogStateSeen
 from toucanyard.names import Address
 from toucanyard_node import log_reader
 from toucanyard_node.http_exchange import HttpRequest, Responder
@@ -100,19 +100,19 @@
     since its claims could not be read back."""
     log = LongLog(oldest=0)
     events = await follow(log, LateStart(SPAN_MS, lambda: True), ups=2)
-    again = events.index(LogReread())
+    again = events.index(LogReadRestarted())
     assert events[again - 1] == LogStateSeen(False)
     reads = find_reads(events[again:])
     assert reads[0][0] == 0
     assert reads[-1][1] == RECORDS
-    assert events.count(LogReread()) == 1
+    assert events.count(LogReadRestarted()) == 1
 
 
 async def test_span_of_the_whole_log_leaves_no_gap() -> None:
     log = LongLog(oldest=0)
     events = await follow(log, LateStart(10**9, lambda: True), ups=1)
     assert find_reads(events)[0][0] == 0
-    assert not any(isinstance(each, (LogExpired, LogReread)) for each in events)
+    assert not any(isinstance(each, (LogExpired, LogReadRestarted)) for each in events)
 
 
 async def test_slow_log_is_read_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -132,18 +132,20 @@
     often than it grows stale, and patches be refused now and then. Fast again, the log
     is asked to wait, or it would be asked all the time."""
     log = LongLog(oldest=RECORDS - 10, delay_ms=250.0)
-    patience = LogPatience(100.0)
+    log_timeout = AdaptiveLogTimeout(100.0)
     async with trio.open_nursery() as nursery:
         listener = await open_listener("127.0.0.1", 0)
         server = HttpServer(log.handle, ServerLimits())
         nursery.start_soon(server.serve, listener)
         address = Address(f"127.0.0.1:{find_port(listener)}")
-        nursery.start_soon(follow_log, address, 200, lambda event: None, None, patience)
+        nursery.start_soon(
+            follow_log, address, 200, lambda event: None, None, log_timeout
+        )
         with trio.fail_after(20):
             while 200 not in log.waits_ms or log.waits_ms[-1] != 0:
                 await trio.sleep(0.01)
             # The first append then isn't given up before the log can answer it.
-            assert patience.timeout_ms >= 250.0
+            assert log_timeout.timeout_ms >= 250.0
             log.delay_ms = 0.0
             while log.waits_ms[-1] == 0:
                 await trio.sleep(0.01)
--- a/tests/toucanyard_node/test_metrics.py
+++ b/tests/toucanyard_node/test_metrics.py
@@ -22,7 +22,7 @@
 )
 from toucanyard.node_core import NodeCore
 from toucanyard.options import ListenOptions, Options, PlatformOptions, StatsdOptions
-from toucanyard.requests import EndingSeen, Outcome
+from toucanyard.requests import DispatchEnding, Outcome
 from toucanyard_node.metrics import (
     MAX_GROUPS,
     Counter,
@@ -44,7 +44,7 @@
         outcome = Outcome(
             RequestId("r"),
             EndpointName("e"),
-            EndingSeen.COMPLETED,
+            DispatchEnding.COMPLETED,
             first_token_ms=20.0,
             duration_ms=120.0,
             cached_tokens=64,
--- a/tests/toucanyard_node/test_service_face.py
+++ b/tests/toucanyard_node/test_service_face.py
@@ -24,7 +24,7 @@
 )
 from support.engines import ScriptedEngine, Step
 from toucanyard.names import Address
-from toucanyard.requests import EndingSeen, Repeatability
+from toucanyard.requests import DispatchEnding, Repeatability
 from toucanyard_node.http_client import Headers, Response
 from toucanyard_node.service_face import find_call_repeatability
 from toucanyard_standins.plain_service import (
@@ -87,7 +87,7 @@
         error = read_error(answer)
         assert (error["code"], error["not_run"]) == ("outcome_unknown", False)
         assert await count_executions(addresses) == [1, 0]
-        assert served.core.find_endings() == [EndingSeen.LOST]
+        assert served.core.find_endings() == [DispatchEnding.LOST]
 
 
 async def test_death_of_repeatable_call() -> None:
@@ -159,7 +159,7 @@
         while not served.core.outcomes:
             await trio.sleep(0.001)
         [outcome] = served.core.outcomes
-        assert outcome.ending is EndingSeen.COMPLETED
+        assert outcome.ending is DispatchEnding.COMPLETED
         assert outcome.answer is not None
 
 
@@ -185,7 +185,7 @@
         assert (error["code"], error["not_run"]) == ("deadline_exceeded", True)
         await trio.sleep(1)
         assert engine.requests == []
-        assert served.core.find_endings() == [EndingSeen.NOT_SENT]
+        assert served.core.find_endings() == [DispatchEnding.NOT_SENT]
 
 
 async def test_keyed_stream_runs_on_after_the_deadline(
@@ -206,7 +206,7 @@
         assert read_error(answer)["code"] == "outcome_unknown"
         await trio.sleep(1)
         [outcome] = served.core.outcomes
-        assert outcome.ending is EndingSeen.COMPLETED
+        assert outcome.ending is DispatchEnding.COMPLETED
         assert outcome.answer is not None
         assert read_text(outcome.answer.body) == "ab"
 
@@ -247,4 +247,4 @@
     async with serve_face(core) as served:
         answer = await served.ask("POST", target, headers, build_completion())
         assert read_error(answer)["code"] == "internal"
-        assert core.find_endings() == [EndingSeen.CANCELLED]
+        assert core.find_endings() == [DispatchEnding.CANCELLED]
--- a/tests/toucanyard_node/test_stream_ends.py
+++ b/tests/toucanyard_node/test_stream_ends.py
@@ -14,7 +14,7 @@
     serve_in_memory,
 )
 from support.engines import ScriptedEngine, Step, Then
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 from toucanyard_node.http_client import Headers
 
 TOKENS = (" uno", " dos", " tres", " cuatro", " cinco")
@@ -95,7 +95,7 @@
         answer = await served.complete(headers=headers)
         check_whole(answer.body)
         (outcome,) = served.core.outcomes
-        assert outcome.ending is EndingSeen.COMPLETED
+        assert outcome.ending is DispatchEnding.COMPLETED
         assert (outcome.answer is not None) == (headers == KEYED)
 
 
@@ -144,7 +144,7 @@
         assert read_numbers(answer.body) == list(range(1, LAST + 2))
         assert read_text(answer.body) == "".join(TOKENS[1:])
         assert answer.body.endswith(b"data: [DONE]\n\n")
-        assert served.core.find_endings()[-1] is EndingSeen.COMPLETED
+        assert served.core.find_endings()[-1] is DispatchEnding.COMPLETED
 
 
 @pytest.mark.parametrize("is_stream", [True, False])
@@ -163,4 +163,7 @@
         with trio.fail_after(20):
             answer = await served.complete(is_stream)
         assert answer.status == 200
-        assert served.core.find_endings() == [EndingSeen.LOST, EndingSeen.COMPLETED]
+        assert served.core.find_endings() == [
+            DispatchEnding.LOST,
+            DispatchEnding.COMPLETED,
+        ]
--- a/tests/toucanyard_node/test_stream_relay.py
+++ b/tests/toucanyard_node/test_stream_relay.py
@@ -15,7 +15,7 @@
     serve_in_memory,
 )
 from support.engines import ScriptedEngine, Step, Then
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 
 TOKENS = (" uno", " dos", " tres", " cuatro", " cinco")
 TEXT = "".join(TOKENS)
@@ -43,7 +43,7 @@
         check_whole(answer.body)
         resumed = engine.find_requests("GET")
         assert [each.headers["last-event-id"] for each in resumed] == ["1"]
-        assert served.core.find_endings() == [EndingSeen.COMPLETED]
+        assert served.core.find_endings() == [DispatchEnding.COMPLETED]
 
 
 async def test_heartbeats_are_no_silence(autojump_clock: MockClock) -> None:
@@ -101,7 +101,10 @@
         asked = second.find_requests("POST")[0]
         assert asked.headers["x-resume-text-tokens"] == "2"
         assert msgspec.json.decode(asked.body)["prompt"] == "hola uno dos"
-        assert served.core.find_endings() == [EndingSeen.LOST, EndingSeen.COMPLETED]
+        assert served.core.find_endings() == [
+            DispatchEnding.LOST,
+            DispatchEnding.COMPLETED,
+        ]
 
 
 async def test_no_resume_under_other_weights(autojump_clock: MockClock) -> None:
