--- a/packages/toucanyard/src/toucanyard/append_batch.py
+++ b/packages/toucanyard/src/toucanyard/append_batch.py
@@ -1,8 +1,8 @@
-"""Gather records of one node into few appends to the log, under a rate.
+"""Batch the log records of one node, at a limited rate of appends.
 
-The log service takes several hundred appends a second from all nodes together, so a
-node's claims share appends: the first of a batch waits `gather_ms` for others, and
-longer while the node's rate is used up.
+The log service accepts several hundred appends a second from all nodes together, so
+the claims of a node share appends: the first record of a batch waits `gather_ms` for
+others, and longer while the node has used up its rate.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 _MAX_RECORDS: Final = 500
 _MAX_BYTES: Final = 400_000
 _IDLE_GATHER_MS: Final = 250
-"""How long records that no caller waits for are gathered."""
+"""Batching delay of records that no caller waits for."""
 
 
 class AppendBatch(msgspec.Struct, frozen=True):
-    """Records for one append."""
+    """The records of one append."""
 
     record_ids: tuple[str, ...]
     texts: tuple[str, ...]
 
 
 class AppendBatcher:
-    """Records that wait for their append.
+    """Records waiting to be appended.
 
-    Invariants: at most one batch is due each `1000 / max_appends_per_s`; records
-    leave in the order in which they came.
+    Invariants: at most one batch is due each `1000 / max_appends_per_s` ms; records
+    are appended in the order in which they were added.
     """
 
     __slots__ = (
@@ -53,17 +53,17 @@
         return len(self._waiting)
 
     def add(self, record: AppendToLog, now_ms: float) -> None:
-        """Let a record wait for the next append."""
+        """Queue a record for the next append."""
         gather_ms = self._gather_ms if record.is_urgent else _IDLE_GATHER_MS
         self._waiting.append(record)
         self._due_ms = min(self._due_ms, now_ms + gather_ms)
 
     def find_due_ms(self) -> float:
-        """Return when the next batch is due; infinity when nothing waits."""
+        """Return when the next batch is due; infinity if the queue is empty."""
         return max(self._due_ms, self._next_allowed_ms)
 
     def pop_due(self, now_ms: float) -> AppendBatch | None:
-        """Take the batch that is due, if any."""
+        """Remove and return the batch that is due, if any."""
         if not self._waiting or now_ms < self.find_due_ms():
             return None
         count = self._count_fitting()
--- a/packages/toucanyard/src/toucanyard/at_most_once.py
+++ b/packages/toucanyard/src/toucanyard/at_most_once.py
@@ -1,11 +1,11 @@
-"""Decide who may dispatch a keyed request, and what every other try is told.
+"""Decide which attempt of a keyed request may be dispatched, and answer the others.
 
-A caller-chosen key belongs to the first claim in the log, an issued key to the node
-incarnation that issued it. Nobody ever takes a key over, so a node that was paused
-at any point finds on waking that nobody else ran what it may still run.
+A caller-chosen key is owned by the first claim in the log, an issued key by the node
+incarnation that issued it. Ownership is never transferred, so a node that resumes
+after a pause can rely on no other node having run what it may still run.
 
-`AtMostOnce` takes events with the present time and returns actions; it has no
-sockets, clock or tasks of its own.
+`AtMostOnce` maps events and the current time to actions; it has no sockets, clock or
+tasks of its own.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
     """The at-most-once decisions of one node incarnation.
 
     Invariant: over all nodes, a key is allowed at most once in its window, and a
-    caller that was told NOT_RUN of a key was told the truth for ever.
+    NOT_RUN result returned for a key stays true for ever.
     """
 
     __slots__ = (
@@ -109,14 +109,14 @@
         self._handover = KeyHandover(self._table)
 
     def issue_prefix(self, now_ms: float) -> str:
-        """Return a new key prefix for a caller to put before its own part."""
+        """Return a new key prefix, to which the caller appends its own suffix."""
         return self._issuer.issue(now_ms, self._table.rng)
 
     def may_dispatch(self, event: KeyedRequestArrived) -> bool:
-        """Tell whether this try may be the one that is dispatched from this node.
+        """Return whether this node may dispatch this attempt.
 
-        When false, `handle` leads to a refusal or to another try's answer, so there
-        is no point in letting the request queue for an endpoint first.
+        If not, `handle` yields a refusal or the answer to another attempt, so the
+        request need not be queued for an endpoint first.
         """
         table = self._table
         name = KeyName(event.customer, event.key)
@@ -132,31 +132,31 @@
         return table.is_log_up and table.index.find(name) is None
 
     def is_handover_done(self) -> bool:
-        """Tell whether a planned stop has nothing more to wait for."""
+        """Return whether the key handover of a planned stop is complete."""
         return self._handover.is_done
 
     def count_not_transferred(self) -> int:
-        """Return how many ended keys a planned stop has not handed over."""
+        """Return how many ended keys a planned stop has not transferred yet."""
         return self._handover.count_left()
 
     def count_transferred(self) -> int:
-        """Return how many ended keys are held for nodes that stopped."""
+        """Return how many ended keys are held on behalf of stopped nodes."""
         return len(self._table.transferred)
 
     def count_keys(self) -> int:
-        """Return how many keys are under way or ended on this node."""
+        """Return how many keys are in progress or ended on this node."""
         return len(self._table)
 
     def count_claims(self) -> int:
-        """Return how many claims of any node are remembered from the log."""
+        """Return how many claims, of all nodes, the index holds."""
         return len(self._table.index)
 
     def find_next_offset(self) -> int | None:
-        """Return the log offset up to which claims were read."""
+        """Return the offset of the next log record to read."""
         return self._table.index.next_offset
 
     def handle(self, event: ClaimEvent, now_ms: float) -> list[ClaimAction]:
-        """Take one event in and return what must be done now, in this order."""
+        """Process one event and return the actions to carry out, in order."""
         actions = list(self._handle_one(event, now_ms))
         while messages := self._table.pop_loopback():
             for message in messages:
@@ -207,11 +207,11 @@
         issued = parse_issued_key(event.key)
         age_ms = event.key_age_ms
         if len(event.key) > MAX_KEY_CHARS:
-            # Bounds what `max_keys` keys can take; such a key never runs anywhere.
+            # Bounds the memory used by `max_keys` keys. Every node rejects such a key.
             yield refuse(event, ErrorKind.BAD_REQUEST, table.rng)
         elif age_ms is not None and self._may_outlive_window(event, age_ms, now_ms):
-            # By the time it is claimed, the claim of an earlier try may be forgotten
-            # everywhere, and the key would run again.
+            # By the time the key is claimed, the claim of an earlier attempt may have
+            # expired on every node, and the key would run again.
             yield refuse(event, ErrorKind.KEY_EXPIRED, table.rng)
         elif ended is not None:
             yield table.compose_ended_reply(event, ended, now_ms)
@@ -235,7 +235,7 @@
     def _join(
         self, entry: KeyEntry, event: KeyedRequestArrived, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Let a try wait for the end of a key that is under way here."""
+        """Make an attempt wait for the result of a key in progress on this node."""
         if entry.phase is Phase.ALLOWED and event.body_digest != entry.digest:
             yield self._table.compose_running_reply(event, entry, now_ms)
         else:
@@ -270,7 +270,7 @@
         if entry is None:
             return
         if entry.running == request_id:
-            # Nobody is left who would tell the end of this dispatch.
+            # The caller is gone, so no DispatchEnded event will follow.
             ended = DispatchEnded(request_id, DispatchEnding.CANCELLED)
             yield from self._end_dispatch(ended, now_ms)
             return
@@ -281,7 +281,7 @@
     def _drop_unwanted(
         self, entry: KeyEntry, kind: ErrorKind, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """End a key that no more than an expired try waits for."""
+        """End a key for which at most one expired attempt is waiting."""
         match entry.phase:
             case Phase.RECORDING:
                 yield from self._table.revoke(entry, now_ms)
@@ -295,7 +295,7 @@
     def _handle_message(
         self, sender: NodeId, message: KeyMessage, now_ms: float
     ) -> Iterator[ClaimAction]:
-        # A message for an earlier incarnation of this node, which knew other keys.
+        # Ignore a message to an earlier incarnation of this node: its keys differ.
         if message.to != self._table.identity.incarnation:
             return
         match message:
@@ -323,7 +323,7 @@
                 yield from self._queries.answer(sender, message, now_ms)
 
     def _begin_handover(self, now_ms: float) -> Iterator[ClaimAction]:
-        """Decide what is undecided, and hand over what has ended."""
+        """End all undecided keys and start to transfer the ended ones."""
         if self._handover.is_begun():
             return
         for entry in self._table.find_entries(Phase.RECORDING):
@@ -334,7 +334,7 @@
     def _accept_transfer(
         self, sender: NodeId, message: TransferKeys, now_ms: float
     ) -> Iterator[ClaimAction]:
-        # What is taken once the own hand-over has begun would end with this node.
+        # Keys accepted after this node's own handover has begun would be lost with it.
         has_room = self._table.transferred.has_room(message.keys)
         is_taken = has_room and not self._handover.is_begun()
         if is_taken:
@@ -366,10 +366,10 @@
     def _expire(
         self, entry: KeyEntry, expired: KeyedRequestArrived, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Answer a try whose deadline has passed while its key is undecided."""
+        """Refuse an attempt whose deadline passed while its key is undecided."""
         is_own = entry.phase in (Phase.RECORDING, Phase.CLAIMING)
         if is_own and len(entry.waiting) == 1:
-            # The last try gets the ending that giving up proves.
+            # Giving up the key determines the result of its last attempt.
             yield from self._drop_unwanted(entry, ErrorKind.DEADLINE_EXCEEDED, now_ms)
             return
         self._table.remove_waiting(entry, expired.request_id)
--- a/packages/toucanyard/src/toucanyard/claim_events.py
+++ b/packages/toucanyard/src/toucanyard/claim_events.py
@@ -1,4 +1,4 @@
-"""List what the at-most-once decision is told, and what it wants done."""
+"""Define the input events and output actions of the at-most-once decision."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class KeyedRequestArrived(msgspec.Struct, frozen=True):
-    """A request that carries a key has come from a caller.
+    """A caller sent a request with a key.
 
     `key_age_ms` is the time since the caller first sent this key, by the caller's
-    own clock: 0 says that this is the first try, None that it didn't tell.
+    own clock: 0 for the first attempt, None if the caller did not declare it.
     """
 
     request_id: RequestId
@@ -27,13 +27,13 @@
 
 
 class DispatchStarted(msgspec.Struct, frozen=True):
-    """The first byte of an allowed request is about to leave."""
+    """The first byte of an allowed request is about to be sent."""
 
     request_id: RequestId
 
 
 class DispatchEnded(msgspec.Struct, frozen=True):
-    """An allowed request is over, also when it was never dispatched (NOT_SENT)."""
+    """An allowed request has ended, possibly without being dispatched (NOT_SENT)."""
 
     request_id: RequestId
     ending: DispatchEnding
@@ -41,15 +41,15 @@
 
 
 class CallerLeft(msgspec.Struct, frozen=True):
-    """The caller of a request that is still undecided went away."""
+    """The caller of a request disconnected."""
 
     request_id: RequestId
 
 
 class ClaimRecordsRead(msgspec.Struct, frozen=True):
-    """Everything in the log from one offset up to, not including, another.
+    """All claim records of the log from one offset up to, not including, another.
 
-    Records of other kinds may be left out.
+    Records of other kinds may be omitted.
     """
 
     from_offset: int
@@ -58,20 +58,20 @@
 
 
 class RecordsSettled(msgspec.Struct, frozen=True):
-    """The append that carried these records has a result."""
+    """The append of these records has finished, or its result stays unknown."""
 
     record_ids: tuple[str, ...]
     result: AppendResult
 
 
 class LogState(msgspec.Struct, frozen=True):
-    """Whether the log takes appends and gives reads."""
+    """Whether the log accepts appends and serves reads."""
 
     is_up: bool
 
 
 class PeerView(msgspec.Struct, frozen=True):
-    """One live peer as this node sees it."""
+    """A live peer in this node's view of the fleet."""
 
     node: NodeName
     incarnation: Incarnation
@@ -79,24 +79,24 @@
 
 
 class PeersChanged(msgspec.Struct, frozen=True):
-    """The whole list of connected peers, without this node."""
+    """The complete list of connected peers, without this node."""
 
     peers: tuple[PeerView, ...]
 
 
 class PeerMessageArrived(msgspec.Struct, frozen=True):
-    """A message of another node, whose name and incarnation are proved."""
+    """Another node, of authenticated name and incarnation, sent a message."""
 
     sender: NodeId
     message: KeyMessage
 
 
 class Ticked(msgspec.Struct, frozen=True):
-    """Time has passed; wanted at least every `ClaimLimits.resend_ms`."""
+    """A timer tick, required at least every `ClaimLimits.resend_ms`."""
 
 
 class HandoverBegun(msgspec.Struct, frozen=True):
-    """This node stops as planned; its last request has ended, or had time to."""
+    """In a planned stop, the last request has ended or its time to end is over."""
 
 
 ClaimEvent = (
@@ -115,13 +115,13 @@
 
 
 class AllowDispatch(msgspec.Struct, frozen=True):
-    """Dispatch this request once, before its deadline; then say DispatchEnded."""
+    """Dispatch this request once, before its deadline; DispatchEnded must follow."""
 
     request_id: RequestId
 
 
 class RefuseKeyedRequest(msgspec.Struct, frozen=True):
-    """Answer this request at once with this refusal."""
+    """Answer this request immediately with this refusal."""
 
     request_id: RequestId
     kind: ErrorKind
@@ -131,14 +131,14 @@
 
 
 class ReplayAnswer(msgspec.Struct, frozen=True):
-    """Answer this request with what an earlier try of its key got."""
+    """Answer this request with the answer to an earlier attempt of its key."""
 
     request_id: RequestId
     answer: CachedAnswer
 
 
 class AppendRecord(msgspec.Struct, frozen=True):
-    """Append this record; `is_urgent` when a caller waits for it."""
+    """Append this record; `is_urgent` if a caller is waiting for it."""
 
     record_id: str
     text: str
@@ -146,7 +146,7 @@
 
 
 class SendToPeer(msgspec.Struct, frozen=True):
-    """Send a message, which may be lost, to a node."""
+    """Send a message to a node, without a guarantee of delivery."""
 
     node: NodeName
     message: KeyMessage
--- a/packages/toucanyard/src/toucanyard/claimed_keys.py
+++ b/packages/toucanyard/src/toucanyard/claimed_keys.py
@@ -1,4 +1,4 @@
-"""Claim caller-chosen keys in the log and act on what the log decides."""
+"""Claim caller-chosen keys in the log and act on the winning claims."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class ClaimedKeys:
-    """This node's claims, from their append to the moment that the log decides.
+    """The claims of this node that the log has not decided yet.
 
-    Invariants: a claim is allowed only when it was read back as the first of its key
-    with nothing missed before it; a claim that was given up is never allowed.
+    Invariants: a claim is allowed only if it was read back as the first of its key
+    with no record missed before it; a claim that was given up is never allowed.
     """
 
     __slots__ = ("_table", "_followed", "_last_claim")
@@ -44,7 +44,7 @@
     def handle_arrival(
         self, event: KeyedRequestArrived, name: KeyName, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Take in a key that its caller chose."""
+        """Process an attempt with a caller-chosen key."""
         table = self._table
         if table.index.find(name) is not None:
             yield from self._followed.handle_claimed(event, name, now_ms)
@@ -58,11 +58,11 @@
             yield from self._claim(event, name, now_ms)
 
     def read(self, event: ClaimRecordsRead, now_ms: float) -> Iterator[ClaimAction]:
-        """Take in records and settle the keys that they decide."""
+        """Process log records and resolve the keys that they decide."""
         index = self._table.index
         if index.has_gap_before(event):
-            # A claim that would have beaten ours may have expired unread; without
-            # this our own claim, read next, would look like the first one.
+            # An earlier claim of another node may have expired unread; without this,
+            # our own claim, read next, would look like the first one.
             yield from self.give_up_all(ErrorKind.LOG_UNAVAILABLE, now_ms)
         for record in index.read(event, now_ms):
             match record:
@@ -74,9 +74,9 @@
     def settle_records(
         self, event: RecordsSettled, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Take in what is known of an append.
+        """Process the result of an append.
 
-        An unknown result needs no step: reading the log settles it.
+        An unknown result needs no action: reading the log resolves it.
         """
         for record_id in event.record_ids:
             if event.result is AppendResult.DONE:
@@ -89,7 +89,7 @@
                 yield from self.give_up(entry, ErrorKind.LOG_UNAVAILABLE, now_ms)
 
     def set_log_state(self, is_up: bool, now_ms: float) -> Iterator[ClaimAction]:
-        """Refuse at once what waits for a log that is down."""
+        """Set whether the log is available; refuse pending claims if it is not."""
         self._table.is_log_up = is_up
         if is_up:
             yield from self._table.append_unconfirmed()
@@ -97,17 +97,17 @@
             yield from self.give_up_all(ErrorKind.LOG_UNAVAILABLE, now_ms)
 
     def give_up_all(self, kind: ErrorKind, now_ms: float) -> Iterator[ClaimAction]:
-        """Give up every claim that the log hasn't decided."""
+        """Give up every claim that the log has not decided."""
         for entry in self._table.find_entries(Phase.CLAIMING):
             yield from self.give_up(entry, kind, now_ms)
 
     def give_up(
         self, entry: KeyEntry, kind: ErrorKind, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Never dispatch this claim, whose place in the log isn't known.
+        """Give up a claim whose offset in the log is unknown; it is never dispatched.
 
-        The append may still take effect; when the claim is then read as the winner,
-        an abandon record follows it.
+        The append may still take effect. If the claim is then read as the winner, an
+        abandon record is appended.
         """
         table = self._table
         table.index.give_up(entry.claim_id, now_ms)
@@ -134,12 +134,12 @@
             yield from self._settle(entry, now_ms)
 
     def _abandon_if_won(self, record: ClaimRecord) -> Iterator[ClaimAction]:
-        # A claim that lost has nothing to tell: the key may have run elsewhere.
+        # A claim that lost proves nothing: the key may have run on another node.
         if self._table.index.is_winner(record.claim_id, record.name):
             yield from self._table.abandon(record.claim_id, record.name)
 
     def _settle(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
-        """Act on the winner of a key that this node has claimed too."""
+        """Resolve a key that this node has claimed, now that its winner is known."""
         table = self._table
         claim = table.index.find(entry.name)
         if claim is None or not claim.is_certain:
--- a/packages/toucanyard/src/toucanyard/claims.py
+++ b/packages/toucanyard/src/toucanyard/claims.py
@@ -1,8 +1,8 @@
-"""Fold claim records of the log into who owns which caller-chosen key.
+"""Index the claim records of the log: which node owns which caller-chosen key.
 
-The first claim of a key in offset order wins for as long as it is remembered. The
-index must be fed without a gap, from the oldest record of the log on or from one that
-is older than claims are remembered (`log_start`).
+The first claim of a key in offset order wins for as long as it is retained. The index
+must read the log without a gap, from its oldest record on or from a record that is
+older than the retention time of claims (`log_start`).
 """
 
 from __future__ import annotations
@@ -29,40 +29,41 @@
 )
 
 _RETENTION_WINDOWS: Final = 1.25
-"""Longer than a key may be used, so that clocks that drift apart do no harm."""
+"""Retention time of claims in windows. Longer than a key may be used, which tolerates
+clock drift between nodes."""
 
 
 class Claim(msgspec.Struct, gc=False):
     """The winning claim of one key.
 
-    The collector of cycles passes it over: it can be in none, and a look at all claims
-    of a window would stop every stream.
+    Exempt from garbage collection: it can be part of no reference cycle, and a scan of
+    all claims of a window would pause every stream.
     """
 
     claim_id: str
     claimer: NodeId
     digest: bytes
     at_ms: float
-    """When the log took it, by the log's clock."""
+    """When the log accepted it, by the log's clock."""
     read_ms: float
     is_abandoned: bool
     is_certain: bool
-    """False when an earlier claim may have won: one missed for want of room, or one
-    that is old by the log's clock only."""
+    """False if an earlier claim may have won: one that was dropped because the index
+    was full, or one that is expired by the log's clock only."""
 
     def is_abandoned_as(self, claim_id: str) -> bool:
-        """Tell whether this is the claim asked about, and was never dispatched."""
+        """Return whether this is the given claim and it was never dispatched."""
         return self.is_abandoned and self.claim_id == claim_id
 
 
 class ClaimIndex:
-    """Winning claims of the window.
+    """The winning claims of the window.
 
-    Invariants: a claim is forgotten only when it is older than the window both by
-    the log's clock and by this node's, so that a jump of either can't make a key
-    run again; a claim that another node may have allowed is never passed over, however
-    differently nodes forget; while a claim is missing for want of room, `is_complete`
-    is false.
+    Invariants: a claim expires only when it is older than the window both by the log's
+    clock and by this node's, so that a jump of either clock can't make a key run
+    again; a claim that another node may have allowed is never skipped, even though
+    nodes expire claims at different times; while a claim is missing because the index
+    was full, `is_complete` is false.
     """
 
     __slots__ = (
@@ -96,15 +97,15 @@
         return self._claims.get(name)
 
     def is_winner(self, claim_id: str, name: KeyName) -> bool:
-        """Tell whether this claim was surely the first of its key."""
+        """Return whether this claim is known to be the first of its key."""
         claim = self._claims.get(name)
         return claim is not None and claim.claim_id == claim_id and claim.is_certain
 
     def is_fresh(self, name: KeyName, claim_id: str, now_ms: float) -> bool:
-        """Tell whether no node can have forgotten this claim of a key yet.
+        """Return whether no node can have expired this claim of a key yet.
 
-        Past the window another node may have claimed and run the key anew, unread here
-        so far; then this claim proves no more that something did not run.
+        Past the window another node may have claimed and run the key again, by a claim
+        that this node has not read yet; this claim then no longer proves NOT_RUN.
         """
         claim = self._claims.get(name)
         if claim is None or claim.claim_id != claim_id:
@@ -113,26 +114,26 @@
         return age_ms < self._window_ms
 
     def is_complete(self) -> bool:
-        """Tell whether every claim of the window has been remembered."""
+        """Return whether the index holds every claim of the window."""
         return self._missed_at_ms is None
 
     def is_given_up(self, claim_id: str) -> bool:
-        """Tell whether this node gave its claim up before having read it."""
+        """Return whether this node gave up its claim before reading it back."""
         return claim_id in self._given_up
 
     def has_gap_before(self, event: ClaimRecordsRead) -> bool:
-        """Tell whether records were missed since the last read."""
+        """Return whether records were missed since the last read."""
         return self.next_offset is not None and event.from_offset > self.next_offset
 
     def read(
         self, event: ClaimRecordsRead, now_ms: float
     ) -> list[ClaimRecord | HandoverRecord]:
-        """Take in records in offset order; return those that others must act on."""
+        """Apply records in offset order; return those that the caller must act on."""
         start = event.from_offset if self.next_offset is None else self.next_offset
         self.next_offset = max(start, event.next_offset)
         found: list[ClaimRecord | HandoverRecord] = []
         for record in event.records:
-            # A read that overlaps the last one would otherwise count a claim twice.
+            # Skip records that an overlapping read has already returned.
             if record.offset < start:
                 continue
             self._log_now_ms = max(self._log_now_ms, record.at_ms)
@@ -147,7 +148,7 @@
         return found
 
     def give_up(self, claim_id: str, now_ms: float) -> None:
-        """Remember that a claim of this node, not read yet, is never dispatched."""
+        """Mark a claim of this node that was not read back as never dispatched."""
         self._given_up[claim_id] = now_ms
 
     def abandon(self, claim_id: str, name: KeyName) -> None:
@@ -156,7 +157,7 @@
             self._claims[name].is_abandoned = True
 
     def forget_old(self, now_ms: float) -> None:
-        """Forget what is older than the window."""
+        """Remove expired claims."""
         for name in self._find_old(now_ms):
             del self._claims[name]
         while self._given_up:
@@ -193,10 +194,11 @@
         elif known is None:
             self._add(claim, record, now_ms, is_certain=self.is_complete())
         elif self._log_now_ms - known.at_ms >= self._retention_ms:
-            # Nodes forget at different times. Another one may have forgotten the
-            # earlier claim and run this one: passed over, this one would be unknown
-            # here once the earlier is forgotten, and the key would run again. Whether
-            # the other one did so is not sure while this node's clock says otherwise.
+            # Nodes expire claims at different times, so another node may already have
+            # expired the earlier claim and run this one. If this one were skipped, it
+            # would be missing here once the earlier one expires, and the key would run
+            # again. As long as the earlier claim is not expired by this node's clock,
+            # it is uncertain whether another node ran this one.
             is_old = self._is_old(known.at_ms, known.read_ms, now_ms)
             is_certain = is_old and self.is_complete()
             self._add(claim, record, now_ms, is_certain)
--- a/packages/toucanyard/src/toucanyard/followed_keys.py
+++ b/packages/toucanyard/src/toucanyard/followed_keys.py
@@ -202,7 +202,7 @@
         ]
 
     def _is_lost(self, node: NodeId) -> bool:
-        """Tell whether a node and all that hold its keys are surely gone."""
+        """Return whether a node and all that hold its keys are surely gone."""
         return self._table.is_gone(node) and not self._find_holders(node)
 
     def _needs_revocation(self, entry: KeyEntry, now_ms: float) -> bool:
--- a/packages/toucanyard/src/toucanyard/key_handover.py
+++ b/packages/toucanyard/src/toucanyard/key_handover.py
@@ -82,7 +82,7 @@
         self.is_done = False
 
     def is_begun(self) -> bool:
-        """Tell whether this node takes no keys any more."""
+        """Return whether this node takes no keys any more."""
         return self._begun_ms is not None
 
     def count_left(self) -> int:
--- a/packages/toucanyard/src/toucanyard/key_table.py
+++ b/packages/toucanyard/src/toucanyard/key_table.py
@@ -119,7 +119,7 @@
         return None if is_replaced else ended
 
     def is_full(self, customer: CustomerName) -> bool:
-        """Tell whether there is no room for another key of a customer."""
+        """Return whether there is no room for another key of a customer."""
         if len(self) >= self.limits.max_keys:
             return True
         # One large customer would otherwise use up the room of all the others.
@@ -127,11 +127,11 @@
         return self._count_by_customer[customer] >= max(allowed, 1)
 
     def is_in_window(self, issued: IssuedKey, now_ms: float) -> bool:
-        """Tell whether a key that this node issued may still run."""
+        """Return whether a key that this node issued may still run."""
         return 0 <= now_ms - issued.issued_ms < self.limits.window_ms
 
     def is_replaced(self, node: NodeId) -> bool:
-        """Tell whether another incarnation is known under this node's name."""
+        """Return whether another incarnation is known under this node's name."""
         if node.node == self.identity.node:
             return node != self.identity
         for peer in self.peers:
@@ -140,7 +140,7 @@
         return False
 
     def is_gone(self, node: NodeId) -> bool:
-        """Tell whether this incarnation was replaced or has stopped as planned."""
+        """Return whether this incarnation was replaced or has stopped as planned."""
         return self.is_replaced(node) or self.stopped.is_stopped(node)
 
     def add(self, entry: KeyEntry, event: KeyedRequestArrived) -> None:
@@ -226,7 +226,7 @@
             self.confirm_record(self._compose_handover_id())
 
     def has_unconfirmed(self) -> bool:
-        """Tell whether a record of this node may not have reached the log."""
+        """Return whether a record of this node may not have reached the log."""
         return bool(self._unconfirmed)
 
     def append_unconfirmed(self) -> Iterator[ClaimAction]:
--- a/packages/toucanyard/src/toucanyard/large_answer_throttle.py
+++ b/packages/toucanyard/src/toucanyard/large_answer_throttle.py
@@ -16,7 +16,7 @@
 
 
 def is_forwardable(answer: CachedAnswer) -> bool:
-    """Tell whether an answer may go to a peer; a larger one would close the link."""
+    """Return whether an answer may go to a peer; a larger one would close the link."""
     return len(answer.body) <= MAX_FORWARDED_BYTES
 
 
@@ -36,7 +36,7 @@
     def was_sent_recently(
         self, to: NodeId, name: KeyName, answer: CachedAnswer | None, now_ms: float
     ) -> bool:
-        """Tell whether a peer was sent this large answer a short time ago."""
+        """Return whether a peer was sent this large answer a short time ago."""
         if answer is None or len(answer.body) < _LARGE_BYTES:
             return False
         sent_ms = self._sent_ms.get((to, name), float("-inf"))
--- a/packages/toucanyard/src/toucanyard/missed_records.py
+++ b/packages/toucanyard/src/toucanyard/missed_records.py
@@ -33,11 +33,11 @@
         self._buffered: deque[BufferedPatch] = deque()
 
     def has_missed_records(self) -> bool:
-        """Tell whether records were missed that nothing has covered yet."""
+        """Return whether records were missed that nothing has covered yet."""
         return self._missed_until is not None
 
     def is_covered_by(self, next_offset: int) -> bool:
-        """Tell whether a state up to an offset and what was kept leave no gap.
+        """Return whether a state up to an offset and what was kept leave no gap.
 
         Every record from there on must have been seen, or a patch between would be
         lost and this node would number versions differently.
--- a/packages/toucanyard/src/toucanyard/recording_batches.py
+++ b/packages/toucanyard/src/toucanyard/recording_batches.py
@@ -55,7 +55,7 @@
         self._waiting.setdefault((backup, ledger), []).append(name)
 
     def is_due(self, now_ms: float) -> bool:
-        """Tell whether a note may go out at once, since none did a short time ago."""
+        """Return whether a note may go out at once, since none did a short time ago."""
         return now_ms - self._sent_ms >= self._gather_ms
 
     def pop_batches(
--- a/packages/toucanyard/src/toucanyard/request_flow.py
+++ b/packages/toucanyard/src/toucanyard/request_flow.py
@@ -292,7 +292,7 @@
     def _may_retry(
         self, pending: PendingRequest, outcome: Outcome, now_ms: float
     ) -> bool:
-        """Tell whether another try is allowed; it may use up a part of the budget.
+        """Return whether another try is allowed; it may use up a part of the budget.
 
         A try that was turned away cost its endpoint next to nothing, and endpoints
         that turn away are left alone for a while, so such retries can't multiply an
--- a/packages/toucanyard/src/toucanyard/stopped_nodes.py
+++ b/packages/toucanyard/src/toucanyard/stopped_nodes.py
@@ -42,7 +42,7 @@
             del self._stopped[next(iter(self._stopped))]
 
     def is_stopped(self, node: NodeId) -> bool:
-        """Tell whether this incarnation stopped as planned."""
+        """Return whether this incarnation stopped as planned."""
         return node in self._stopped
 
     def find_holders(self, node: NodeId) -> list[NodeId]:
--- a/packages/toucanyard/src/toucanyard/transferred_keys.py
+++ b/packages/toucanyard/src/toucanyard/transferred_keys.py
@@ -65,7 +65,7 @@
         ]
 
     def has_room(self, keys: Sequence[TransferredKey]) -> bool:
-        """Tell whether these keys can be held, some of which may be held already."""
+        """Return whether these keys can be held, some of which may be held already."""
         count = sum(1 for key in keys if key.name not in self._entries)
         return len(self._entries) + count <= self._max_keys
 
