--- a/packages/toucanyard/src/toucanyard/adaptive_log_timeout.py
+++ b/packages/toucanyard/src/toucanyard/adaptive_log_timeout.py
@@ -1,8 +1,8 @@
-"""Decide how long to wait for an answer of the log, by how slow it is.
+"""Adapt the timeout of requests to the log to its response time.
 
-A log that takes longer than a fixed time to answer would never take a record, as its
-service drops an append whose sender has hung up, and would never be read: every try
-would end alike.
+With a fixed timeout, a log that is slower would never accept a record, as its service
+drops an append whose sender has disconnected, and could never be read: every attempt
+would time out in the same way.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 _MAX_GROWTH: Final = 8.0
 _SAFETY_FACTOR: Final = 3.0
-"""How many times the last answer's time the next may take."""
+"""Ratio of the timeout to the last response time."""
 
 
 class AdaptiveLogTimeout:
-    """The time to wait for the next answer.
+    """The timeout of the next request.
 
-    Invariant: it lies between the one that is set and `_MAX_GROWTH` times that.
+    Invariant: it lies between the configured minimum and `_MAX_GROWTH` times that.
     """
 
     __slots__ = ("_min_ms", "timeout_ms")
@@ -27,15 +27,15 @@
         self.timeout_ms = least_ms
 
     def record_answer(self, took_ms: float) -> None:
-        """Take in that the log answered after so long."""
+        """Adapt the timeout to a response time of the log."""
         self._set(took_ms * _SAFETY_FACTOR)
 
     def record_other_answer(self, took_ms: float) -> None:
-        """Take in that another question was answered after so long; only lengthens."""
+        """Adapt to the response time of another kind of request; never shortens."""
         self._set(max(self.timeout_ms, took_ms * _SAFETY_FACTOR))
 
     def record_timeout(self) -> None:
-        """Take in that the log did not answer in time."""
+        """Double the timeout after the log did not answer in time."""
         self._set(self.timeout_ms * 2)
 
     def _set(self, wanted_ms: float) -> None:
--- a/packages/toucanyard/src/toucanyard/answer_cache.py
+++ b/packages/toucanyard/src/toucanyard/answer_cache.py
@@ -1,4 +1,4 @@
-"""Keep whole answers for retries, within a limit of bytes."""
+"""Cache complete answers for retries, up to a size limit in bytes."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class AnswerCache:
-    """Answers by key, oldest dropped first.
+    """Answers by key; the oldest are evicted first.
 
-    Invariant: `used_bytes` is the sum over what is kept and never above the limit.
+    Invariant: `used_bytes` is the total size of the answers, and never above the limit.
     """
 
     __slots__ = ("_answers", "_limit_bytes", "used_bytes")
@@ -26,11 +26,11 @@
         self.used_bytes = 0
 
     def find(self, name: KeyName) -> CachedAnswer | None:
-        """Return the answer of a key unless it was dropped."""
+        """Return the answer of a key unless it was evicted."""
         return self._answers.get(name)
 
     def keep(self, name: KeyName, answer: CachedAnswer) -> None:
-        """Keep an answer, dropping the oldest ones that it displaces."""
+        """Store an answer, evicting the oldest ones to make room."""
         self.drop(name)
         size_bytes = _compute_size_bytes(answer)
         if size_bytes > self._limit_bytes:
@@ -41,7 +41,7 @@
         self.used_bytes += size_bytes
 
     def drop(self, name: KeyName) -> None:
-        """Drop the answer of a key, if there is one."""
+        """Remove the answer of a key, if there is one."""
         answer = self._answers.pop(name, None)
         if answer is not None:
             self.used_bytes -= _compute_size_bytes(answer)
--- a/packages/toucanyard/src/toucanyard/backup_ledgers.py
+++ b/packages/toucanyard/src/toucanyard/backup_ledgers.py
@@ -1,7 +1,7 @@
-"""Note and seal the keys that other nodes issued with this node as witness.
+"""Record and revoke keys of other issuers that name this node as backup node.
 
-Noting and sealing are one step in the memory of one task, so for any key only one of
-the two can ever succeed.
+Recording and revoking are atomic steps in the memory of one task, so only one of the
+two can ever succeed for a key.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 
 class BackupLedgers:
-    """What this node witnesses for others.
+    """The ledgers that this node keeps for other issuers.
 
-    Invariants: a key's status in a ledger never changes once set; a ledger's number
-    is never used again, so a forgotten ledger answers GONE for ever and can't seal
-    what it once noted.
+    Invariants: the status of a key in a ledger never changes once set; a ledger number
+    is never reused, so a dropped ledger answers GONE for ever and can't revoke a key
+    that it once recorded.
     """
 
     __slots__ = (
@@ -56,7 +56,7 @@
         self._requests: dict[NodeId, dict[int, int]] = {}
 
     def open(self, owner: NodeId, request: int, now_ms: float) -> int:
-        """Open a ledger, or return the one that this request opened before."""
+        """Open a ledger, or return the one that the same request opened before."""
         opened = self._requests.setdefault(owner, {})
         if request not in opened:
             if len(opened) >= _MAX_LEDGERS_PER_ISSUER:
@@ -69,17 +69,17 @@
     def record_key(
         self, owner: NodeId, ledger: int, fingerprint: bytes
     ) -> LedgerStatus:
-        """Note a key unless it is sealed; return its status afterwards."""
+        """Record a key unless it is revoked; return its status afterwards."""
         return self._set_once(owner, ledger, fingerprint, LedgerStatus.RECORDED)
 
     def revoke(self, owner: NodeId, ledger: int, name: KeyName) -> LedgerStatus:
-        """Seal a key unless it is noted; return its status afterwards."""
+        """Revoke a key unless it is recorded; return its status afterwards."""
         return self._set_once(
             owner, ledger, compute_key_fingerprint(name), LedgerStatus.REVOKED
         )
 
     def forget_old(self, now_ms: float) -> None:
-        """Forget ledgers all of whose keys are past the window."""
+        """Remove ledgers whose keys are all past the window."""
         for ledger in list(self._ledgers):
             if now_ms - self._ledgers[ledger].opened_ms < self._keep_ms:
                 break
--- a/packages/toucanyard/src/toucanyard/cbor_messages.py
+++ b/packages/toucanyard/src/toucanyard/cbor_messages.py
@@ -1,4 +1,4 @@
-"""Decode messages between nodes from CBOR into typed classes."""
+"""Decode CBOR messages between nodes into typed classes."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class MessageInvalidError(Exception):
-    """A message is not CBOR, not of a known kind, or has a wrong field."""
+    """A message is not CBOR, is of an unknown kind, or has an invalid field."""
 
 
 def decode_cbor(data: bytes, kind: Any) -> Any:
-    """Return the message of a kind in some bytes, or raise MessageInvalidError.
+    """Decode bytes into a message of a kind, or raise MessageInvalidError.
 
-    `kind` may be a union of classes, which no type of a type can name.
+    `kind` is untyped because it may be a union of classes.
     """
     if len(data) > MAX_MESSAGE_BYTES:
         raise MessageInvalidError(f"found {len(data)} bytes")
--- a/packages/toucanyard/src/toucanyard/core_events.py
+++ b/packages/toucanyard/src/toucanyard/core_events.py
@@ -1,7 +1,7 @@
-"""Events that a node's core takes in, and actions that it asks for.
+"""Define the input events and output actions of a node's core.
 
-Whoever drives the core (the node's task, a test, a bench) turns what happens on its
-sockets and clock into these events and carries the actions out.
+The driver of the core (the node's task, a test or a benchmark) translates socket and
+timer events into these events, and carries out the actions.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 
 class RequestArrived(msgspec.Struct, frozen=True):
-    """A caller's request has passed the face's checks; answered by one Reply."""
+    """A request passed the checks of the API frontend; answered by one Reply."""
 
     request: Request
 
 
 class RequestTurnedAway(msgspec.Struct, frozen=True):
-    """A face refused a customer's request before asking about it; no answer."""
+    """An API frontend rejected a customer's request by itself; not answered."""
 
     customer: CustomerName
     configuration_version: int
@@ -45,13 +45,13 @@
 
 
 class CallerLeft(msgspec.Struct, frozen=True):
-    """The caller of a request without a verdict went away; nobody waits any more."""
+    """The caller of a request without a verdict disconnected; no Reply is needed."""
 
     request_id: RequestId
 
 
 class FirstTokenSeen(msgspec.Struct, frozen=True):
-    """The first byte of an answer came, `after_ms` after its dispatch."""
+    """The first byte of an answer arrived, `after_ms` after its dispatch."""
 
     request_id: RequestId
     after_ms: float
@@ -64,7 +64,7 @@
 
 
 class LogRead(msgspec.Struct, frozen=True):
-    """Every record from one offset on, and how far the log went when asked."""
+    """Records from one offset up to another, and the end of the log at the request."""
 
     from_offset: int
     next_offset: int
@@ -74,23 +74,23 @@
 
 
 class LogExpired(msgspec.Struct, frozen=True):
-    """Reading can go on from `oldest` only."""
+    """Records before `oldest` have expired; reading continues there."""
 
     oldest: int
 
 
 class LogReadRestarted(msgspec.Struct, frozen=True):
-    """Reading begins again at the first record; what was read since comes again."""
+    """Reading restarts at the first record; records read before are repeated."""
 
 
 class LogStateSeen(msgspec.Struct, frozen=True):
-    """The log answered, or did not."""
+    """The log answered a request, or failed to."""
 
     is_up: bool
 
 
 class AppendSettled(msgspec.Struct, frozen=True):
-    """The append that carried these records has a result."""
+    """The append of these records has finished, or its result stays unknown."""
 
     record_ids: tuple[str, ...]
     result: AppendResult
@@ -103,13 +103,13 @@
 
 
 class LinksChanged(msgspec.Struct, frozen=True):
-    """All peers to which a link stands now, with their proved incarnations."""
+    """All peers with an established link, and their authenticated incarnations."""
 
     peers: tuple[NodeId, ...]
 
 
 class MessageRead(msgspec.Struct, frozen=True):
-    """A peer, whose name and incarnation are proved, sent a message."""
+    """A peer, of authenticated name and incarnation, sent a message."""
 
     sender: NodeId
     message: PeerMessage
@@ -123,7 +123,7 @@
 
 
 class LoadRead(msgspec.Struct, frozen=True):
-    """An endpoint reported its load when asked at `asked_ms`."""
+    """An endpoint reported its load in answer to a request sent at `asked_ms`."""
 
     endpoint: EndpointName
     report: LoadReport
@@ -151,7 +151,7 @@
 
 
 class StateRead(msgspec.Struct, frozen=True):
-    """An endpoint gave its state when asked at `asked_ms`."""
+    """An endpoint reported its state in answer to a request sent at `asked_ms`."""
 
     endpoint: EndpointName
     state: EndpointState
@@ -159,31 +159,34 @@
 
 
 class OrderEnded(msgspec.Struct, frozen=True):
-    """What became of an order, as far as its sender can know."""
+    """The outcome of an order, as far as its sender can know it."""
 
     sent: SendOrder
     outcome: OrderOutcome
 
 
 class DrainBegun(msgspec.Struct, frozen=True):
-    """The planned stop has begun; `address` is where this node serves callers."""
+    """The planned stop has begun; `address` is this node's address for callers."""
 
     address: Address
 
 
 class TickPassed(msgspec.Struct, frozen=True):
-    """Time has passed; wanted every 50 ms or so."""
+    """A timer tick, required about every 50 ms."""
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """Answer the question about a request; None says that it is over."""
+    """Answer an event of a request; None if the request is finished."""
 
     request_id: RequestId
     verdict: Verdict | None
 
 
 class AppendToLog(msgspec.Struct, frozen=True):
-    """Append a record, with others, and say AppendSettled; urgent if one waits."""
+    """Append a record, batched with others; AppendSettled must follow.
+
+    `is_urgent` if a caller is waiting for it.
+    """
 
     record_id: str
     text: str
@@ -191,17 +194,17 @@
 
 
 class SendMessage(msgspec.Struct, frozen=True):
-    """Send a message, which may be lost, to a peer."""
+    """Send a message to a peer, without a guarantee of delivery."""
 
     node: NodeName
     message: PeerMessage
 
 
 class PatchAnswered(msgspec.Struct, frozen=True):
-    """Tell an operator what became of a patch.
+    """Report the outcome of a patch to an operator.
 
     `version` is the patch's own or, on a conflict, the one that won. `error` is
-    OUTCOME_UNKNOWN where the log did not tell in time: the patch may still be
+    OUTCOME_UNKNOWN if the log gave no result in time: the patch may still be
     accepted, and the same patch id may be submitted again.
     """
 
@@ -212,6 +215,6 @@
 
 
 class ReadDump(msgspec.Struct, frozen=True):
-    """Ask an engine for the list of its cached blocks."""
+    """Request the list of its cached blocks from an engine."""
 
     endpoint: EndpointName
--- a/packages/toucanyard/src/toucanyard/followed_keys.py
+++ b/packages/toucanyard/src/toucanyard/followed_keys.py
@@ -1,4 +1,4 @@
-"""Follow a key that only another node may dispatch, until that one tells its end."""
+"""Track keys that only another node may dispatch until their result is known."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 
 class FollowedKeys:
-    """Ask claimers and issuers, or whoever holds their keys, and witnesses.
+    """Queries claimers and issuers, the holders of their keys, and backup nodes.
 
-    Invariant: nothing here ever allows a dispatch.
+    Invariant: this class never allows a dispatch.
     """
 
     __slots__ = ("_table",)
@@ -49,7 +49,7 @@
         issued: IssuedKey,
         now_ms: float,
     ) -> Iterator[ClaimAction]:
-        """Take in a key that another node, or an earlier incarnation, issued."""
+        """Process a key issued by another node or by an earlier incarnation."""
         table = self._table
         found = table.transferred.find(name, "")
         if found is not None:
@@ -63,12 +63,13 @@
     def handle_claimed(
         self, event: KeyedRequestArrived, name: KeyName, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Take in a key whose winning claim has been read from the log."""
+        """Process a key whose winning claim was read from the log."""
         table = self._table
         claim = table.index.find(name)
         assert claim is not None
         found = table.transferred.find(name, claim.claim_id)
-        # Of a claim that may have lost, the body says nothing: another may have run.
+        # The digest of a claim that may have lost proves nothing: the winner of the
+        # key may have run with another body.
         is_reused = claim.is_certain and claim.digest != event.body_digest
         if is_reused or claim.is_abandoned:
             status, digest = KeyStatus.NOT_RUN, claim.digest
@@ -86,7 +87,7 @@
     def handle_report(
         self, sender: NodeId, message: KeyReport, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Pass on what the only node that may dispatch a key says about it."""
+        """Process a report by the only node that may dispatch a key, or by a holder."""
         entry = self._find_followed(message.name)
         if entry is None or message.claim_id != entry.claim_id:
             return
@@ -101,7 +102,7 @@
     def handle_transferred(
         self, key: TransferredKey, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Tell the tries of a key that has just been handed over to this node."""
+        """Answer the attempts of a key that was just transferred to this node."""
         entry = self._find_followed(key.name)
         if entry is None or entry.claim_id != key.claim_id:
             return
@@ -114,7 +115,7 @@
     def handle_revocation(
         self, sender: NodeId, message: RevocationAnswered, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Tell the tries of a key that its witness has sealed."""
+        """Answer the attempts of a key that its backup node has revoked."""
         entry = self._find_followed(message.name)
         if entry is None or entry.issued is None:
             return
@@ -126,7 +127,7 @@
             entry.is_revocation_refused = True
 
     def tick(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
-        """Ask again, or give up when nobody is left who could know."""
+        """Repeat the query, or give up if no node can know the result any more."""
         claim = self._table.index.find(entry.name)
         if claim is not None and claim.is_abandoned_as(entry.claim_id):
             yield from self._resolve_as(entry, KeyStatus.NOT_RUN, now_ms)
@@ -145,7 +146,7 @@
         if message.status is KeyStatus.NOT_RUN or has_answer:
             yield from self._resolve(entry, message, now_ms)
         else:
-            # Another holder may still have what this one had no room for.
+            # Another holder may have a result that this one had no room for.
             entry.uninformed_holders.add(sender)
 
     def _find_followed(self, name: KeyName) -> KeyEntry | None:
@@ -193,7 +194,7 @@
                 yield from self._table.send(holder, ask)
 
     def _find_holders(self, target: NodeId) -> list[NodeId]:
-        """Return the other nodes that may hold the keys of a stopped one."""
+        """Return the other nodes that may hold the keys of a stopped node."""
         table = self._table
         return [
             holder
@@ -202,7 +203,7 @@
         ]
 
     def _is_lost(self, node: NodeId) -> bool:
-        """Return whether a node and all that hold its keys are surely gone."""
+        """Return whether a node and all holders of its keys are known to be gone."""
         return self._table.is_gone(node) and not self._find_holders(node)
 
     def _needs_revocation(self, entry: KeyEntry, now_ms: float) -> bool:
@@ -219,7 +220,7 @@
     ) -> Iterator[ClaimAction]:
         backup = issued.backup
         if backup is None or self._table.is_gone(backup):
-            # Its ledgers went with it, so nobody can seal the key any more.
+            # Its ledgers were lost with it, so the key can't be revoked any more.
             entry.is_revocation_refused = True
             return
         revoke = RevokeKey(backup.incarnation, issued.ledger, issued.issuer, entry.name)
--- a/packages/toucanyard/src/toucanyard/issued_keys.py
+++ b/packages/toucanyard/src/toucanyard/issued_keys.py
@@ -1,7 +1,7 @@
 """Format and parse issued keys.
 
-An issued key names the one node incarnation that may ever dispatch it, and a witness
-in another failure domain that can seal it when that node is gone.
+An issued key names the only node incarnation that may ever dispatch it, and a backup
+node in another failure domain that can revoke it when that incarnation is gone.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 
 class IssuedKey(msgspec.Struct, frozen=True):
-    """What the text of an issued key tells."""
+    """The parsed content of an issued key."""
 
     issuer: NodeId
     backup: NodeId | None
-    """None when the issuer knew no other node."""
+    """The backup node; None if the issuer knew no other node."""
     ledger: int
     issued_ms: float
-    """By the issuer's clock, which is the only one it is compared with."""
+    """By the issuer's clock; compared only with times of the same clock."""
 
 
 def format_prefix(key: IssuedKey, nonce: int) -> str:
-    """Return the prefix that a caller puts before its own part of the key."""
+    """Return the key prefix, to which a caller appends its own suffix."""
     backup = key.backup or NodeId(NodeName(""), Incarnation(""))
     fields = (
         _PREFIX_TAG,
@@ -49,7 +49,7 @@
 
 
 def parse_issued_key(key: str) -> IssuedKey | None:
-    """Return what an issued key tells, or None when a caller chose the key."""
+    """Return the content of an issued key, or None for a caller-chosen key."""
     fields = key.split(_SEPARATOR, 8)
     if len(fields) != 9 or fields[0] != _PREFIX_TAG:
         return None
--- a/packages/toucanyard/src/toucanyard/key_answers.py
+++ b/packages/toucanyard/src/toucanyard/key_answers.py
@@ -1,4 +1,4 @@
-"""Compose what a caller is told about a key: a kept answer or a refusal."""
+"""Compose the reply to an attempt of a key: a cached answer or a refusal."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 def compute_unclaimed_ending(key_age_ms: float | None) -> Ending:
-    """Return what may be said of a key whose other tries this node can't know.
+    """Return the ending to report for a key of which other attempts may exist.
 
-    Only a caller that declared its first try can be told that the key did not run:
-    an earlier try may have been claimed by another node.
+    NOT_RUN is safe only if the caller declared that this is the first attempt: an
+    earlier one may have been claimed by another node.
     """
     return Ending.NOT_RUN if key_age_ms == 0 else Ending.UNKNOWN
 
@@ -45,7 +45,7 @@
 def refuse(
     event: KeyedRequestArrived, kind: ErrorKind, rng: random.Random
 ) -> RefuseKeyedRequest:
-    """Refuse with the ending that the kind's table entry proves."""
+    """Refuse with the ending that `ANSWERS` defines for the kind."""
     ending = ANSWERS[kind].ending
     return _compose(event, kind, Ending.UNKNOWN if ending is None else ending, rng)
 
@@ -53,9 +53,10 @@
 def refuse_unclaimed(
     event: KeyedRequestArrived, kind: ErrorKind, rng: random.Random
 ) -> RefuseKeyedRequest:
-    """Refuse a try that this node never will dispatch, of a key it knows too little of.
+    """Refuse an attempt that this node will never dispatch, of a key it doesn't own.
 
-    The kind's own ending speaks of one try; a keyed refusal speaks of the key.
+    The kind's own ending applies to one attempt; the ending of a keyed refusal
+    applies to the key.
     """
     return _compose(event, kind, compute_unclaimed_ending(event.key_age_ms), rng)
 
@@ -67,7 +68,7 @@
     answer: CachedAnswer | None,
     rng: random.Random,
 ) -> RefuseKeyedRequest | ReplayAnswer:
-    """Tell a try how its key ended; an empty digest says that no body is known."""
+    """Compose the reply for a key's status; an empty digest means no known body."""
     if digest and digest != event.body_digest:
         return refuse(event, ErrorKind.KEY_REUSED, rng)
     match status:
@@ -84,7 +85,7 @@
 def _compose(
     event: KeyedRequestArrived, kind: ErrorKind, ending: Ending, rng: random.Random
 ) -> RefuseKeyedRequest:
-    # Spread, so that callers refused together don't come back together.
+    # Jitter, so that callers that were refused together don't retry together.
     retry_after_ms = int(_RETRY_AFTER_MS * (1 + rng.random()))
     text = _TEXTS[kind]
     return RefuseKeyedRequest(event.request_id, kind, ending, text, retry_after_ms)
--- a/packages/toucanyard/src/toucanyard/key_entries.py
+++ b/packages/toucanyard/src/toucanyard/key_entries.py
@@ -1,4 +1,4 @@
-"""What one node holds about keys whose requests are under way or have ended."""
+"""The state of a single key on one node, in progress or ended."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 
 
 class Phase(enum.Enum):
-    """Where a key under way stands on this node."""
+    """The phase of a key in progress on this node."""
 
     CLAIMING = "claiming"
     """This node's claim has not been read from the log yet."""
     RECORDING = "noting"
-    """This node issued the key; its witness has not noted it yet."""
+    """This node issued the key; its backup node has not recorded it yet."""
     ALLOWED = "allowed"
-    """One request of the key may be dispatched, or has been."""
+    """One request of the key may be, or was, dispatched."""
     FOLLOWING = "following"
     """Another node is the only one that may dispatch the key."""
 
 
 @dataclass(slots=True)
 class KeyEntry:
-    """One key under way.
+    """One key in progress.
 
-    Invariant: `phase` becomes ALLOWED at most once in the life of an entry, and no
-    second entry that may become ALLOWED is made for the same claim or issued key.
+    Invariant: `phase` becomes ALLOWED at most once per entry, and no second entry
+    that may become ALLOWED is created for the same claim or issued key.
     """
 
     name: KeyName
@@ -49,29 +49,29 @@
     digest: bytes
     started_ms: float
     claim_id: str = ""
-    """Own claim, or the winning one that is followed; empty for issued keys."""
+    """This node's claim or, while FOLLOWING, the winning one; empty for issued keys."""
     issued: IssuedKey | None = None
     target: NodeId | None = None
-    """The node asked while FOLLOWING."""
+    """The node that is queried while FOLLOWING; the backup node while RECORDING."""
     sent_ms: float = float("-inf")
     heard_ms: float = 0.0
-    """When the target last said that the key is under way."""
+    """When the target last reported that the key is in progress."""
     is_revocation_refused: bool = False
     is_target_running: bool = False
     running: RequestId | None = None
     is_started: bool = False
     waiting: dict[RequestId, KeyedRequestArrived] = field(default_factory=dict)
     askers: dict[NodeId, str] = field(default_factory=dict)
-    """Nodes that wait for the end, with the claim that each asked about."""
+    """Nodes waiting for the result, with the claim that each asked about."""
     uninformed_holders: set[NodeId] = field(default_factory=set)
-    """Holders of the stopped target's keys that don't know how this one ended."""
+    """Holders of the stopped target's keys that do not know how this key ended."""
 
     def __post_init__(self) -> None:
-        """Count silence of the target from the start."""
+        """Measure the target's silence from the creation of the entry."""
         self.heard_ms = self.started_ms
 
     def find_expired(self, now_ms: float) -> list[KeyedRequestArrived]:
-        """Return the waiting tries whose deadline has passed."""
+        """Return the waiting attempts whose deadline has passed."""
         return [
             attempt
             for attempt in self.waiting.values()
@@ -79,7 +79,7 @@
         ]
 
     def find_first_eligible(self, now_ms: float) -> KeyedRequestArrived | None:
-        """Return the first waiting try that carries the claimed body in time."""
+        """Return the first unexpired waiting attempt with the claimed body."""
         for attempt in self.waiting.values():
             if attempt.body_digest == self.digest and attempt.deadline_ms > now_ms:
                 return attempt
@@ -87,13 +87,13 @@
 
 
 class EndedKey(msgspec.Struct, frozen=True, gc=False):
-    """How a key ended on the node that alone might dispatch it; never changes.
+    """The immutable result of a key, on the only node that may dispatch it.
 
-    As with claims, the collector of cycles passes it over.
+    Exempt from garbage collection, as claims are.
     """
 
     status: KeyStatus
     digest: bytes
     ended_ms: float
     claim_id: str = ""
-    """Own claim that ended so; empty for issued keys."""
+    """The claim that ended; empty for issued keys."""
--- a/packages/toucanyard/src/toucanyard/key_handover.py
+++ b/packages/toucanyard/src/toucanyard/key_handover.py
@@ -1,4 +1,4 @@
-"""Hand the ended keys of a node that stops as planned to one or two of its peers."""
+"""Transfer the ended keys of a node in a planned stop to one or two of its peers."""
 
 from __future__ import annotations
 
@@ -30,28 +30,28 @@
 _KEY_BYTES: Final = 200
 _ACK_TIMEOUT_RESENDS: Final = 5
 _TRANSFER_SHARE: Final = 0.8
-"""Share of the time that goes to handing; the rest is for telling who holds what."""
+"""Share of the handover time for the transfer; the rest is for announcing holders."""
 _ANNOUNCEMENTS: Final = 3
 
 
 @dataclass(slots=True)
 class _Receiver:
-    """A peer that is being handed the keys, one batch at a time."""
+    """A peer to which the keys are transferred, one batch at a time."""
 
     peer: NodeId
     batch: int = 0
     start: int = 0
-    """How many keys it has taken."""
+    """Number of keys that it has accepted."""
     end: int = 0
-    """Where the batch under way ends."""
+    """End of the batch in flight."""
     sent_ms: float = float("-inf")
 
 
 class KeyHandover:
-    """The hand-over of one stopping node.
+    """The key handover of one stopping node.
 
-    Invariants: only ended keys are handed over, so no step can make a key run; the
-    holders are told to others only when no further key will be handed to them.
+    Invariants: only ended keys are transferred, so no step can make a key run; the
+    holders are announced only after the last key was transferred to them.
     """
 
     __slots__ = (
@@ -82,15 +82,15 @@
         self.is_done = False
 
     def is_begun(self) -> bool:
-        """Return whether this node takes no keys any more."""
+        """Return whether the handover has begun, so that no new keys are accepted."""
         return self._begun_ms is not None
 
     def count_left(self) -> int:
-        """Return how many keys no peer has taken yet, so that they will be unknown."""
+        """Return how many keys no peer has accepted; their results would be lost."""
         return len(self._keys) - self._max_accepted
 
     def begin(self, now_ms: float) -> Iterator[ClaimAction]:
-        """Begin to hand over what has ended up to now."""
+        """Begin to transfer the keys that have ended so far."""
         self._begun_ms = now_ms
         self._keys = [
             _drop_large_answer(key) for key in self._table.list_transferable()
@@ -103,7 +103,7 @@
     def handle_ack(
         self, sender: NodeId, ack: KeysAccepted, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Send the next batch, or turn to another peer after a refusal."""
+        """Send the next batch, or choose another peer after a refusal."""
         if self._begun_ms is None or self._announcements > 0:
             return
         for receiver in self._receivers:
@@ -120,7 +120,7 @@
         yield from self._continue(now_ms)
 
     def tick(self, now_ms: float) -> Iterator[ClaimAction]:
-        """Repeat what may have been lost, and end in time."""
+        """Resend messages that may have been lost, and end the handover in time."""
         if self._begun_ms is None or self.is_done:
             return
         if self._announcements == 0:
@@ -149,7 +149,7 @@
                 yield from self._send_batch(receiver, now_ms)
 
     def _choose_receivers(self) -> None:
-        """Replace peers that are gone or refused; prefer other failure domains."""
+        """Replace receivers that are gone or refused; prefer other failure domains."""
         live = [
             peer
             for peer in self._table.peers
@@ -187,10 +187,10 @@
         return end
 
     def _announce(self, now_ms: float) -> Iterator[ClaimAction]:
-        """Tell the log and all peers who holds the keys.
+        """Announce the holders of the keys in the log and to all peers.
 
-        The log reaches nodes without a link and those that start later; the peers
-        are told too, since the log may be down.
+        The log reaches nodes without a link and those that start later; the messages
+        to peers cover an outage of the log.
         """
         holders = tuple(self._holders)
         self._announced_ms = now_ms
@@ -198,8 +198,8 @@
         if self._announcements == 1:
             yield from self._table.append_handover(holders)
         for peer in self._table.peers:
-            news = HandoverAnnounced(peer.incarnation, holders)
-            yield from self._table.send(NodeId(peer.node, peer.incarnation), news)
+            message = HandoverAnnounced(peer.incarnation, holders)
+            yield from self._table.send(NodeId(peer.node, peer.incarnation), message)
 
 
 def _is_same_domain(peer: PeerView) -> bool:
@@ -207,7 +207,7 @@
 
 
 def _drop_large_answer(key: TransferredKey) -> TransferredKey:
-    """Leave out an answer that would hold up all other keys."""
+    """Drop an answer so large that it would delay all other keys."""
     if key.answer is None or len(key.answer.body) <= _MAX_ANSWER_BYTES:
         return key
     return msgspec.structs.replace(key, answer=None)
--- a/packages/toucanyard/src/toucanyard/key_issuer.py
+++ b/packages/toucanyard/src/toucanyard/key_issuer.py
@@ -1,4 +1,4 @@
-"""Issue key prefixes on a ledger that a node in another failure domain opened."""
+"""Issue key prefixes, each backed by a ledger in another failure domain."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class KeyIssuer:
-    """Issue key prefixes on a ledger that some other node has opened for this one."""
+    """Issues key prefixes and keeps a ledger open on a backup node for them."""
 
     __slots__ = (
         "_identity",
@@ -48,9 +48,9 @@
         self._requested_ms = 0.0
 
     def issue(self, now_ms: float, rng: random.Random) -> str:
-        """Return a new prefix; without a usable ledger it names no witness."""
-        # A witness forgets old ledgers. After a pause, a key issued on one would be
-        # refused although its issuer is well.
+        """Return a new prefix; without a usable ledger it names no backup node."""
+        # A backup node drops old ledgers. After a pause, a key issued on such a ledger
+        # would be refused although its issuer is healthy.
         is_usable = now_ms - self._opened_ms < self._max_age_ms
         backup = self._backup if is_usable else None
         key = IssuedKey(self._identity, backup, self._ledger, now_ms)
@@ -63,7 +63,7 @@
         resend_ms: float,
         rng: random.Random,
     ) -> list[SendToPeer]:
-        """Ask for a ledger when there is none, it is old or its witness is gone."""
+        """Request a ledger if there is none, it is old or its backup node is gone."""
         live = {NodeId(peer.node, peer.incarnation) for peer in peers}
         if self._backup is not None and self._backup not in live:
             self._backup = None
@@ -84,11 +84,11 @@
         return [SendToPeer(chosen.node, message)]
 
     def accept_ledger(self, sender: NodeId, message: LedgerOpened) -> None:
-        """Take the ledger that was asked for last; ignore any other answer."""
+        """Use the ledger that was requested last; ignore any other answer."""
         if sender != self._requested or message.request != self._request:
             return
         self._backup = sender
         self._ledger = message.ledger
-        # The ledger is no older than the request for it.
+        # Lower bound: the ledger was opened after the request for it.
         self._opened_ms = self._requested_ms
         self._requested = None
--- a/packages/toucanyard/src/toucanyard/key_messages.py
+++ b/packages/toucanyard/src/toucanyard/key_messages.py
@@ -1,4 +1,4 @@
-"""Give the messages in which nodes ask and tell one another about keys."""
+"""Define the messages about keys that nodes exchange."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class KeyStatus(enum.StrEnum):
-    """What the only node that may dispatch a key says about it."""
+    """The status of a key, as reported by the only node that may dispatch it."""
 
     RUNNING = "running"
     ANSWERED = "answered"
     NOT_RUN = "not_run"
-    """Never dispatched, and from now on never will be."""
+    """Never dispatched, and it never will be."""
     UNKNOWN = "unknown"
 
 
 class LedgerStatus(enum.StrEnum):
-    """What a witness says about one issued key."""
+    """The status of an issued key in the ledger of its backup node."""
 
     RECORDED = "noted"
     REVOKED = "sealed"
     GONE = "gone"
-    """The witness doesn't know the ledger (any more) or has no room."""
+    """The backup node does not have the ledger (any more), or has no room."""
 
 
 class AskKey(msgspec.Struct, frozen=True, tag="ask_key"):
-    """Ask the claimer or issuer of a key how its request stands.
+    """Query the claimer or issuer of a key for the status of its request.
 
-    `claim_id` is that of the winning claim, or empty for an issued key.
+    `claim_id` is the winning claim, or empty for an issued key.
     """
 
     to: Incarnation
@@ -42,9 +42,9 @@
 
 
 class KeyReport(msgspec.Struct, frozen=True, tag="key_told"):
-    """Tell how the request of a key stands; `digest` is that of the claimed body.
+    """Report the status of a key's request; `digest` is that of the claimed body.
 
-    `claim_id` repeats the question's, so that a late answer isn't taken for another.
+    `claim_id` repeats that of the query, which identifies late replies.
     """
 
     to: Incarnation
@@ -56,14 +56,14 @@
 
 
 class OpenLedger(msgspec.Struct, frozen=True, tag="open_ledger"):
-    """Ask a node to witness keys; `request` makes a repeated message harmless."""
+    """Ask a node to be the backup of keys; `request` makes a resend idempotent."""
 
     to: Incarnation
     request: int
 
 
 class LedgerOpened(msgspec.Struct, frozen=True, tag="ledger_opened"):
-    """Give the number of a ledger; numbers are never used again."""
+    """Answer an OpenLedger with a ledger number, which is never reused."""
 
     to: Incarnation
     request: int
@@ -71,7 +71,7 @@
 
 
 class RecordKeys(msgspec.Struct, frozen=True, array_like=True, tag="note"):
-    """Ask the witness to note keys, so that they can't be sealed any more."""
+    """Ask the backup node to record keys, after which it can't revoke them."""
 
     to: Incarnation
     ledger: int
@@ -80,16 +80,16 @@
 
 
 class KeysRecorded(msgspec.Struct, frozen=True, array_like=True, tag="noted"):
-    """Answer a NoteKeys: all keys of the batch are noted but those listed."""
+    """Answer a RecordKeys: all keys of the batch are recorded except those listed."""
 
     to: Incarnation
     batch: int
     refused: tuple[int, ...] = ()
-    """Places in the batch of keys that are sealed, or whose ledger is gone or full."""
+    """Indexes in the batch of keys that are revoked or whose ledger is gone or full."""
 
 
 class RevokeKey(msgspec.Struct, frozen=True, tag="seal_key"):
-    """Ask the witness to seal a key, so that it can't be noted any more."""
+    """Ask the backup node to revoke a key, after which it can't be recorded."""
 
     to: Incarnation
     ledger: int
@@ -98,7 +98,7 @@
 
 
 class RevocationAnswered(msgspec.Struct, frozen=True, tag="seal_answered"):
-    """Answer a SealKey."""
+    """Answer a RevokeKey."""
 
     to: Incarnation
     ledger: int
@@ -107,10 +107,10 @@
 
 
 class TransferredKey(msgspec.Struct, frozen=True):
-    """How a key ended on the only node that might dispatch it.
+    """The result of a key on the only node that might dispatch it.
 
-    This is a fact about the past and gives nobody the right to dispatch the key.
-    `claim_id` is the winning claim that ended so, or empty for an issued key.
+    It is final, and gives no node the right to dispatch the key. `claim_id` is the
+    winning claim that ended, or empty for an issued key.
     """
 
     name: KeyName
@@ -121,7 +121,7 @@
 
 
 class TransferKeys(msgspec.Struct, frozen=True, tag="hand_keys"):
-    """Ask a node to hold ended keys of a node that stops as planned."""
+    """Ask a node to hold ended keys of a node in a planned stop."""
 
     to: Incarnation
     batch: int
@@ -129,7 +129,7 @@
 
 
 class KeysAccepted(msgspec.Struct, frozen=True, tag="keys_taken"):
-    """Answer a HandKeys; the node takes all keys of the batch or none."""
+    """Answer a TransferKeys; all keys of the batch are accepted, or none."""
 
     to: Incarnation
     batch: int
@@ -137,14 +137,14 @@
 
 
 class HandoverAnnounced(msgspec.Struct, frozen=True, tag="keys_handed_over"):
-    """Tell that the sender stops as planned and which nodes hold its ended keys."""
+    """Announce the sender's planned stop and the nodes that hold its ended keys."""
 
     to: Incarnation
     holders: tuple[NodeId, ...]
 
 
 class AskTransferredKey(msgspec.Struct, frozen=True, tag="ask_handed"):
-    """Ask a holder how a key of a stopped node ended; answered by a KeyTold."""
+    """Query a holder for the result of a stopped node's key; answered by KeyReport."""
 
     to: Incarnation
     name: KeyName
@@ -152,7 +152,7 @@
 
 
 RecordingMessage = RecordKeys | KeysRecorded
-"""Messages as arrays, since one of each goes with every issued key."""
+"""Encoded as arrays, to be compact: every issued key needs one of each."""
 
 KeyControlMessage = (
     AskKey
--- a/packages/toucanyard/src/toucanyard/key_query_handler.py
+++ b/packages/toucanyard/src/toucanyard/key_query_handler.py
@@ -1,4 +1,4 @@
-"""Answer what peers ask about keys: as executor, as witness and as holder."""
+"""Answer the queries of peers about keys: as executor, backup node and holder."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 
 
 class KeyQueryHandler:
-    """What this node tells its peers about keys.
+    """Answers queries of peers about keys.
 
-    Invariant: "not run" is said only of a key that this node alone might dispatch and
-    never will, of one that it sealed as witness, or of one handed over as such.
+    Invariant: NOT_RUN is reported only for a key that only this node might dispatch
+    and never will, that it revoked as backup node, or that was transferred as such.
     """
 
     __slots__ = ("_table", "_large", "_recorded", "_ledgers")
 
-    def __init__(self, table: KeyTable, noted: RecordedKeys) -> None:
+    def __init__(self, table: KeyTable, recorded: RecordedKeys) -> None:
         self._table = table
-        self._recorded = noted
+        self._recorded = recorded
         self._large = LargeAnswerThrottle()
         limits = table.limits
         self._ledgers = BackupLedgers(2 * limits.window_ms, limits.max_keys)
@@ -53,7 +53,7 @@
         message: AskKey | AskTransferredKey | OpenLedger | RecordKeys | RevokeKey,
         now_ms: float,
     ) -> Iterator[ClaimAction]:
-        """Answer one question of a peer."""
+        """Answer one query of a peer."""
         match message:
             case AskKey():
                 yield from self._answer_ask(sender, message, now_ms)
@@ -63,7 +63,7 @@
                 yield from self._answer_ledger_request(sender, message, now_ms)
 
     def forget_old(self, now_ms: float) -> None:
-        """Forget what was witnessed for keys past the window."""
+        """Remove the ledgers of keys that are past the window."""
         self._ledgers.forget_old(now_ms)
         self._large.forget_old(now_ms)
 
@@ -87,7 +87,7 @@
         yield from self._table.send(sender, answer)
 
     def _record_batch(self, sender: NodeId, message: RecordKeys) -> tuple[int, ...]:
-        """Note the keys of a batch; return the places of those that can't be."""
+        """Record the keys of a batch; return the indexes of those refused."""
         ledger = message.ledger
         statuses = [
             self._ledgers.record_key(sender, ledger, each)
@@ -115,15 +115,15 @@
         if claim is not None and claim.is_abandoned_as(claim_id):
             return EndedKey(KeyStatus.NOT_RUN, claim.digest, now_ms)
         if table.index.is_given_up(claim_id):
-            # Whether that claim won, and so whether the key ran, may be open here.
+            # Whether that claim won, and so whether the key ran, may be undecided here.
             return EndedKey(KeyStatus.RUNNING, b"", now_ms)
         if entry is not None and entry.claim_id == claim_id:
             entry.askers[sender] = claim_id
             return EndedKey(KeyStatus.RUNNING, entry.digest, now_ms)
         if ended is None and not claim_id:
             ended = self._recorded.revoke_unseen(name, now_ms)
-        # A later claim of a key that is used anew says nothing of the earlier one,
-        # which a node that forgets later may ask about.
+        # If the key was claimed again, the later claim proves nothing about the earlier
+        # one, which a node that has not expired it yet may ask about.
         if ended is None or ended.claim_id != claim_id:
             return EndedKey(KeyStatus.UNKNOWN, b"", now_ms)
         return ended
--- a/packages/toucanyard/src/toucanyard/key_records.py
+++ b/packages/toucanyard/src/toucanyard/key_records.py
@@ -1,6 +1,6 @@
-"""Name keys, and give the records in which claims on them cross the platform's log.
+"""Define key names and the records of claims in the platform's log.
 
-Records are JSON texts with a `kind` tag; a text of another kind is another module's.
+Records are JSON texts with a `kind` tag; other modules define the other kinds.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 
 def compute_key_fingerprint(name: KeyName) -> bytes:
-    """Return the 16 bytes that name a key where its own text isn't needed.
+    """Return a 16-byte hash that identifies a key in messages to backup nodes.
 
-    Two keys of one mark do no harm at a witness: both are noted or both are sealed.
+    A collision is harmless there: both keys are recorded, or both are revoked.
     """
     customer, key = name.customer.encode(), name.key.encode()
     text = len(customer).to_bytes(4, "big") + customer + key
@@ -42,14 +42,14 @@
 
 
 class AbandonRecord(msgspec.Struct, frozen=True, tag_field="kind", tag="abandon"):
-    """Tell that the claimer of this claim never dispatched it and never will."""
+    """State that the claimer of this claim never dispatched it and never will."""
 
     claim_id: str
     name: KeyName
 
 
 class HandoverRecord(msgspec.Struct, frozen=True, tag_field="kind", tag="handed_over"):
-    """Tell that a node stops as planned and which nodes hold its ended keys."""
+    """Announce a node's planned stop and the nodes that hold its ended keys."""
 
     stopped: NodeId
     holders: tuple[NodeId, ...]
@@ -67,7 +67,7 @@
 
 
 def decode_record(text: str) -> KeyRecord | None:
-    """Return the record in a text, or None when it is of another kind."""
+    """Return the record in a text, or None if it is of another kind."""
     try:
         return _DECODER.decode(text)
     except msgspec.DecodeError:
--- a/packages/toucanyard/src/toucanyard/key_table.py
+++ b/packages/toucanyard/src/toucanyard/key_table.py
@@ -1,4 +1,4 @@
-"""Hold what one node knows about keys, with the steps that every sort of key shares."""
+"""Hold the state of one node's keys, with the transitions common to all of them."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 class KeyTable:
-    """Keys under way, ended and held for others, the index of claims, and the peers.
+    """Keys in progress, ended and held for other nodes, the claim index, and the peers.
 
-    Invariants: a key is in at most one of entries and ended; what an ended key's
-    status says never changes; a key is allowed only from its entry and only once.
+    Invariants: a key is in at most one of `_entries` and `_ended`; the status of an
+    ended key never changes; a key is allowed only from its entry and only once.
     """
 
     __slots__ = (
@@ -96,11 +96,11 @@
         return len(self._entries) + len(self._ended)
 
     def find_entry(self, name: KeyName) -> KeyEntry | None:
-        """Return the key if it is under way here."""
+        """Return the key if it is in progress on this node."""
         return self._entries.get(name)
 
     def find_entries(self, phase: Phase | None = None) -> list[KeyEntry]:
-        """Return the keys under way, or those in one phase."""
+        """Return the keys in progress, or those in one phase."""
         entries = self._entries.values()
         return [each for each in entries if phase in (None, each.phase)]
 
@@ -110,7 +110,7 @@
         return None if name is None else self._entries.get(name)
 
     def find_ended(self, name: KeyName) -> EndedKey | None:
-        """Return how the key ended here, unless it is in use anew."""
+        """Return how the key ended here, unless it was claimed again since."""
         ended = self._ended.get(name)
         if ended is None or not ended.claim_id:
             return ended
@@ -122,16 +122,16 @@
         """Return whether there is no room for another key of a customer."""
         if len(self) >= self.limits.max_keys:
             return True
-        # One large customer would otherwise use up the room of all the others.
+        # Without the share, one large customer would use up the room of all others.
         allowed = self.limits.max_keys * self.limits.max_customer_share
         return self._count_by_customer[customer] >= max(allowed, 1)
 
     def is_in_window(self, issued: IssuedKey, now_ms: float) -> bool:
-        """Return whether a key that this node issued may still run."""
+        """Return whether a key that this node issued has not expired."""
         return 0 <= now_ms - issued.issued_ms < self.limits.window_ms
 
     def is_replaced(self, node: NodeId) -> bool:
-        """Return whether another incarnation is known under this node's name."""
+        """Return whether a different incarnation is known under this node's name."""
         if node.node == self.identity.node:
             return node != self.identity
         for peer in self.peers:
@@ -140,27 +140,27 @@
         return False
 
     def is_gone(self, node: NodeId) -> bool:
-        """Return whether this incarnation was replaced or has stopped as planned."""
+        """Return whether this incarnation was replaced or has ended a planned stop."""
         return self.is_replaced(node) or self.stopped.is_stopped(node)
 
     def add(self, entry: KeyEntry, event: KeyedRequestArrived) -> None:
-        """Add a key that its first try on this node brought."""
+        """Add a key with its first attempt on this node."""
         self._entries[entry.name] = entry
         self._count_by_customer[entry.name.customer] += 1
         self.add_waiting(entry, event)
 
     def add_waiting(self, entry: KeyEntry, event: KeyedRequestArrived) -> None:
-        """Let one more try wait for the key."""
+        """Add an attempt that waits for the key."""
         entry.waiting[event.request_id] = event
         self._name_by_request[event.request_id] = entry.name
 
     def remove_waiting(self, entry: KeyEntry, request_id: RequestId) -> None:
-        """Let a try no longer wait."""
+        """Remove an attempt that waits for the key."""
         entry.waiting.pop(request_id, None)
         self._name_by_request.pop(request_id, None)
 
     def remove(self, entry: KeyEntry) -> None:
-        """Remove a key that is no longer under way here."""
+        """Remove a key that is no longer in progress on this node."""
         if self._entries.pop(entry.name, None) is not None:
             self._uncount(entry.name)
         for request_id in entry.waiting:
@@ -169,17 +169,17 @@
             self._name_by_request.pop(entry.running, None)
 
     def store_ended(self, name: KeyName, ended: EndedKey) -> None:
-        """Remember how a key ended."""
+        """Store how a key ended."""
         if self._ended.pop(name, None) is None:
             self._count_by_customer[name.customer] += 1
         self._ended[name] = ended
 
     def store_answer(self, entry: KeyEntry, answer: CachedAnswer) -> None:
-        """Keep the whole answer of a key for its other tries."""
+        """Store the complete answer of a key for its other attempts."""
         self._answers.keep(entry.name, answer)
 
     def allow(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
-        """Allow the first try that is still in time, or seal the key."""
+        """Allow the first attempt whose deadline has not passed, or revoke the key."""
         chosen = entry.find_first_eligible(now_ms)
         if chosen is None:
             yield from self.revoke(entry, now_ms)
@@ -194,13 +194,13 @@
                 yield self.compose_running_reply(other, entry, now_ms)
 
     def revoke(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
-        """End a key that this node alone might dispatch and never will."""
+        """End a key owned by this node as never dispatched."""
         if entry.claim_id:
             yield from self.abandon(entry.claim_id, entry.name)
         yield from self.finish(entry, KeyStatus.NOT_RUN, now_ms)
 
     def abandon(self, claim_id: str, name: KeyName) -> Iterator[ClaimAction]:
-        """Tell the log that the winning claim of a key is never dispatched."""
+        """Append a record that the winning claim of a key is never dispatched."""
         self.index.abandon(claim_id, name)
         record_id = f"abandon-{claim_id}"
         self._unconfirmed[record_id] = encode_record(AbandonRecord(claim_id, name))
@@ -210,7 +210,7 @@
             yield AppendRecord(record_id, self._unconfirmed[record_id], is_urgent=False)
 
     def append_handover(self, holders: tuple[NodeId, ...]) -> Iterator[ClaimAction]:
-        """Tell the log who holds this node's ended keys."""
+        """Append a record of the nodes that hold this node's ended keys."""
         record_id = self._compose_handover_id()
         record = HandoverRecord(self.identity, holders)
         self._unconfirmed[record_id] = encode_record(record)
@@ -220,28 +220,28 @@
     def record_stopped(
         self, stopped: NodeId, holders: tuple[NodeId, ...], now_ms: float
     ) -> None:
-        """Remember who holds the ended keys of a node that stopped as planned."""
+        """Record which nodes hold the ended keys of a node after a planned stop."""
         self.stopped.record_stop(stopped, holders, now_ms)
         if stopped == self.identity:
             self.confirm_record(self._compose_handover_id())
 
     def has_unconfirmed(self) -> bool:
-        """Return whether a record of this node may not have reached the log."""
+        """Return whether a record of this node may be missing from the log."""
         return bool(self._unconfirmed)
 
     def append_unconfirmed(self) -> Iterator[ClaimAction]:
-        """Append again what may not have reached the log."""
+        """Append again the records that may be missing from the log."""
         for record_id, text in self._unconfirmed.items():
             yield AppendRecord(record_id, text, is_urgent=False)
 
     def confirm_record(self, record_id: str) -> None:
-        """Forget a record that the log has."""
+        """Drop a record that is known to be in the log."""
         self._unconfirmed.pop(record_id, None)
 
     def finish(
         self, entry: KeyEntry, status: KeyStatus, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Record how a key ended here and tell everyone who waits for it."""
+        """Store how a key ended here and answer all waiting attempts and peers."""
         ended = EndedKey(status, entry.digest, now_ms, entry.claim_id)
         self.store_ended(entry.name, ended)
         self.remove(entry)
@@ -260,10 +260,10 @@
         answer: CachedAnswer | None,
         now_ms: float,
     ) -> ClaimAction:
-        """Compose what a try is told of a claim, or of an issued key.
+        """Compose the reply to an attempt from the status of a claim or issued key.
 
-        Of a claim past its window nothing is said that speaks for the key: it may be
-        in use anew, and have run under a claim that this node has not read yet.
+        A claim past its window proves nothing about the key: the key may have been
+        claimed again, and may have run under a claim that this node has not read yet.
         """
         is_other_body = bool(digest) and digest != event.body_digest
         is_denial = is_other_body or status is KeyStatus.NOT_RUN
@@ -275,7 +275,7 @@
     def compose_ended_reply(
         self, event: KeyedRequestArrived, ended: EndedKey, now_ms: float
     ) -> ClaimAction:
-        """Compose what a try is told about a key that ended here."""
+        """Compose the reply to an attempt of a key that ended on this node."""
         answer = self._answers.find(KeyName(event.customer, event.key))
         return self.compose_reply(
             event, ended.claim_id, ended.status, ended.digest, answer, now_ms
@@ -284,7 +284,7 @@
     def compose_running_reply(
         self, event: KeyedRequestArrived, entry: KeyEntry, now_ms: float
     ) -> ClaimAction:
-        """Compose what a try is told that can't wait for a key under way here."""
+        """Compose the reply to an attempt that can't wait for a key in progress."""
         return self.compose_reply(
             event, entry.claim_id, KeyStatus.RUNNING, entry.digest, None, now_ms
         )
@@ -292,20 +292,19 @@
     def compose_report(
         self, to: NodeId, name: KeyName, claim_id: str, ended: EndedKey
     ) -> KeyReport:
-        """Compose what a peer is told about a key."""
+        """Compose the report on an ended key for a peer."""
         answer = None
         status = ended.status
         if status is KeyStatus.ANSWERED:
             answer = self._answers.find(name)
             if answer is not None and not is_forwardable(answer):
                 answer = None
-            # The request ran, but its answer is too large for a message, or had to
-            # make room for others.
+            # The request ran, but its answer is too large for a message or was evicted.
             status = KeyStatus.UNKNOWN if answer is None else status
         return KeyReport(to.incarnation, name, claim_id, status, ended.digest, answer)
 
     def list_transferable(self) -> list[TransferredKey]:
-        """Return all that this node knows of ended keys, the latest first."""
+        """Return all ended keys that this node knows, the latest first."""
         own = [
             TransferredKey(name, ended.claim_id, ended.status, ended.digest, answer)
             for name, ended in reversed(self._ended.items())
@@ -314,20 +313,20 @@
         return own + self.transferred.list_all()
 
     def send(self, to: NodeId, message: KeyMessage) -> Iterator[ClaimAction]:
-        """Send to a peer, or to this node itself."""
+        """Send a message to a peer or, by loopback, to this node itself."""
         if to == self.identity:
             self._loopback.append(message)
         else:
             yield SendToPeer(to.node, message)
 
     def pop_loopback(self) -> list[KeyMessage]:
-        """Take the messages that this node sent to itself."""
+        """Remove and return the messages that this node sent to itself."""
         taken = self._loopback
         self._loopback = []
         return taken
 
     def forget_old(self, now_ms: float) -> None:
-        """Forget what is older than the window."""
+        """Remove everything that is older than the window."""
         self.index.forget_old(now_ms)
         self.transferred.forget_old(now_ms)
         self.stopped.forget_old(now_ms)
--- a/packages/toucanyard/src/toucanyard/large_answer_throttle.py
+++ b/packages/toucanyard/src/toucanyard/large_answer_throttle.py
@@ -1,4 +1,4 @@
-"""Hold back copies of large answers that a peer asks for again and again."""
+"""Limit how often a large answer is resent to a peer that repeats its query."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from toucanyard.requests import CachedAnswer
 
 MAX_FORWARDED_BYTES: Final = 3_500_000
-"""Largest answer that fits a message between nodes, with room for the rest of it."""
+"""Largest answer that fits in a message between nodes, next to the other fields."""
 _LARGE_BYTES: Final = 20_000
 _MIN_REPEAT_MS: Final = 5_000
-"""Longer than the largest answer takes on a link of 1 MB/s."""
+"""Longer than the transfer of the largest answer over a link of 1 MB/s."""
 
 
 def is_forwardable(answer: CachedAnswer) -> bool:
-    """Return whether an answer may go to a peer; a larger one would close the link."""
+    """Return whether an answer fits in a message; a larger one would close the link."""
     return len(answer.body) <= MAX_FORWARDED_BYTES
 
 
 class LargeAnswerThrottle:
-    """When which peer was last sent which large answer.
+    """Times at which large answers were last sent, by peer and key.
 
-    A peer repeats its question until the answer is there. A copy for each would hold
-    up the link's other messages until it counts as dead; one in a while is enough,
-    since only a link that broke loses it.
+    A peer repeats its query until the answer arrives. A copy for each query would delay
+    all other messages until the link is considered dead. Occasional copies suffice,
+    since an answer is lost only if the link breaks.
     """
 
     __slots__ = ("_sent_ms",)
@@ -36,7 +36,7 @@
     def was_sent_recently(
         self, to: NodeId, name: KeyName, answer: CachedAnswer | None, now_ms: float
     ) -> bool:
-        """Return whether a peer was sent this large answer a short time ago."""
+        """Return whether this answer is large and was sent to the peer recently."""
         if answer is None or len(answer.body) < _LARGE_BYTES:
             return False
         sent_ms = self._sent_ms.get((to, name), float("-inf"))
@@ -45,12 +45,12 @@
     def record_sent(
         self, to: NodeId, name: KeyName, answer: CachedAnswer | None, now_ms: float
     ) -> None:
-        """Remember that a peer is being sent an answer, if it is a large one."""
+        """Record that an answer is being sent to a peer, if it is large."""
         if answer is not None and len(answer.body) >= _LARGE_BYTES:
             self._sent_ms[to, name] = now_ms
 
     def forget_old(self, now_ms: float) -> None:
-        """Forget what may be sent again."""
+        """Remove the answers that may be sent again."""
         old = [
             each
             for each, sent_ms in self._sent_ms.items()
--- a/packages/toucanyard/src/toucanyard/node_core.py
+++ b/packages/toucanyard/src/toucanyard/node_core.py
@@ -1,7 +1,7 @@
-"""All decisions of one node: take an event and the present time, return actions.
+"""The decision logic of one node: maps an event and the current time to actions.
 
 Owns one instance of each decision module and routes events between them. It has no
-sockets, clock or tasks, so that any number of nodes can be driven in one process.
+sockets, clock or tasks, so any number of nodes can run in one process.
 """
 
 from __future__ import annotations
@@ -119,8 +119,8 @@
 class NodeCore:
     """The decisions of one node incarnation.
 
-    Invariant: state changes only inside `handle`, so the actions of one event are
-    complete before the next event is taken.
+    Invariant: state changes only inside `handle`, so all actions of one event are
+    known before the next event is processed.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
         return self.log.in_force
 
     def find_linked(self) -> tuple[NodeId, ...]:
-        """Return the peers to which a link stands."""
+        """Return the peers with an established link."""
         return self._peers.list_all()
 
     def list_endpoints(self) -> list[Endpoint]:
@@ -181,7 +181,7 @@
         return self.membership.find_followed(self.list_endpoints())
 
     def handle(self, event: CoreEvent, now_ms: float) -> list[CoreAction]:
-        """Take one event in and return what must be done now, in this order."""
+        """Process one event and return the actions to carry out, in order."""
         actions = list(self._handle(event, now_ms))
         if self.configuration.version != self._applied_version:
             self._applied_version = self.configuration.version
@@ -243,13 +243,13 @@
     ) -> Iterator[CoreAction]:
         match event:
             case RequestArrived(request=request):
-                yield from _to_core(self.flow.arrive(request, now_ms))
+                yield from _to_core(self.flow.handle_arrival(request, now_ms))
             case RequestTurnedAway():
                 self.flow.records.note_turned_away(event, now_ms)
             case CallerLeft(request_id=request_id):
-                yield from _to_core(self.flow.leave(request_id, now_ms))
+                yield from _to_core(self.flow.handle_caller_left(request_id, now_ms))
             case FirstTokenSeen():
-                self.flow.note_first_token(event.request_id, event.after_ms, now_ms)
+                self.flow.record_first_token(event.request_id, event.after_ms, now_ms)
             case DispatchFinished(outcome=outcome):
                 yield from _to_core(self.flow.end_dispatch(outcome, now_ms))
 
@@ -278,7 +278,7 @@
                 yield from self._settle(event, now_ms)
 
     def _update_node_count(self, vms: Sequence[Vm]) -> None:
-        """Tell the flow how many nodes share the endpoints, this one included."""
+        """Update the number of nodes that share the endpoints, including this one."""
         names = {vm.name for vm in vms if vm.runs == "node"}
         count = len(names | {self.identity.node})
         if count != self._node_count:
--- a/packages/toucanyard/src/toucanyard/pending_requests.py
+++ b/packages/toucanyard/src/toucanyard/pending_requests.py
@@ -1,4 +1,4 @@
-"""Hold what is known of one request until it is over."""
+"""Hold the state of an unfinished request."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class Phase(enum.Enum):
-    """Whether a request's dispatch is decided."""
+    """Whether a request has been dispatched."""
 
     WAITING = enum.auto()
-    """Queued, or its key is undecided; a Reply is owed."""
+    """Queued, or its key is undecided; a Reply is pending."""
     RUNNING = enum.auto()
 
 
 class PendingRequest(msgspec.Struct):
-    """A request that is not over."""
+    """An unfinished request."""
 
     request: Request
     phase: Phase = Phase.WAITING
@@ -30,23 +30,23 @@
     priority: int = 0
     is_key_allowed: bool = False
     may_have_run: bool = False
-    """Never goes back to false: a later refusal must not say "not run"."""
+    """Never reset to false: a later refusal must not report NOT_RUN."""
     placed: Placed | None = None
     sent_ms: float = 0.0
     weights_version: str | None = None
-    """Fixed once an answer has begun: it never goes on under other weights."""
+    """Fixed once an answer has begun: it never continues under other weights."""
     tried: tuple[EndpointName, ...] = ()
 
 
 def find_unknown_kind(request: Request) -> ErrorKind:
-    """Return how a request is refused that may have run."""
+    """Return the kind of refusal for a request that may have run."""
     if request.repeatability is Repeatability.REPEATABLE:
         return ErrorKind.ENDPOINT_LOST
     return ErrorKind.OUTCOME_UNKNOWN
 
 
 def build_key_event(request: Request) -> KeyedRequestArrived | None:
-    """Return the event for the decision on a key; None without one."""
+    """Return the event for the at-most-once decision; None for an unkeyed request."""
     if request.repeatability is not Repeatability.KEYED:
         return None
     return KeyedRequestArrived(
--- a/packages/toucanyard/src/toucanyard/platform_log.py
+++ b/packages/toucanyard/src/toucanyard/platform_log.py
@@ -1,4 +1,4 @@
-"""What is read from the platform's log, and what is known of an append to it."""
+"""Define the records read from the platform's log and the results of appends."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True):
-    """One record as read from the log."""
+    """One record read from the log; `at_ms` is the log's time of the append."""
 
     offset: int
     at_ms: float
@@ -16,10 +16,10 @@
 
 
 class AppendResult(enum.StrEnum):
-    """What is known of an append."""
+    """The known result of an append."""
 
     DONE = "done"
     REFUSED = "refused"
-    """Provably without effect."""
+    """Had no effect, provably."""
     UNKNOWN = "unknown"
-    """May have taken effect, or may still."""
+    """May have taken effect, or may yet do so."""
--- a/packages/toucanyard/src/toucanyard/recorded_keys.py
+++ b/packages/toucanyard/src/toucanyard/recorded_keys.py
@@ -1,4 +1,4 @@
-"""Run keys that this node issued, once their witness has noted them."""
+"""Allow keys that this node issued, once their backup node has recorded them."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from toucanyard.recording_batches import RecordingBatches
 
 _ANSWER_TIMEOUT_RESENDS: Final = 10
-"""How long the answer to a note counts; it is asked again all the while."""
+"""How long the answer to a batch is accepted; its keys are resent meanwhile."""
 
 
 class RecordedKeys:
-    """Keys of which this node is the issuer.
+    """The keys that this node issued.
 
-    Invariant: a key with a witness is allowed only after the witness has noted it,
-    so a key that the witness sealed has not run and never will.
+    Invariant: a key with a backup node is allowed only after that node has recorded
+    it, so a key that the backup node revoked has not run and never will.
     """
 
     __slots__ = ("_batches", "_table")
@@ -52,7 +52,7 @@
         issued: IssuedKey,
         now_ms: float,
     ) -> Iterator[ClaimAction]:
-        """Take in a key that this incarnation issued."""
+        """Process an attempt with a key that this incarnation issued."""
         table = self._table
         if not table.is_in_window(issued, now_ms):
             yield refuse(event, ErrorKind.KEY_EXPIRED, table.rng)
@@ -73,7 +73,7 @@
                 yield from self.send_waiting(now_ms)
 
     def send_waiting(self, now_ms: float) -> Iterator[ClaimAction]:
-        """Send the notes that were gathered."""
+        """Send the queued keys to their backup nodes."""
         self._batches.forget_old(now_ms)
         for backup, message in self._batches.pop_batches(self._is_recording, now_ms):
             yield from self._table.send(backup, message)
@@ -81,7 +81,7 @@
     def handle_recorded(
         self, sender: NodeId, message: KeysRecorded, now_ms: float
     ) -> Iterator[ClaimAction]:
-        """Allow the keys that were noted, seal the others."""
+        """Allow the keys that were recorded and revoke the others."""
         batch = self._batches.match_answer(sender, message)
         if batch is None:
             return
@@ -97,19 +97,19 @@
             yield from self.send_waiting(now_ms)
 
     def revoke_unseen(self, name: KeyName, now_ms: float) -> EndedKey | None:
-        """Seal a key that never arrived here, so that it never will run."""
+        """Revoke a key that never arrived here, so that it never will run."""
         table = self._table
         issued = parse_issued_key(name.key)
         if issued is None or issued.issuer != table.identity:
             return None
         if not table.is_in_window(issued, now_ms) or table.is_full(name.customer):
             return None
-        sealed = EndedKey(KeyStatus.NOT_RUN, b"", now_ms)
-        table.store_ended(name, sealed)
-        return sealed
+        revoked = EndedKey(KeyStatus.NOT_RUN, b"", now_ms)
+        table.store_ended(name, revoked)
+        return revoked
 
     def tick(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
-        """Ask the witness again; seal when it is gone."""
+        """Send the key to the backup node again; revoke it if that node is gone."""
         assert entry.target is not None
         if self._table.is_gone(entry.target):
             yield from self._table.revoke(entry, now_ms)
--- a/packages/toucanyard/src/toucanyard/recording_batches.py
+++ b/packages/toucanyard/src/toucanyard/recording_batches.py
@@ -1,7 +1,7 @@
-"""Gather notes for the witnesses of issued keys, and match the answers to them.
+"""Batch requests to record issued keys on backup nodes, and match their answers.
 
-A note names its key by 16 bytes, and its answer names only the batch, since nodes that
-run nothing but keyed requests would spend most of their control traffic on notes.
+A request identifies a key by 16 bytes and its answer names only the batch: on nodes
+that serve only keyed requests, these messages are most of the control traffic.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class RecordingBatch:
-    """Keys that one message asks one witness to note."""
+    """The keys of one RecordKeys message to one backup node."""
 
     backup: NodeId
     names: tuple[KeyName, ...]
@@ -27,10 +27,10 @@
 
 
 class RecordingBatches:
-    """Notes that wait to be sent, and batches that wait for their answer.
+    """Keys waiting to be sent, and batches waiting for their answer.
 
-    Invariants: a batch's number is never used again, and its answer counts once and
-    only from the witness that it was sent to.
+    Invariants: a batch number is never reused; an answer is accepted once, and only
+    from the backup node that the batch was sent to.
     """
 
     __slots__ = (
@@ -51,17 +51,17 @@
         self._sent_ms = float("-inf")
 
     def add(self, backup: NodeId, ledger: int, name: KeyName) -> None:
-        """Let a key wait for the next batch to its witness."""
+        """Queue a key for the next batch to its backup node."""
         self._waiting.setdefault((backup, ledger), []).append(name)
 
     def is_due(self, now_ms: float) -> bool:
-        """Return whether a note may go out at once, since none did a short time ago."""
+        """Return whether a batch may be sent now, as none was sent recently."""
         return now_ms - self._sent_ms >= self._gather_ms
 
     def pop_batches(
         self, is_wanted: Callable[[KeyName], bool], now_ms: float
     ) -> Iterator[tuple[NodeId, RecordKeys]]:
-        """Take all that waits and is still wanted, as messages to the witnesses."""
+        """Remove all queued keys and yield messages for those still wanted."""
         waiting, self._waiting = self._waiting, {}
         for (backup, ledger), names in waiting.items():
             wanted = [name for name in names if is_wanted(name)]
@@ -72,14 +72,14 @@
     def match_answer(
         self, sender: NodeId, answer: KeysRecorded
     ) -> RecordingBatch | None:
-        """Return the batch that a witness answers; None for a late or foreign one."""
+        """Return the answered batch; None for a late answer or another sender's."""
         batch = self._under_way.get(answer.batch)
         if batch is None or batch.backup != sender:
             return None
         return self._under_way.pop(answer.batch)
 
     def forget_old(self, now_ms: float) -> None:
-        """Forget batches whose keys have been asked for again meanwhile."""
+        """Remove batches whose keys have been sent again since."""
         while self._under_way:
             number = next(iter(self._under_way))
             if now_ms - self._under_way[number].sent_ms < self._keep_ms:
--- a/packages/toucanyard/src/toucanyard/request_flow.py
+++ b/packages/toucanyard/src/toucanyard/request_flow.py
@@ -1,8 +1,8 @@
-"""Take each request from its arrival to its end: key, queue, endpoint, retries.
+"""Process each request from its arrival to its end: key, queue, endpoint, retries.
 
-Joins the decisions of at-most-once, admission and placement. A keyed request is let
-in before its key is claimed, so that a refusal for load costs no append; what such a
-refusal may say about the key is decided by what the caller told of its age.
+Combines the decisions of at-most-once, admission and placement. A keyed request is
+admitted before its key is claimed, so that a refusal for overload costs no append. The
+ending that such a refusal reports for the key depends on the declared key age.
 """
 
 from __future__ import annotations
@@ -57,10 +57,10 @@
 
 
 class RequestFlow:
-    """All requests of one node that are not over.
+    """All unfinished requests of one node.
 
-    Invariant: each RequestArrived and each DispatchOver gets exactly one Reply, unless
-    the caller left before.
+    Invariant: each RequestArrived and each DispatchFinished gets exactly one Reply,
+    unless the caller disconnected before.
     """
 
     def __init__(
@@ -87,24 +87,24 @@
         )
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Decide by this configuration from now on."""
+        """Use this configuration from now on."""
         self._configuration = configuration
         self._admission.apply_configuration(configuration)
         self._choice.apply_configuration(configuration)
 
     def apply_node_count(self, count: int) -> None:
-        """Take over how many nodes share the endpoints."""
+        """Update the number of nodes that share the endpoints."""
         self._admission.apply_node_count(count)
         self._placement.apply_node_count(count)
         self._admission.apply_configuration(self._configuration)
         self._choice.apply_configuration(self._configuration)
 
     def count_pending(self) -> int:
-        """Return how many requests are not over."""
+        """Return the number of unfinished requests."""
         return len(self._pending)
 
-    def arrive(self, request: Request, now_ms: float) -> Iterator[FlowAction]:
-        """Take in a new request."""
+    def handle_arrival(self, request: Request, now_ms: float) -> Iterator[FlowAction]:
+        """Process a new request."""
         self._pending[request.request_id] = PendingRequest(request)
         self.records.open(request, now_ms)
         event = build_key_event(request)
@@ -117,8 +117,10 @@
         if pending is not None and pending.phase is Phase.WAITING:
             self.records.note_queued(request.request_id, now_ms)
 
-    def leave(self, request_id: RequestId, now_ms: float) -> Iterator[FlowAction]:
-        """Take in that the caller of an undecided request went away."""
+    def handle_caller_left(
+        self, request_id: RequestId, now_ms: float
+    ) -> Iterator[FlowAction]:
+        """Drop a request whose caller disconnected before its verdict was delivered."""
         pending = self._pending.pop(request_id, None)
         if pending is None:
             return
@@ -134,26 +136,26 @@
     def _cancel_unsent(
         self, pending: PendingRequest, placed: Placed, now_ms: float
     ) -> Iterator[FlowAction]:
-        """End a dispatch whose order found no one: the caller had just left.
+        """End a dispatch that was not carried out because the caller had just left.
 
-        Nothing was sent, so its key is free to be told "not run". Left as it was, the
-        key would count as running, and its work as load of the endpoint, for good.
+        Nothing was sent, so the key can end as NOT_RUN. Otherwise the key would count
+        as running, and its work as load of the endpoint, for ever.
         """
         request_id = pending.request.request_id
         self._feedback.note_unsent(pending, placed, now_ms)
         unsent = Outcome(request_id, placed.endpoint, DispatchEnding.NOT_SENT)
         yield from self._finish(pending, unsent, now_ms)
 
-    def note_first_token(
+    def record_first_token(
         self, request_id: RequestId, after_ms: float, now_ms: float
     ) -> None:
-        """Take in that an answer has begun."""
+        """Record that an answer has begun."""
         pending = self._pending.get(request_id)
         if pending is not None and pending.placed is not None:
             self._feedback.note_first_token(pending, pending.placed, after_ms, now_ms)
 
     def end_dispatch(self, outcome: Outcome, now_ms: float) -> Iterator[FlowAction]:
-        """Take in how a dispatch ended and decide what follows."""
+        """Process the outcome of a dispatch: finish, retry or refuse the request."""
         pending = self._pending.get(outcome.request_id)
         if pending is None:
             yield Reply(outcome.request_id, None)
@@ -166,13 +168,13 @@
         yield from self._retry_or_refuse(pending, outcome, now_ms)
 
     def tick(self, now_ms: float) -> Iterator[FlowAction]:
-        """Refuse what waited past its deadline and let in what fits."""
+        """Refuse requests whose deadline passed in the queue and admit what fits."""
         yield from self._apply_admission(self._admission.tick(now_ms), now_ms)
 
     def apply_claims(
         self, actions: Sequence[ClaimAction], now_ms: float
     ) -> Iterator[FlowAction]:
-        """Carry out what the at-most-once decision asks for."""
+        """Carry out the actions of the at-most-once decision."""
         for action in actions:
             match action:
                 case AllowDispatch(request_id=request_id):
@@ -227,7 +229,7 @@
         yield from self._dispatch(pending, now_ms)
 
     def _dispatch(self, pending: PendingRequest, now_ms: float) -> Iterator[FlowAction]:
-        """Send a request to the best endpoint, or refuse it without one."""
+        """Send a request to the best endpoint, or refuse it if there is none."""
         request = pending.request
         if request.deadline_ms <= now_ms:
             text = "the deadline passed before the request could be sent"
@@ -292,11 +294,11 @@
     def _may_retry(
         self, pending: PendingRequest, outcome: Outcome, now_ms: float
     ) -> bool:
-        """Return whether another try is allowed; it may use up a part of the budget.
+        """Return whether another attempt is allowed; it may consume retry budget.
 
-        A try that was turned away cost its endpoint next to nothing, and endpoints
-        that turn away are left alone for a while, so such retries can't multiply an
-        overload: they need no budget, only an endpoint that is willing.
+        A rejected attempt costs its endpoint almost nothing, and an endpoint that
+        rejects requests is skipped for a while, so retries after a rejection can't
+        amplify an overload. They need no budget, only an endpoint not backing off.
         """
         if outcome.ending not in PROVEN_NOT_RUN:
             return self._admission.may_retry(pending.attempt)
@@ -316,7 +318,7 @@
         now_ms: float,
         outcome: Outcome | None = None,
     ) -> Iterator[FlowAction]:
-        """Refuse at once a request that holds a slot, a key or both."""
+        """Refuse a request that holds a slot, a key or both."""
         request = pending.request
         if pending.may_have_run:
             kind = find_unknown_kind(request)
@@ -350,7 +352,7 @@
     def _finish(
         self, pending: PendingRequest, outcome: Outcome | None, now_ms: float
     ) -> Iterator[FlowAction]:
-        """Free what a request held: its key, its slot and its place here."""
+        """Release the key and the slot of a request, and remove it."""
         request_id = pending.request.request_id
         self._pending.pop(request_id, None)
         if pending.is_key_allowed and outcome is not None:
@@ -360,7 +362,7 @@
         yield from self._apply_admission(freed, now_ms)
 
     def _limit_refusal(self, refusal: Refuse) -> Refuse:
-        """Say of a keyed request no more than is known about its key."""
+        """Limit the ending in a keyed refusal to what is known about the key."""
         pending = self._pending.get(refusal.request_id)
         if pending is None:
             return refusal
--- a/packages/toucanyard/src/toucanyard/requests.py
+++ b/packages/toucanyard/src/toucanyard/requests.py
@@ -1,4 +1,4 @@
-"""Requests as the core sees them, the events in their life and the verdicts on them."""
+"""Define requests as the core sees them, their verdicts and their outcomes."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
     REPEATABLE = "repeatable"
     RUN_ONCE = "run_once"
-    """At most once without a name: one dispatch, never a retry."""
+    """At most once, without a key: one dispatch and no retry."""
     KEYED = "keyed"
-    """At most once over all tries that carry the same key."""
+    """At most once over all attempts with the same key."""
 
 
 class ModelTarget(msgspec.Struct, frozen=True):
-    """A request for a model, with what identifies its cacheable prompt."""
+    """A request for a model, with the identification of its cacheable prompt."""
 
     pool: PoolName
     model: str
@@ -42,17 +42,17 @@
     prompt_bytes: int
     max_tokens: int
     home_keys: tuple[int, ...] = ()
-    """Keys that the prompt's homes are hashed by, the same under all weights; empty
-    takes them from the chain."""
+    """Affinity keys: they determine the prompt's preferred endpoints by hashing, and
+    are the same under all weights. If empty, they are derived from the chain."""
     chains: ChainSource | None = None
-    """Gives the chain under other weights than `weights_version`."""
+    """Source of the chain under weights other than `weights_version`."""
 
     def find_home_keys(self) -> tuple[int, ...]:
-        """Return the keys that the prompt's homes are hashed by."""
+        """Return the affinity keys of the prompt."""
         return self.home_keys or sample_chain(self.chain)
 
     def find_chain(self, weights_version: str) -> tuple[int, ...]:
-        """Return the chain under an endpoint's weights; empty where unknown."""
+        """Return the chain under an endpoint's weights; empty if unknown."""
         is_desired = not weights_version or weights_version == self.weights_version
         if is_desired or self.chains is None:
             return self.chain
@@ -68,7 +68,7 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """One request of one caller; `deadline_ms` is a point in the node's time."""
+    """One request of one caller; `deadline_ms` is a time of the node's clock."""
 
     request_id: RequestId
     customer: CustomerName
@@ -80,7 +80,7 @@
     configuration_version: int
     key: str = ""
     key_age_ms: float | None = None
-    """Time since the caller first sent the key, by its own word; 0: a first try."""
+    """Time since the caller first sent the key, as declared; 0 for a first attempt."""
     body_digest: bytes = b""
 
 
@@ -93,15 +93,15 @@
     attempt: int
     expected_incarnation: Incarnation | None
     weights_version: str
-    """Weights that the endpoint must have loaded; empty while any will do."""
+    """Weights that the endpoint must have loaded; empty if any are acceptable."""
     priority: int
-    """For the endpoint's own queue, 0 most urgent."""
+    """Priority in the endpoint's own queue; 0 is the most urgent."""
     silence_ms: float
     """Silence after which the stream is probed on a new connection."""
 
 
 class Refuse(msgspec.Struct, frozen=True):
-    """Answer the caller at once with this refusal."""
+    """Answer the caller immediately with this refusal."""
 
     request_id: RequestId
     kind: ErrorKind
@@ -111,7 +111,7 @@
 
 
 class CachedAnswer(msgspec.Struct, frozen=True):
-    """The whole answer to a keyed request, as first given."""
+    """The complete answer to a keyed request, as it was first sent."""
 
     status: int
     content_type: str
@@ -119,34 +119,34 @@
 
 
 class Replay(msgspec.Struct, frozen=True):
-    """Give the caller the answer that an earlier try got."""
+    """Answer the caller with the cached answer to an earlier attempt."""
 
     request_id: RequestId
     answer: CachedAnswer
 
 
 class DispatchEnding(enum.StrEnum):
-    """How one dispatch ended, as the task that held the connection saw it."""
+    """How one dispatch ended, as seen by the task that owned the connection."""
 
     COMPLETED = "completed"
     NOT_SENT = "not_sent"
-    """No byte of the request left, so it did not run."""
+    """No byte of the request was sent, so it did not run."""
     REFUSED = "refused"
     """The endpoint answered that it did not run the request."""
     FAILED = "failed"
     """The endpoint answered with an error after it may have run."""
     LOST = "lost"
-    """The connection died or went silent and could not be resumed."""
+    """The connection failed or went silent and could not be resumed."""
     CANCELLED = "cancelled"
-    """The caller went away."""
+    """The caller disconnected."""
 
 
 PROVEN_NOT_RUN: Final = frozenset({DispatchEnding.NOT_SENT, DispatchEnding.REFUSED})
-"""Endings after which the request surely did not run."""
+"""Endings that prove that the request did not run."""
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What is known when one dispatch has ended."""
+    """The outcome of one dispatch."""
 
     request_id: RequestId
     endpoint: EndpointName
@@ -161,7 +161,7 @@
     completion_tokens: int = 0
     events_relayed: int = 0
     longest_pause_ms: float = 0.0
-    """Longest time between two parts of a stream, a resumed one's included."""
+    """Longest time between two chunks of a stream, including those after a resume."""
     answer: CachedAnswer | None = None
     """Set for keyed requests that completed."""
 
--- a/packages/toucanyard/src/toucanyard/skipped_record_counts.py
+++ b/packages/toucanyard/src/toucanyard/skipped_record_counts.py
@@ -1,4 +1,4 @@
-"""Count the records of the log that were passed over, for operators."""
+"""Count the skipped records of the log, for operators."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SkippedRecordCounts(msgspec.Struct):
-    """How many records were passed over, and why."""
+    """Numbers of skipped records by reason."""
 
     foreign: int = 0
     malformed: int = 0
@@ -22,7 +22,7 @@
     by_unknown_kind: dict[str, int] = msgspec.field(default_factory=dict)
 
     def record_skip(self, reason: SkipReason) -> None:
-        """Count one record that was passed over."""
+        """Count one skipped record."""
         match reason:
             case SkipReason.FOREIGN:
                 self.foreign += 1
@@ -32,7 +32,7 @@
                 self.oversized += 1
 
     def record_unknown_kind(self, kind: str) -> None:
-        """Count one record of a configuration kind that newer nodes may understand."""
+        """Count one record of an unknown kind, which newer nodes may understand."""
         self.unknown_kinds += 1
         known = self.by_unknown_kind
         if kind in known or len(known) < _MAX_UNKNOWN_KINDS:
--- a/packages/toucanyard/src/toucanyard/stopped_nodes.py
+++ b/packages/toucanyard/src/toucanyard/stopped_nodes.py
@@ -1,4 +1,4 @@
-"""Remember which nodes stopped as planned and who holds their ended keys."""
+"""Track the nodes that ended a planned stop and the holders of their ended keys."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class StoppedNodes:
-    """Stopped incarnations, oldest dropped first.
+    """Stopped incarnations; the oldest are evicted first.
 
-    Invariant: a stopped node's holders were told all that it had handed over before
-    it was noted here, so whoever asks them then misses nothing that is still to come.
+    Invariant: a stopped node is recorded here only after its holders have received all
+    keys that it transferred, so a query to them misses nothing.
     """
 
     __slots__ = ("_keep_ms", "_stopped")
@@ -34,7 +34,7 @@
     def record_stop(
         self, stopped: NodeId, holders: tuple[NodeId, ...], now_ms: float
     ) -> None:
-        """Remember a stopped node; repeated news change nothing."""
+        """Record a stopped node; a repeated announcement has no effect."""
         if stopped in self._stopped:
             return
         self._stopped[stopped] = _Stopped(holders, now_ms)
@@ -42,13 +42,14 @@
             del self._stopped[next(iter(self._stopped))]
 
     def is_stopped(self, node: NodeId) -> bool:
-        """Return whether this incarnation stopped as planned."""
+        """Return whether this incarnation announced its planned stop."""
         return node in self._stopped
 
     def find_holders(self, node: NodeId) -> list[NodeId]:
-        """Return who holds a stopped node's keys now.
+        """Return the nodes that currently hold a stopped node's keys.
 
-        A holder that stopped too has handed on what it held, so its holders count.
+        A holder that has stopped too has transferred what it held, so its own holders
+        are returned in its place.
         """
         found: list[NodeId] = []
         reached = {node}
@@ -67,7 +68,7 @@
         return found
 
     def forget_old(self, now_ms: float) -> None:
-        """Forget nodes whose keys nobody holds any more."""
+        """Remove nodes whose keys no holder retains any more."""
         while self._stopped:
             node = next(iter(self._stopped))
             if now_ms - self._stopped[node].recorded_ms < self._keep_ms:
--- a/packages/toucanyard/src/toucanyard/transferred_keys.py
+++ b/packages/toucanyard/src/toucanyard/transferred_keys.py
@@ -1,4 +1,4 @@
-"""Hold how keys of other nodes ended, so that retries find it after those stopped."""
+"""Hold the results of keys that stopped nodes have transferred, for later retries."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from toucanyard.options import ClaimLimits
 
 _LIMIT_DIVISOR: Final = 2
-"""Part of a node's limits, as a divisor, that keys of other nodes may take."""
+"""Divides a node's limits: the rest is for its own keys."""
 
 
 @dataclass(slots=True)
@@ -29,10 +29,10 @@
 
 
 class TransferredKeys:
-    """Ended keys that stopping nodes have handed over.
+    """Ended keys that stopping nodes have transferred to this node.
 
-    Invariants: what is held tells only how a key ended and never leads to a dispatch;
-    it is told only of the very claim, or the very issued key, that ended so.
+    Invariants: an entry only records how a key ended and never leads to a dispatch; it
+    is returned only for the claim, or the issued key, that it was recorded for.
     """
 
     __slots__ = ("_answers", "_entries", "_max_keys", "_window_ms")
@@ -47,17 +47,17 @@
         return len(self._entries)
 
     def find(self, name: KeyName, claim_id: str) -> TransferredKey | None:
-        """Return how this claim of a key, or this issued key, ended."""
+        """Return the result of this claim of a key, or of this issued key."""
         entry = self._entries.get(name)
-        # A chosen key can be claimed anew after the window; its earlier answer is
-        # another request's.
+        # A caller-chosen key can be claimed again after the window; the earlier answer
+        # belongs to another request.
         if entry is None or entry.claim_id != claim_id:
             return None
         answer = self._answers.find(name)
         return TransferredKey(name, claim_id, entry.status, entry.digest, answer)
 
     def list_all(self) -> list[TransferredKey]:
-        """Return all that is held, the latest first."""
+        """Return all entries, the latest first."""
         return [
             TransferredKey(name, entry.claim_id, entry.status, entry.digest, answer)
             for name, entry in reversed(self._entries.items())
@@ -65,12 +65,12 @@
         ]
 
     def has_room(self, keys: Sequence[TransferredKey]) -> bool:
-        """Return whether these keys can be held, some of which may be held already."""
+        """Return whether there is room for these keys; held ones need no room."""
         count = sum(1 for key in keys if key.name not in self._entries)
         return len(self._entries) + count <= self._max_keys
 
     def accept(self, keys: Sequence[TransferredKey], now_ms: float) -> None:
-        """Hold keys for one window; what is held already stays as it is."""
+        """Add keys for the duration of one window; existing entries are unchanged."""
         for key in keys:
             if self.find(key.name, key.claim_id) is not None:
                 continue
@@ -82,7 +82,7 @@
                 self._answers.keep(key.name, key.answer)
 
     def forget_old(self, now_ms: float) -> None:
-        """Forget what was taken a window ago."""
+        """Remove the entries that were received more than a window ago."""
         old = []
         for name, entry in self._entries.items():
             if now_ms - entry.received_ms < self._window_ms:
--- a/packages/toucanyard/src/toucanyard/wire.py
+++ b/packages/toucanyard/src/toucanyard/wire.py
@@ -1,7 +1,7 @@
-"""Encode and decode what nodes send one another: CBOR of tagged messages.
+"""Encode and decode the messages between nodes: tagged messages in CBOR.
 
-One closed union names every message. A message that doesn't decode is the sender's
-fault and is answered by closing the link, never by guessing.
+One closed union lists every message. A message that fails to decode is an error of the
+sender; the link is closed and no partial result is used.
 """
 
 from __future__ import annotations
@@ -57,15 +57,16 @@
     message: SnapshotMessage
 
 
-# Digests and notes are arrays, since they are sent all the time; the codec can't tell
-# arrays and maps apart in one union, so a frame says which family a message is of.
+# Digests and recording messages are encoded as arrays, since they are sent constantly.
+# The codec can't distinguish arrays from maps in one union, so the tag of a frame names
+# the family of its message.
 _Frame = (
     _KeyFrame | _RecordingFrame | _DigestFrame | _ConfigurationFrame | _SnapshotFrame
 )
 
 
 def encode_message(message: PeerMessage) -> bytes:
-    """Return the bytes of one message."""
+    """Encode one message."""
     frame: _Frame
     match message:
         case Digest():
@@ -82,6 +83,6 @@
 
 
 def decode_message(data: bytes) -> PeerMessage:
-    """Return the message in some bytes, or raise MessageInvalidError."""
+    """Decode one message, or raise MessageInvalidError."""
     frame: _Frame = decode_cbor(data, _Frame)
     return frame.message
