--- a/packages/toucanyard-node/src/toucanyard_node/log_writer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_writer.py
@@ -26,38 +26,38 @@
     log_timeout: AdaptiveLogTimeout | None = None,
 ) -> None:
     """Append what comes, at most `max_appends_per_s` times a second."""
-    gatherer = AppendBatcher(limits)
+    batcher = AppendBatcher(limits)
     if log_timeout is None:
         log_timeout = AdaptiveLogTimeout(float(limits.append_timeout_ms))
     while True:
-        await _gather(gatherer, outbox)
-        batch = gatherer.pop_due(trio.current_time() * 1000)
+        await _gather(batcher, outbox)
+        batch = batcher.pop_due(trio.current_time() * 1000)
         if batch is not None:
             answer = await _append(address, limits, batch, log_timeout)
             emit(AppendSettled(batch.record_ids, answer.result))
 
 
 async def _gather(
-    gatherer: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
+    batcher: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
 ) -> None:
     """Take records in until a batch is due."""
-    if len(gatherer) == 0:
-        gatherer.add(await outbox.receive(), trio.current_time() * 1000)
-    while (due_ms := gatherer.find_due_ms()) > trio.current_time() * 1000:
+    if len(batcher) == 0:
+        batcher.add(await outbox.receive(), trio.current_time() * 1000)
+    while (due_ms := batcher.find_due_ms()) > trio.current_time() * 1000:
         with trio.move_on_at(due_ms / 1000):
-            gatherer.add(await outbox.receive(), trio.current_time() * 1000)
-    _take_waiting(gatherer, outbox)
+            batcher.add(await outbox.receive(), trio.current_time() * 1000)
+    _take_waiting(batcher, outbox)
 
 
 def _take_waiting(
-    gatherer: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
+    batcher: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
 ) -> None:
     while True:
         try:
             record = outbox.receive_nowait()
         except trio.WouldBlock:
             return
-        gatherer.add(record, trio.current_time() * 1000)
+        batcher.add(record, trio.current_time() * 1000)
 
 
 async def _append(
