--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -1,4 +1,4 @@
-"""One node's core with a configuration and a log, driven by hand."""
+"""A fixture that drives one node's core, with a configuration and a log."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 class CoreWorld:
-    """Drive one core; its appends go to a list that is read back on demand."""
+    """Drives one core; its appends are collected in a list and read back on demand."""
 
     def __init__(self) -> None:
         listen = ListenOptions(ANY_PORT, ANY_PORT, ANY_PORT)
--- a/tests/key_machine.py
+++ b/tests/key_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that the at-most-once decision is tested with."""
+"""The Hypothesis state machine that tests the at-most-once decision."""
 
 from __future__ import annotations
 
@@ -28,11 +28,12 @@
 
 
 class KeysUnderFaults(RuleBasedStateMachine):
-    """Tries of few keys on three nodes while everything around them fails.
+    """Attempts of a few keys on three nodes while everything around them fails.
 
-    Callers see refusals, replays and cuts. A pause lies between any two steps, since
-    a node takes in and carries out only what a rule tells it to; messages and appends
-    are late, lost, doubled or reordered; nodes die and come back; views differ.
+    Callers see refusals, replays and lost connections. A node processes events and
+    carries out actions only when a rule says so, hence it may pause between any two
+    steps. Messages and appends are delayed, lost, duplicated or reordered; nodes crash
+    and restart; membership views differ.
     """
 
     @initialize(max_keys=st.sampled_from((1_000, 1_000, 1_000, 2)))
@@ -69,7 +70,7 @@
     @precondition(lambda self: self.world.keys)
     @rule(place=PLACES, declares_age=st.booleans())
     def send_to_issuer(self, place: int, declares_age: bool) -> None:
-        """Send a key to the node that issued it and let that node work."""
+        """Send a key to the node that issued it, and run that node until idle."""
         key = self.world.keys[place % len(self.world.keys)]
         issued = parse_issued_key(key.text)
         node = None if issued is None else self.world.nodes[issued.issuer.node]
@@ -80,7 +81,7 @@
     @precondition(lambda self: self.world.keys)
     @rule(place=PLACES, rounds=st.integers(1, 3))
     def pause_issuer(self, place: int, rounds: int) -> None:
-        """Pause an issuer before it takes a try in, while its caller retries."""
+        """Pause an issuer before it processes an attempt, while its caller retries."""
         world = self.world
         key = world.keys[place % len(world.keys)]
         issued = parse_issued_key(key.text)
@@ -100,7 +101,7 @@
 
     @rule(name=NODES, place=PLACES, is_retried=st.booleans())
     def claim_and_leave(self, name: NodeName, place: int, is_retried: bool) -> None:
-        """Let a caller go away while the claim of its key is under way."""
+        """Disconnect a caller while the claim of its key is pending."""
         node = self.world.nodes[name]
         key = self.world.keys[place % len(self.world.keys)]
         if node is not None:
@@ -129,7 +130,7 @@
     @precondition(lambda self: self.world.keys)
     @rule(name=NODES, other=NODES, place=PLACES)
     def reuse(self, name: NodeName, other: NodeName, place: int) -> None:
-        """Use a key anew after its window, which one node sees over before others."""
+        """Use a key again after its window, which ends on one node before others."""
         world = self.world
         key = world.keys[place % len(world.keys)]
         world.run_rounds(3, DispatchEnding.COMPLETED)
@@ -156,10 +157,10 @@
     def reuse_behind(
         self, name: NodeName, other: NodeName, place: int, is_left: bool, is_read: bool
     ) -> None:
-        """Use a key anew while a node is paused that claimed it or remembers a claim.
+        """Use a key again while a node that claimed it or holds a claim is paused.
 
         Its first caller may have left, so that the claim was abandoned. The paused node
-        wakes and gets the retry, before or after it has read the log.
+        resumes and gets the retry, before or after it has read the log.
         """
         world = self.world
         key = world.keys[place % len(world.keys)]
@@ -218,7 +219,7 @@
         world = self.world
         append = world.appends[place % len(world.appends)]
         if how == "late":
-            # The node is told that the result is unknown; the effect comes later.
+            # The node gets an unknown result; the append takes effect later.
             world.report_append(append, AppendResult.UNKNOWN)
             return
         world.appends.remove(append)
@@ -264,7 +265,7 @@
 
     @rule()
     def commit_in_turn(self) -> None:
-        """Let each node act on its own append before the next takes effect."""
+        """Let each node act on its own append before the next one takes effect."""
         while self.world.appends and self.world.is_log_up:
             append = self.world.appends.pop(0)
             self.world.commit(append.text)
@@ -275,7 +276,7 @@
 
     @rule(name=NODES, place=PLACES)
     def pause_past_deadline(self, name: NodeName, place: int) -> None:
-        """Pause a node past its deadlines after it has read the log or its peers."""
+        """Pause a node past its deadlines, after it has read the log."""
         node = self.world.nodes[name]
         key = self.world.keys[place % len(self.world.keys)]
         if node is not None:
@@ -300,7 +301,7 @@
 
     @rule(ms=st.sampled_from((-70_000, 70_000)))
     def jump_log_clock(self, ms: int) -> None:
-        """Set the clock of the log's machine, which stamps every record."""
+        """Make the log's clock, which timestamps every record, jump."""
         self.world.log_ahead_ms += ms
         self.world.advance(50)
 
@@ -314,7 +315,7 @@
     @precondition(lambda self: self.world.keys)
     @rule(name=NODES, place=PLACES, is_announced=st.booleans())
     def kill_after_run(self, name: NodeName, place: int, is_announced: bool) -> None:
-        """Lose a node while it runs a key; its caller retries on the others."""
+        """Kill a node while it runs a key; its caller retries on the others."""
         key = self.world.keys[place % len(self.world.keys)]
         issued = parse_issued_key(key.text)
         issuer_node = self.world.nodes[name if issued is None else issued.issuer.node]
@@ -338,7 +339,7 @@
 
     @rule(name=NODES, is_stale=st.booleans(), place=PLACES)
     def change_view(self, name: NodeName, is_stale: bool, place: int) -> None:
-        """Show a node a VM list with dead incarnations or without some live ones."""
+        """Send a node a view with dead incarnations or without some live ones."""
         node = self.world.nodes[name]
         if node is None:
             return
@@ -376,7 +377,7 @@
                     self.world.send(node, key, b"two", not key.is_issued())
 
     def check_fresh_keys_run(self) -> None:
-        """Fail when a node that is well can't run new keys of both sorts."""
+        """Fail if a healthy node can't run new keys of both kinds."""
         world = self.world
         for number, node in enumerate(world.live()):
             prefix = node.core.issue_prefix(node.now(world.now_ms))
--- a/tests/key_mutations.py
+++ b/tests/key_mutations.py
@@ -1,4 +1,4 @@
-"""Seeded faults in the at-most-once decision, one line each, and how to apply them."""
+"""Mutations of the at-most-once decision, one line each, and a way to apply them."""
 
 from __future__ import annotations
 
@@ -160,15 +160,15 @@
     Mutation(
         "a key is handed over without its body's digest",
         "transferred_keys",
-        "_Entry(key.claim_id, key.status, key.digest, now_ms)",
-        '_Entry(key.claim_id, key.status, b"", now_ms)',
+        "key.claim_id, key.status, key.digest, now_ms",
+        'key.claim_id, key.status, b"", now_ms',
     ),
 )
 
 
 @contextmanager
 def apply_mutation(mutation: Mutation) -> Iterator[None]:
-    """Give the functions of a module the mutated code, for a while."""
+    """Replace the code of a module's functions by mutated code within the context."""
     original = importlib.import_module(f"toucanyard.{mutation.module}")
     assert original.__file__ is not None
     source = Path(original.__file__).read_text()
--- a/tests/key_stop_machine.py
+++ b/tests/key_stop_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of `key_machine` with planned stops and their hand-overs."""
+"""The state machine of `key_machine`, with planned stops and key handovers."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class KeysUnderStops(KeysUnderFaults):
-    """Hand-overs among all other faults.
+    """Key handovers combined with all other faults.
 
-    Their messages are late, lost, doubled and reordered as all others, nodes are
-    paused between their steps, and a kill or the end of the time cuts them short.
+    Handover messages are delayed, lost, duplicated and reordered like all others,
+    nodes pause between their steps, and a kill or the time limit ends a handover early.
     """
 
     @initialize(
@@ -29,14 +29,14 @@
     def start(
         self, max_keys: int, rounds: int | None = None, is_announced: bool = False
     ) -> None:
-        """Begin with a planned stop in most runs, since few reach one otherwise."""
+        """Start most runs with a planned stop, since few would reach one otherwise."""
         self.begin(max_keys)
         if rounds is not None:
             self.stop_now(NAMES[0], 0, rounds, is_announced)
 
     @rule(name=NODES)
     def begin_stop(self, name: NodeName) -> None:
-        """Begin a hand-over that other rules pause, disturb or cut short by a kill."""
+        """Begin a handover, which other rules may pause, disturb or end by a kill."""
         self.world.begin_stop(name)
 
     @precondition(lambda self: self.world.keys)
@@ -48,7 +48,7 @@
 
     @rule(name=NODES, rounds=ROUNDS)
     def stop_others(self, name: NodeName, rounds: int) -> None:
-        """Stop all nodes but one at once: an issuer, its witness and all holders."""
+        """Stop all nodes but one at once: issuers, backup nodes and holders alike."""
         others = [node for node in self.world.live() if node.identity.node != name]
         for node in others:
             self.world.begin_stop(node.identity.node)
@@ -61,7 +61,7 @@
     def stop_now(
         self, name: NodeName, place: int, rounds: int, is_announced: bool
     ) -> None:
-        """Stop a node at any point of its hand-over, and retry its keys elsewhere.
+        """Stop a node at any point of its handover, and retry its keys elsewhere.
 
         It has answered one key and is still running another.
         """
--- a/tests/key_world.py
+++ b/tests/key_world.py
@@ -1,7 +1,7 @@
-"""Nodes, a log and a network for the at-most-once state machine, one step at a time.
+"""Simulated nodes, log and network for the at-most-once state machine.
 
-Everything that a node takes in waits in its inbox and everything it decided waits in
-its outbox, so a pause fits between any two steps. The world checks what callers see.
+Events wait in a node's inbox and its actions in its outbox until a step processes one
+of them, so a node can pause between any two steps. The world checks what callers see.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
 
 @dataclass
 class Key:
-    """One key of one customer and all that callers and endpoints saw of it."""
+    """One key of one customer, with everything that callers and endpoints observed."""
 
     customer: CustomerName
     text: str
@@ -99,10 +99,10 @@
         return parse_issued_key(self.text) is not None
 
     def check(self) -> None:
-        """Fail when executions and refusals contradict each other.
+        """Fail if executions and refusals contradict each other.
 
-        Issued keys, and tries that told the key's age, are judged for ever; other
-        tries for the window from the key's first try on.
+        Issued keys and attempts with a declared key age are checked without a time
+        limit, other attempts within the window that starts with the key's first one.
         """
         judged = self._find_judged()
         assert len(judged) <= 1, f"{self.text} ran twice: {judged}"
@@ -114,10 +114,10 @@
                 self._check_refusal(at_ms, refused, kind, execution)
 
     def _check_reuse(self) -> None:
-        """Fail when a run began inside the window of the one before.
+        """Fail if an execution began within the window of the previous one.
 
-        A key that is used anew after its window has a window again. A run is allowed
-        at most one deadline after its claim, from which the window counts.
+        A key that is used again after its window gets a new window. The window starts
+        with the claim, and the execution is allowed at most one deadline later.
         """
         allowed_ms = sorted(each.allowed_ms for each in self.executions)
         for earlier_ms, later_ms in itertools.pairwise(allowed_ms):
@@ -127,10 +127,10 @@
     def _check_late_refusal(
         self, at_ms: float, refused: Attempt, kind: ErrorKind
     ) -> None:
-        """Fail when "not run" was said of a run that began in the window before it.
+        """Fail if NOT_RUN was returned within the window after an execution began.
 
-        The key may be in use anew, and what a node remembers of its first use proves
-        nothing of the second.
+        The key may be in use again, and the stored result of its first use proves
+        nothing about the second.
         """
         if kind in WEAK_KINDS:
             return
@@ -160,7 +160,8 @@
             return
         sent_before = [each for each in self.tries if each.sent_ms <= at_ms]
         if kind in WEAK_KINDS and refused.key_age_ms == 0:
-            # Speaks of the tries sent up to now; void if the first was not alone.
+            # The refusal applies to the attempts sent so far, and proves nothing if
+            # there were others besides the first one.
             is_by_earlier = any(
                 each.request_id == execution.request_id for each in sent_before
             )
@@ -185,7 +186,7 @@
 
 
 class Node:
-    """One incarnation, its clock, and what waits before and after its decisions."""
+    """One node incarnation with its clock, and its queues of events and actions."""
 
     def __init__(self, name: NodeName, number: int, rate: float, keys: int) -> None:
         self.identity = NodeId(name, Incarnation(f"{name}{number}"))
@@ -238,7 +239,7 @@
         self.nodes[name] = node
 
     def kill(self, name: NodeName) -> None:
-        """Lose a node and all it knew; its callers see cut connections."""
+        """Kill a node with all its state; its callers lose their connections."""
         node = self.nodes[name]
         if node is None:
             return
@@ -247,7 +248,7 @@
         self.nodes[name] = None
 
     def begin_stop(self, name: NodeName) -> None:
-        """Let a node hand over its ended keys, as a planned stop does at its end."""
+        """Let a node transfer its ended keys, as at the end of a planned stop."""
         node = self.nodes[name]
         if node is not None:
             node.is_stopping = True
@@ -287,7 +288,7 @@
         return attempt
 
     def step(self, node: Node) -> None:
-        """Let a node decide on the next event."""
+        """Let a node process its next event."""
         if node.inbox:
             event = node.inbox.pop(0)
             actions = node.core.handle(event, node.now(self.now_ms))
@@ -304,7 +305,7 @@
             assert late_ms * node.rate < DEADLINE_MS, "allowed after its deadline"
 
     def leave(self, node: Node, place: int) -> None:
-        """Let the caller of an undecided request go away."""
+        """Disconnect the caller of an undecided request."""
         undecided = [each for each in node.waiting if each not in node.allowed_ms]
         if undecided:
             request_id = undecided[place % len(undecided)]
@@ -313,7 +314,7 @@
             node.inbox.append(CallerLeft(request_id))
 
     def act(self, node: Node, is_sent: bool = True) -> None:
-        """Let a node carry out the next thing that it decided."""
+        """Let a node carry out its next action."""
         if not node.outbox:
             return
         match node.outbox.pop(0):
@@ -383,7 +384,7 @@
         assert answer in fitting, f"{key.text} got another request's answer"
 
     def commit(self, text: str) -> None:
-        """Let an append take effect."""
+        """Add the record of an append to the log."""
         at_ms = self.now_ms + self.log_ahead_ms
         self.log.append(LogRecord(self.next_offset, at_ms, text))
         self.committed_ms[self.next_offset] = self.now_ms
@@ -396,12 +397,12 @@
             node.inbox.append(RecordsSettled((append.record_id,), result))
 
     def read(self, node: Node, overlap: int = 0) -> None:
-        """Read from where the node stands, or from the oldest after a gap."""
+        """Read from the node's offset on, or from the oldest record after a gap."""
         pending = [each for each in node.inbox if isinstance(each, ClaimRecordsRead)]
         if pending or not self.is_log_up:
             return
         known = node.core.find_next_offset()
-        # Reads may overlap, as after a lost answer to a read.
+        # Reads may overlap, as after the answer to a read was lost.
         start = self.oldest if known is None else max(known - overlap, self.oldest)
         records = tuple(each for each in self.log if each.offset >= start)
         node.inbox.append(ClaimRecordsRead(start, self.next_offset, records))
@@ -413,7 +414,7 @@
 
     def advance(self, ms: float) -> None:
         self.now_ms += ms
-        # Records of other kinds come in all the time and move the log's clock on.
+        # Records of other kinds keep arriving and advance the log's clock.
         self.commit('{"kind":"checkpoint"}')
         expired_ms = self.now_ms - 3 * WINDOW_MS
         kept = [
@@ -430,14 +431,14 @@
             node.inbox.append(LogState(is_up))
 
     def run_node(self, node: Node) -> None:
-        """Let a node do all that it has before it."""
+        """Run a node until its inbox and its outbox are empty."""
         while node.inbox or node.outbox:
             self.step(node)
             while node.outbox:
                 self.act(node)
 
     def commit_all(self) -> None:
-        """Let every append take effect, or be refused while the log is down."""
+        """Finish every append; the log refuses them while it is down."""
         appends, self.appends = self.appends, []
         for append in appends:
             if self.is_log_up:
@@ -451,7 +452,7 @@
             self.deliver(message)
 
     def run_rounds(self, rounds: int, ending: DispatchEnding | None) -> None:
-        """Work without faults for a number of rounds."""
+        """Run all nodes without faults for a number of rounds."""
         for _ in range(rounds):
             for node in self.live():
                 self.read(node)
@@ -462,7 +463,7 @@
             self.deliver_all()
 
     def heal(self) -> None:
-        """End all faults and stops, and give every try its time."""
+        """End all faults and stops, and run until every attempt can have ended."""
         for name in NAMES:
             node = self.nodes[name]
             if node is not None and node.is_stopping:
--- a/tests/toucanyard/fleet_fakes.py
+++ b/tests/toucanyard/fleet_fakes.py
@@ -1,4 +1,4 @@
-"""Many cores in two regions, with a log, a VM list and engines, in virtual time."""
+"""Simulation of many cores in two regions, with a log, a VM list and engines."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 from .order_fakes import FakeEngine
 
 HOME = "home"
-"""The region that has the log and the VM list."""
+"""The region with the log and the VM list."""
 AWAY = "away"
 LATENCY_MS = 20.0
 POLL_MS = 500.0
@@ -80,7 +80,7 @@
 
 
 class Sent(msgspec.Struct, frozen=True):
-    """One dispatch that a node decided on."""
+    """One dispatch ordered by a node."""
 
     at_ms: float
     node: NodeName
@@ -89,7 +89,7 @@
 
 
 class FleetNode:
-    """One node: its core, where it is, and what it has done."""
+    """One node: its core, its region and the state of its simulated tasks."""
 
     def __init__(self, name: str, region: str, incarnation: str) -> None:
         listen = ListenOptions(ANY_PORT, ANY_PORT, ANY_PORT)
@@ -115,7 +115,7 @@
 
 
 class FleetWorld:
-    """Drive all nodes step by step; a cut parts the regions from each other."""
+    """Drives all nodes in time steps; a partition separates the two regions."""
 
     def __init__(self, home: int, away: int, engines: int, seed: int = 0) -> None:
         self.now_ms = 0.0
@@ -155,7 +155,7 @@
         return self.is_partitioned and region != other
 
     def submit(self, node: FleetNode, patch_id: str, put: Put) -> None:
-        """Let an operator submit a patch on the version that a node shows."""
+        """Let an operator submit a patch on the version in force on a node."""
         base = self.bases[patch_id] = node.core.configuration.version
         patch = Patch(patch_id, base, "maria", put)
         self.handle(node, PatchSubmitted(patch, self.now_ms + PATCH_MS))
@@ -347,7 +347,7 @@
         return self.is_separated(node.region, endpoint.partition("-")[0])
 
     def _write_log(self, node: FleetNode) -> None:
-        """Append what waits as one batch, once the last one is over."""
+        """Append the waiting records as one batch, once the last append is done."""
         if not node.waiting or self.now_ms < node.append_free_ms:
             return
         batch, node.waiting = node.waiting, []
@@ -382,7 +382,7 @@
         for node in self.nodes:
             version = node.core.configuration.version
             highest = self.highest.get(node.name, 0)
-            # One that has just started shows none until it knows the newest.
+            # A node that has just started has no version until it knows the newest.
             assert version >= highest or version == 0, (node.name, version, highest)
             self.highest[node.name] = max(highest, version)
         holders = sum(
@@ -392,7 +392,7 @@
 
 
 def find_accepted(world: FleetWorld) -> dict[int, str]:
-    """Return which patch made each version, as all nodes tell it."""
+    """Return the patch of each version, checking that all nodes agree."""
     accepted: dict[int, str] = {}
     for node in world.nodes:
         for entry in node.core.log.history:
@@ -402,7 +402,7 @@
 
 
 def check_answers(world: FleetWorld) -> None:
-    """Each operator got one true answer."""
+    """Check that each operator got a correct answer."""
     accepted = find_accepted(world)
     for patch_id, base in world.bases.items():
         answer = world.answers[patch_id]
--- a/tests/toucanyard/test_adaptive_log_timeout.py
+++ b/tests/toucanyard/test_adaptive_log_timeout.py
@@ -6,8 +6,8 @@
 
 
 def test_slow_log_is_waited_for_and_a_quick_one_no_longer_than_set() -> None:
-    # A log that answers after 1.5 s with 1 s set: the first append is lost, the second
-    # is answered.
+    # The log answers after 1.5 s and the minimum is 1 s: the first append times out,
+    # the second is answered.
     log_timeout = AdaptiveLogTimeout(1_000.0)
     log_timeout.record_timeout()
     assert log_timeout.timeout_ms == 2_000
@@ -29,8 +29,8 @@
 
 
 def test_reads_of_a_slow_log_lengthen_the_time_for_appends_only() -> None:
-    """Fast reads must not shorten it: a log may be slow for appends alone, and each
-    would be given up after the least time again."""
+    """Fast reads must not shorten the timeout: the log may be slow for appends only,
+    and each append would time out after the minimum again."""
     log_timeout = AdaptiveLogTimeout(1_000.0)
     log_timeout.record_other_answer(2_000.0)
     assert log_timeout.timeout_ms == 6_000.0
--- a/tests/toucanyard/test_at_most_once.py
+++ b/tests/toucanyard/test_at_most_once.py
@@ -88,10 +88,10 @@
 
 
 def test_log_outage_refuses_chosen_keys_at_once_and_issued_keys_go_on() -> None:
-    """The log goes down; callers keep sending keys of both sorts.
+    """The log goes down while callers send keys of both kinds.
 
-    A chosen key is refused in the same step: as not run when the caller declared
-    its first try, else as unknown, since an earlier try may have been claimed by a
+    A chosen key is refused immediately: as NOT_RUN if the caller declared its first
+    attempt, otherwise as UNKNOWN, since an earlier attempt may have been claimed by a
     node whose record was not read. An issued key needs no log and is dispatched.
     """
     node = make_node()
@@ -116,25 +116,25 @@
     asked = issuer.handle(PeersChanged((view,)), 0)
     exchange(issuer, backup, asked, 0)
     key = issuer.issue_prefix(1) + "mine"
-    noting = issuer.handle(arrive("r1", key), 2)
-    assert all(isinstance(each, SendToPeer) for each in noting)
-    assert exchange(issuer, backup, noting, 3) == [AllowDispatch(RequestId("r1"))]
+    recording = issuer.handle(arrive("r1", key), 2)
+    assert all(isinstance(each, SendToPeer) for each in recording)
+    assert exchange(issuer, backup, recording, 3) == [AllowDispatch(RequestId("r1"))]
 
 
 def test_notes_of_a_short_time_go_together_and_each_key_gets_its_own_answer() -> None:
-    """Three keys come at one moment; another node has sealed the second at the witness.
+    """Three keys arrive at once; the backup node has already revoked the second.
 
-    The first note goes out at once, the others together. Only what was noted is
-    dispatched, and neither a stranger's answer nor a repeated one counts.
+    The first key is sent immediately, the others in one batch. Only recorded keys are
+    dispatched, and answers from another node and repeated answers are ignored.
     """
     issuer, backup = make_node("a"), make_node("b")
     view = PeerView(NodeName("b"), Incarnation("b1"), True)
     exchange(issuer, backup, issuer.handle(PeersChanged((view,)), 0), 0)
     keys = [issuer.issue_prefix(1) + f"{number}" for number in range(3)]
-    sealed = KeyName(CustomerName("c"), keys[1])
+    revoked = KeyName(CustomerName("c"), keys[1])
     a1 = NodeId(NodeName("a"), Incarnation("a1"))
     stranger = NodeId(NodeName("x"), Incarnation("x1"))
-    revoke = RevokeKey(Incarnation("b1"), 1, a1, sealed)
+    revoke = RevokeKey(Incarnation("b1"), 1, a1, revoked)
     backup.handle(PeerMessageArrived(stranger, revoke), 1)
     first = issuer.handle(arrive("r0", keys[0]), 2)
     assert issuer.handle(arrive("r1", keys[1]), 2) == []
@@ -171,11 +171,11 @@
 
 
 def test_claim_missed_for_want_of_room_is_never_reported_as_not_run() -> None:
-    """The index of one node is full when another node's claim of a key comes by.
+    """A node's index is full when it reads another node's claim of a key.
 
-    This node has claimed the key too and gave that claim up. Room comes free, its
-    own claim is read and looks like the first one. The other node ran the key, so
-    a caller here must be told that the outcome is unknown, not that it did not run.
+    This node has claimed the same key and given up its claim. Once there is room
+    again, its own claim is read and looks like the first one. The other node has run
+    the key, so a caller here must get UNKNOWN, not NOT_RUN.
     """
     node = make_node(max_keys=1)
     node.handle(read(0, make_claim("z", "other")), 0)
@@ -195,9 +195,9 @@
 
 
 def test_claims_of_other_nodes_have_a_bound_of_their_own() -> None:
-    """A large fleet's claims fill one node's room for them; its own keys still run.
+    """The claims of a large fleet fill a node's index.
 
-    Chosen keys, which a claim that was passed over may have won, are refused.
+    Chosen keys are refused, since a skipped claim may have won them.
     """
     limits = ClaimLimits(max_claims=1)
     node = AtMostOnce(NodeName("a"), Incarnation("a1"), limits, random.Random(1))
@@ -209,10 +209,10 @@
 
 
 def test_body_of_a_claim_that_may_have_lost_is_no_proof() -> None:
-    """The winning claim of a key was missed for want of room; a losing one was read.
+    """The winning claim of a key was skipped because the index was full; a losing claim
+    with another body was read.
 
-    The two carried different bodies. A retry with the winner's body, which ran, must
-    not be told that this body did not run under the key.
+    A retry with the winner's body, which ran, must not get NOT_RUN for that body.
     """
     node = make_node(max_keys=1)
     node.handle(read(0, make_claim("z", "other")), 0)
@@ -226,11 +226,11 @@
 
 
 def test_key_used_anew_is_known_where_its_old_claim_is_remembered() -> None:
-    """A key is used again after its window; one node forgets the first use late.
+    """A key is used again after its window; this node expires the first claim late.
 
-    The other node has forgotten it, claims the key and runs it. Here the second claim
-    came while the first was remembered. A retry of the second use must find it, also
-    once the first is forgotten; without it the hold would be made a second time.
+    The other node has expired it, claims the key again and runs it. This node reads
+    the second claim while it still holds the first. A retry must find the second claim
+    even after the first has expired, or the request would run twice.
     """
     node = make_node()
     node.handle(read(0, make_claim("x", "k")), 0)
@@ -242,10 +242,10 @@
 
 
 def test_jump_of_the_logs_clock_proves_nothing_of_a_claim() -> None:
-    """Two claims of a key race, and the log's clock leaps by an hour between them.
+    """Two claims of a key race, and the log's clock jumps by an hour between them.
 
-    By that clock the first one is old, and this node's claim, which it gave up, looks
-    like the winner. The first claimer has run the key, so "not run" would be false.
+    By that clock the first claim is expired, and this node's claim, which it gave up,
+    looks like the winner. The first claimer has run the key, so NOT_RUN would be false.
     """
     node = make_node()
     own = find_append(node.handle(arrive("r1"), 0))
@@ -260,10 +260,10 @@
 
 
 def test_claim_past_its_window_proves_no_more_that_nothing_ran() -> None:
-    """A key was abandoned; past its window its caller uses it again at another node.
+    """A claim was abandoned; after its window the key is used again at another node.
 
-    That node has forgotten the claim and runs the key. Its caller retries here, where
-    the old claim is remembered and the new one not read yet. "Not run" would be false.
+    That node has expired the claim and runs the key. The caller retries here, where the
+    old claim is still held and the new one was not read yet. NOT_RUN would be false.
     """
     node = make_node()
     claim = make_claim("x", "k")
@@ -279,11 +279,11 @@
 
 
 def test_claimer_that_slept_past_the_window_asks_who_ran_the_key() -> None:
-    """A claimer is stopped before it reads its claim back, and wakes after the window.
+    """A claimer pauses before it reads its claim back, and resumes after the window.
 
-    Another node has forgotten that claim and run the key for a retry. The claimer seals
-    its own claim, which is too late to run. Asked about the key, it must not tell the
-    end of its own claim: it is the other one's that counts.
+    Another node has expired that claim and run the key for a retry. The claimer revokes
+    its own claim, which is too late to run. For a retry it must query the other node
+    instead of returning the result of its own claim.
     """
     node = make_node()
     own = find_append(node.handle(arrive("r1"), 0))
@@ -295,10 +295,10 @@
 
 
 def test_question_about_an_earlier_claim_gets_no_word_of_the_later_one() -> None:
-    """A key ran here, and after its window was claimed here again, but not run.
+    """A key ran here; after its window it was claimed here again, but did not run.
 
-    Another node, which forgets later, still asks about the first claim. Told of the
-    second one's end, it would call "not run" what did run.
+    Another node, which expires claims later, still queries the first claim. If it got
+    the result of the second claim, it would report NOT_RUN for a request that ran.
     """
     node = make_node()
     first = find_append(node.handle(arrive("r1"), 0))
@@ -323,11 +323,11 @@
 def test_large_answer_is_passed_on_once_in_a_while_or_not_at_all(
     size_bytes: int, expected: list[int]
 ) -> None:
-    """A retry at another node asks every 100 ms for an answer of some megabytes.
+    """A retry at another node queries an answer of several megabytes every 100 ms.
 
-    The link between the nodes takes seconds for it. A copy for each question would hold
-    up everything else on that link until it counts as dead, and a message over the
-    link's bound would close it; then the caller is told that the outcome is unknown.
+    The transfer between the nodes takes seconds. A copy for each query would delay all
+    other messages until the link is considered dead, and a message over the size limit
+    would close it. For such an answer the caller gets OUTCOME_UNKNOWN.
     """
     node = make_node()
     own = find_append(node.handle(arrive("r1"), 0))
@@ -349,8 +349,8 @@
 def test_records_missed_in_a_pause_longer_than_retention_give_claims_up() -> None:
     """A node is suspended, clock and all, until the log has expired records.
 
-    A claim that beat its own may be among them. Its own claim, read next, looks like
-    the first one; dispatching it would run the key twice.
+    They may include an earlier claim of the same key. The node's own claim, read next,
+    then looks like the first one; dispatching it would run the key twice.
     """
     node = make_node()
     node.handle(read(0, '{"kind":"checkpoint"}'), 0)
@@ -361,27 +361,27 @@
 
 
 def test_issuer_that_slept_names_no_witness_that_may_have_forgotten_it() -> None:
-    """A node sleeps for longer than witnesses keep ledgers, then issues a key.
+    """A node pauses for longer than backup nodes keep ledgers, then issues a key.
 
-    On the old ledger the witness would answer "gone" and the fresh key would be
-    refused although nothing is wrong. Without a witness the key runs.
+    For the old ledger the backup node would answer GONE, and the new key would be
+    refused although its issuer is healthy. Without a backup node the key runs.
     """
     issuer, backup = make_node("a"), make_node("b")
     view = PeerView(NodeName("b"), Incarnation("b1"), True)
     exchange(issuer, backup, issuer.handle(PeersChanged((view,)), 0), 0)
     late_ms = 4 * ClaimLimits().window_ms
     key = issuer.issue_prefix(late_ms) + "mine"
-    tried = KeyedRequestArrived(
+    attempt = KeyedRequestArrived(
         RequestId("r"), CustomerName("c"), key, b"d", late_ms + 1_000
     )
-    assert issuer.handle(tried, late_ms) == [AllowDispatch(RequestId("r"))]
+    assert issuer.handle(attempt, late_ms) == [AllowDispatch(RequestId("r"))]
 
 
 def test_key_of_a_dead_issuer_is_sealed_by_its_witness() -> None:
-    """The issuer dies before the key reached it; the caller retries at the witness.
+    """The issuer dies before it gets a key; the caller retries at the backup node.
 
-    The witness has not noted the key, so it seals it: the caller may take a new key.
-    The same key that the issuer had begun would have been noted, and so unknown.
+    The backup node has not recorded the key, so it revokes it and the caller may use a
+    new one. A key that the issuer had begun was recorded, so its outcome is unknown.
     """
     issuer, backup = make_node("a"), make_node("b")
     view = PeerView(NodeName("b"), Incarnation("b1"), True)
@@ -407,10 +407,10 @@
 
 
 def test_one_customer_leaves_room_for_the_others() -> None:
-    """One customer sends more keys than its share of what a node remembers.
+    """One customer sends more keys than its share of a node's capacity.
 
-    It is refused as overloaded, and another customer's key goes on; without the share
-    the other one would be refused until the window has passed.
+    It is refused as overloaded, and another customer's key is still accepted; without
+    the share, the other customer would be refused until the window has passed.
     """
     node = make_node(max_keys=4)
     actions = [
@@ -435,7 +435,7 @@
 def exchange(
     asker: AtMostOnce, answerer: AtMostOnce, actions: list[ClaimAction], now_ms: float
 ) -> list[ClaimAction]:
-    """Carry one question and its answer; return what the asker then does."""
+    """Deliver one query and its answer; return the resulting actions of the sender."""
     question = actions[0]
     assert isinstance(question, SendToPeer)
     sender = NodeId(NodeName("a"), Incarnation("a1"))
--- a/tests/toucanyard/test_at_most_once_handover.py
+++ b/tests/toucanyard/test_at_most_once_handover.py
@@ -38,7 +38,7 @@
 
 
 def run_key(world: World, is_issued: bool, number: int = 0) -> Key:
-    """Let a node, A if not said otherwise, answer a new key."""
+    """Let a node, by default A, answer a new key."""
     node = get_node(world, number)
     prefix = node.core.issue_prefix(node.now(world.now_ms)) if is_issued else ""
     key = Key(CUSTOMERS[0], prefix + f"k{len(world.keys)}")
@@ -50,7 +50,7 @@
 
 
 def run_hand_over(world: World, number: int, rounds: int = 12) -> Node:
-    """Let a node hand over and end; return it."""
+    """Let a node complete its handover and stop; return it."""
     node = get_node(world, number)
     world.begin_stop(NAMES[number])
     for _ in range(rounds):
@@ -61,7 +61,7 @@
 
 
 def retry(world: World, number: int, key: Key, body: bytes = b"one") -> str:
-    """Send a key once more and return how the try ended."""
+    """Send a key once more and return how the attempt ended."""
     attempt = world.send(get_node(world, number), key, body, declares_age=True)
     for _ in range(4):
         world.run_rounds(2, None)
@@ -71,10 +71,10 @@
 
 @pytest.mark.parametrize("is_issued", (False, True))
 def test_retry_after_a_stop_gets_the_answer_from_any_node(is_issued: bool) -> None:
-    """Node A answers a key and stops as planned; its caller retries at B and at C.
+    """Node A answers a key and ends a planned stop; its caller retries at B and at C.
 
     Both hold A's ended keys, so the retry gets the same answer, and another body is
-    refused. Without the hand-over each would say that the outcome is unknown.
+    refused. Without the handover both would return OUTCOME_UNKNOWN.
     """
     world = make_world()
     key = run_key(world, is_issued)
@@ -87,9 +87,10 @@
 
 
 def test_node_that_starts_after_the_stop_finds_the_holder_in_the_log() -> None:
-    """A stops, C is replaced; the new C has had no news of A from anybody.
+    """A stops, then C is replaced, so the new C has received no announcement of A.
 
-    It reads in the log who holds A's keys, asks that node and passes the answer on.
+    It reads the holders of A's keys from the log, queries one of them and returns the
+    answer.
     """
     world = make_world()
     key = run_key(world, is_issued=False)
@@ -102,9 +103,9 @@
 
 
 def test_holder_that_stops_hands_on_what_it_holds() -> None:
-    """Nodes are replaced in turn: A hands to B and C, then B and the new A stop too.
+    """Nodes are replaced one by one: A transfers to B and C, then these stop as well.
 
-    Whoever is left has the answer, or finds it over each stop in between.
+    Each remaining node has the answer or finds it through the chain of stopped nodes.
     """
     world = make_world()
     key = run_key(world, is_issued=False)
@@ -119,9 +120,9 @@
 
 
 def test_peers_are_told_who_holds_the_keys_while_the_log_is_down() -> None:
-    """The log is down when A stops, so its record can't say who holds A's keys.
+    """The log is down when A stops, so the holders of its keys can't be recorded there.
 
-    A told its peers directly, and it ends without waiting for the log.
+    A announces them to its peers directly, and stops without waiting for the log.
     """
     world = make_world()
     key = run_key(world, is_issued=True)
@@ -131,10 +132,10 @@
 
 
 def test_peer_that_got_no_keys_asks_the_one_that_did() -> None:
-    """All that A hands to C is lost and the log is down; only B holds A's key.
+    """All batches from A to C are lost and the log is down, so only B holds A's key.
 
-    When its time is over A tells its peers that B is the one, so C asks B. Without
-    the news C could only wait for A until the deadline.
+    At its time limit A announces B as the holder, so C queries B. Without the
+    announcement C could only wait for A until the deadline.
     """
     world = make_world()
     key = run_key(world, is_issued=True)
@@ -156,7 +157,8 @@
 
 
 def test_full_peer_takes_no_keys_and_says_so() -> None:
-    """A peer has no room for a batch; taking a part would be taken for the whole."""
+    """A peer without room for a whole batch must refuse it: the sender would regard a
+    partly accepted batch as complete."""
     world = make_world(max_keys=4)
     node, sender = get_node(world, 1), get_node(world, 0).identity
     keys = tuple(
@@ -171,10 +173,10 @@
 
 
 def test_lost_messages_are_sent_again_and_late_ones_change_nothing() -> None:
-    """Every first message of the hand-over is lost, and later ones come twice.
+    """The first messages of the handover are lost, and are delivered twice later.
 
-    The batch is sent again after a while, and copies that come late, from a node that
-    has ended, change nothing.
+    The batch is resent after a timeout, and late copies, from a node that has already
+    stopped, have no effect.
     """
     world = make_world()
     key = run_key(world, is_issued=False)
@@ -195,10 +197,10 @@
 
 
 def test_stop_that_is_cut_short_leaves_the_outcome_unknown() -> None:
-    """A dies between its batches and the news of who holds them.
+    """A dies after sending its batches, before they arrive and it names the holders.
 
-    Nobody knows that B and C hold A's keys, so a retry at a node that doesn't is told
-    that the outcome is unknown; it is never told that the request did not run.
+    No node knows of a holder of A's keys, so a retry gets OUTCOME_UNKNOWN, and never
+    NOT_RUN.
     """
     world = make_world()
     key = run_key(world, is_issued=False)
@@ -214,9 +216,9 @@
 
 
 def test_peer_that_stops_too_is_passed_over() -> None:
-    """B's own hand-over has begun when A hands it keys, so they would end with B.
+    """B's own handover has begun when A sends it keys, so they would be lost with B.
 
-    B refuses them; C takes them, and the news names C alone.
+    B refuses them; C accepts them, and the announcement names only C.
     """
     world = make_world()
     run_hand_over(world, 1, rounds=0)
@@ -232,10 +234,10 @@
 
 
 def test_key_that_was_still_running_stays_unknown() -> None:
-    """The time for A's last requests is over while one of them still runs.
+    """The time limit for A's last requests is over while one of them still runs.
 
-    Its key is not handed over. The retry is told that the outcome is unknown, at once
-    since A and all that hold its keys are known to have nothing to say.
+    Its key is not transferred. A retry gets OUTCOME_UNKNOWN without delay, since A and
+    all holders of its keys are known not to have the result.
     """
     world = make_world()
     run_key(world, is_issued=False)
@@ -249,7 +251,7 @@
 
 
 def test_stopping_node_takes_no_new_key() -> None:
-    """A key that ran now would not be handed over, so it is refused as not run."""
+    """A key that ran now would not be transferred, so it is refused as not run."""
     world = make_world()
     run_key(world, is_issued=False)
     world.begin_stop(A)
@@ -260,10 +262,10 @@
 
 
 def test_held_keys_are_bounded_and_tell_only_of_their_own_claim() -> None:
-    """A node is handed more than its limits, and asked about another claim of a key.
+    """A node receives more keys than its limits, and a query for a claim it lacks.
 
-    Batches without room are refused, large answers are dropped but the key stays, and
-    a later claim of the same key gets nothing of the earlier one's answer.
+    Batches without room are refused, answers over the limit are evicted while their
+    keys stay, and a later claim of the same key does not get the earlier one's answer.
     """
     held = TransferredKeys(
         ClaimLimits(max_keys=4, kept_answers_bytes=2_000, window_ms=50)
@@ -296,11 +298,11 @@
 
 
 def test_issuer_and_witness_that_stopped_together_leave_no_one_to_wait_for() -> None:
-    """The issuer of a key and its witness stop as planned, one right after the other.
+    """The issuer of a key and its backup node end planned stops one after the other.
 
-    The key was still running when its issuer's time was over, so nobody holds its end,
-    and the witness's ledger went with it. A retry learns that the outcome is unknown
-    as soon as its node has asked the holders, not at its deadline.
+    The key was still running at its issuer's time limit, so no node holds its result,
+    and the backup node's ledger is lost. A retry gets OUTCOME_UNKNOWN as soon as its
+    node has queried the holders, not at its deadline.
     """
     world = make_world()
     issued = parse_issued_key(run_key(world, is_issued=True).text)
--- a/tests/toucanyard/test_at_most_once_machine.py
+++ b/tests/toucanyard/test_at_most_once_machine.py
@@ -29,10 +29,10 @@
 
 @pytest.mark.parametrize("mutation", MUTATIONS, ids=lambda each: each.name)
 def test_state_machine_catches_mutation(mutation: Mutation) -> None:
-    """A seeded fault in one line lets callers see two runs or a false "not run".
+    """A mutated line lets callers observe two executions or a false NOT_RUN.
 
-    The state machine has to find it; when it doesn't, its steps no longer reach the
-    place that the line guards.
+    The state machine must find it; if it does not, its steps no longer reach the code
+    that the line protects.
     """
     with apply_mutation(mutation), pytest.raises(AssertionError):
         run_state_machine_as_test(KeysUnderFaults, settings=SEARCH)
@@ -40,6 +40,6 @@
 
 @pytest.mark.parametrize("mutation", STOP_MUTATIONS, ids=lambda each: each.name)
 def test_machine_with_planned_stops_catches_mutation(mutation: Mutation) -> None:
-    """A seeded fault in the hand-over gives a false "not run" or a foreign answer."""
+    """A mutation of the handover causes a false NOT_RUN or another request's answer."""
     with apply_mutation(mutation), pytest.raises(AssertionError):
         run_state_machine_as_test(KeysUnderStops, settings=SEARCH)
--- a/tests/toucanyard/test_claims.py
+++ b/tests/toucanyard/test_claims.py
@@ -54,9 +54,9 @@
 
 
 def test_equal_keys_of_two_customers_are_two_keys() -> None:
-    # Two customers choose the same key for the same call. The second one's call runs,
-    # and each gets its own answer; by the key alone, the second customer would be given
-    # what was answered to the first, and its hold would never be made.
+    # Two customers choose the same key for the same call. Both calls run, and each
+    # customer gets its own answer. If keys were not separated by customer, the second
+    # one would get the answer to the first one, and its call would never run.
     world = CoreWorld()
     complete(world, arrive(world, "r1", CUSTOMER), b"of the first")
     complete(world, arrive(world, "r2", OTHER), b"of the other")
--- a/tests/toucanyard/test_fleet.py
+++ b/tests/toucanyard/test_fleet.py
@@ -1,4 +1,4 @@
-"""Long failures of what nodes share, with many cores in virtual time."""
+"""Tests of long outages of shared services, with many cores in virtual time."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_patches_race_while_the_log_is_slow_for_minutes(seed: int) -> None:
-    """Reads and appends take up to 3 s; of the appends two fifths are refused, lost or
-    left without an answer. Operators submit on one version through different nodes.
+    """Reads and appends take up to 3 s; two fifths of the appends are refused, lost or
+    unanswered. Operators submit patches on the same version through different nodes.
 
-    Each is told the truth, versions advance meanwhile, none goes back on any node, and
-    all nodes hold the same one when the log is fast again.
+    Each operator gets a correct answer, versions advance meanwhile and never decrease
+    on any node, and all nodes have the same version once the log is fast again.
     """
     world = FleetWorld(home=4, away=0, engines=2, seed=seed)
     start(world)
@@ -55,13 +55,13 @@
 def test_regions_that_lost_each_other_for_an_hour_come_together(
     kept_minutes: int,
 ) -> None:
-    """The region without the log and the VM list is cut off. Meanwhile the other one
-    takes patches, new weights and the leaving of an endpoint; a node of each region
-    restarts; in one case all records of the hour expire.
+    """The region without the log and the VM list is partitioned from the other, which
+    meanwhile accepts patches and new weights and loses an endpoint. A node of each
+    region restarts; in one case all records of the hour expire.
 
-    Nothing reverts, no two nodes hold the duty at once, and once the cut is over the
-    nodes agree within 5 s, the far endpoint gets its weights, and none sends new work
-    to the endpoint that left.
+    No version reverts, and no two nodes hold the pool lease at once. Once the partition
+    heals, the nodes agree within 5 s, the remote endpoints get their weights, and no
+    node sends requests to the endpoint that left.
     """
     world = FleetWorld(home=3, away=3, engines=3)
     world.retention_ms = kept_minutes * MINUTE_MS
--- a/tests/toucanyard/test_hostile_messages.py
+++ b/tests/toucanyard/test_hostile_messages.py
@@ -1,4 +1,4 @@
-"""No message that a peer can send ends the node that reads it."""
+"""Tests that no message from a peer stops the node that reads it."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def build(kind: type, **fields: st.SearchStrategy[object]) -> st.SearchStrategy[object]:
-    """Return a strategy for a message whose fields may be anything of their type."""
+    """Return a strategy for messages with arbitrary field values of the right type."""
     known = {
         "str": NAMES,
         "float": SPANS,
@@ -106,7 +106,7 @@
 @given(st.lists(STATUSES | RECORDS | CREDITS, max_size=4))
 @settings(max_examples=300)
 def test_no_message_of_a_peer_ends_a_node(messages: list[LinkMessage]) -> None:
-    """Guards against one message that ends each node of a fleet that reads it."""
+    """Guards against a message that stops every node of a fleet that reads it."""
     fleet = Fleet("n0", "n1")
     table = build_table(customers=(LIMITED,))
     fleet.read("n0", Topic.OPERATOR, KeyedRecord("config", 0, put(table)))
--- a/tests/toucanyard/test_log_start.py
+++ b/tests/toucanyard/test_log_start.py
@@ -1,4 +1,4 @@
-"""Where a starting node begins to read the log, and what it knows from there."""
+"""Tests of the offset at which a starting node begins to read the log."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def find_start(times_ms: list[float], oldest: int) -> tuple[int, int]:
-    """Return where reading begins, and after how many looks."""
+    """Return the start offset and the number of probes."""
     newest = LogRecord(len(times_ms) - 1, times_ms[-1], "")
     search = StartSearch(oldest, newest, SPAN_MS)
     looks = 0
@@ -56,11 +56,11 @@
 def test_no_record_of_the_window_is_passed_over(
     segments: list[tuple[int, float, float]], oldest: int
 ) -> None:
-    """A claim of the window before the start would be unknown to this node: it would
-    claim the key of a late retry anew, win, and run it a second time.
+    """Guards against a start after a claim of the current window: the node would claim
+    the key of a late retry again, win, and run it a second time.
 
-    The log's clock goes back at will, and ahead by less than 0.75 windows in all: from
-    there on, claims that are remembered look as old as the span.
+    The log's clock goes back by any amount, and forward by less than 0.75 windows in
+    total: with more, claims that must be retained look as old as the span.
     """
     true_ms = log_ms = 0.0
     ahead_ms = 0.0
@@ -90,7 +90,8 @@
 
 
 def test_span_reaches_back_to_a_checkpoint_that_covers_it() -> None:
-    """Else a herd that starts alone would read the whole log for its configuration."""
+    """Otherwise nodes that all start at once would read the whole log to get their
+    configuration."""
     timings = ConfigurationTimings()
     span_ms = compute_span_ms(ClaimLimits(window_ms=1), timings)
     assert span_ms > 1.25 * timings.checkpoint_after_ms
@@ -105,7 +106,7 @@
 
 
 def read(core: NodeCore, texts: list[str], start: int, end: int | None = None) -> int:
-    """Read one page; return the version by which the node decides then."""
+    """Read one page; return the version in force afterwards."""
     end = len(texts) if end is None else end
     records = tuple(LogRecord(at, at * 1_000.0, texts[at]) for at in range(start, end))
     core.handle(LogRead(start, end, records, len(texts), 5_000.0), 5_000.0)
@@ -132,10 +133,11 @@
 
 @pytest.mark.parametrize("cut", [1, 3])
 def test_without_a_checkpoint_the_log_is_read_from_its_first_record(cut: int) -> None:
-    """All nodes were halted for longer than the span, so no checkpoint is in it.
+    """All nodes were stopped for longer than the span, so it contains no checkpoint.
 
-    The node starts late, meets the end of the log and knows no version. It reads from
-    the first record on; what it serves meanwhile is nothing, never an old version.
+    The node reads from the span's start to the end of the log without finding a
+    version. It then reads from the first record on, and meanwhile serves no version
+    rather than an old one.
     """
     _, texts = build_log(4)
     texts = [texts[number] for number in (0, 1, 2, 3, 5)]
@@ -159,8 +161,9 @@
 
 
 def test_duties_read_again_do_not_come_after_newer_ones() -> None:
-    """A duty went from one node to another. The log is read again, and the first
-    claim, now behind the second, must not make the first node the holder again."""
+    """A pool lease moved from one node to another. When the log is read again, the
+    first claim is repeated after the second, and must not make the first node the
+    holder again."""
     pool = PoolName("model-pool")
     first, second = (
         DutyRecord(pool, NodeId(NodeName(name), Incarnation("x")), name, None)
--- a/tests/toucanyard/test_node_core.py
+++ b/tests/toucanyard/test_node_core.py
@@ -68,8 +68,8 @@
 
 
 def test_draining_node_tells_its_peers_at_once() -> None:
-    # Callers see no address of a node that stops. The VM list lags by seconds, and
-    # until it shows the stop, peers would go on naming the node in locate.
+    # The VM list lags by seconds. Until it shows the stop, peers would continue to
+    # return the address of the stopping node to callers of locate.
     world = CoreWorld()
     link(world)
     world.handle(DrainBegun(OWN))
@@ -80,7 +80,7 @@
 
 
 def test_news_of_a_leaving_endpoint_counts_before_the_list_shows_it() -> None:
-    # No new work goes to an endpoint that another node knows to leave.
+    # No new request goes to an endpoint that another node has reported as leaving.
     world = CoreWorld()
     link(world)
     gone = world.core.configuration.pools[0].endpoints[0]
@@ -114,8 +114,8 @@
 
 
 def test_patch_without_a_result_is_answered_at_its_deadline() -> None:
-    # The operator is told that the outcome is unknown: the record may yet be read
-    # back, so neither "accepted" nor "rejected" would be true.
+    # The operator gets OUTCOME_UNKNOWN: the record may still be read back, so neither
+    # "accepted" nor "rejected" would be true.
     world = CoreWorld()
     patch = Patch("slow", 1, "operator")
     world.handle(PatchSubmitted(patch, world.now_ms + 1_000))
@@ -126,7 +126,7 @@
 
 
 def test_restarted_endpoint_is_expected_under_its_new_incarnation() -> None:
-    # A dispatch names the incarnation that it relies on, never a dead one.
+    # A dispatch names the current incarnation of its endpoint, never a dead one.
     world = CoreWorld()
     name = EndpointName("engine-0")
     for incarnation in ("old", "new"):
@@ -146,8 +146,8 @@
 
 
 def test_limits_are_shared_among_the_nodes_of_the_list() -> None:
-    # An engine runs 16 requests over all nodes. A node that believed itself alone would
-    # let in all 16, and eight nodes together eight times too many.
+    # An engine runs 16 requests in total. If each node assumed that it was the only
+    # one, each would admit all 16, and eight nodes eight times too many.
     crowded = CoreWorld()
     vms = tuple(
         Vm(f"node-{number}", DomainName("north"), callers=Address(f"10.0.0.{number}:1"))
@@ -158,9 +158,9 @@
 
 
 def test_patch_whose_append_was_not_answered_is_appended_again() -> None:
-    # The log answers more slowly than the node waits, and drops what nobody waits for.
-    # Without a second append the operator would be told "unknown" of each patch, and
-    # "not accepted" after a refusal of the second would be false if the first counts.
+    # The log answers after the node's timeout, and drops appends whose sender has
+    # disconnected. Without a second append each patch would end as unknown. If the
+    # second one is refused, "not accepted" would be false if the first took effect.
     world = CoreWorld()
     world.handle(PatchSubmitted(Patch("slow", 1, "operator"), world.now_ms + 9_000))
     lost, record_id = world.log.pop(), "patch-slow"
@@ -176,8 +176,9 @@
 
 
 def test_peer_with_another_value_under_the_same_version_is_shown() -> None:
-    # Two nodes run different code and replay one patch to different values. Each goes
-    # on serving; operators see it, since nobody else would.
+    # Two nodes run different code and apply one patch with different results. Both
+    # continue to serve, and the difference is reported to operators, as nothing else
+    # would reveal it.
     world = CoreWorld()
     link(world)
     digest = world.core.log.digest
@@ -188,11 +189,11 @@
 
 
 def test_nothing_is_kept_of_an_endpoint_that_left_the_configuration() -> None:
-    """An engine is removed by one patch and its name is given out again by a later one.
+    """An engine is removed by one patch and its name is reused by a later one.
 
-    The old views would stay for ever; and the new engine would get requests for blocks
-    that only the old one held. A load report that was under way at the removal must
-    not bring the view back either.
+    The old views would be kept for ever, and the new engine would get requests for
+    blocks that only the old one held. A report that arrives after the removal must not
+    restore the view either.
     """
     world = CoreWorld()
     engines = build_patch().put.pools[0].endpoints
@@ -215,8 +216,9 @@
 
 
 def test_dump_of_a_new_process_is_asked_for_at_the_next_tick() -> None:
-    """An engine's process is seen for the first time right after a look at the views.
-    Its cache is unknown; until its dump is read its prefixes are computed elsewhere."""
+    """An engine's process is first seen right after the periodic check of the views.
+    Its cache is unknown, and until its dump is read, other engines recompute its
+    prefixes."""
     world = CoreWorld()
     world.handle(TickPassed())
     world.others.clear()
@@ -229,10 +231,11 @@
 
 
 def test_blocks_are_asked_for_only_of_engines_that_this_node_follows() -> None:
-    """Hundreds of replicas, each with a view, and a few of them followed by this node.
+    """Hundreds of replicas, each with a view, of which this node follows a few.
 
-    Views of the others have no events and so are doubtful for good. Asked for each
-    second, 4,400 lists of blocks would take a core, and most would not be read.
+    The views of the others get no events and so remain doubtful. Requesting 4,400
+    lists of blocks every second would use a whole CPU core, and most of them would
+    not be read.
     """
     world = CoreWorld()
     pool = world.core.configuration.pools[0]
--- a/tests/toucanyard/test_request_flow.py
+++ b/tests/toucanyard/test_request_flow.py
@@ -45,8 +45,8 @@
 def test_retry_goes_to_an_endpoint_that_was_not_tried(
     world: CoreWorld, ending: DispatchEnding
 ) -> None:
-    # The caller sees one answer. An endpoint that failed is left out of the next try,
-    # or a retry would spend the budget on the same endpoint.
+    # The caller gets one answer. An endpoint that failed is excluded from the next
+    # attempt, or a retry would spend the budget on the same endpoint.
     request_id = world.arrive("r1")
     end(world, request_id, ending)
     first, second = world.replies[request_id]
@@ -56,8 +56,8 @@
 
 
 def test_run_once_request_that_was_lost_is_never_sent_again(world: CoreWorld) -> None:
-    # The caller sees "outcome unknown". The connection died after the request left:
-    # a second try could hold a second seat, and "not run" could be false.
+    # The caller gets OUTCOME_UNKNOWN. The connection failed after the request was sent:
+    # a second attempt could run it twice, and NOT_RUN could be false.
     request_id = world.arrive("r1", Repeatability.RUN_ONCE, is_service=True)
     end(world, request_id, DispatchEnding.LOST)
     refusal = world.find_last(request_id)
@@ -67,8 +67,8 @@
 
 
 def test_refusal_after_a_lost_try_never_says_not_run(world: CoreWorld) -> None:
-    # The caller sees "unknown" with a time to come back. The first try was lost and may
-    # have run; that the later ones provably did not changes nothing about it.
+    # The caller gets UNKNOWN with a retry delay. The first attempt was lost and may
+    # have run, even though the later ones provably did not.
     request_id = world.arrive("r1")
     end(world, request_id, DispatchEnding.LOST)
     while isinstance(world.find_last(request_id), Dispatch):
@@ -82,8 +82,8 @@
 def test_keyed_request_is_dispatched_only_after_its_claim_was_read(
     world: CoreWorld,
 ) -> None:
-    # Dispatching on the append's answer alone would run the key twice when another
-    # node's claim stands before this one's in the log.
+    # Dispatching after the append alone would run the key twice if another node's claim
+    # precedes this one in the log.
     request_id = world.arrive("r1", Repeatability.KEYED, "hold-1", is_service=True)
     assert request_id not in world.replies
     world.read_log()
@@ -105,8 +105,8 @@
 def test_early_refusal_of_a_key_says_not_run_of_a_first_try_only(
     world: CoreWorld, key_age_ms: float | None, ending: Ending
 ) -> None:
-    # The caller sees an immediate refusal while the log is down. An earlier try may
-    # have run through another node, so only a declared first try is told "not run".
+    # The caller gets an immediate refusal while the log is down. An earlier attempt may
+    # have run on another node, so only a declared first attempt gets NOT_RUN.
     world.handle(LogStateSeen(False))
     request_id = world.arrive(
         "r1", Repeatability.KEYED, "hold-1", key_age_ms, is_service=True
@@ -134,8 +134,8 @@
 
 
 def test_endpoint_that_turned_away_is_left_alone_for_a_while(world: CoreWorld) -> None:
-    # The caller sees an answer at once. An engine that loads weights refuses while its
-    # load looks low; without a pause each request would try it first and waste a try.
+    # An engine that loads weights rejects requests while its load looks low. Without a
+    # backoff, each request would go to it first and waste an attempt.
     first = world.arrive("r1")
     dispatch = world.find_last(first)
     assert isinstance(dispatch, Dispatch)
@@ -148,8 +148,8 @@
 
 
 def test_retries_end_when_every_endpoint_turned_away(world: CoreWorld) -> None:
-    # The caller sees a refusal with a time to come back. Going round among endpoints
-    # that all turn away would multiply an overload.
+    # The caller gets a refusal with a retry delay. Retrying over and over among
+    # endpoints that all reject requests would amplify an overload.
     request_id = world.arrive("r1")
     while isinstance(world.find_last(request_id), Dispatch):
         end(world, request_id, DispatchEnding.REFUSED)
@@ -163,9 +163,9 @@
 
 
 def test_dispatch_that_found_its_caller_gone_is_taken_back(world: CoreWorld) -> None:
-    # The caller hangs up in the moment in which the order to dispatch is given, so that
-    # nobody carries it out. A retry of the key is told at once that it did not run; it
-    # waited for a request that would never end.
+    # The caller disconnects just as the dispatch is ordered, so it is not carried out.
+    # A retry of the key must get NOT_RUN immediately; otherwise it would wait for a
+    # request that never ends.
     first = world.arrive("r1", Repeatability.KEYED, "hold-1", is_service=True)
     world.read_log()
     assert isinstance(world.find_last(first), Dispatch)
--- a/tests/toucanyard/test_wire.py
+++ b/tests/toucanyard/test_wire.py
@@ -1,4 +1,4 @@
-"""Bytes of peers: messages, or refused; and no message ends the core."""
+"""Tests that any bytes from a peer are decoded or rejected, and none stops the core."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
 
 @st.composite
 def changed_messages(draw: st.DrawFn) -> bytes:
-    """Return the bytes of a message of which some parts are odd."""
+    """Return the bytes of a message in which some values are replaced."""
     value = cbor2.loads(encode_message(draw(st.sampled_from(MESSAGES))))
     for _ in range(draw(st.integers(0, 2))):
         places = list(list_places(value))
@@ -121,8 +121,8 @@
 @given(changed_messages())
 @settings(max_examples=300)
 def test_no_message_of_a_peer_ends_the_core(data: bytes) -> None:
-    """A peer with a fault sends numbers out of any range, or the wrong kind of value.
-    The message is refused, or the core takes it and goes on serving."""
+    """A faulty peer sends numbers out of range or values of the wrong type. The message
+    is rejected, or the core accepts it and continues to serve."""
     try:
         message = decode_message(data)
     except MessageInvalidError:
@@ -146,7 +146,7 @@
 @example(b"\xd8\x1c\x81\xd8\x1d\x00")
 @settings(max_examples=200)
 def test_any_bytes_are_a_message_or_refused(data: bytes | tuple[bytes, bytes]) -> None:
-    """A length that is declared and never comes, tags of other types, cycles."""
+    """Covers declared lengths without data, tags of other types, and cycles."""
     joined = data if isinstance(data, bytes) else data[1][: -len(data[0])] + data[0]
     try:
         message = decode_message(joined)
