--- a/packages/toucanyard/src/toucanyard/adaptive_log_timeout.py
+++ b/packages/toucanyard/src/toucanyard/adaptive_log_timeout.py
@@ -26,13 +26,13 @@
         self._min_ms = least_ms
         self.timeout_ms = least_ms
 
-    def record_answer(self, took_ms: float) -> None:
+    def record_answer(self, response_ms: float) -> None:
         """Adapt the timeout to a response time of the log."""
-        self._set(took_ms * _SAFETY_FACTOR)
+        self._set(response_ms * _SAFETY_FACTOR)
 
-    def record_other_answer(self, took_ms: float) -> None:
+    def record_other_answer(self, response_ms: float) -> None:
         """Adapt to the response time of another kind of request; never shortens."""
-        self._set(max(self.timeout_ms, took_ms * _SAFETY_FACTOR))
+        self._set(max(self.timeout_ms, response_ms * _SAFETY_FACTOR))
 
     def record_timeout(self) -> None:
         """Double the timeout after the log did not answer in time."""
--- a/packages/toucanyard/src/toucanyard/at_most_once.py
+++ b/packages/toucanyard/src/toucanyard/at_most_once.py
@@ -38,8 +38,6 @@
 from toucanyard.key_handover import KeyHandover
 from toucanyard.key_issuer import KeyIssuer
 from toucanyard.key_messages import (
-    AskKey,
-    AskTransferredKey,
     HandoverAnnounced,
     KeyMessage,
     KeyReport,
@@ -48,6 +46,8 @@
     KeyStatus,
     LedgerOpened,
     OpenLedger,
+    QueryKey,
+    QueryTransferredKey,
     RecordKeys,
     RevocationAnswered,
     RevokeKey,
@@ -276,9 +276,9 @@
             return
         table.remove_waiting(entry, request_id)
         if not entry.waiting:
-            yield from self._drop_unwanted(entry, ErrorKind.CALLER_GONE, now_ms)
+            yield from self._drop_unawaited(entry, ErrorKind.CALLER_GONE, now_ms)
 
-    def _drop_unwanted(
+    def _drop_unawaited(
         self, entry: KeyEntry, kind: ErrorKind, now_ms: float
     ) -> Iterator[ClaimAction]:
         """End a key for which at most one expired attempt is waiting."""
@@ -314,8 +314,8 @@
             case HandoverAnnounced(holders=holders):
                 self._table.record_stopped(sender, holders, now_ms)
             case (
-                AskKey()
-                | AskTransferredKey()
+                QueryKey()
+                | QueryTransferredKey()
                 | OpenLedger()
                 | RecordKeys()
                 | RevokeKey()
@@ -370,14 +370,14 @@
         is_own = entry.phase in (Phase.RECORDING, Phase.CLAIMING)
         if is_own and len(entry.waiting) == 1:
             # Giving up the key determines the result of its last attempt.
-            yield from self._drop_unwanted(entry, ErrorKind.DEADLINE_EXCEEDED, now_ms)
+            yield from self._drop_unawaited(entry, ErrorKind.DEADLINE_EXCEEDED, now_ms)
             return
         self._table.remove_waiting(entry, expired.request_id)
         is_known = entry.phase is not Phase.FOLLOWING or entry.is_target_running
         kind = ErrorKind.KEY_IN_PROGRESS if is_known else ErrorKind.OUTCOME_UNKNOWN
         yield refuse(expired, kind, self._table.rng)
         if not entry.waiting:
-            yield from self._drop_unwanted(entry, kind, now_ms)
+            yield from self._drop_unawaited(entry, kind, now_ms)
 
     def _renew_ledger(self, now_ms: float) -> Iterator[ClaimAction]:
         table = self._table
--- a/packages/toucanyard/src/toucanyard/followed_keys.py
+++ b/packages/toucanyard/src/toucanyard/followed_keys.py
@@ -13,11 +13,11 @@
 from toucanyard.key_answers import refuse, refuse_unclaimed
 from toucanyard.key_entries import KeyEntry, Phase
 from toucanyard.key_messages import (
-    AskKey,
-    AskTransferredKey,
     KeyReport,
     KeyStatus,
     LedgerStatus,
+    QueryKey,
+    QueryTransferredKey,
     RevocationAnswered,
     RevokeKey,
     TransferredKey,
@@ -95,7 +95,7 @@
             yield from self._handle_holder_report(entry, sender, message, now_ms)
         elif message.status is KeyStatus.RUNNING:
             entry.is_target_running = True
-            entry.heard_ms = now_ms
+            entry.last_report_ms = now_ms
         else:
             yield from self._resolve(entry, message, now_ms)
 
@@ -134,7 +134,7 @@
         elif self._is_unanswerable(entry):
             yield from self._resolve_as(entry, KeyStatus.UNKNOWN, now_ms)
         elif now_ms - entry.sent_ms >= self._table.limits.resend_ms:
-            yield from self._ask(entry, now_ms)
+            yield from self._send_query(entry, now_ms)
 
     def _handle_holder_report(
         self, entry: KeyEntry, sender: NodeId, message: KeyReport, now_ms: float
@@ -174,24 +174,26 @@
             target,
         )
         self._table.add(entry, event)
-        yield from self._ask(entry, now_ms)
+        yield from self._send_query(entry, now_ms)
 
-    def _ask(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
+    def _send_query(self, entry: KeyEntry, now_ms: float) -> Iterator[ClaimAction]:
         assert entry.target is not None
         entry.sent_ms = now_ms
         if self._table.stopped.is_stopped(entry.target):
-            yield from self._ask_holders(entry, entry.target)
+            yield from self._query_holders(entry, entry.target)
         else:
-            ask = AskKey(entry.target.incarnation, entry.name, entry.claim_id)
-            yield from self._table.send(entry.target, ask)
+            query = QueryKey(entry.target.incarnation, entry.name, entry.claim_id)
+            yield from self._table.send(entry.target, query)
         if entry.issued is not None and self._needs_revocation(entry, now_ms):
             yield from self._request_revocation(entry, entry.issued)
 
-    def _ask_holders(self, entry: KeyEntry, target: NodeId) -> Iterator[ClaimAction]:
+    def _query_holders(self, entry: KeyEntry, target: NodeId) -> Iterator[ClaimAction]:
         for holder in self._find_holders(target):
             if holder not in entry.uninformed_holders:
-                ask = AskTransferredKey(holder.incarnation, entry.name, entry.claim_id)
-                yield from self._table.send(holder, ask)
+                query = QueryTransferredKey(
+                    holder.incarnation, entry.name, entry.claim_id
+                )
+                yield from self._table.send(holder, query)
 
     def _find_holders(self, target: NodeId) -> list[NodeId]:
         """Return the other nodes that may hold the keys of a stopped node."""
@@ -210,7 +212,7 @@
         assert entry.target is not None
         if entry.is_revocation_refused:
             return False
-        silent_ms = now_ms - entry.heard_ms
+        silent_ms = now_ms - entry.last_report_ms
         if silent_ms >= self._table.limits.ask_patience_ms:
             return True
         return self._table.is_gone(entry.target)
--- a/packages/toucanyard/src/toucanyard/key_entries.py
+++ b/packages/toucanyard/src/toucanyard/key_entries.py
@@ -54,7 +54,7 @@
     target: NodeId | None = None
     """The node that is queried while FOLLOWING; the backup node while RECORDING."""
     sent_ms: float = float("-inf")
-    heard_ms: float = 0.0
+    last_report_ms: float = 0.0
     """When the target last reported that the key is in progress."""
     is_revocation_refused: bool = False
     is_target_running: bool = False
@@ -68,7 +68,7 @@
 
     def __post_init__(self) -> None:
         """Measure the target's silence from the creation of the entry."""
-        self.heard_ms = self.started_ms
+        self.last_report_ms = self.started_ms
 
     def find_expired(self, now_ms: float) -> list[KeyedRequestArrived]:
         """Return the waiting attempts whose deadline has passed."""
--- a/packages/toucanyard/src/toucanyard/key_messages.py
+++ b/packages/toucanyard/src/toucanyard/key_messages.py
@@ -30,7 +30,7 @@
     """The backup node does not have the ledger (any more), or has no room."""
 
 
-class AskKey(msgspec.Struct, frozen=True, tag="ask_key"):
+class QueryKey(msgspec.Struct, frozen=True, tag="ask_key"):
     """Query the claimer or issuer of a key for the status of its request.
 
     `claim_id` is the winning claim, or empty for an issued key.
@@ -143,7 +143,7 @@
     holders: tuple[NodeId, ...]
 
 
-class AskTransferredKey(msgspec.Struct, frozen=True, tag="ask_handed"):
+class QueryTransferredKey(msgspec.Struct, frozen=True, tag="ask_handed"):
     """Query a holder for the result of a stopped node's key; answered by KeyReport."""
 
     to: Incarnation
@@ -155,7 +155,7 @@
 """Encoded as arrays, to be compact: every issued key needs one of each."""
 
 KeyControlMessage = (
-    AskKey
+    QueryKey
     | KeyReport
     | OpenLedger
     | LedgerOpened
@@ -164,7 +164,7 @@
     | TransferKeys
     | KeysAccepted
     | HandoverAnnounced
-    | AskTransferredKey
+    | QueryTransferredKey
 )
 
 KeyMessage = KeyControlMessage | RecordingMessage
--- a/packages/toucanyard/src/toucanyard/key_query_handler.py
+++ b/packages/toucanyard/src/toucanyard/key_query_handler.py
@@ -10,8 +10,6 @@
 )
 from toucanyard.key_entries import EndedKey
 from toucanyard.key_messages import (
-    AskKey,
-    AskTransferredKey,
     KeyMessage,
     KeyReport,
     KeysRecorded,
@@ -19,6 +17,8 @@
     LedgerOpened,
     LedgerStatus,
     OpenLedger,
+    QueryKey,
+    QueryTransferredKey,
     RecordKeys,
     RevocationAnswered,
     RevokeKey,
@@ -50,14 +50,14 @@
     def answer(
         self,
         sender: NodeId,
-        message: AskKey | AskTransferredKey | OpenLedger | RecordKeys | RevokeKey,
+        message: QueryKey | QueryTransferredKey | OpenLedger | RecordKeys | RevokeKey,
         now_ms: float,
     ) -> Iterator[ClaimAction]:
         """Answer one query of a peer."""
         match message:
-            case AskKey():
-                yield from self._answer_ask(sender, message, now_ms)
-            case AskTransferredKey():
+            case QueryKey():
+                yield from self._answer_query(sender, message, now_ms)
+            case QueryTransferredKey():
                 yield from self._answer_transferred(sender, message, now_ms)
             case OpenLedger() | RecordKeys() | RevokeKey():
                 yield from self._answer_ledger_request(sender, message, now_ms)
@@ -94,21 +94,21 @@
             for each in message.key_fingerprints
         ]
         return tuple(
-            place
-            for place, status in enumerate(statuses)
+            position
+            for position, status in enumerate(statuses)
             if status is not LedgerStatus.RECORDED
         )
 
-    def _answer_ask(
-        self, sender: NodeId, ask: AskKey, now_ms: float
+    def _answer_query(
+        self, sender: NodeId, query: QueryKey, now_ms: float
     ) -> Iterator[ClaimAction]:
-        ended = self._find_status(sender, ask, now_ms)
-        report = self._table.compose_report(sender, ask.name, ask.claim_id, ended)
+        ended = self._find_status(sender, query, now_ms)
+        report = self._table.compose_report(sender, query.name, query.claim_id, ended)
         yield from self._send_report(sender, report, now_ms)
 
-    def _find_status(self, sender: NodeId, ask: AskKey, now_ms: float) -> EndedKey:
+    def _find_status(self, sender: NodeId, query: QueryKey, now_ms: float) -> EndedKey:
         table = self._table
-        name, claim_id = ask.name, ask.claim_id
+        name, claim_id = query.name, query.claim_id
         claim = table.index.find(name)
         entry = table.find_entry(name)
         ended = table.find_ended(name)
@@ -129,9 +129,9 @@
         return ended
 
     def _answer_transferred(
-        self, sender: NodeId, ask: AskTransferredKey, now_ms: float
+        self, sender: NodeId, query: QueryTransferredKey, now_ms: float
     ) -> Iterator[ClaimAction]:
-        name, claim_id, to = ask.name, ask.claim_id, sender.incarnation
+        name, claim_id, to = query.name, query.claim_id, sender.incarnation
         report = KeyReport(to, name, claim_id, KeyStatus.UNKNOWN, b"")
         found = self._table.transferred.find(name, claim_id)
         if found is not None:
--- a/packages/toucanyard/src/toucanyard/recorded_keys.py
+++ b/packages/toucanyard/src/toucanyard/recorded_keys.py
@@ -68,7 +68,7 @@
         elif table.is_gone(backup):
             yield from table.revoke(entry, now_ms)
         else:
-            self._ask(entry, now_ms)
+            self._enqueue(entry, now_ms)
             if self._batches.is_due(now_ms):
                 yield from self.send_waiting(now_ms)
 
@@ -85,11 +85,11 @@
         batch = self._batches.match_answer(sender, message)
         if batch is None:
             return
-        for place, name in enumerate(batch.names):
+        for position, name in enumerate(batch.names):
             entry = self._table.find_entry(name)
             if entry is None or entry.phase is not Phase.RECORDING:
                 continue
-            if place in message.refused:
+            if position in message.refused:
                 yield from self._table.revoke(entry, now_ms)
             else:
                 yield from self._table.allow(entry, now_ms)
@@ -114,9 +114,9 @@
         if self._table.is_gone(entry.target):
             yield from self._table.revoke(entry, now_ms)
         elif now_ms - entry.sent_ms >= self._table.limits.resend_ms:
-            self._ask(entry, now_ms)
+            self._enqueue(entry, now_ms)
 
-    def _ask(self, entry: KeyEntry, now_ms: float) -> None:
+    def _enqueue(self, entry: KeyEntry, now_ms: float) -> None:
         assert entry.target is not None
         assert entry.issued is not None
         entry.sent_ms = now_ms
--- a/packages/toucanyard/src/toucanyard/recording_batches.py
+++ b/packages/toucanyard/src/toucanyard/recording_batches.py
@@ -38,7 +38,7 @@
         "_keep_ms",
         "_last",
         "_sent_ms",
-        "_under_way",
+        "_in_flight",
         "_waiting",
     )
 
@@ -46,7 +46,7 @@
         self._gather_ms = gather_ms
         self._keep_ms = keep_ms
         self._waiting: dict[tuple[NodeId, int], list[KeyName]] = {}
-        self._under_way: dict[int, RecordingBatch] = {}
+        self._in_flight: dict[int, RecordingBatch] = {}
         self._last = 0
         self._sent_ms = float("-inf")
 
@@ -73,24 +73,24 @@
         self, sender: NodeId, answer: KeysRecorded
     ) -> RecordingBatch | None:
         """Return the answered batch; None for a late answer or another sender's."""
-        batch = self._under_way.get(answer.batch)
+        batch = self._in_flight.get(answer.batch)
         if batch is None or batch.backup != sender:
             return None
-        return self._under_way.pop(answer.batch)
+        return self._in_flight.pop(answer.batch)
 
     def forget_old(self, now_ms: float) -> None:
         """Remove batches whose keys have been sent again since."""
-        while self._under_way:
-            number = next(iter(self._under_way))
-            if now_ms - self._under_way[number].sent_ms < self._keep_ms:
+        while self._in_flight:
+            number = next(iter(self._in_flight))
+            if now_ms - self._in_flight[number].sent_ms < self._keep_ms:
                 return
-            del self._under_way[number]
+            del self._in_flight[number]
 
     def _build(
         self, backup: NodeId, ledger: int, names: tuple[KeyName, ...], now_ms: float
     ) -> RecordKeys:
         self._last += 1
         self._sent_ms = now_ms
-        self._under_way[self._last] = RecordingBatch(backup, names, now_ms)
+        self._in_flight[self._last] = RecordingBatch(backup, names, now_ms)
         key_fingerprints = tuple(compute_key_fingerprint(name) for name in names)
         return RecordKeys(backup.incarnation, ledger, self._last, key_fingerprints)
--- a/tests/key_machine.py
+++ b/tests/key_machine.py
@@ -19,7 +19,7 @@
 )
 from toucanyard.requests import DispatchEnding
 
-PLACES = st.integers(0, 3)
+INDEXES = st.integers(0, 3)
 NODES = st.sampled_from(NAMES)
 DIGESTS = st.sampled_from((b"one", b"one", b"one", b"two"))
 ENDINGS = st.sampled_from(
@@ -58,20 +58,20 @@
             self.world.keys.append(Key(customer, text))
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, place=PLACES, digest=DIGESTS, declares_age=st.booleans())
+    @rule(name=NODES, index=INDEXES, digest=DIGESTS, declares_age=st.booleans())
     def send(
-        self, name: NodeName, place: int, digest: bytes, declares_age: bool
+        self, name: NodeName, index: int, digest: bytes, declares_age: bool
     ) -> None:
         node = self.world.nodes[name]
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         if node is not None:
             self.world.send(node, key, digest, declares_age)
 
     @precondition(lambda self: self.world.keys)
-    @rule(place=PLACES, declares_age=st.booleans())
-    def send_to_issuer(self, place: int, declares_age: bool) -> None:
+    @rule(index=INDEXES, declares_age=st.booleans())
+    def send_to_issuer(self, index: int, declares_age: bool) -> None:
         """Send a key to the node that issued it, and run that node until idle."""
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         issued = parse_issued_key(key.text)
         node = None if issued is None else self.world.nodes[issued.issuer.node]
         if node is not None:
@@ -79,11 +79,11 @@
             self.world.run_node(node)
 
     @precondition(lambda self: self.world.keys)
-    @rule(place=PLACES, rounds=st.integers(1, 3))
-    def pause_issuer(self, place: int, rounds: int) -> None:
+    @rule(index=INDEXES, rounds=st.integers(1, 3))
+    def pause_issuer(self, index: int, rounds: int) -> None:
         """Pause an issuer before it processes an attempt, while its caller retries."""
         world = self.world
-        key = world.keys[place % len(world.keys)]
+        key = world.keys[index % len(world.keys)]
         issued = parse_issued_key(key.text)
         issuer_node = None if issued is None else world.nodes[issued.issuer.node]
         if issuer_node is None:
@@ -99,11 +99,11 @@
             world.advance(200)
         world.run_rounds(2, None)
 
-    @rule(name=NODES, place=PLACES, is_retried=st.booleans())
-    def claim_and_leave(self, name: NodeName, place: int, is_retried: bool) -> None:
+    @rule(name=NODES, index=INDEXES, is_retried=st.booleans())
+    def claim_and_leave(self, name: NodeName, index: int, is_retried: bool) -> None:
         """Disconnect a caller while the claim of its key is pending."""
         node = self.world.nodes[name]
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         if node is not None:
             self.world.send(node, key, b"one", declares_age=True)
             self.world.run_node(node)
@@ -115,10 +115,10 @@
                 self.world.run_rounds(3, None)
 
     @precondition(lambda self: self.world.keys)
-    @rule(place=PLACES, rounds=st.integers(0, 3))
-    def storm(self, place: int, rounds: int) -> None:
+    @rule(index=INDEXES, rounds=st.integers(0, 3))
+    def storm(self, index: int, rounds: int) -> None:
         """Retry one key on every node at once."""
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         for node in self.world.live():
             self.world.send(node, key, b"one", declares_age=True)
             if rounds == 0:
@@ -128,11 +128,11 @@
             self.commit_in_turn()
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, other=NODES, place=PLACES)
-    def reuse(self, name: NodeName, other: NodeName, place: int) -> None:
+    @rule(name=NODES, other=NODES, index=INDEXES)
+    def reuse(self, name: NodeName, other: NodeName, index: int) -> None:
         """Use a key again after its window, which ends on one node before others."""
         world = self.world
-        key = world.keys[place % len(world.keys)]
+        key = world.keys[index % len(world.keys)]
         world.run_rounds(3, DispatchEnding.COMPLETED)
         world.advance(70_000)
         first, second = world.nodes[name], world.nodes[other]
@@ -150,12 +150,12 @@
     @rule(
         name=NODES,
         other=NODES,
-        place=PLACES,
+        index=INDEXES,
         is_left=st.booleans(),
         is_read=st.booleans(),
     )
     def reuse_behind(
-        self, name: NodeName, other: NodeName, place: int, is_left: bool, is_read: bool
+        self, name: NodeName, other: NodeName, index: int, is_left: bool, is_read: bool
     ) -> None:
         """Use a key again while a node that claimed it or holds a claim is paused.
 
@@ -163,7 +163,7 @@
         resumes and gets the retry, before or after it has read the log.
         """
         world = self.world
-        key = world.keys[place % len(world.keys)]
+        key = world.keys[index % len(world.keys)]
         behind, first = world.nodes[name], world.nodes[other]
         if behind is None or first is None or behind is first:
             return
@@ -214,10 +214,10 @@
             self.world.end_dispatch(node, ending)
 
     @precondition(lambda self: self.world.appends)
-    @rule(place=PLACES, how=st.sampled_from(("done", "lost", "refused", "late")))
-    def settle_append(self, place: int, how: str) -> None:
+    @rule(index=INDEXES, how=st.sampled_from(("done", "lost", "refused", "late")))
+    def settle_append(self, index: int, how: str) -> None:
         world = self.world
-        append = world.appends[place % len(world.appends)]
+        append = world.appends[index % len(world.appends)]
         if how == "late":
             # The node gets an unknown result; the append takes effect later.
             world.report_append(append, AppendResult.UNKNOWN)
@@ -238,20 +238,20 @@
             self.world.read(node, overlap)
 
     @precondition(lambda self: self.world.network)
-    @rule(place=PLACES, how=st.sampled_from(("once", "once", "twice", "never")))
-    def deliver(self, place: int, how: str) -> None:
+    @rule(index=INDEXES, how=st.sampled_from(("once", "once", "twice", "never")))
+    def deliver(self, index: int, how: str) -> None:
         network = self.world.network
-        message = network[place % len(network)]
+        message = network[index % len(network)]
         if how != "twice":
             network.remove(message)
         if how != "never":
             self.world.deliver(message)
 
-    @rule(name=NODES, place=PLACES)
-    def leave(self, name: NodeName, place: int) -> None:
+    @rule(name=NODES, index=INDEXES)
+    def leave(self, name: NodeName, index: int) -> None:
         node = self.world.nodes[name]
         if node is not None:
-            self.world.leave(node, place)
+            self.world.leave(node, index)
 
     @rule(name=NODES)
     def run_node(self, name: NodeName) -> None:
@@ -274,11 +274,11 @@
                 self.world.read(node)
                 self.world.run_node(node)
 
-    @rule(name=NODES, place=PLACES)
-    def pause_past_deadline(self, name: NodeName, place: int) -> None:
+    @rule(name=NODES, index=INDEXES)
+    def pause_past_deadline(self, name: NodeName, index: int) -> None:
         """Pause a node past its deadlines, after it has read the log."""
         node = self.world.nodes[name]
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         if node is not None:
             self.world.send(node, key, b"one", declares_age=True)
             self.world.run_node(node)
@@ -302,7 +302,7 @@
     @rule(ms=st.sampled_from((-70_000, 70_000)))
     def jump_log_clock(self, ms: int) -> None:
         """Make the log's clock, which timestamps every record, jump."""
-        self.world.log_ahead_ms += ms
+        self.world.log_clock_offset_ms += ms
         self.world.advance(50)
 
     @rule(name=NODES)
@@ -313,10 +313,10 @@
             self.world.kill(node.identity.node)
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, place=PLACES, is_announced=st.booleans())
-    def kill_after_run(self, name: NodeName, place: int, is_announced: bool) -> None:
+    @rule(name=NODES, index=INDEXES, is_announced=st.booleans())
+    def kill_after_run(self, name: NodeName, index: int, is_announced: bool) -> None:
         """Kill a node while it runs a key; its caller retries on the others."""
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         issued = parse_issued_key(key.text)
         issuer_node = self.world.nodes[name if issued is None else issued.issuer.node]
         if issuer_node is None:
@@ -337,17 +337,17 @@
             self.world.start(name)
             self.world.send_views()
 
-    @rule(name=NODES, is_stale=st.booleans(), place=PLACES)
-    def change_view(self, name: NodeName, is_stale: bool, place: int) -> None:
+    @rule(name=NODES, is_stale=st.booleans(), index=INDEXES)
+    def change_view(self, name: NodeName, is_stale: bool, index: int) -> None:
         """Send a node a view with dead incarnations or without some live ones."""
         node = self.world.nodes[name]
         if node is None:
             return
         seen = self.world.live()
         if is_stale and self.dead:
-            seen = [self.dead[place % len(self.dead)], *seen]
+            seen = [self.dead[index % len(self.dead)], *seen]
         elif seen:
-            seen = seen[place % len(seen) :]
+            seen = seen[index % len(seen) :]
         self.world.send_view(node, seen)
 
     @rule(is_up=st.sampled_from((True, True, False)))
--- a/tests/key_mutations.py
+++ b/tests/key_mutations.py
@@ -91,7 +91,7 @@
     Mutation(
         "a key that its witness refused to note is dispatched",
         "recorded_keys",
-        "if place in message.refused:",
+        "if position in message.refused:",
         "if False:",
     ),
     Mutation(
--- a/tests/key_stop_machine.py
+++ b/tests/key_stop_machine.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import initialize, precondition, rule
 
-from key_machine import NODES, PLACES, KeysUnderFaults
+from key_machine import INDEXES, NODES, KeysUnderFaults
 from key_world import NAMES, Node
 from toucanyard.issued_keys import parse_issued_key
 from toucanyard.names import NodeName
@@ -40,11 +40,11 @@
         self.world.begin_stop(name)
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, place=PLACES, rounds=ROUNDS, is_announced=st.booleans())
+    @rule(name=NODES, index=INDEXES, rounds=ROUNDS, is_announced=st.booleans())
     def stop_after_run(
-        self, name: NodeName, place: int, rounds: int, is_announced: bool
+        self, name: NodeName, index: int, rounds: int, is_announced: bool
     ) -> None:
-        self.stop_now(name, place, rounds, is_announced)
+        self.stop_now(name, index, rounds, is_announced)
 
     @rule(name=NODES, rounds=ROUNDS)
     def stop_others(self, name: NodeName, rounds: int) -> None:
@@ -59,14 +59,14 @@
             self.kill_now(node)
 
     def stop_now(
-        self, name: NodeName, place: int, rounds: int, is_announced: bool
+        self, name: NodeName, index: int, rounds: int, is_announced: bool
     ) -> None:
         """Stop a node at any point of its handover, and retry its keys elsewhere.
 
         It has answered one key and is still running another.
         """
-        answered = self.world.keys[place % len(self.world.keys)]
-        running = self.world.keys[(place + 1) % len(self.world.keys)]
+        answered = self.world.keys[index % len(self.world.keys)]
+        running = self.world.keys[(index + 1) % len(self.world.keys)]
         issued = parse_issued_key(answered.text)
         issuer_node = self.world.nodes[name if issued is None else issued.issuer.node]
         if issuer_node is None:
--- a/tests/key_world.py
+++ b/tests/key_world.py
@@ -54,9 +54,9 @@
 WINDOW_MS = 20_000
 DEADLINE_MS = 1_000
 CUSTOMERS = (CustomerName("lanchas"), CustomerName("avisos"))
-RATES = (1.0, 0.95, 1.05)
+CLOCK_RATES = (1.0, 0.95, 1.05)
 NAMES = tuple(NodeName(name) for name in "abc")
-WEAK_KINDS = frozenset(
+ATTEMPT_REFUSALS = frozenset(
     {
         ErrorKind.LOG_UNAVAILABLE,
         ErrorKind.OVERLOADED,
@@ -104,13 +104,13 @@
         Issued keys and attempts with a declared key age are checked without a time
         limit, other attempts within the window that starts with the key's first one.
         """
-        judged = self._find_judged()
-        assert len(judged) <= 1, f"{self.text} ran twice: {judged}"
+        checked = self._find_checked()
+        assert len(checked) <= 1, f"{self.text} ran twice: {checked}"
         self._check_reuse()
         for at_ms, refused, kind in self.refused:
             self._check_late_refusal(at_ms, refused, kind)
         for at_ms, refused, kind in self.refused:
-            for execution in judged:
+            for execution in checked:
                 self._check_refusal(at_ms, refused, kind, execution)
 
     def _check_reuse(self) -> None:
@@ -132,7 +132,7 @@
         The key may be in use again, and the stored result of its first use proves
         nothing about the second.
         """
-        if kind in WEAK_KINDS:
+        if kind in ATTEMPT_REFUSALS:
             return
         for each in self.executions:
             is_meant = kind is not ErrorKind.KEY_REUSED or each.digest == refused.digest
@@ -140,7 +140,7 @@
             is_recent = 0 <= since_ms < WINDOW_MS - 2 * DEADLINE_MS
             assert not (is_meant and is_recent), f"{self.text} {kind}, but it ran"
 
-    def _find_judged(self) -> list[Execution]:
+    def _find_checked(self) -> list[Execution]:
         if self.is_issued():
             return self.executions
         end_ms = self.tries[0].sent_ms + WINDOW_MS
@@ -159,7 +159,7 @@
             assert refused.digest != execution.digest, "not run, but the same body ran"
             return
         sent_before = [each for each in self.tries if each.sent_ms <= at_ms]
-        if kind in WEAK_KINDS and refused.key_age_ms == 0:
+        if kind in ATTEMPT_REFUSALS and refused.key_age_ms == 0:
             # The refusal applies to the attempts sent so far, and proves nothing if
             # there were others besides the first one.
             is_by_earlier = any(
@@ -188,9 +188,11 @@
 class Node:
     """One node incarnation with its clock, and its queues of events and actions."""
 
-    def __init__(self, name: NodeName, number: int, rate: float, keys: int) -> None:
+    def __init__(
+        self, name: NodeName, number: int, clock_rate: float, keys: int
+    ) -> None:
         self.identity = NodeId(name, Incarnation(f"{name}{number}"))
-        self.rate = rate
+        self.clock_rate = clock_rate
         limits = ClaimLimits(
             window_ms=WINDOW_MS,
             log_retention_ms=3 * WINDOW_MS,
@@ -208,7 +210,7 @@
         self.is_stopping = False
 
     def now(self, world_ms: float) -> float:
-        return 1_000 + world_ms * self.rate
+        return 1_000 + world_ms * self.clock_rate
 
 
 class World:
@@ -216,7 +218,7 @@
         self.now_ms = 0.0
         self.max_keys = max_keys
         self.log: list[LogRecord] = []
-        self.log_ahead_ms = 0.0
+        self.log_clock_offset_ms = 0.0
         self.committed_ms: dict[int, float] = {}
         self.next_offset = 0
         self.oldest = 0
@@ -232,9 +234,9 @@
         self.send_views()
 
     def start(self, name: NodeName) -> None:
-        rate = RATES[self.started % len(RATES)]
+        clock_rate = CLOCK_RATES[self.started % len(CLOCK_RATES)]
         self.started += 1
-        node = Node(name, self.started, rate, self.max_keys)
+        node = Node(name, self.started, clock_rate, self.max_keys)
         node.inbox.append(LogState(self.is_log_up))
         self.nodes[name] = node
 
@@ -302,13 +304,13 @@
         if request_id in node.waiting:
             _, attempt = node.waiting[request_id]
             late_ms = self.now_ms - attempt.sent_ms
-            assert late_ms * node.rate < DEADLINE_MS, "allowed after its deadline"
+            assert late_ms * node.clock_rate < DEADLINE_MS, "allowed after its deadline"
 
-    def leave(self, node: Node, place: int) -> None:
+    def leave(self, node: Node, index: int) -> None:
         """Disconnect the caller of an undecided request."""
         undecided = [each for each in node.waiting if each not in node.allowed_ms]
         if undecided:
-            request_id = undecided[place % len(undecided)]
+            request_id = undecided[index % len(undecided)]
             _, attempt = node.waiting.pop(request_id)
             attempt.endings.append("left")
             node.inbox.append(CallerLeft(request_id))
@@ -385,7 +387,7 @@
 
     def commit(self, text: str) -> None:
         """Add the record of an append to the log."""
-        at_ms = self.now_ms + self.log_ahead_ms
+        at_ms = self.now_ms + self.log_clock_offset_ms
         self.log.append(LogRecord(self.next_offset, at_ms, text))
         self.committed_ms[self.next_offset] = self.now_ms
         self.next_offset += 1
--- a/tests/toucanyard/test_adaptive_log_timeout.py
+++ b/tests/toucanyard/test_adaptive_log_timeout.py
@@ -20,11 +20,11 @@
 @given(st.lists(st.none() | st.floats(0, 1e6)))
 def test_wait_stays_within_its_bounds(answers: list[float | None]) -> None:
     log_timeout = AdaptiveLogTimeout(1_000.0)
-    for took_ms in answers:
-        if took_ms is None:
+    for response_ms in answers:
+        if response_ms is None:
             log_timeout.record_timeout()
         else:
-            log_timeout.record_answer(took_ms)
+            log_timeout.record_answer(response_ms)
         assert 1_000 <= log_timeout.timeout_ms <= 8_000
 
 
--- a/tests/toucanyard/test_at_most_once.py
+++ b/tests/toucanyard/test_at_most_once.py
@@ -24,7 +24,7 @@
     Ticked,
 )
 from toucanyard.errorcodes import Ending, ErrorKind
-from toucanyard.key_messages import AskKey, KeyReport, KeyStatus, RevokeKey
+from toucanyard.key_messages import KeyReport, KeyStatus, QueryKey, RevokeKey
 from toucanyard.key_records import (
     AbandonRecord,
     ClaimRecord,
@@ -69,7 +69,7 @@
 
 def read(offset: int, *texts: str) -> ClaimRecordsRead:
     records = tuple(
-        LogRecord(offset + place, 0, text) for place, text in enumerate(texts)
+        LogRecord(offset + index, 0, text) for index, text in enumerate(texts)
     )
     return ClaimRecordsRead(offset, offset + len(texts), records)
 
@@ -309,9 +309,9 @@
     second = find_append(node.handle(retry_at(760_000), 760_000))
     node.handle(read_at(2, 760_000, second.text), 762_000)
     name = KeyName(CustomerName("c"), "k")
-    ask = AskKey(Incarnation("a1"), name, first.record_id)
+    query = QueryKey(Incarnation("a1"), name, first.record_id)
     sender = NodeId(NodeName("b"), Incarnation("b1"))
-    [reply] = node.handle(PeerMessageArrived(sender, ask), 762_000)
+    [reply] = node.handle(PeerMessageArrived(sender, query), 762_000)
     assert isinstance(reply, SendToPeer)
     assert isinstance(reply.message, KeyReport)
     assert reply.message.status is KeyStatus.UNKNOWN
@@ -334,11 +334,11 @@
     node.handle(read(0, own.text), 1)
     answer = CachedAnswer(200, "application/pdf", bytes(size_bytes))
     node.handle(DispatchEnded(RequestId("r1"), DispatchEnding.COMPLETED, answer), 2)
-    ask = AskKey(Incarnation("a1"), KeyName(CustomerName("c"), "k"), own.record_id)
+    query = QueryKey(Incarnation("a1"), KeyName(CustomerName("c"), "k"), own.record_id)
     sender = NodeId(NodeName("b"), Incarnation("b1"))
     copies = []
     for now_ms in (100, 200, 6_000):
-        reply = node.handle(PeerMessageArrived(sender, ask), now_ms)
+        reply = node.handle(PeerMessageArrived(sender, query), now_ms)
         messages = [each.message for each in reply if isinstance(each, SendToPeer)]
         answers = [each for each in messages if getattr(each, "answer", None)]
         copies.append(len(answers))
--- a/tests/toucanyard/test_log_start.py
+++ b/tests/toucanyard/test_log_start.py
@@ -43,11 +43,11 @@
     """Return the start offset and the number of probes."""
     newest = LogRecord(len(times_ms) - 1, times_ms[-1], "")
     search = StartSearch(oldest, newest, SPAN_MS)
-    looks = 0
+    probes = 0
     while (probe := search.find_probe()) is not None:
-        looks += 1
+        probes += 1
         search.apply_probe(probe, times_ms[probe])
-    return search.start, looks
+    return search.start, probes
 
 
 @given(SEGMENTS, st.integers(0, 500))
@@ -77,16 +77,16 @@
             true.append(true_ms)
             times.append(log_ms)
     oldest = min(oldest, len(times) - 1)
-    start, looks = find_start(times, oldest)
-    assert looks <= 20
+    start, probes = find_start(times, oldest)
+    assert probes <= 20
     assert all(true_ms - at_ms > REMEMBERED_MS for at_ms in true[oldest:start])
 
 
 def test_start_is_a_page_before_the_span_at_most() -> None:
     times = [2.5 * number for number in range(1_440_000)]
-    start, looks = find_start(times, 0)
+    start, probes = find_start(times, 0)
     assert 0 <= 1_440_000 - SPAN_MS / 2.5 - start <= 1_000
-    assert looks <= 12
+    assert probes <= 12
 
 
 def test_span_reaches_back_to_a_checkpoint_that_covers_it() -> None:
--- a/tests/toucanyard/test_wire.py
+++ b/tests/toucanyard/test_wire.py
@@ -33,11 +33,11 @@
     Suspected,
 )
 from toucanyard.key_messages import (
-    AskKey,
     KeyReport,
     KeysRecorded,
     KeyStatus,
     OpenLedger,
+    QueryKey,
     RecordKeys,
     RevokeKey,
 )
@@ -75,7 +75,7 @@
     ConfigurationRequest(0),
     ConfigurationOffer(CheckpointRecord(configuration=Configuration(2), next_offset=3)),
     ConfigurationDelta(1, (build_patch("second", 1),), HISTORY, 2, 7),
-    AskKey(SELF, NAME, "c"),
+    QueryKey(SELF, NAME, "c"),
     KeyReport(SELF, NAME, "c", KeyStatus.RUNNING, b"d"),
     OpenLedger(SELF, 1),
     RecordKeys(SELF, 1, 2, (b"m" * 16,)),
@@ -85,29 +85,29 @@
     SnapshotPart(1, 0, 1, 7, b"x"),
     SnapshotBusy(1, 5.0),
 )
-ODD = st.sampled_from(
+INVALID_VALUES = st.sampled_from(
     [None, True, -1, 0, 2**53, 2**64, 10**400, -(10**400), "", "x", b"", [], {}]
     + [float("nan"), float("inf"), -1e308, 1e308, cbor2.CBORTag(28, "x")]
 )
 
 
-def list_places(value: object) -> Iterator[tuple[Any, Any]]:
+def list_positions(value: object) -> Iterator[tuple[Any, Any]]:
     """Yield each container inside a value with each of its keys."""
     if isinstance(value, list | dict):
         keys = range(len(value)) if isinstance(value, list) else list(value)
         for key in keys:
             yield value, key
-            yield from list_places(value[key])
+            yield from list_positions(value[key])
 
 
 @st.composite
-def changed_messages(draw: st.DrawFn) -> bytes:
+def mutated_messages(draw: st.DrawFn) -> bytes:
     """Return the bytes of a message in which some values are replaced."""
     value = cbor2.loads(encode_message(draw(st.sampled_from(MESSAGES))))
     for _ in range(draw(st.integers(0, 2))):
-        places = list(list_places(value))
-        container, key = draw(st.sampled_from(places))
-        container[key] = draw(ODD)
+        positions = list(list_positions(value))
+        container, key = draw(st.sampled_from(positions))
+        container[key] = draw(INVALID_VALUES)
     return cbor2.dumps(value)
 
 
@@ -118,7 +118,7 @@
     return world
 
 
-@given(changed_messages())
+@given(mutated_messages())
 @settings(max_examples=300)
 def test_no_message_of_a_peer_ends_the_core(data: bytes) -> None:
     """A faulty peer sends numbers out of range or values of the wrong type. The message
@@ -138,7 +138,7 @@
             decode_message(encode_message(action.message))
 
 
-@given(st.binary(max_size=40) | st.tuples(st.binary(max_size=6), changed_messages()))
+@given(st.binary(max_size=40) | st.tuples(st.binary(max_size=6), mutated_messages()))
 @example(b"\x81" * 5_000)
 @example(b"\x9b\x7f" + b"\xff" * 7)
 @example(b"\xc5\x82\x1b\x7f" + b"\xff" * 7 + b"\x01")
