--- a/packages/toucanyard/src/toucanyard/claims.py
+++ b/packages/toucanyard/src/toucanyard/claims.py
@@ -133,7 +133,7 @@
         self.next_offset = max(start, event.next_offset)
         found: list[ClaimRecord | HandoverRecord] = []
         for record in event.records:
-            # Skip records that an overlapping read has already returned.
+            # Skip records of an overlapping read, so that no claim is counted twice.
             if record.offset < start:
                 continue
             self._log_now_ms = max(self._log_now_ms, record.at_ms)
--- a/packages/toucanyard/src/toucanyard/recording_batches.py
+++ b/packages/toucanyard/src/toucanyard/recording_batches.py
@@ -1,7 +1,7 @@
 """Batch requests to record issued keys on backup nodes, and match their answers.
 
-A request identifies a key by 16 bytes and its answer names only the batch: on nodes
-that serve only keyed requests, these messages are most of the control traffic.
+A request identifies a key by 16 bytes and its answer names only the batch. Otherwise
+nodes that serve only keyed requests would spend most of their control traffic on it.
 """
 
 from __future__ import annotations
--- a/tests/toucanyard/test_at_most_once.py
+++ b/tests/toucanyard/test_at_most_once.py
@@ -195,7 +195,8 @@
 
 
 def test_claims_of_other_nodes_have_a_bound_of_their_own() -> None:
-    """The claims of a large fleet fill a node's index.
+    """The claims of a large fleet fill a node's index, which has a limit of its own so
+    that they leave room for the node's own keys.
 
     Chosen keys are refused, since a skipped claim may have won them.
     """
