--- a/tests/key_machine.py
+++ b/tests/key_machine.py
@@ -372,7 +372,7 @@
     def retry_everywhere(self) -> None:
         for key in self.world.keys:
             for node in self.world.live():
-                if key.tries:
+                if key.attempts:
                     self.world.send(node, key, b"one", not key.is_issued())
                     self.world.send(node, key, b"two", not key.is_issued())
 
@@ -388,4 +388,4 @@
         world.heal()
         world.check_all_ended()
         for key in world.keys[-2 * len(world.live()) :]:
-            assert len(key.executions) == 1, f"{key.text} {key.tries}"
+            assert len(key.executions) == 1, f"{key.text} {key.attempts}"
--- a/tests/key_world.py
+++ b/tests/key_world.py
@@ -91,7 +91,7 @@
 
     customer: CustomerName
     text: str
-    tries: list[Attempt] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     executions: list[Execution] = field(default_factory=list)
     refused: list[tuple[float, Attempt, ErrorKind]] = field(default_factory=list)
 
@@ -143,7 +143,7 @@
     def _find_checked(self) -> list[Execution]:
         if self.is_issued():
             return self.executions
-        end_ms = self.tries[0].sent_ms + WINDOW_MS
+        end_ms = self.attempts[0].sent_ms + WINDOW_MS
         return [
             each
             for each in self.executions
@@ -153,12 +153,12 @@
     def _check_refusal(
         self, at_ms: float, refused: Attempt, kind: ErrorKind, execution: Execution
     ) -> None:
-        if at_ms >= self.tries[0].sent_ms + WINDOW_MS and not self.is_issued():
+        if at_ms >= self.attempts[0].sent_ms + WINDOW_MS and not self.is_issued():
             return
         if kind is ErrorKind.KEY_REUSED:
             assert refused.digest != execution.digest, "not run, but the same body ran"
             return
-        sent_before = [each for each in self.tries if each.sent_ms <= at_ms]
+        sent_before = [each for each in self.attempts if each.sent_ms <= at_ms]
         if kind in ATTEMPT_REFUSALS and refused.key_age_ms == 0:
             # The refusal applies to the attempts sent so far, and proves nothing if
             # there were others besides the first one.
@@ -274,12 +274,12 @@
     def send(self, node: Node, key: Key, digest: bytes, declares_age: bool) -> Attempt:
         self.requests += 1
         request_id = RequestId(f"r{self.requests}")
-        first_ms = key.tries[0].sent_ms if key.tries else self.now_ms
+        first_ms = key.attempts[0].sent_ms if key.attempts else self.now_ms
         age_ms = self.now_ms - first_ms if declares_age else None
-        if age_ms == 0 and key.tries:
+        if age_ms == 0 and key.attempts:
             age_ms = 1.0
         attempt = Attempt(request_id, node.identity, self.now_ms, digest, age_ms)
-        key.tries.append(attempt)
+        key.attempts.append(attempt)
         node.waiting[request_id] = (key, attempt)
         deadline_ms = node.now(self.now_ms) + DEADLINE_MS
         node.inbox.append(
@@ -481,5 +481,5 @@
 
     def check_all_ended(self) -> None:
         for key in self.keys:
-            for attempt in key.tries:
+            for attempt in key.attempts:
                 assert len(attempt.endings) == 1, f"{key.text} {attempt}"
--- a/tests/toucanyard/test_wire.py
+++ b/tests/toucanyard/test_wire.py
@@ -64,14 +64,14 @@
 PEER = NodeId(NodeName("node-2"), Incarnation("b"))
 SELF = Incarnation("a")
 NAME = KeyName(CustomerName("ferry"), "k")
-NEWS = (
+UPDATES = (
     Leaving(Address("127.0.0.1:10"), 5),
     Suspected(EndpointName("engine-0"), NodeName("node-3"), 5),
     Restarted(EndpointName("engine-1"), Incarnation("i2"), 5),
 )
 HISTORY = (HistoryEntry(1, "first", "ana", 0, 1.0),)
 MESSAGES: tuple[PeerMessage, ...] = (
-    Digest(PEER.node, 1.0, -1.0, 1, 7, 3.0, NEWS),
+    Digest(PEER.node, 1.0, -1.0, 1, 7, 3.0, UPDATES),
     ConfigurationRequest(0),
     ConfigurationOffer(CheckpointRecord(configuration=Configuration(2), next_offset=3)),
     ConfigurationDelta(1, (build_patch("second", 1),), HISTORY, 2, 7),
