--- a/packages/toucanyard/src/toucanyard/kept_answers.py
+++ b/packages/toucanyard/src/toucanyard/answer_cache.py
@@ -1,4 +1,4 @@
-"""Keep whole answers for retries, within a limit of bytes."""
+"""Cache complete answers for retries, up to a size limit in bytes."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from toucanyard.key_records import (
     KeyName,
 )
-from toucanyard.requests import KeptAnswer
+from toucanyard.requests import CachedAnswer
 
 _OVERHEAD_BYTES: Final = 400
 
 
-class KeptAnswers:
-    """Answers by key, oldest dropped first.
+class AnswerCache:
+    """Answers by key; the oldest are evicted first.
 
-    Invariant: `used_bytes` is the sum over what is kept and never above the limit.
+    Invariant: `used_bytes` is the total size of the answers, and never above the limit.
     """
 
     __slots__ = ("_answers", "_limit_bytes", "used_bytes")
 
     def __init__(self, limit_bytes: int) -> None:
-        self._answers: dict[KeyName, KeptAnswer] = {}
+        self._answers: dict[KeyName, CachedAnswer] = {}
         self._limit_bytes = limit_bytes
         self.used_bytes = 0
 
-    def find(self, name: KeyName) -> KeptAnswer | None:
-        """Return the answer of a key unless it was dropped."""
+    def find(self, name: KeyName) -> CachedAnswer | None:
+        """Return the answer of a key unless it was evicted."""
         return self._answers.get(name)
 
-    def keep(self, name: KeyName, answer: KeptAnswer) -> None:
-        """Keep an answer, dropping the oldest ones that it displaces."""
+    def keep(self, name: KeyName, answer: CachedAnswer) -> None:
+        """Store an answer, evicting the oldest ones to make room."""
         self.drop(name)
         size_bytes = _compute_size_bytes(answer)
         if size_bytes > self._limit_bytes:
@@ -41,11 +41,11 @@
         self.used_bytes += size_bytes
 
     def drop(self, name: KeyName) -> None:
-        """Drop the answer of a key, if there is one."""
+        """Remove the answer of a key, if there is one."""
         answer = self._answers.pop(name, None)
         if answer is not None:
             self.used_bytes -= _compute_size_bytes(answer)
 
 
-def _compute_size_bytes(answer: KeptAnswer) -> int:
+def _compute_size_bytes(answer: CachedAnswer) -> int:
     return len(answer.body) + len(answer.content_type) + _OVERHEAD_BYTES
--- a/packages/toucanyard/src/toucanyard/append_batch.py
+++ b/packages/toucanyard/src/toucanyard/append_batch.py
@@ -1,8 +1,8 @@
-"""Gather records of one node into few appends to the log, under a rate.
+"""Batch the log records of one node, at a limited rate of appends.
 
-The log service takes several hundred appends a second from all nodes together, so a
-node's claims share appends: the first of a batch waits `gather_ms` for others, and
-longer while the node's rate is used up.
+The log service accepts several hundred appends a second from all nodes together, so
+the claims of a node share appends: the first record of a batch waits `gather_ms` for
+others, and longer while the node has used up its rate.
 """
 
 from __future__ import annotations
@@ -17,52 +17,58 @@
 _MAX_RECORDS: Final = 500
 _MAX_BYTES: Final = 400_000
 _IDLE_GATHER_MS: Final = 250
-"""How long records that no caller waits for are gathered."""
+"""Batching delay of records that no caller waits for."""
 
 
 class AppendBatch(msgspec.Struct, frozen=True):
-    """Records for one append."""
+    """The records of one append."""
 
     record_ids: tuple[str, ...]
     texts: tuple[str, ...]
 
 
-class BatchGatherer:
-    """Records that wait for their append.
+class AppendBatcher:
+    """Records waiting to be appended.
 
-    Invariants: at most one batch is due each `1000 / max_appends_per_s`; records
-    leave in the order in which they came.
+    Invariants: at most one batch is due each `1000 / max_appends_per_s` ms; records
+    are appended in the order in which they were added.
     """
 
-    __slots__ = ("_due_ms", "_gap_ms", "_gather_ms", "_open_ms", "_waiting")
+    __slots__ = (
+        "_due_ms",
+        "_interval_ms",
+        "_gather_ms",
+        "_next_allowed_ms",
+        "_waiting",
+    )
 
     def __init__(self, limits: ClaimLimits) -> None:
         self._gather_ms = limits.gather_ms
-        self._gap_ms = 1_000 / limits.max_appends_per_s
+        self._interval_ms = 1_000 / limits.max_appends_per_s
         self._waiting: list[AppendToLog] = []
         self._due_ms = float("inf")
-        self._open_ms = float("-inf")
+        self._next_allowed_ms = float("-inf")
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     def add(self, record: AppendToLog, now_ms: float) -> None:
-        """Let a record wait for the next append."""
+        """Queue a record for the next append."""
         gather_ms = self._gather_ms if record.is_urgent else _IDLE_GATHER_MS
         self._waiting.append(record)
         self._due_ms = min(self._due_ms, now_ms + gather_ms)
 
     def find_due_ms(self) -> float:
-        """Return when the next batch is due; infinity when nothing waits."""
-        return max(self._due_ms, self._open_ms)
+        """Return when the next batch is due; infinity if the queue is empty."""
+        return max(self._due_ms, self._next_allowed_ms)
 
-    def take(self, now_ms: float) -> AppendBatch | None:
-        """Take the batch that is due, if any."""
+    def pop_due(self, now_ms: float) -> AppendBatch | None:
+        """Remove and return the batch that is due, if any."""
         if not self._waiting or now_ms < self.find_due_ms():
             return None
         count = self._count_fitting()
         taken, self._waiting = self._waiting[:count], self._waiting[count:]
-        self._open_ms = now_ms + self._gap_ms
+        self._next_allowed_ms = now_ms + self._interval_ms
         self._due_ms = now_ms if self._waiting else float("inf")
         return AppendBatch(
             tuple(each.record_id for each in taken),
--- a/packages/toucanyard/src/toucanyard/key_answers.py
+++ b/packages/toucanyard/src/toucanyard/key_answers.py
@@ -1,4 +1,4 @@
-"""Compose what a caller is told about a key: a kept answer or a refusal."""
+"""Compose the reply to an attempt of a key: a cached answer or a refusal."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from typing import Final
 
 from toucanyard.claim_events import (
-    KeyedArrived,
-    RefuseKeyed,
+    KeyedRequestArrived,
+    RefuseKeyedRequest,
     ReplayAnswer,
 )
 from toucanyard.errorcodes import ANSWERS, Ending, ErrorKind
 from toucanyard.key_messages import (
     KeyStatus,
 )
-from toucanyard.requests import KeptAnswer
+from toucanyard.requests import CachedAnswer
 
 _RETRY_AFTER_MS: Final = 500
 
@@ -34,38 +34,41 @@
 
 
 def compute_unclaimed_ending(key_age_ms: float | None) -> Ending:
-    """Return what may be said of a key whose other tries this node can't know.
+    """Return the ending to report for a key of which other attempts may exist.
 
-    Only a caller that declared its first try can be told that the key did not run:
-    an earlier try may have been claimed by another node.
+    NOT_RUN is safe only if the caller declared that this is the first attempt: an
+    earlier one may have been claimed by another node.
     """
     return Ending.NOT_RUN if key_age_ms == 0 else Ending.UNKNOWN
 
 
-def refuse(event: KeyedArrived, kind: ErrorKind, rng: random.Random) -> RefuseKeyed:
-    """Refuse with the ending that the kind's table entry proves."""
+def refuse(
+    event: KeyedRequestArrived, kind: ErrorKind, rng: random.Random
+) -> RefuseKeyedRequest:
+    """Refuse with the ending that `ANSWERS` defines for the kind."""
     ending = ANSWERS[kind].ending
     return _compose(event, kind, Ending.UNKNOWN if ending is None else ending, rng)
 
 
 def refuse_unclaimed(
-    event: KeyedArrived, kind: ErrorKind, rng: random.Random
-) -> RefuseKeyed:
-    """Refuse a try that this node never will dispatch, of a key it knows too little of.
+    event: KeyedRequestArrived, kind: ErrorKind, rng: random.Random
+) -> RefuseKeyedRequest:
+    """Refuse an attempt that this node will never dispatch, of a key it doesn't own.
 
-    The kind's own ending speaks of one try; a keyed refusal speaks of the key.
+    The kind's own ending applies to one attempt; the ending of a keyed refusal
+    applies to the key.
     """
     return _compose(event, kind, compute_unclaimed_ending(event.key_age_ms), rng)
 
 
-def tell_status(
-    event: KeyedArrived,
+def compose_status_reply(
+    event: KeyedRequestArrived,
     status: KeyStatus,
     digest: bytes,
-    answer: KeptAnswer | None,
+    answer: CachedAnswer | None,
     rng: random.Random,
-) -> RefuseKeyed | ReplayAnswer:
-    """Tell a try how its key ended; an empty digest says that no body is known."""
+) -> RefuseKeyedRequest | ReplayAnswer:
+    """Compose the reply for a key's status; an empty digest means no known body."""
     if digest and digest != event.body_digest:
         return refuse(event, ErrorKind.KEY_REUSED, rng)
     match status:
@@ -80,9 +83,9 @@
 
 
 def _compose(
-    event: KeyedArrived, kind: ErrorKind, ending: Ending, rng: random.Random
-) -> RefuseKeyed:
-    # Spread, so that callers refused together don't come back together.
+    event: KeyedRequestArrived, kind: ErrorKind, ending: Ending, rng: random.Random
+) -> RefuseKeyedRequest:
+    # Jitter, so that callers that were refused together don't retry together.
     retry_after_ms = int(_RETRY_AFTER_MS * (1 + rng.random()))
     text = _TEXTS[kind]
-    return RefuseKeyed(event.request_id, kind, ending, text, retry_after_ms)
+    return RefuseKeyedRequest(event.request_id, kind, ending, text, retry_after_ms)
--- a/packages/toucanyard/src/toucanyard/node_core.py
+++ b/packages/toucanyard/src/toucanyard/node_core.py
@@ -1,7 +1,7 @@
-"""All decisions of one node: take an event and the present time, return actions.
+"""The decision logic of one node: maps an event and the current time to actions.
 
 Owns one instance of each decision module and routes events between them. It has no
-sockets, clock or tasks, so that any number of nodes can be driven in one process.
+sockets, clock or tasks, so any number of nodes can run in one process.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from toucanyard.claim_events import (
     ClaimAction,
     ClaimRecordsRead,
-    HandOverBegun,
+    HandoverBegun,
     LogState,
     PeerMessageArrived,
     RecordsSettled,
@@ -31,15 +31,15 @@
     CacheDumpRead,
     CacheEventsRead,
     CallerLeft,
-    DispatchOver,
+    DispatchFinished,
     DrainBegun,
-    EndpointSilent,
+    EndpointPollFailed,
     FirstTokenSeen,
     LinksChanged,
     LoadRead,
     LogExpired,
     LogRead,
-    LogReread,
+    LogReadRestarted,
     LogStateSeen,
     MessageRead,
     OrderEnded,
@@ -91,10 +91,10 @@
     | RequestTurnedAway
     | CallerLeft
     | FirstTokenSeen
-    | DispatchOver
+    | DispatchFinished
     | LogRead
     | LogExpired
-    | LogReread
+    | LogReadRestarted
     | LogStateSeen
     | AppendSettled
     | VmsRead
@@ -104,11 +104,11 @@
     | LoadRead
     | CacheEventsRead
     | CacheDumpRead
-    | EndpointSilent
+    | EndpointPollFailed
     | StateRead
     | OrderEnded
     | DrainBegun
-    | HandOverBegun
+    | HandoverBegun
     | TickPassed
 )
 CoreAction = (
@@ -119,8 +119,8 @@
 class NodeCore:
     """The decisions of one node incarnation.
 
-    Invariant: state changes only inside `handle`, so the actions of one event are
-    complete before the next event is taken.
+    Invariant: state changes only inside `handle`, so all actions of one event are
+    known before the next event is processed.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
         return self.log.in_force
 
     def find_linked(self) -> tuple[NodeId, ...]:
-        """Return the peers to which a link stands."""
+        """Return the peers with an established link."""
         return self._peers.list_all()
 
     def list_endpoints(self) -> list[Endpoint]:
@@ -181,7 +181,7 @@
         return self.membership.find_followed(self.list_endpoints())
 
     def handle(self, event: CoreEvent, now_ms: float) -> list[CoreAction]:
-        """Take one event in and return what must be done now, in this order."""
+        """Process one event and return the actions to carry out, in order."""
         actions = list(self._handle(event, now_ms))
         if self.configuration.version != self._applied_version:
             self._applied_version = self.configuration.version
@@ -195,19 +195,19 @@
                 | RequestTurnedAway()
                 | CallerLeft()
                 | FirstTokenSeen()
-                | DispatchOver()
+                | DispatchFinished()
             ):
                 yield from self._handle_request(event, now_ms)
             case (
                 LogRead()
                 | LogExpired()
-                | LogReread()
+                | LogReadRestarted()
                 | LogStateSeen()
                 | AppendSettled()
             ):
                 yield from self._handle_log(event, now_ms)
             case VmsRead(vms=vms):
-                self._count_nodes(vms)
+                self._update_node_count(vms)
                 read = VmListRead(vms)
                 yield from self._apply_membership(
                     self.membership.handle(read, now_ms), now_ms
@@ -227,7 +227,7 @@
                 self.membership.handle(NodeLeaves(address), now_ms)
                 yield from self.duties.duties.release(now_ms)
                 self._is_draining = True
-            case HandOverBegun():
+            case HandoverBegun():
                 yield from self._apply_claims(self.claims.handle(event, now_ms), now_ms)
             case _:
                 yield from self._handle_endpoint(event, now_ms)
@@ -238,24 +238,24 @@
         | RequestTurnedAway
         | CallerLeft
         | FirstTokenSeen
-        | DispatchOver,
+        | DispatchFinished,
         now_ms: float,
     ) -> Iterator[CoreAction]:
         match event:
             case RequestArrived(request=request):
-                yield from _to_core(self.flow.arrive(request, now_ms))
+                yield from _to_core(self.flow.handle_arrival(request, now_ms))
             case RequestTurnedAway():
                 self.flow.records.record_rejected(event, now_ms)
             case CallerLeft(request_id=request_id):
-                yield from _to_core(self.flow.leave(request_id, now_ms))
+                yield from _to_core(self.flow.handle_caller_left(request_id, now_ms))
             case FirstTokenSeen():
                 self.flow.record_first_token(event.request_id, event.after_ms, now_ms)
-            case DispatchOver(outcome=outcome):
+            case DispatchFinished(outcome=outcome):
                 yield from _to_core(self.flow.end_dispatch(outcome, now_ms))
 
     def _handle_log(
         self,
-        event: LogRead | LogExpired | LogReread | LogStateSeen | AppendSettled,
+        event: LogRead | LogExpired | LogReadRestarted | LogStateSeen | AppendSettled,
         now_ms: float,
     ) -> Iterator[CoreAction]:
         match event:
@@ -269,7 +269,7 @@
             case LogExpired(oldest=oldest):
                 self.log.note_expired(oldest)
                 self.duties.duties.note_expired()
-            case LogReread():
+            case LogReadRestarted():
                 self.log.note_reread()
             case LogStateSeen(is_up=is_up):
                 state = LogState(is_up)
@@ -277,8 +277,8 @@
             case AppendSettled():
                 yield from self._settle(event, now_ms)
 
-    def _count_nodes(self, vms: Sequence[Vm]) -> None:
-        """Tell the flow how many nodes share the endpoints, this one included."""
+    def _update_node_count(self, vms: Sequence[Vm]) -> None:
+        """Update the number of nodes that share the endpoints, including this one."""
         names = {vm.name for vm in vms if vm.runs == "node"}
         count = len(names | {self.identity.node})
         if count != self._node_count:
@@ -321,7 +321,7 @@
         event: LoadRead
         | CacheEventsRead
         | CacheDumpRead
-        | EndpointSilent
+        | EndpointPollFailed
         | StateRead
         | OrderEnded,
         now_ms: float,
@@ -344,7 +344,7 @@
                 self.duties.note_state(event.endpoint, event.state, event.asked_ms)
             case OrderEnded(sent=sent, outcome=outcome):
                 self.duties.note_outcome(sent, outcome, now_ms)
-            case EndpointSilent(endpoint=endpoint):
+            case EndpointPollFailed(endpoint=endpoint):
                 self.directory.record_failure(endpoint, now_ms)
 
     def _tick(self, now_ms: float) -> Iterator[CoreAction]:
--- a/packages/toucanyard/src/toucanyard/placement.py
+++ b/packages/toucanyard/src/toucanyard/placement.py
@@ -30,8 +30,8 @@
 )
 from toucanyard.rendezvous import EndpointRing
 from toucanyard.requests import (
-    PROVED_NOT_RUN,
-    EndingSeen,
+    PROVEN_NOT_RUN,
+    DispatchEnding,
     ModelTarget,
     Outcome,
     Request,
@@ -213,10 +213,10 @@
             view.cache.record_incarnation(outcome.incarnation)
         if not isinstance(request.target, ModelTarget):
             return
-        if outcome.ending == EndingSeen.COMPLETED and outcome.duration_ms > 0:
+        if outcome.ending == DispatchEnding.COMPLETED and outcome.duration_ms > 0:
             request_cost = self._request_costs.get(request.target.pool)
             request_cost.record_duration(outcome.duration_ms)
-        if outcome.ending in PROVED_NOT_RUN:
+        if outcome.ending in PROVEN_NOT_RUN:
             # Nothing was computed there; expecting its blocks would attract the prefix.
             view.cache.is_doubtful = True
 
--- a/packages/toucanyard/src/toucanyard/log_counts.py
+++ b/packages/toucanyard/src/toucanyard/skipped_record_counts.py
@@ -1,4 +1,4 @@
-"""Count the records of the log that were passed over, for operators."""
+"""Count the skipped records of the log, for operators."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 _MAX_UNKNOWN_KINDS: Final = 16
 
 
-class LogCounts(msgspec.Struct):
-    """How many records were passed over, and why."""
+class SkippedRecordCounts(msgspec.Struct):
+    """Numbers of skipped records by reason."""
 
     foreign: int = 0
     malformed: int = 0
@@ -21,8 +21,8 @@
     refused_checkpoints: int = 0
     by_unknown_kind: dict[str, int] = msgspec.field(default_factory=dict)
 
-    def note(self, reason: SkipReason) -> None:
-        """Count one record that was passed over."""
+    def record_skip(self, reason: SkipReason) -> None:
+        """Count one skipped record."""
         match reason:
             case SkipReason.FOREIGN:
                 self.foreign += 1
@@ -31,8 +31,8 @@
             case SkipReason.OVERSIZED:
                 self.oversized += 1
 
-    def note_unknown(self, kind: str) -> None:
-        """Count one record of a configuration kind that newer nodes may understand."""
+    def record_unknown_kind(self, kind: str) -> None:
+        """Count one record of an unknown kind, which newer nodes may understand."""
         self.unknown_kinds += 1
         known = self.by_unknown_kind
         if kind in known or len(known) < _MAX_UNKNOWN_KINDS:
--- a/packages/toucanyard/src/toucanyard/wire.py
+++ b/packages/toucanyard/src/toucanyard/wire.py
@@ -1,7 +1,7 @@
-"""Encode and decode what nodes send one another: CBOR of tagged messages.
+"""Encode and decode the messages between nodes: tagged messages in CBOR.
 
-One closed union names every message. A message that doesn't decode is the sender's
-fault and is answered by closing the link, never by guessing.
+One closed union lists every message. A message that fails to decode is an error of the
+sender; the link is closed and no partial result is used.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
     DigestMessage,
 )
 from toucanyard.key_messages import (
-    AskingMessage,
+    KeyControlMessage,
     KeyMessage,
-    KeysNoted,
-    NoteKeys,
-    NoteMessage,
+    KeysRecorded,
+    RecordingMessage,
+    RecordKeys,
 )
 from toucanyard.snapshots import (
     SnapshotBusy,
@@ -38,11 +38,11 @@
 
 
 class _KeyFrame(msgspec.Struct, frozen=True, array_like=True, tag="k"):
-    message: AskingMessage
+    message: KeyControlMessage
 
 
-class _NoteFrame(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    message: NoteMessage
+class _RecordingFrame(msgspec.Struct, frozen=True, array_like=True, tag="n"):
+    message: RecordingMessage
 
 
 class _DigestFrame(msgspec.Struct, frozen=True, array_like=True, tag="d"):
@@ -57,13 +57,16 @@
     message: SnapshotMessage
 
 
-# Digests and notes are arrays, since they are sent all the time; the codec can't tell
-# arrays and maps apart in one union, so a frame says which family a message is of.
-_Frame = _KeyFrame | _NoteFrame | _DigestFrame | _ConfigurationFrame | _SnapshotFrame
+# Digests and recording messages are encoded as arrays, since they are sent constantly.
+# The codec can't distinguish arrays from maps in one union, so the tag of a frame names
+# the family of its message.
+_Frame = (
+    _KeyFrame | _RecordingFrame | _DigestFrame | _ConfigurationFrame | _SnapshotFrame
+)
 
 
 def encode_message(message: PeerMessage) -> bytes:
-    """Return the bytes of one message."""
+    """Encode one message."""
     frame: _Frame
     match message:
         case Digest():
@@ -72,14 +75,14 @@
             frame = _ConfigurationFrame(message)
         case SnapshotRequest() | SnapshotPart() | SnapshotBusy():
             frame = _SnapshotFrame(message)
-        case NoteKeys() | KeysNoted():
-            frame = _NoteFrame(message)
+        case RecordKeys() | KeysRecorded():
+            frame = _RecordingFrame(message)
         case _:
             frame = _KeyFrame(message)
     return cbor2.dumps(msgspec.to_builtins(frame, builtin_types=(bytes,)))
 
 
 def decode_message(data: bytes) -> PeerMessage:
-    """Return the message in some bytes, or raise MessageInvalidError."""
+    """Decode one message, or raise MessageInvalidError."""
     frame: _Frame = decode_cbor(data, _Frame)
     return frame.message
--- a/tests/key_machine.py
+++ b/tests/key_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that the at-most-once decision is tested with."""
+"""The Hypothesis state machine that tests the at-most-once decision."""
 
 from __future__ import annotations
 
@@ -17,20 +17,23 @@
 from toucanyard.platform_log import (
     AppendResult,
 )
-from toucanyard.requests import EndingSeen
+from toucanyard.requests import DispatchEnding
 
-PLACES = st.integers(0, 3)
+INDEXES = st.integers(0, 3)
 NODES = st.sampled_from(NAMES)
 DIGESTS = st.sampled_from((b"one", b"one", b"one", b"two"))
-ENDINGS = st.sampled_from((EndingSeen.COMPLETED, EndingSeen.LOST, EndingSeen.CANCELLED))
+ENDINGS = st.sampled_from(
+    (DispatchEnding.COMPLETED, DispatchEnding.LOST, DispatchEnding.CANCELLED)
+)
 
 
 class KeysUnderFaults(RuleBasedStateMachine):
-    """Tries of few keys on three nodes while everything around them fails.
+    """Attempts of a few keys on three nodes while everything around them fails.
 
-    Callers see refusals, replays and cuts. A pause lies between any two steps, since
-    a node takes in and carries out only what a rule tells it to; messages and appends
-    are late, lost, doubled or reordered; nodes die and come back; views differ.
+    Callers see refusals, replays and lost connections. A node processes events and
+    carries out actions only when a rule says so, hence it may pause between any two
+    steps. Messages and appends are delayed, lost, duplicated or reordered; nodes crash
+    and restart; membership views differ.
     """
 
     @initialize(max_keys=st.sampled_from((1_000, 1_000, 1_000, 2)))
@@ -39,7 +42,7 @@
 
     def begin(self, max_keys: int) -> None:
         self.world = World(max_keys)
-        self.world.pump(3, None)
+        self.world.run_rounds(3, None)
         self.dead: list[Node] = []
         self.make_key(NAMES[0], True, CUSTOMERS[0])
         self.make_key(NAMES[0], False, CUSTOMERS[0])
@@ -55,138 +58,140 @@
             self.world.keys.append(Key(customer, text))
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, place=PLACES, digest=DIGESTS, tells_age=st.booleans())
-    def send(self, name: NodeName, place: int, digest: bytes, tells_age: bool) -> None:
+    @rule(name=NODES, index=INDEXES, digest=DIGESTS, declares_age=st.booleans())
+    def send(
+        self, name: NodeName, index: int, digest: bytes, declares_age: bool
+    ) -> None:
         node = self.world.nodes[name]
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         if node is not None:
-            self.world.send(node, key, digest, tells_age)
+            self.world.send(node, key, digest, declares_age)
 
     @precondition(lambda self: self.world.keys)
-    @rule(place=PLACES, tells_age=st.booleans())
-    def send_to_issuer(self, place: int, tells_age: bool) -> None:
-        """Send a key to the node that issued it and let that node work."""
-        key = self.world.keys[place % len(self.world.keys)]
+    @rule(index=INDEXES, declares_age=st.booleans())
+    def send_to_issuer(self, index: int, declares_age: bool) -> None:
+        """Send a key to the node that issued it, and run that node until idle."""
+        key = self.world.keys[index % len(self.world.keys)]
         issued = parse_issued_key(key.text)
         node = None if issued is None else self.world.nodes[issued.issuer.node]
         if node is not None:
-            self.world.send(node, key, b"one", tells_age)
-            self.world.work(node)
+            self.world.send(node, key, b"one", declares_age)
+            self.world.run_node(node)
 
     @precondition(lambda self: self.world.keys)
-    @rule(place=PLACES, rounds=st.integers(1, 3))
-    def pause_issuer(self, place: int, rounds: int) -> None:
-        """Pause an issuer before it takes a try in, while its caller retries."""
+    @rule(index=INDEXES, rounds=st.integers(1, 3))
+    def pause_issuer(self, index: int, rounds: int) -> None:
+        """Pause an issuer before it processes an attempt, while its caller retries."""
         world = self.world
-        key = world.keys[place % len(world.keys)]
+        key = world.keys[index % len(world.keys)]
         issued = parse_issued_key(key.text)
-        home = None if issued is None else world.nodes[issued.issuer.node]
-        if home is None:
+        issuer_node = None if issued is None else world.nodes[issued.issuer.node]
+        if issuer_node is None:
             return
-        world.send(home, key, b"one", tells_age=True)
-        others = [node for node in world.live() if node is not home]
+        world.send(issuer_node, key, b"one", declares_age=True)
+        others = [node for node in world.live() if node is not issuer_node]
         for node in others:
-            world.send(node, key, b"one", tells_age=True)
+            world.send(node, key, b"one", declares_age=True)
         for _ in range(rounds):
             for node in others:
-                world.work(node)
+                world.run_node(node)
             world.deliver_all()
             world.advance(200)
-        world.pump(2, None)
+        world.run_rounds(2, None)
 
-    @rule(name=NODES, place=PLACES, is_retried=st.booleans())
-    def claim_and_leave(self, name: NodeName, place: int, is_retried: bool) -> None:
-        """Let a caller go away while the claim of its key is under way."""
+    @rule(name=NODES, index=INDEXES, is_retried=st.booleans())
+    def claim_and_leave(self, name: NodeName, index: int, is_retried: bool) -> None:
+        """Disconnect a caller while the claim of its key is pending."""
         node = self.world.nodes[name]
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         if node is not None:
-            self.world.send(node, key, b"one", tells_age=True)
-            self.world.work(node)
+            self.world.send(node, key, b"one", declares_age=True)
+            self.world.run_node(node)
             self.world.leave(node, len(node.waiting) - 1)
-            self.world.work(node)
+            self.world.run_node(node)
             if is_retried:
-                self.world.send(node, key, b"one", tells_age=True)
-                self.world.work(node)
-                self.world.pump(3, None)
+                self.world.send(node, key, b"one", declares_age=True)
+                self.world.run_node(node)
+                self.world.run_rounds(3, None)
 
     @precondition(lambda self: self.world.keys)
-    @rule(place=PLACES, rounds=st.integers(0, 3))
-    def storm(self, place: int, rounds: int) -> None:
+    @rule(index=INDEXES, rounds=st.integers(0, 3))
+    def storm(self, index: int, rounds: int) -> None:
         """Retry one key on every node at once."""
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         for node in self.world.live():
-            self.world.send(node, key, b"one", tells_age=True)
+            self.world.send(node, key, b"one", declares_age=True)
             if rounds == 0:
-                self.world.work(node)
-        self.world.pump(rounds, None)
+                self.world.run_node(node)
+        self.world.run_rounds(rounds, None)
         if rounds == 0:
-            self.land_in_turn()
+            self.commit_in_turn()
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, other=NODES, place=PLACES)
-    def reuse(self, name: NodeName, other: NodeName, place: int) -> None:
-        """Use a key anew after its window, which one node sees over before others."""
+    @rule(name=NODES, other=NODES, index=INDEXES)
+    def reuse(self, name: NodeName, other: NodeName, index: int) -> None:
+        """Use a key again after its window, which ends on one node before others."""
         world = self.world
-        key = world.keys[place % len(world.keys)]
-        world.pump(3, EndingSeen.COMPLETED)
+        key = world.keys[index % len(world.keys)]
+        world.run_rounds(3, DispatchEnding.COMPLETED)
         world.advance(70_000)
         first, second = world.nodes[name], world.nodes[other]
         if first is None or second is None:
             return
         world.read(first)
         first.inbox.append(Ticked())
-        world.work(first)
+        world.run_node(first)
         for node in (first, second):
-            world.send(node, key, b"one", tells_age=False)
-            world.pump(3, EndingSeen.COMPLETED)
+            world.send(node, key, b"one", declares_age=False)
+            world.run_rounds(3, DispatchEnding.COMPLETED)
             world.advance(50)
 
     @precondition(lambda self: self.world.keys)
     @rule(
         name=NODES,
         other=NODES,
-        place=PLACES,
+        index=INDEXES,
         is_left=st.booleans(),
         is_read=st.booleans(),
     )
     def reuse_behind(
-        self, name: NodeName, other: NodeName, place: int, is_left: bool, is_read: bool
+        self, name: NodeName, other: NodeName, index: int, is_left: bool, is_read: bool
     ) -> None:
-        """Use a key anew while a node is paused that claimed it or remembers a claim.
+        """Use a key again while a node that claimed it or holds a claim is paused.
 
         Its first caller may have left, so that the claim was abandoned. The paused node
-        wakes and gets the retry, before or after it has read the log.
+        resumes and gets the retry, before or after it has read the log.
         """
         world = self.world
-        key = world.keys[place % len(world.keys)]
+        key = world.keys[index % len(world.keys)]
         behind, first = world.nodes[name], world.nodes[other]
         if behind is None or first is None or behind is first:
             return
-        world.send(behind, key, b"one", tells_age=True)
-        world.work(behind)
+        world.send(behind, key, b"one", declares_age=True)
+        world.run_node(behind)
         if is_left:
             world.leave(behind, len(behind.waiting) - 1)
-            world.land_all()
+            world.commit_all()
             world.read(behind)
-            world.work(behind)
-        world.land_all()
+            world.run_node(behind)
+        world.commit_all()
         world.read(first)
-        world.work(first)
+        world.run_node(first)
         world.advance(70_000)
         world.read(first)
         first.inbox.append(Ticked())
-        world.work(first)
-        world.send(first, key, b"two", tells_age=False)
+        world.run_node(first)
+        world.send(first, key, b"two", declares_age=False)
         for _ in range(2):
-            world.work(first)
-            world.land_all()
+            world.run_node(first)
+            world.commit_all()
             world.read(first)
-        world.work(first)
+        world.run_node(first)
         if is_read:
             world.read(behind)
-        world.work(behind)
-        world.send(behind, key, b"two", tells_age=False)
-        world.pump(2, EndingSeen.COMPLETED)
+        world.run_node(behind)
+        world.send(behind, key, b"two", declares_age=False)
+        world.run_rounds(2, DispatchEnding.COMPLETED)
 
     @rule(name=NODES, count=st.integers(1, 4))
     def step(self, name: NodeName, count: int) -> None:
@@ -203,28 +208,28 @@
             self.world.act(node, is_sent)
 
     @rule(name=NODES, ending=ENDINGS)
-    def end_dispatch(self, name: NodeName, ending: EndingSeen) -> None:
+    def end_dispatch(self, name: NodeName, ending: DispatchEnding) -> None:
         node = self.world.nodes[name]
         if node is not None:
             self.world.end_dispatch(node, ending)
 
     @precondition(lambda self: self.world.appends)
-    @rule(place=PLACES, how=st.sampled_from(("done", "lost", "refused", "late")))
-    def settle_append(self, place: int, how: str) -> None:
+    @rule(index=INDEXES, how=st.sampled_from(("done", "lost", "refused", "late")))
+    def settle_append(self, index: int, how: str) -> None:
         world = self.world
-        append = world.appends[place % len(world.appends)]
+        append = world.appends[index % len(world.appends)]
         if how == "late":
-            # The node is told that the result is unknown; the effect comes later.
-            world.tell_append(append, AppendResult.UNKNOWN)
+            # The node gets an unknown result; the append takes effect later.
+            world.report_append(append, AppendResult.UNKNOWN)
             return
         world.appends.remove(append)
-        if how != "refused" or append.is_told:
-            world.land(append.text)
+        if how != "refused" or append.is_announced:
+            world.commit(append.text)
         if how == "done":
-            world.tell_append(append, AppendResult.DONE)
-        elif not append.is_told:
+            world.report_append(append, AppendResult.DONE)
+        elif not append.is_announced:
             result = AppendResult.UNKNOWN if how == "lost" else AppendResult.REFUSED
-            world.tell_append(append, result)
+            world.report_append(append, result)
 
     @rule(name=NODES, overlap=st.integers(0, 3))
     def read_log(self, name: NodeName, overlap: int) -> None:
@@ -233,62 +238,62 @@
             self.world.read(node, overlap)
 
     @precondition(lambda self: self.world.network)
-    @rule(place=PLACES, how=st.sampled_from(("once", "once", "twice", "never")))
-    def deliver(self, place: int, how: str) -> None:
+    @rule(index=INDEXES, how=st.sampled_from(("once", "once", "twice", "never")))
+    def deliver(self, index: int, how: str) -> None:
         network = self.world.network
-        message = network[place % len(network)]
+        message = network[index % len(network)]
         if how != "twice":
             network.remove(message)
         if how != "never":
             self.world.deliver(message)
 
-    @rule(name=NODES, place=PLACES)
-    def leave(self, name: NodeName, place: int) -> None:
+    @rule(name=NODES, index=INDEXES)
+    def leave(self, name: NodeName, index: int) -> None:
         node = self.world.nodes[name]
         if node is not None:
-            self.world.leave(node, place)
+            self.world.leave(node, index)
 
     @rule(name=NODES)
-    def work(self, name: NodeName) -> None:
+    def run_node(self, name: NodeName) -> None:
         node = self.world.nodes[name]
         if node is not None:
-            self.world.work(node)
+            self.world.run_node(node)
 
     @rule()
-    def land_all(self) -> None:
-        self.world.land_all()
+    def commit_all(self) -> None:
+        self.world.commit_all()
 
     @rule()
-    def land_in_turn(self) -> None:
-        """Let each node act on its own append before the next takes effect."""
+    def commit_in_turn(self) -> None:
+        """Let each node act on its own append before the next one takes effect."""
         while self.world.appends and self.world.is_log_up:
             append = self.world.appends.pop(0)
-            self.world.land(append.text)
+            self.world.commit(append.text)
             node = self.world.nodes[append.node.node]
             if node is not None:
                 self.world.read(node)
-                self.world.work(node)
+                self.world.run_node(node)
 
-    @rule(name=NODES, place=PLACES)
-    def oversleep(self, name: NodeName, place: int) -> None:
-        """Pause a node past its deadlines after it has read the log or its peers."""
+    @rule(name=NODES, index=INDEXES)
+    def pause_past_deadline(self, name: NodeName, index: int) -> None:
+        """Pause a node past its deadlines, after it has read the log."""
         node = self.world.nodes[name]
-        key = self.world.keys[place % len(self.world.keys)]
+        key = self.world.keys[index % len(self.world.keys)]
         if node is not None:
-            self.world.send(node, key, b"one", tells_age=True)
-            self.world.work(node)
-            self.world.land_all()
+            self.world.send(node, key, b"one", declares_age=True)
+            self.world.run_node(node)
+            self.world.commit_all()
             self.world.read(node)
             self.world.advance(1_200)
-            self.world.work(node)
+            self.world.run_node(node)
 
     @rule()
     def deliver_all(self) -> None:
         self.world.deliver_all()
 
     @rule(rounds=st.integers(1, 3), ending=st.none() | ENDINGS)
-    def pump(self, rounds: int, ending: EndingSeen | None) -> None:
-        self.world.pump(rounds, ending)
+    def run_rounds(self, rounds: int, ending: DispatchEnding | None) -> None:
+        self.world.run_rounds(rounds, ending)
 
     @rule(ms=st.sampled_from((50, 400, 400, 1_200, 1_200, 6_000, 21_000, 70_000)))
     def advance(self, ms: int) -> None:
@@ -296,8 +301,8 @@
 
     @rule(ms=st.sampled_from((-70_000, 70_000)))
     def jump_log_clock(self, ms: int) -> None:
-        """Set the clock of the log's machine, which stamps every record."""
-        self.world.log_ahead_ms += ms
+        """Make the log's clock, which timestamps every record, jump."""
+        self.world.log_clock_offset_ms += ms
         self.world.advance(50)
 
     @rule(name=NODES)
@@ -308,42 +313,42 @@
             self.world.kill(node.identity.node)
 
     @precondition(lambda self: self.world.keys)
-    @rule(name=NODES, place=PLACES, is_told=st.booleans())
-    def kill_after_run(self, name: NodeName, place: int, is_told: bool) -> None:
-        """Lose a node while it runs a key; its caller retries on the others."""
-        key = self.world.keys[place % len(self.world.keys)]
+    @rule(name=NODES, index=INDEXES, is_announced=st.booleans())
+    def kill_after_run(self, name: NodeName, index: int, is_announced: bool) -> None:
+        """Kill a node while it runs a key; its caller retries on the others."""
+        key = self.world.keys[index % len(self.world.keys)]
         issued = parse_issued_key(key.text)
-        home = self.world.nodes[name if issued is None else issued.issuer.node]
-        if home is None:
+        issuer_node = self.world.nodes[name if issued is None else issued.issuer.node]
+        if issuer_node is None:
             return
-        self.world.send(home, key, b"one", tells_age=True)
-        self.world.pump(3, None)
-        self.kill(home.identity.node)
-        if is_told:
-            self.restart(home.identity.node)
+        self.world.send(issuer_node, key, b"one", declares_age=True)
+        self.world.run_rounds(3, None)
+        self.kill(issuer_node.identity.node)
+        if is_announced:
+            self.restart(issuer_node.identity.node)
         for node in self.world.live():
-            self.world.send(node, key, b"one", tells_age=True)
+            self.world.send(node, key, b"one", declares_age=True)
         self.world.advance(400)
-        self.world.pump(3, None)
+        self.world.run_rounds(3, None)
 
     @rule(name=NODES)
     def restart(self, name: NodeName) -> None:
         if self.world.nodes[name] is None:
             self.world.start(name)
-            self.world.tell_views()
+            self.world.send_views()
 
-    @rule(name=NODES, is_stale=st.booleans(), place=PLACES)
-    def change_view(self, name: NodeName, is_stale: bool, place: int) -> None:
-        """Show a node a VM list with dead incarnations or without some live ones."""
+    @rule(name=NODES, is_stale=st.booleans(), index=INDEXES)
+    def change_view(self, name: NodeName, is_stale: bool, index: int) -> None:
+        """Send a node a view with dead incarnations or without some live ones."""
         node = self.world.nodes[name]
         if node is None:
             return
         seen = self.world.live()
         if is_stale and self.dead:
-            seen = [self.dead[place % len(self.dead)], *seen]
+            seen = [self.dead[index % len(self.dead)], *seen]
         elif seen:
-            seen = seen[place % len(seen) :]
-        self.world.tell_view(node, seen)
+            seen = seen[index % len(seen) :]
+        self.world.send_view(node, seen)
 
     @rule(is_up=st.sampled_from((True, True, False)))
     def switch_log(self, is_up: bool) -> None:
@@ -357,7 +362,7 @@
             world.heal()
             world.check_all_ended()
             world.advance(later_ms)
-            world.pump(1, EndingSeen.COMPLETED)
+            world.run_rounds(1, DispatchEnding.COMPLETED)
             self.retry_everywhere()
         world.heal()
         world.check_all_ended()
@@ -367,20 +372,20 @@
     def retry_everywhere(self) -> None:
         for key in self.world.keys:
             for node in self.world.live():
-                if key.tries:
+                if key.attempts:
                     self.world.send(node, key, b"one", not key.is_issued())
                     self.world.send(node, key, b"two", not key.is_issued())
 
     def check_fresh_keys_run(self) -> None:
-        """Fail when a node that is well can't run new keys of both sorts."""
+        """Fail if a healthy node can't run new keys of both kinds."""
         world = self.world
         for number, node in enumerate(world.live()):
             prefix = node.core.issue_prefix(node.now(world.now_ms))
             for text in (f"fresh{number}", prefix + "fresh"):
                 key = Key(CUSTOMERS[0], text)
                 world.keys.append(key)
-                world.send(node, key, b"one", tells_age=True)
+                world.send(node, key, b"one", declares_age=True)
         world.heal()
         world.check_all_ended()
         for key in world.keys[-2 * len(world.live()) :]:
-            assert len(key.executions) == 1, f"{key.text} {key.tries}"
+            assert len(key.executions) == 1, f"{key.text} {key.attempts}"
--- a/tests/key_mutations.py
+++ b/tests/key_mutations.py
@@ -1,4 +1,4 @@
-"""Seeded faults in the at-most-once decision, one line each, and how to apply them."""
+"""Mutations of the at-most-once decision, one line each, and a way to apply them."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
     Mutation(
         "a claim is passed over while an old one is remembered",
         "claims",
-        "elif self._log_now_ms - known.at_ms >= self._remember_ms:",
+        "elif self._log_now_ms - known.at_ms >= self._retention_ms:",
         "elif False:",
     ),
     Mutation(
         "claims are forgotten inside the window",
         "claims",
-        "_REMEMBER_IN_WINDOWS: Final = 1.25",
-        "_REMEMBER_IN_WINDOWS: Final = 0.2",
+        "_RETENTION_WINDOWS: Final = 1.25",
+        "_RETENTION_WINDOWS: Final = 0.2",
     ),
     Mutation(
         "a claim is forgotten by the log's clock alone",
         "claims",
-        "if now_ms - read_ms < self._remember_ms:",
+        "if now_ms - read_ms < self._retention_ms:",
         "if now_ms < read_ms:",
     ),
     Mutation(
@@ -56,7 +56,7 @@
         "an own claim that was given up counts as won",
         "claimed_keys",
         "elif claim.claim_id == entry.claim_id:",
-        "elif claim.claimer == book.identity:",
+        "elif claim.claimer == table.identity:",
     ),
     Mutation(
         "a claim is dispatched without having won",
@@ -68,60 +68,60 @@
         "a dead claimer's key is reported as not run",
         "followed_keys",
         "if is_reused or claim.is_abandoned:",
-        "if is_reused or claim.is_abandoned or book.is_replaced(claim.claimer):",
+        "if is_reused or claim.is_abandoned or table.is_replaced(claim.claimer):",
     ),
     Mutation(
         "a key that the witness noted is reported as not run",
         "followed_keys",
-        "if message.status is LedgerStatus.SEALED:",
+        "if message.status is LedgerStatus.REVOKED:",
         "if message.status is not LedgerStatus.GONE:",
     ),
     Mutation(
         "a witness notes a key that it has sealed",
-        "witness_ledgers",
+        "backup_ledgers",
         "if status is not None:",
         "if status is wanted:",
     ),
     Mutation(
         "an issued key is dispatched before it is noted",
-        "noted_keys",
-        "if witness is None:",
+        "recorded_keys",
+        "if backup is None:",
         "if True:",
     ),
     Mutation(
         "a key that its witness refused to note is dispatched",
-        "noted_keys",
-        "if place in message.refused:",
+        "recorded_keys",
+        "if position in message.refused:",
         "if False:",
     ),
     Mutation(
         "an issued key may run again after the window",
-        "noted_keys",
-        "if not book.is_in_window(issued, now_ms):",
+        "recorded_keys",
+        "if not table.is_in_window(issued, now_ms):",
         "if False:",
     ),
     Mutation(
         "a key is sealed as unseen after it was forgotten",
-        "noted_keys",
-        "if not book.is_in_window(issued, now_ms) or book.is_full(name.customer):",
-        "if book.is_full(name.customer):",
+        "recorded_keys",
+        "if not table.is_in_window(issued, now_ms) or table.is_full(name.customer):",
+        "if table.is_full(name.customer):",
     ),
     Mutation(
         "a lost dispatch is reported as not run",
         "at_most_once",
-        "if event.ending in PROVED_NOT_RUN or",
-        "if event.ending in (EndingSeen.NOT_SENT, EndingSeen.LOST) or",
+        "if event.ending in PROVEN_NOT_RUN or",
+        "if event.ending in (DispatchEnding.NOT_SENT, DispatchEnding.LOST) or",
     ),
     Mutation(
         "a dispatch cancelled after its start is reported as not run",
         "at_most_once",
-        "if event.ending in PROVED_NOT_RUN or (is_cancelled and not entry.is_started):",
-        "if event.ending in PROVED_NOT_RUN or is_cancelled:",
+        "if event.ending in PROVEN_NOT_RUN or (is_cancelled and not entry.is_started):",
+        "if event.ending in PROVEN_NOT_RUN or is_cancelled:",
     ),
     Mutation(
         "the age of a key is not looked at",
         "at_most_once",
-        "return age_ms + left_ms >= self._book.limits.window_ms",
+        "return age_ms + left_ms >= self._table.limits.window_ms",
         "return False",
     ),
     Mutation(
@@ -139,8 +139,8 @@
     Mutation(
         "a try is dispatched after its deadline",
         "key_entries",
-        "if try_.body_digest == self.digest and try_.deadline_ms > now_ms:",
-        "if try_.body_digest == self.digest:",
+        "if attempt.body_digest == self.digest and attempt.deadline_ms > now_ms:",
+        "if attempt.body_digest == self.digest:",
     ),
 )
 
@@ -148,27 +148,27 @@
     Mutation(
         "a planned stop reports what is running as not run",
         "at_most_once",
-        "for entry in self._book.find_entries(Phase.NOTING):",
-        "for entry in self._book.find_entries():",
+        "for entry in self._table.find_entries(Phase.RECORDING):",
+        "for entry in self._table.find_entries():",
     ),
     Mutation(
         "a holder reports a key that it was not handed as not run",
-        "key_questions",
-        'told = KeyTold(to, name, claim_id, KeyStatus.UNKNOWN, b"")',
-        'told = KeyTold(to, name, claim_id, KeyStatus.NOT_RUN, b"")',
+        "key_query_handler",
+        'report = KeyReport(to, name, claim_id, KeyStatus.UNKNOWN, b"")',
+        'report = KeyReport(to, name, claim_id, KeyStatus.NOT_RUN, b"")',
     ),
     Mutation(
         "a key is handed over without its body's digest",
-        "handed_keys",
-        "_Held(key.claim_id, key.status, key.digest, now_ms)",
-        '_Held(key.claim_id, key.status, b"", now_ms)',
+        "transferred_keys",
+        "key.claim_id, key.status, key.digest, now_ms",
+        'key.claim_id, key.status, b"", now_ms',
     ),
 )
 
 
 @contextmanager
 def apply_mutation(mutation: Mutation) -> Iterator[None]:
-    """Give the functions of a module the mutated code, for a while."""
+    """Replace the code of a module's functions by mutated code within the context."""
     original = importlib.import_module(f"toucanyard.{mutation.module}")
     assert original.__file__ is not None
     source = Path(original.__file__).read_text()
--- a/tests/toucanyard/test_claims.py
+++ b/tests/toucanyard/test_claims.py
@@ -4,12 +4,12 @@
 
 from core_world import CUSTOMER, SERVICE, CoreWorld
 from toucanyard.configuration import PriorityClass
-from toucanyard.core_events import DispatchOver, RequestArrived
+from toucanyard.core_events import DispatchFinished, RequestArrived
 from toucanyard.names import CustomerName, RequestId
 from toucanyard.requests import (
+    CachedAnswer,
     Dispatch,
-    EndingSeen,
-    KeptAnswer,
+    DispatchEnding,
     Outcome,
     Repeatability,
     Replay,
@@ -46,17 +46,17 @@
 
 def complete(world: CoreWorld, verdict: Verdict | None, text: bytes) -> None:
     assert isinstance(verdict, Dispatch)
-    answer = KeptAnswer(200, "application/json", text)
+    answer = CachedAnswer(200, "application/json", text)
     outcome = Outcome(
-        verdict.request_id, verdict.endpoint, EndingSeen.COMPLETED, answer=answer
+        verdict.request_id, verdict.endpoint, DispatchEnding.COMPLETED, answer=answer
     )
-    world.handle(DispatchOver(outcome))
+    world.handle(DispatchFinished(outcome))
 
 
 def test_equal_keys_of_two_customers_are_two_keys() -> None:
-    # Two customers choose the same key for the same call. The second one's call runs,
-    # and each gets its own answer; by the key alone, the second customer would be given
-    # what was answered to the first, and its hold would never be made.
+    # Two customers choose the same key for the same call. Both calls run, and each
+    # customer gets its own answer. If keys were not separated by customer, the second
+    # one would get the answer to the first one, and its call would never run.
     world = CoreWorld()
     complete(world, arrive(world, "r1", CUSTOMER), b"of the first")
     complete(world, arrive(world, "r2", OTHER), b"of the other")
--- a/tests/toucanyard/test_wire.py
+++ b/tests/toucanyard/test_wire.py
@@ -1,4 +1,4 @@
-"""Bytes of peers: messages, or refused; and no message ends the core."""
+"""Tests that any bytes from a peer are decoded or rejected, and none stops the core."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     Suspected,
 )
 from toucanyard.key_messages import (
-    AskKey,
-    KeysNoted,
+    KeyReport,
+    KeysRecorded,
     KeyStatus,
-    KeyTold,
-    NoteKeys,
     OpenLedger,
-    SealKey,
+    QueryKey,
+    RecordKeys,
+    RevokeKey,
 )
 from toucanyard.key_records import (
     KeyName,
@@ -64,50 +64,50 @@
 PEER = NodeId(NodeName("node-2"), Incarnation("b"))
 SELF = Incarnation("a")
 NAME = KeyName(CustomerName("ferry"), "k")
-NEWS = (
+UPDATES = (
     Leaving(Address("127.0.0.1:10"), 5),
     Suspected(EndpointName("engine-0"), NodeName("node-3"), 5),
     Restarted(EndpointName("engine-1"), Incarnation("i2"), 5),
 )
 HISTORY = (HistoryEntry(1, "first", "ana", 0, 1.0),)
 MESSAGES: tuple[PeerMessage, ...] = (
-    Digest(PEER.node, 1.0, -1.0, 1, 7, 3.0, NEWS),
+    Digest(PEER.node, 1.0, -1.0, 1, 7, 3.0, UPDATES),
     ConfigurationRequest(0),
     ConfigurationOffer(CheckpointRecord(configuration=Configuration(2), next_offset=3)),
     ConfigurationDelta(1, (build_patch("second", 1),), HISTORY, 2, 7),
-    AskKey(SELF, NAME, "c"),
-    KeyTold(SELF, NAME, "c", KeyStatus.RUNNING, b"d"),
+    QueryKey(SELF, NAME, "c"),
+    KeyReport(SELF, NAME, "c", KeyStatus.RUNNING, b"d"),
     OpenLedger(SELF, 1),
-    NoteKeys(SELF, 1, 2, (b"m" * 16,)),
-    KeysNoted(SELF, 2, (0,)),
-    SealKey(SELF, 1, PEER, NAME),
+    RecordKeys(SELF, 1, 2, (b"m" * 16,)),
+    KeysRecorded(SELF, 2, (0,)),
+    RevokeKey(SELF, 1, PEER, NAME),
     SnapshotRequest(1, 0),
     SnapshotPart(1, 0, 1, 7, b"x"),
     SnapshotBusy(1, 5.0),
 )
-ODD = st.sampled_from(
+INVALID_VALUES = st.sampled_from(
     [None, True, -1, 0, 2**53, 2**64, 10**400, -(10**400), "", "x", b"", [], {}]
     + [float("nan"), float("inf"), -1e308, 1e308, cbor2.CBORTag(28, "x")]
 )
 
 
-def list_places(value: object) -> Iterator[tuple[Any, Any]]:
+def list_positions(value: object) -> Iterator[tuple[Any, Any]]:
     """Yield each container inside a value with each of its keys."""
     if isinstance(value, list | dict):
         keys = range(len(value)) if isinstance(value, list) else list(value)
         for key in keys:
             yield value, key
-            yield from list_places(value[key])
+            yield from list_positions(value[key])
 
 
 @st.composite
-def changed_messages(draw: st.DrawFn) -> bytes:
-    """Return the bytes of a message of which some parts are odd."""
+def mutated_messages(draw: st.DrawFn) -> bytes:
+    """Return the bytes of a message in which some values are replaced."""
     value = cbor2.loads(encode_message(draw(st.sampled_from(MESSAGES))))
     for _ in range(draw(st.integers(0, 2))):
-        places = list(list_places(value))
-        container, key = draw(st.sampled_from(places))
-        container[key] = draw(ODD)
+        positions = list(list_positions(value))
+        container, key = draw(st.sampled_from(positions))
+        container[key] = draw(INVALID_VALUES)
     return cbor2.dumps(value)
 
 
@@ -118,11 +118,11 @@
     return world
 
 
-@given(changed_messages())
+@given(mutated_messages())
 @settings(max_examples=300)
 def test_no_message_of_a_peer_ends_the_core(data: bytes) -> None:
-    """A peer with a fault sends numbers out of any range, or the wrong kind of value.
-    The message is refused, or the core takes it and goes on serving."""
+    """A faulty peer sends numbers out of range or values of the wrong type. The message
+    is rejected, or the core accepts it and continues to serve."""
     try:
         message = decode_message(data)
     except MessageInvalidError:
@@ -138,7 +138,7 @@
             decode_message(encode_message(action.message))
 
 
-@given(st.binary(max_size=40) | st.tuples(st.binary(max_size=6), changed_messages()))
+@given(st.binary(max_size=40) | st.tuples(st.binary(max_size=6), mutated_messages()))
 @example(b"\x81" * 5_000)
 @example(b"\x9b\x7f" + b"\xff" * 7)
 @example(b"\xc5\x82\x1b\x7f" + b"\xff" * 7 + b"\x01")
@@ -146,7 +146,7 @@
 @example(b"\xd8\x1c\x81\xd8\x1d\x00")
 @settings(max_examples=200)
 def test_any_bytes_are_a_message_or_refused(data: bytes | tuple[bytes, bytes]) -> None:
-    """A length that is declared and never comes, tags of other types, cycles."""
+    """Covers declared lengths without data, tags of other types, and cycles."""
     joined = data if isinstance(data, bytes) else data[1][: -len(data[0])] + data[0]
     try:
         message = decode_message(joined)
