--- a/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
@@ -22,7 +22,9 @@
 )
 from toucanyard.relay_core import TICK_MS, RelayCore
 from toucanyard.relay_events import (
-    AppendTurn,
+    AppendLease,
+    LeaseAppended,
+    LeaseRead,
     LinkMessageRead,
     Note,
     OrderAnswered,
@@ -30,8 +32,8 @@
     PeersLinked,
     QuarantineErased,
     QuarantineWritten,
+    ReadLeases,
     ReadReplicaState,
-    ReadTurns,
     RelayAction,
     RelayEvent,
     ReplicaStateRead,
@@ -39,8 +41,6 @@
     StoreFailed,
     TickPassed,
     TopicRead,
-    TurnAppended,
-    TurnRead,
     WeightsOrder,
 )
 from toucanyard.relay_options import RelayOptions
@@ -142,10 +142,10 @@
                     self.after(0.0, lambda: call.take(verdict))
             case SendToPeer(node=name, message=message):
                 self.world.send(self, name, LinkMessageRead(self.identity, message))
-            case ReadTurns(from_offset=offset):
-                self._ask_store(lambda: self._read_turns(offset), "turns")
-            case AppendTurn():
-                self._append_turn(action)
+            case ReadLeases(from_offset=offset):
+                self._ask_store(lambda: self._read_leases(offset), "turns")
+            case AppendLease():
+                self._append_lease(action)
             case ReadReplicaState():
                 self._read_state(action)
             case WeightsOrder():
@@ -185,7 +185,7 @@
         view = self.core.exchange.views[topic]
         is_new = not view.end and not self._next[topic]
         if is_new or self.core.reads.is_due(topic, self.now_ms):
-            self.core.reads.note_begun(topic, self.now_ms)
+            self.core.reads.record_read_started(topic, self.now_ms)
             asked_ms = self.now_ms
             self._ask_store(lambda: self._read(topic, asked_ms), topic.value)
         self.after(LOOK_MS[topic], lambda: self._watch(topic))
@@ -196,22 +196,22 @@
         self._next[topic] = end
         self.handle(TopicRead(topic, records, end, since == 0, asked_ms))
 
-    def _read_turns(self, offset: int) -> None:
-        self.handle(TurnRead(*self.world.store.read_turns(offset)))
+    def _read_leases(self, offset: int) -> None:
+        self.handle(LeaseRead(*self.world.store.read_leases(offset)))
 
-    def _append_turn(self, action: AppendTurn) -> None:
+    def _append_lease(self, action: AppendLease) -> None:
         sent_ms = self.now_ms
         self.world.store.calls += 1
         if self._is_store_away():
             self.after(
                 STORE_TIMEOUT_MS,
-                lambda: self.handle(TurnAppended(None, sent_ms)),
+                lambda: self.handle(LeaseAppended(None, sent_ms)),
             )
             return
 
         def append() -> None:
-            offset = self.world.store.append_turn(action.value, action.at)
-            self.handle(TurnAppended(offset, sent_ms))
+            offset = self.world.store.append_lease(action.value, action.at)
+            self.handle(LeaseAppended(offset, sent_ms))
 
         self.after(STORE_MS, append)
 
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/store.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/store.py
@@ -19,7 +19,7 @@
         """Nodes that get no answer."""
         self._facts: list[object] = []
         self._records: dict[Topic, list[KeyedRecord]] = {topic: [] for topic in Topic}
-        self._turns: list[bytes] = []
+        self._leases: list[bytes] = []
         self._waiting: list[Callable[[], None]] = []
 
     def decode(self, _: Topic, __: str, value: bytes) -> object:
@@ -48,14 +48,14 @@
         """Call back once operators have written something."""
         self._waiting.append(wake)
 
-    def read_turns(self, since: int) -> tuple[tuple[tuple[int, bytes], ...], int]:
+    def read_leases(self, since: int) -> tuple[tuple[tuple[int, bytes], ...], int]:
         """Return the turns from an offset on, and their end."""
-        numbered = tuple(enumerate(self._turns))
-        return numbered[since:], len(self._turns)
+        numbered = tuple(enumerate(self._leases))
+        return numbered[since:], len(self._leases)
 
-    def append_turn(self, value: bytes, at: int) -> int | None:
+    def append_lease(self, value: bytes, at: int) -> int | None:
         """Append if the turns end there; return the offset, None if they don't."""
-        if at != len(self._turns):
+        if at != len(self._leases):
             return None
-        self._turns.append(value)
+        self._leases.append(value)
         return at
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/world.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/world.py
@@ -21,7 +21,7 @@
     RoutedService,
     RouteTable,
 )
-from toucanyard.weights_goals import WantedWeights
+from toucanyard.target_weights import WantedWeights
 from toucanyard_emulator.accounting import Counts, Ended
 from toucanyard_emulator.arrivals import draw_arrivals
 from toucanyard_emulator.caller import Caller
--- a/packages/toucanyard-node/src/toucanyard_node/metrics.py
+++ b/packages/toucanyard-node/src/toucanyard_node/metrics.py
@@ -138,7 +138,7 @@
     yield Gauge("endpoints.condemned", len(condemned))
     suspect = core.membership.is_self_suspect(now_ms)
     yield Gauge("membership.is_self_suspect", int(suspect))
-    yield Gauge("duties.held", len(core.duties.duties.find_held(now_ms)))
+    yield Gauge("duties.held", len(core.order_runner.leases.find_held(now_ms)))
 
 
 def _collect_refusals(core: NodeCore) -> Iterator[Metric]:
--- a/packages/toucanyard-node/src/toucanyard_node/operators_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/operators_face.py
@@ -186,12 +186,14 @@
             is_self_suspect=core.membership.is_self_suspect(now_ms),
             log_offset=core.log.next_offset,
             unknown_record_kinds=core.log.counts.unknown_kinds,
-            divergent_peers=tuple(sorted(core.spread.divergent)),
+            divergent_peers=tuple(sorted(core.synchronizer.divergent)),
             pending_requests=core.flow.count_pending(),
             queued_requests=core.admission.count_queued(),
             keys=core.claims.count_keys(),
             claims=core.claims.count_claims(),
-            duties=tuple(duty.pool for duty in core.duties.duties.find_held(now_ms)),
+            duties=tuple(
+                lease.pool for lease in core.order_runner.leases.find_held(now_ms)
+            ),
             peers=core.find_linked(),
             vms=core.membership.vms,
             endpoints=self._list_endpoints(now_ms),
--- a/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
@@ -98,7 +98,7 @@
     """The store has forgotten the records that were asked for."""
 
 
-class TurnTakenError(Exception):
+class LeaseConflictError(Exception):
     """An append to the turns failed its condition."""
 
     def __init__(self, end: int) -> None:
@@ -160,11 +160,11 @@
         """Remove the record of a request under quarantine."""
         ...
 
-    async def read_turns(self, offset: int) -> tuple[Sequence[tuple[int, bytes]], int]:
+    async def read_leases(self, offset: int) -> tuple[Sequence[tuple[int, bytes]], int]:
         """Return the turns' records from an offset on, and where they end."""
         ...
 
-    async def append_turn(self, value: bytes, at: int) -> int:
+    async def append_lease(self, value: bytes, at: int) -> int:
         """Append if the turns end there; return the offset or raise TurnTakenError."""
         ...
 
--- a/packages/toucanyard-node/src/toucanyard_node/relay_store.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_store.py
@@ -19,28 +19,28 @@
 )
 from toucanyard.relay_core import RelayCore
 from toucanyard.relay_events import (
-    AppendTurn,
+    AppendLease,
+    LeaseAppended,
+    LeaseRead,
     OrderAnswered,
     QuarantineErased,
     QuarantineWritten,
+    ReadLeases,
     ReadReplicaState,
-    ReadTurns,
     RelayEvent,
     ReplicaStateRead,
     StoreFailed,
     TopicRead,
-    TurnAppended,
-    TurnRead,
     WeightsOrder,
 )
 from toucanyard.store_schedule import POLL_LAG_MS
 from toucanyard_node.relay_ports import (
+    LeaseConflictError,
     RecordsGoneError,
     ReplicaControl,
     Store,
     StoreError,
     TopicPage,
-    TurnTakenError,
 )
 from toucanyard_node.relay_task import Errand, RelayClient
 
@@ -123,7 +123,7 @@
     async def _poll_once(self, topic: Topic) -> bool:
         """Return whether the poll was answered, or lost and is to be made again."""
         now_ms = trio.current_time() * 1000
-        self._core.reads.note_begun(topic, now_ms)
+        self._core.reads.record_read_started(topic, now_ms)
         self._poll = poll = _Poll(topic, self._find_next(topic))
         is_read = False
         with poll.scope:
@@ -158,7 +158,7 @@
                 if topic is Topic.OPERATOR:
                     self._check_poll(now_ms)
                 if self._is_due(topic, now_ms):
-                    self._core.reads.note_begun(topic, now_ms)
+                    self._core.reads.record_read_started(topic, now_ms)
                     self._reading[topic] += 1
                     nursery.start_soon(self._read_and_rest, topic)
                 await trio.sleep(self._find_look(topic, now_ms))
@@ -261,10 +261,10 @@
 
     async def _carry_out(self, errand: Errand) -> RelayEvent | None:
         match errand:
-            case ReadTurns(from_offset=offset):
-                return await self._read_turns(offset)
-            case AppendTurn():
-                return await self._append_turn(errand)
+            case ReadLeases(from_offset=offset):
+                return await self._read_leases(offset)
+            case AppendLease():
+                return await self._append_lease(errand)
             case ReadReplicaState(replica=replica, listed_as=listed_as):
                 asked_ms = trio.current_time() * 1000
                 answer = await self._control.read_state(errand.address, listed_as)
@@ -276,25 +276,25 @@
             case EraseQuarantine(fingerprint=fingerprint):
                 return await self._erase_quarantine(fingerprint)
 
-    async def _read_turns(self, offset: int) -> RelayEvent | None:
+    async def _read_leases(self, offset: int) -> RelayEvent | None:
         asked_ms = trio.current_time() * 1000
         try:
-            records, end = await self._store.read_turns(offset)
+            records, end = await self._store.read_leases(offset)
         except StoreError as error:
             return StoreFailed("turns", error.reason, asked_ms)
-        return TurnRead(tuple(records), end)
+        return LeaseRead(tuple(records), end)
 
-    async def _append_turn(self, errand: AppendTurn) -> RelayEvent:
+    async def _append_lease(self, errand: AppendLease) -> RelayEvent:
         sent_ms = trio.current_time() * 1000
         try:
-            offset = await self._store.append_turn(errand.value, errand.at)
-        except TurnTakenError as error:
-            return TurnAppended(None, sent_ms, error.end)
+            offset = await self._store.append_lease(errand.value, errand.at)
+        except LeaseConflictError as error:
+            return LeaseAppended(None, sent_ms, error.end)
         except StoreError as error:
             self._client.tell(StoreFailed("turn", error.reason, sent_ms))
-            return TurnAppended(None, sent_ms)
+            return LeaseAppended(None, sent_ms)
         _LOG.info("turn_taken", offset=offset, at=errand.at)
-        return TurnAppended(offset, sent_ms)
+        return LeaseAppended(offset, sent_ms)
 
     async def _write_quarantine(self, request: QuarantinedRequest) -> RelayEvent:
         asked_ms = trio.current_time() * 1000
--- a/packages/toucanyard-node/src/toucanyard_node/relay_task.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_task.py
@@ -16,14 +16,14 @@
 from toucanyard.quarantine import EraseQuarantine, WriteQuarantine
 from toucanyard.relay_core import RelayCore
 from toucanyard.relay_events import (
-    AppendTurn,
+    AppendLease,
     CallArrived,
     CallerLeft,
     DispatchEnded,
     FirstEventSeen,
     Note,
+    ReadLeases,
     ReadReplicaState,
-    ReadTurns,
     RelayAction,
     RelayEvent,
     SendToPeer,
@@ -45,8 +45,8 @@
 
 Reply = trio.MemorySendChannel[RelayVerdict | None]
 Errand = (
-    ReadTurns
-    | AppendTurn
+    ReadLeases
+    | AppendLease
     | ReadReplicaState
     | WeightsOrder
     | WriteQuarantine
@@ -159,7 +159,7 @@
                 self._reply(request_id, verdict)
             case SendToPeer():
                 self._send_or_drop(action)
-            case ReadTurns() | AppendTurn() | ReadReplicaState() | WeightsOrder():
+            case ReadLeases() | AppendLease() | ReadReplicaState() | WeightsOrder():
                 self._errands.send_nowait(action)
             case WriteQuarantine() | EraseQuarantine():
                 self._errands.send_nowait(action)
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_restart.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_restart.py
@@ -143,7 +143,7 @@
 
 def _replay(text: str) -> None:
     log = ConfigurationLog(_TIMINGS)
-    log.note_expired(1)
+    log.handle_expired(1)
     log.apply_record(1, 0.0, text, 0.0)
     assert log.configuration.version == 1
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_roles.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_roles.py
@@ -195,7 +195,7 @@
         orders = PoolOrders(pool.name, 1, 0.0)
         state = EndpointState(Incarnation("i"), "m", "w1")
         for endpoint in pool.endpoints:
-            orders.note_state(endpoint.name, state, 1.0)
+            orders.record_state(endpoint.name, state, 1.0)
         return time_us(lambda: orders.plan(pool, 10_000.0, 2.0))
 
     yield measure_slope(
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_ticks.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_ticks.py
@@ -68,7 +68,7 @@
     for number in range(_TICKS):
         now_ms = 1_000.0 + number * _TICK_MS
         # Without a read of the log's head no duty would be looked at.
-        core.log.note_head(core.log.next_offset, now_ms)
+        core.log.update_log_end(core.log.next_offset, now_ms)
         actions = core.handle(TickPassed(), now_ms)
         dumps += sum(isinstance(action, ReadDump) for action in actions)
     return dumps
--- a/packages/toucanyard/src/toucanyard/call_placement.py
+++ b/packages/toucanyard/src/toucanyard/call_placement.py
@@ -25,7 +25,7 @@
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.requests import Repeatability
 from toucanyard.routes import EngineTraits, PromptStore, RouteIndex, RouteTable
-from toucanyard.weights_goals import WeightsGoals
+from toucanyard.target_weights import TargetWeightsTable
 
 MIN_PATIENCE_MS: Final = 400.0
 MAX_OLD_SHARE: Final = 0.8
@@ -42,7 +42,7 @@
         self,
         options: RelayOptions,
         directory: ReplicaDirectory,
-        goals: WeightsGoals,
+        weight_targets: TargetWeightsTable,
         sources: PartSources,
         credits: ReplicaCredits,
         rng: random.Random,
@@ -51,7 +51,7 @@
         self._sources = sources
         self._credits = credits
         self._directory = directory
-        self._goals = goals
+        self._weight_targets = weight_targets
         self.index = RouteIndex(RouteTable())
         self.view_confirmed_ms = float("-inf")
         """When the store last confirmed the list of replicas."""
@@ -96,7 +96,7 @@
         request = pending.request
         prompt = request.prompt
         assert prompt is not None
-        goal = self._goals.find(prompt.model)
+        target = self._weight_targets.find(prompt.model)
         if pending.has_begun and pending.weights_version is not None:
             # What another version goes on with is no part of the same answer.
             version = pending.weights_version
@@ -107,7 +107,7 @@
             prompt,
             engine,
             usable,
-            goal,
+            target,
             stores,
             now_ms,
             # The caller of a stream that was cut should rather learn of it at once.
--- a/packages/toucanyard/src/toucanyard/currency.py
+++ b/packages/toucanyard/src/toucanyard/configuration_freshness.py
@@ -8,7 +8,7 @@
 from toucanyard.options import ConfigurationTimings
 
 
-class Currency:
+class ConfigurationFreshness:
     """Hold when the version was last confirmed and a checkpoint last seen."""
 
     __slots__ = (
@@ -33,7 +33,7 @@
         if self._first_confirmed_ms is None:
             self._first_confirmed_ms = at_ms
 
-    def note_checkpoint(self, now_ms: float) -> None:
+    def record_checkpoint(self, now_ms: float) -> None:
         """Take in that a checkpoint came, or left this node, while it was current."""
         self._checkpoint_seen_ms = now_ms
 
--- a/packages/toucanyard/src/toucanyard/configuration_log.py
+++ b/packages/toucanyard/src/toucanyard/configuration_log.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from toucanyard.configuration import Configuration
+from toucanyard.configuration_freshness import ConfigurationFreshness
 from toucanyard.configuration_records import (
     CheckpointRecord,
     ConfigurationDelta,
@@ -25,12 +26,11 @@
     decode_record,
 )
 from toucanyard.configuration_versions import ConfigurationVersions
-from toucanyard.currency import Currency
 from toucanyard.errorcodes import ErrorKind
 from toucanyard.log_counts import LogCounts
 from toucanyard.missed_records import KeptBack, MissedRecords
 from toucanyard.options import ConfigurationTimings
-from toucanyard.patch_results import PatchMemory, PatchResult as PatchResult
+from toucanyard.patch_results import PatchHistory, PatchResult as PatchResult
 from toucanyard.patches import (
     Patch,
     PatchInvalidError,
@@ -38,7 +38,7 @@
     check_configuration,
 )
 
-_NOTHING: Final = Configuration()
+_EMPTY: Final = Configuration()
 
 
 class Allowance(msgspec.Struct, frozen=True):
@@ -65,9 +65,9 @@
 
     def __init__(self, timings: ConfigurationTimings, jitter: float = 0.0) -> None:
         """Start empty; `jitter` in 0..1 spreads checkpoints of nodes over time."""
-        self._currency = Currency(timings, jitter)
+        self._freshness = ConfigurationFreshness(timings, jitter)
         self._versions = ConfigurationVersions()
-        self._memory = PatchMemory()
+        self._patch_history = PatchHistory()
         self._missed = MissedRecords()
         self._is_caught_up = False
         self.next_offset = 0
@@ -81,7 +81,7 @@
     @property
     def history(self) -> tuple[HistoryEntry, ...]:
         """Return the latest versions with their patches, oldest first."""
-        return self._memory.history
+        return self._patch_history.history
 
     @property
     def in_force(self) -> Configuration:
@@ -91,7 +91,7 @@
         must not come into force again, nor go to peers, so it decides by none until it
         has met the end of the log, or the state of a peer, once.
         """
-        return self.configuration if self._is_caught_up else _NOTHING
+        return self.configuration if self._is_caught_up else _EMPTY
 
     @property
     def digest(self) -> int:
@@ -99,7 +99,7 @@
         return self._versions.digest
 
     @property
-    def is_missing(self) -> bool:
+    def has_gap(self) -> bool:
         """Tell whether records were missed that no checkpoint has covered yet."""
         return self._missed.is_any()
 
@@ -112,17 +112,17 @@
         """Return a version if it is among the latest ones that this node has seen."""
         return self._versions.find(version)
 
-    def result_of(self, patch_id: str) -> PatchResult | None:
+    def find_result(self, patch_id: str) -> PatchResult | None:
         """Return what became of a patch, if this node knows it."""
-        return self._memory.find(patch_id)
+        return self._patch_history.find(patch_id)
 
     def find_confirmed_age_ms(self, now_ms: float) -> float | None:
         """Return how long ago the version was last known to be the newest."""
-        return self._currency.find_age_ms(now_ms)
+        return self._freshness.find_age_ms(now_ms)
 
     def is_current(self, now_ms: float) -> bool:
         """Tell whether log or peers confirmed the version within the bound."""
-        return self._currency.is_fresh(now_ms) and not self.is_missing
+        return self._freshness.is_fresh(now_ms) and not self.has_gap
 
     def compute_allowance(self, now_ms: float) -> Allowance:
         """Return what may be done under the version in force."""
@@ -131,16 +131,16 @@
 
     def check_patch(self, patch: Patch) -> PatchResult:
         """Return what would become of a patch if nothing else reached the log."""
-        return self._judge(patch)[0]
+        return self._evaluate(patch)[0]
 
     def build_checkpoint(self) -> CheckpointRecord | None:
         """Return the state as a checkpoint; None when records were missed."""
-        if self.is_missing or self.configuration.version == 0:
+        if self.has_gap or self.configuration.version == 0:
             return None
         return CheckpointRecord(
             configuration=self.configuration,
             next_offset=self.next_offset,
-            history=self._memory.find_for_checkpoint(),
+            history=self._patch_history.find_for_checkpoint(),
         )
 
     def is_checkpoint_due(self, now_ms: float) -> bool:
@@ -148,14 +148,14 @@
         return (
             self.is_current(now_ms)
             and self.configuration.version > 0
-            and self._currency.is_checkpoint_due(now_ms)
+            and self._freshness.is_checkpoint_due(now_ms)
         )
 
-    def note_checkpoint_appended(self, now_ms: float) -> None:
+    def record_checkpoint_appended(self, now_ms: float) -> None:
         """Take in that this node appended a checkpoint, so that it waits again."""
-        self._currency.note_checkpoint(now_ms)
+        self._freshness.record_checkpoint(now_ms)
 
-    def note_expired(self, oldest: int) -> None:
+    def handle_expired(self, oldest: int) -> None:
         """Take in that reading can go on from `oldest` only."""
         if oldest <= self.next_offset:
             return
@@ -164,10 +164,10 @@
 
     def needs_older(self) -> bool:
         """Tell whether everything was read from a late start and led to no version."""
-        is_without = self.is_missing and self.configuration.version == 0
+        is_without = self.has_gap and self.configuration.version == 0
         return self._is_caught_up and is_without
 
-    def note_reread(self) -> None:
+    def restart_reading(self) -> None:
         """Take in that reading begins again at the first record, unless it need not."""
         if not self.needs_older():
             return
@@ -175,7 +175,7 @@
         self._missed.end()
         self.next_offset = 0
 
-    def note_head(self, log_next: int, asked_ms: float) -> None:
+    def update_log_end(self, log_next: int, asked_ms: float) -> None:
         """Take in how far the log goes, as told by a read begun at `asked_ms`.
 
         The time of asking counts, not that of the answer: an answer delayed on its
@@ -184,10 +184,12 @@
         if self.next_offset < log_next:
             return
         self._is_caught_up = True
-        if not self.is_missing:
-            self._currency.confirm(asked_ms)
+        if not self.has_gap:
+            self._freshness.confirm(asked_ms)
 
-    def note_peer(self, version: int, digest: int, confirmed_ms: float) -> bool:
+    def apply_peer_confirmation(
+        self, version: int, digest: int, confirmed_ms: float
+    ) -> bool:
         """Take in that a peer knew at `confirmed_ms` that its version was the newest.
 
         `confirmed_ms` is in this node's time. Return False if the peer holds another
@@ -199,8 +201,8 @@
         if digest != self.digest:
             return False
         self._is_caught_up = True
-        if not self.is_missing:
-            self._currency.confirm(confirmed_ms)
+        if not self.has_gap:
+            self._freshness.confirm(confirmed_ms)
         return True
 
     def apply_record(
@@ -212,21 +214,21 @@
         snapshot already covers change nothing. No text makes it raise.
         """
         if offset < self.next_offset:
-            return self._find_covered(text)
-        self.note_expired(offset)
+            return self._find_covered_result(text)
+        self.handle_expired(offset)
         self.next_offset = offset + 1
         record = decode_record(text)
         match record:
-            case PatchRecord() if self.is_missing:
+            case PatchRecord() if self.has_gap:
                 self._missed.keep_back(KeptBack(offset, at_ms, record))
                 return None
             case PatchRecord():
                 return self._apply(offset, at_ms, record)
             case CheckpointRecord():
-                self._note_checkpoint(record, now_ms)
+                self._handle_checkpoint(record, now_ms)
                 return None
             case UnknownRecord():
-                self._note_unknown(offset, record)
+                self._handle_unknown(offset, record)
                 return None
             case Skipped():
                 self.counts.note(record.reason)
@@ -237,7 +239,7 @@
 
         None when there are none, or some are no longer kept.
         """
-        if self.is_missing or base >= self.configuration.version:
+        if self.has_gap or base >= self.configuration.version:
             return None
         patches = self._versions.find_patches(base)
         if patches is None:
@@ -285,21 +287,21 @@
 
     def _adopt(self, checkpoint: CheckpointRecord) -> bool:
         version = checkpoint.configuration.version
-        is_new = version > self.configuration.version or self.is_missing
+        is_new = version > self.configuration.version or self.has_gap
         self._versions.keep(checkpoint.configuration)
-        self._memory.merge(checkpoint.history)
+        self._patch_history.merge(checkpoint.history)
         self.next_offset = max(self.next_offset, checkpoint.next_offset)
         for each in self._missed.take_from(checkpoint.next_offset):
             self._apply(each.offset, each.at_ms, each.record)
         return is_new
 
-    def _find_covered(self, text: str) -> PatchResult | None:
+    def _find_covered_result(self, text: str) -> PatchResult | None:
         # A snapshot tells of accepted patches only. Who waits here for a patch that
         # the peer saw rejected would wait in vain if its record were passed over.
         record = decode_record(text)
-        if not isinstance(record, PatchRecord) or self.is_missing:
+        if not isinstance(record, PatchRecord) or self.has_gap:
             return None
-        known = self._memory.find_same(record.patch_id, record.base)
+        known = self._patch_history.find_for_base(record.patch_id, record.base)
         if known is not None:
             return known
         result = PatchResult(
@@ -309,17 +311,17 @@
             ErrorKind.PATCH_CONFLICT,
             f"version {self.configuration.version} is in force without it",
         )
-        self._memory.settle(result)
+        self._patch_history.record_result(result)
         return result
 
     def _is_usable(self, checkpoint: CheckpointRecord) -> bool:
         if checkpoint.configuration.version < self.configuration.version:
             return False
-        if not self.is_missing:
+        if not self.has_gap:
             return checkpoint.next_offset > self.next_offset
         return self._missed.is_covered_by(checkpoint.next_offset)
 
-    def _note_unknown(self, offset: int, record: UnknownRecord) -> None:
+    def _handle_unknown(self, offset: int, record: UnknownRecord) -> None:
         self.counts.note_unknown(record.kind)
         # Newer nodes may have made a version out of it. Applying the next patch on
         # the old base here would give two values to one number; the last good version
@@ -328,9 +330,9 @@
         if record.version == self.configuration.version + 1:
             self._missed.start(offset + 1)
 
-    def _note_checkpoint(self, checkpoint: CheckpointRecord, now_ms: float) -> None:
+    def _handle_checkpoint(self, checkpoint: CheckpointRecord, now_ms: float) -> None:
         configuration = checkpoint.configuration
-        if self.is_missing:
+        if self.has_gap:
             try:
                 check_configuration(configuration)
             except PatchInvalidError:
@@ -342,9 +344,9 @@
             # Replay without a gap knows every version: this one was never made.
             self.counts.refused_checkpoints += 1
         elif self.is_current(now_ms):
-            self._currency.note_checkpoint(now_ms)
+            self._freshness.record_checkpoint(now_ms)
 
-    def _judge(self, patch: Patch) -> tuple[PatchResult, Configuration | None]:
+    def _evaluate(self, patch: Patch) -> tuple[PatchResult, Configuration | None]:
         current = self.configuration
         if patch.base != current.version:
             text = f"version {patch.base} is not the newest, {current.version} is"
@@ -362,20 +364,20 @@
         return PatchResult(patch.patch_id, patch.base, result.version), result
 
     def _apply(self, offset: int, at_ms: float, record: PatchRecord) -> PatchResult:
-        known = self._memory.find_same(record.patch_id, record.base)
+        known = self._patch_history.find_for_base(record.patch_id, record.base)
         is_older = record.base < self.configuration.version
         if is_older and known is not None:
             # Its author lost the answer and appended it again. This answer is the
             # only use of memory here: what is applied must not depend on it, since
             # a node that started later remembers less.
             return known
-        result, configuration = self._judge(record.to_patch())
+        result, configuration = self._evaluate(record.to_patch())
         if configuration is not None:
             self._versions.keep(configuration)
             self._versions.keep_patches(configuration.version, (record,))
             entry = HistoryEntry(
                 result.version, record.patch_id, record.author, offset, at_ms
             )
-            self._memory.note_version(entry)
-        self._memory.settle(result)
+            self._patch_history.record_version(entry)
+        self._patch_history.record_result(result)
         return result
--- a/packages/toucanyard/src/toucanyard/configuration_spread.py
+++ b/packages/toucanyard/src/toucanyard/configuration_sync.py
@@ -42,10 +42,10 @@
 _PATCH_PREFIX: Final = "patch-"
 _CHECKPOINT_PREFIX: Final = "checkpoint-"
 
-SpreadAction = AppendToLog | SendMessage | PatchAnswered
+SyncAction = AppendToLog | SendMessage | PatchAnswered
 
 
-class _Submitted(msgspec.Struct):
+class _PendingPatch(msgspec.Struct):
     """A patch whose result is awaited.
 
     `may_be_logged` never goes back to false: once an append's answer was lost, no later
@@ -57,7 +57,7 @@
     may_be_logged: bool = False
 
 
-class ConfigurationSpread:
+class ConfigurationSynchronizer:
     """One node's configuration and the patches that its operators wait for.
 
     Invariant: each PatchSubmitted gets one PatchAnswered, at its deadline at the
@@ -68,39 +68,39 @@
     def __init__(self, log: ConfigurationLog, membership: Membership) -> None:
         self._log = log
         self._membership = membership
-        self._submitted: dict[str, _Submitted] = {}
-        self._told_version = 0
+        self._pending_patches: dict[str, _PendingPatch] = {}
+        self._reported_version = 0
         self.divergent: set[NodeName] = set()
         """Peers with another value under this node's version: they run other code."""
 
-    def read_log(self, event: LogRead, now_ms: float) -> Iterator[SpreadAction]:
+    def read_log(self, event: LogRead, now_ms: float) -> Iterator[SyncAction]:
         """Replay records and take in how far the log goes."""
         log = self._log
         for record in event.records:
             result = log.apply_record(record.offset, record.at_ms, record.text, now_ms)
             if result is not None:
                 yield from self._answer(result)
-        log.note_head(event.head, event.asked_ms)
-        self._tell_membership(now_ms)
+        log.update_log_end(event.head, event.asked_ms)
+        self._update_membership(now_ms)
 
     def read_message(
         self,
         sender: NodeName,
         message: ConfigurationRequest | ConfigurationDelta | ConfigurationOffer,
         now_ms: float,
-    ) -> Iterator[SpreadAction]:
+    ) -> Iterator[SyncAction]:
         """Answer a peer's request, or adopt what a peer sent."""
         match message:
             case ConfigurationRequest(base=base):
-                yield from self._offer(sender, base)
+                yield from self._send_configuration(sender, base)
             case ConfigurationDelta():
                 self._log.adopt_delta(message)
             case ConfigurationOffer(checkpoint=checkpoint):
                 self._log.adopt(checkpoint)
-        yield from self._settle_known()
-        self._tell_membership(now_ms)
+        yield from self._answer_known()
+        self._update_membership(now_ms)
 
-    def fetch(self, action: FetchConfiguration) -> Iterator[SpreadAction]:
+    def fetch(self, action: FetchConfiguration) -> Iterator[SyncAction]:
         """Ask a peer that has a higher version for it."""
         # What was replayed counts, though it may not be in force yet: a delta from
         # the version in force would not lead on from it.
@@ -110,16 +110,18 @@
     def confirm(self, action: PeerConfirmed, now_ms: float) -> None:
         """Take in that a peer knew its version to be the newest."""
         log = self._log
-        if log.note_peer(action.version, action.digest, action.confirmed_ms):
+        if log.apply_peer_confirmation(
+            action.version, action.digest, action.confirmed_ms
+        ):
             self.divergent.discard(action.peer)
         else:
             self.divergent.add(action.peer)
-        self._tell_membership(now_ms)
+        self._update_membership(now_ms)
 
-    def submit(self, event: PatchSubmitted, now_ms: float) -> Iterator[SpreadAction]:
+    def submit(self, event: PatchSubmitted, now_ms: float) -> Iterator[SyncAction]:
         """Check a patch and append it, or answer at once why not."""
         patch = event.patch
-        known = self._log.result_of(patch.patch_id)
+        known = self._log.find_result(patch.patch_id)
         if known is not None and known.base == patch.base:
             yield _build_answer(known)
             return
@@ -138,28 +140,28 @@
             return
         yield from self._append(event)
 
-    def settle(
+    def handle_append_result(
         self, record_id: str, result: AppendResult, now_ms: float
-    ) -> Iterator[SpreadAction]:
+    ) -> Iterator[SyncAction]:
         """Take in what became of an append of this node."""
         if record_id.startswith(_CHECKPOINT_PREFIX):
             if result is AppendResult.DONE:
-                self._log.note_checkpoint_appended(now_ms)
+                self._log.record_checkpoint_appended(now_ms)
             return
         patch_id = record_id.removeprefix(_PATCH_PREFIX)
-        submitted = self._submitted.get(patch_id)
-        if submitted is None or result is AppendResult.DONE:
+        pending = self._pending_patches.get(patch_id)
+        if pending is None or result is AppendResult.DONE:
             return
         if result is AppendResult.UNKNOWN:
             # The service drops an append whose sender gave up on a slow answer, so it
             # is sent again. If the first one counts as well, its patch id settles it.
-            submitted.may_be_logged = True
-            yield AppendToLog(record_id, submitted.text, is_urgent=True)
+            pending.may_be_logged = True
+            yield AppendToLog(record_id, pending.text, is_urgent=True)
             return
-        if submitted.may_be_logged:
+        if pending.may_be_logged:
             return
         # Without effect for certain, so "not accepted" is true.
-        del self._submitted[patch_id]
+        del self._pending_patches[patch_id]
         yield PatchAnswered(
             patch_id,
             self._log.configuration.version,
@@ -167,11 +169,11 @@
             "the log took no record",
         )
 
-    def tick(self, now_ms: float) -> Iterator[SpreadAction]:
+    def tick(self, now_ms: float) -> Iterator[SyncAction]:
         """Answer patches whose time is up, and append a checkpoint when due."""
-        for patch_id, submitted in list(self._submitted.items()):
-            if submitted.deadline_ms <= now_ms:
-                del self._submitted[patch_id]
+        for patch_id, pending in list(self._pending_patches.items()):
+            if pending.deadline_ms <= now_ms:
+                del self._pending_patches[patch_id]
                 yield PatchAnswered(
                     patch_id,
                     self._log.configuration.version,
@@ -181,7 +183,7 @@
         if self._log.is_checkpoint_due(now_ms):
             checkpoint = self._log.build_checkpoint()
             assert checkpoint is not None
-            self._log.note_checkpoint_appended(now_ms)
+            self._log.record_checkpoint_appended(now_ms)
             version = checkpoint.configuration.version
             yield AppendToLog(
                 f"{_CHECKPOINT_PREFIX}{version}",
@@ -193,7 +195,7 @@
         """Tell whether a log record of this node concerns the configuration."""
         return record_id.startswith((_PATCH_PREFIX, _CHECKPOINT_PREFIX))
 
-    def _append(self, event: PatchSubmitted) -> Iterator[SpreadAction]:
+    def _append(self, event: PatchSubmitted) -> Iterator[SyncAction]:
         patch = event.patch
         try:
             text = encode_patch(patch)
@@ -203,20 +205,20 @@
                 patch.patch_id, version, ErrorKind.PATCH_INVALID, str(error)
             )
             return
-        self._submitted[patch.patch_id] = _Submitted(event.deadline_ms, text)
+        self._pending_patches[patch.patch_id] = _PendingPatch(event.deadline_ms, text)
         yield AppendToLog(f"{_PATCH_PREFIX}{patch.patch_id}", text, is_urgent=True)
 
-    def _answer(self, result: PatchResult) -> Iterator[SpreadAction]:
-        if self._submitted.pop(result.patch_id, None) is not None:
+    def _answer(self, result: PatchResult) -> Iterator[SyncAction]:
+        if self._pending_patches.pop(result.patch_id, None) is not None:
             yield _build_answer(result)
 
-    def _settle_known(self) -> Iterator[SpreadAction]:
-        for patch_id in list(self._submitted):
-            result = self._log.result_of(patch_id)
+    def _answer_known(self) -> Iterator[SyncAction]:
+        for patch_id in list(self._pending_patches):
+            result = self._log.find_result(patch_id)
             if result is not None:
                 yield from self._answer(result)
 
-    def _offer(self, peer: NodeName, base: int) -> Iterator[SpreadAction]:
+    def _send_configuration(self, peer: NodeName, base: int) -> Iterator[SyncAction]:
         if self._log.in_force.version == 0:
             return
         delta = self._log.build_delta(base)
@@ -227,11 +229,11 @@
         if checkpoint is not None and checkpoint.configuration.version > base:
             yield SendMessage(peer, ConfigurationOffer(checkpoint))
 
-    def _tell_membership(self, now_ms: float) -> None:
+    def _update_membership(self, now_ms: float) -> None:
         log = self._log
         in_force = log.in_force
-        if in_force.version != self._told_version:
-            self._told_version = in_force.version
+        if in_force.version != self._reported_version:
+            self._reported_version = in_force.version
             changed = ConfigurationChanged(in_force, log.digest)
             self._membership.handle(changed, now_ms)
         age_ms = log.find_confirmed_age_ms(now_ms)
--- a/packages/toucanyard/src/toucanyard/keyed_view.py
+++ b/packages/toucanyard/src/toucanyard/keyed_view.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from toucanyard.store_contact import Answered, StoreContact
+from toucanyard.store_availability import AnsweredRead, StoreAvailability
 
 MAX_TOMBSTONES: Final = 1_000
 """Removed keys that are remembered, to tell a peer that lags of the removal."""
@@ -53,7 +53,7 @@
     reason: str
 
 
-class _Held(msgspec.Struct, frozen=True):
+class _Entry(msgspec.Struct, frozen=True):
     record: KeyedRecord
     fact: object | None
 
@@ -73,9 +73,9 @@
     __slots__ = (
         "_complete_from",
         "_decode",
-        "_held",
-        "_lacking",
-        "contact",
+        "_entries",
+        "_unreadable_keys",
+        "availability",
         "end",
         "topic",
     )
@@ -83,37 +83,39 @@
     def __init__(self, topic: Topic, decode: Decode) -> None:
         self.topic = topic
         self.end = 0
-        self.contact = StoreContact()
+        self.availability = StoreAvailability()
         """When the store, asked by any node, had nothing beyond `end`."""
         self._decode = decode
-        self._held: dict[str, _Held] = {}
-        self._lacking: set[str] = set()
+        self._entries: dict[str, _Entry] = {}
+        self._unreadable_keys: set[str] = set()
         """Keys whose only record that came can't be read."""
         self._complete_from = 0
 
     @property
     def confirmed_ms(self) -> float:
         """Return when the store, asked by any node, last had nothing beyond `end`."""
-        return self.contact.asked_ms
+        return self.availability.asked_ms
 
     def list_facts(self) -> list[object]:
         """Return the facts of all keys."""
-        return [held.fact for held in self._held.values() if held.fact is not None]
+        return [
+            entry.fact for entry in self._entries.values() if entry.fact is not None
+        ]
 
-    def find_told_end(self) -> int:
+    def find_reported_end(self) -> int:
         """Return up to where peers needn't tell this node anything.
 
         A record that can't be read may have taken the place of one that peers hold.
         """
-        return 0 if self._lacking else self.end
+        return 0 if self._unreadable_keys else self.end
 
     def list_since(self, offset: int) -> tuple[bool, list[KeyedRecord]]:
         """Return whether the records are all there are, and those from an offset on."""
         is_whole = offset < self._complete_from
         records = [
-            held.record
-            for held in self._held.values()
-            if is_whole or held.record.offset >= offset
+            entry.record
+            for entry in self._entries.values()
+            if is_whole or entry.record.offset >= offset
         ]
         if is_whole:
             records = [each for each in records if each.value is not None]
@@ -134,56 +136,58 @@
         self._trim()
         return changes
 
-    def confirm(self, end: int, answered: Answered, away_ms: float) -> None:
+    def confirm(self, end: int, answered: AnsweredRead, away_ms: float) -> None:
         """Note that the store, when it was asked, had nothing beyond `end`.
 
         It was away if no answer is known for `away_ms`.
         """
         if end <= self.end:
-            self.contact.note(answered, away_ms)
+            self.availability.record_read(answered, away_ms)
 
     def _apply_one(self, record: KeyedRecord) -> Change | None:
-        held = self._held.get(record.key)
-        if held is not None and held.record.offset >= record.offset:
+        entry = self._entries.get(record.key)
+        if entry is not None and entry.record.offset >= record.offset:
             return None
-        before = None if held is None else held.fact
+        before = None if entry is None else entry.fact
         fact = None
         if record.value is not None:
             fact = self._decode(self.topic, record.key, record.value)
         if isinstance(fact, InvalidRecord) and self.topic is not Topic.REPLICAS:
             # The value before stays in force and is sent to peers that start. One bad
             # record would otherwise leave every restarted node without routes.
-            if held is None:
-                self._lacking.add(record.key)
+            if entry is None:
+                self._unreadable_keys.add(record.key)
             return Change(record.key, fact, before)
-        self._lacking.discard(record.key)
+        self._unreadable_keys.discard(record.key)
         # A heartbeat that says nothing new keeps the older record: passed on, each
         # would cost every link between nodes its bytes.
         if fact is not None and fact == before:
             return None
-        self._held[record.key] = _Held(record, fact)
+        self._entries[record.key] = _Entry(record, fact)
         return Change(record.key, fact, before) if fact != before else None
 
     def _drop_missing(self, present: set[str], end: int) -> Iterable[Change]:
-        gone = [
+        removed = [
             key
-            for key, held in self._held.items()
-            if key not in present and held.record.offset < end
+            for key, entry in self._entries.items()
+            if key not in present and entry.record.offset < end
         ]
         changes = []
-        for key in gone:
-            before = self._held.pop(key).fact
+        for key in removed:
+            before = self._entries.pop(key).fact
             if before is not None:
                 changes.append(Change(key, None, before))
         return changes
 
     def _trim(self) -> None:
-        dead = [
-            held.record for held in self._held.values() if held.record.value is None
+        tombstones = [
+            entry.record
+            for entry in self._entries.values()
+            if entry.record.value is None
         ]
-        if len(dead) <= MAX_TOMBSTONES:
+        if len(tombstones) <= MAX_TOMBSTONES:
             return
-        dead.sort(key=lambda record: record.offset)
-        for record in dead[: len(dead) // 2]:
-            del self._held[record.key]
+        tombstones.sort(key=lambda record: record.offset)
+        for record in tombstones[: len(tombstones) // 2]:
+            del self._entries[record.key]
             self._complete_from = max(self._complete_from, record.offset + 1)
--- a/packages/toucanyard/src/toucanyard/known_facts.py
+++ b/packages/toucanyard/src/toucanyard/known_facts.py
@@ -19,7 +19,7 @@
 from toucanyard.request_guard import RequestGuard
 from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex, RouteTable
-from toucanyard.weights_goals import WantedWeights, WeightsGoals
+from toucanyard.target_weights import TargetWeightsTable, WantedWeights
 
 MAX_AGE_MS: Final = 1e6
 """Age that is logged for a list that the store has never confirmed."""
@@ -35,7 +35,7 @@
     __slots__ = (
         "_directory",
         "_flow",
-        "_goals",
+        "_weight_targets",
         "_guard",
         "_invalid",
         "_roster",
@@ -45,14 +45,14 @@
     def __init__(
         self,
         directory: ReplicaDirectory,
-        goals: WeightsGoals,
+        weight_targets: TargetWeightsTable,
         roster: Roster,
         flow: RelayFlow,
         guard: RequestGuard,
     ) -> None:
         self.index = RouteIndex(RouteTable())
         self._directory = directory
-        self._goals = goals
+        self._weight_targets = weight_targets
         self._roster = roster
         self._flow = flow
         self._guard = guard
@@ -127,7 +127,7 @@
             case RouteTable():
                 yield from self._apply_table(fact, source)
             case WantedWeights(model=model, version=version):
-                if self._goals.apply(fact, now_ms - known_for_ms):
+                if self._weight_targets.apply(fact, now_ms - known_for_ms):
                     fields = {"model": model, "version": version, "source": source}
                     yield Note("weights_wanted", fields)
             case Replica():
--- a/packages/toucanyard/src/toucanyard/turns.py
+++ b/packages/toucanyard/src/toucanyard/leases.py
@@ -15,46 +15,46 @@
 
 from toucanyard.names import Incarnation, NodeId, NodeName
 from toucanyard.relay_events import (
-    AppendTurn,
-    ReadTurns,
-    TurnAppended,
-    TurnRead,
+    AppendLease,
+    LeaseAppended,
+    LeaseRead,
+    ReadLeases,
 )
 
-ACT_MS: Final = 1_000.0
+ACTIVE_MS: Final = 1_000.0
 """How long a holder may order after it sent its last record."""
 RENEW_MS: Final = 500.0
 """Time left of a turn at which it is renewed while there is work."""
 MARGIN_MS: Final = 200.0
 """What clocks may run apart over one turn, with much to spare."""
-RANK_MS: Final = 250.0
+RANK_DELAY_MS: Final = 250.0
 """How much longer each further candidate waits before it takes a turn."""
 HOLDER_HEAD_START_MS: Final = 700.0
 """How long others leave new work to the last holder if it is alive."""
-FOLLOW_MS: Final = 600.0
+FOLLOWER_READ_MS: Final = 600.0
 """Time between two reads of those who stand by for the turn. A record counts from when
 it was seen: one seen late would put off the next holder by as much."""
 MAX_FOLLOWERS: Final = 3
 """Live nodes that stand by for the turn; the others needn't read who holds it."""
-ASK_AGAIN_MS: Final = 1_000.0
+REQUEST_TIMEOUT_MS: Final = 1_000.0
 """After this time a read or an append without an answer is made again."""
 
 
-class TurnRecord(msgspec.Struct, frozen=True):
+class LeaseRecord(msgspec.Struct, frozen=True):
     """Who takes or keeps the turn."""
 
     node: NodeName
     incarnation: Incarnation
 
 
-class Turn(msgspec.Struct, frozen=True):
+class Lease(msgspec.Struct, frozen=True):
     """A turn that this node holds."""
 
     fence: int
     until_ms: float
 
 
-class Turns:
+class Leases:
     """The turn as one node sees it.
 
     Invariant: at most one node is between its last record and ACT_MS after it, and two
@@ -67,7 +67,7 @@
         "_fence",
         "_holder",
         "_identity",
-        "_is_asking",
+        "_is_awaiting",
         "_lease_ms",
         "_seen_end",
         "_seen_ms",
@@ -78,19 +78,19 @@
         self._identity = identity
         self._lease_ms = lease_ms
         self._end: int | None = None
-        self._holder: TurnRecord | None = None
+        self._holder: LeaseRecord | None = None
         self._seen_ms = float("-inf")
         self._seen_end = 0
         self._fence = -1
         self._until_ms = float("-inf")
         self._asked_ms = float("-inf")
-        self._is_asking = False
+        self._is_awaiting = False
 
-    def find_turn(self, now_ms: float) -> Turn | None:
+    def find_lease(self, now_ms: float) -> Lease | None:
         """Return the turn that this node may act on now."""
         if self._fence < 0 or now_ms >= self._until_ms:
             return None
-        return Turn(self._fence, self._until_ms)
+        return Lease(self._fence, self._until_ms)
 
     def find_holder(self) -> NodeName | None:
         """Return who took or kept the turn last."""
@@ -102,9 +102,9 @@
         self._fence = -1
         self._end = None
 
-    def note_read(self, read: TurnRead, now_ms: float) -> None:
+    def apply_read(self, read: LeaseRead, now_ms: float) -> None:
         """Take in records; those of other nodes end this node's turn."""
-        self._is_asking = False
+        self._is_awaiting = False
         for offset, value in read.records:
             record = _decode(value)
             # A record that is read again is as old as when it was first seen.
@@ -117,9 +117,9 @@
         self._end = read.end
         self._seen_end = max(self._seen_end, read.end)
 
-    def note_appended(self, appended: TurnAppended) -> None:
+    def apply_append(self, appended: LeaseAppended) -> None:
         """Take in how an append ended."""
-        self._is_asking = False
+        self._is_awaiting = False
         if appended.offset is None:
             # It may have gone in, or may yet: only reading tells.
             self._end = None
@@ -127,9 +127,9 @@
         if self._fence < 0:
             self._fence = appended.offset
         self._end = self._seen_end = appended.offset + 1
-        self._holder = TurnRecord(self._identity.node, self._identity.incarnation)
+        self._holder = LeaseRecord(self._identity.node, self._identity.incarnation)
         self._seen_ms = appended.sent_ms
-        self._until_ms = appended.sent_ms + ACT_MS
+        self._until_ms = appended.sent_ms + ACTIVE_MS
 
     def tick(
         self,
@@ -139,37 +139,37 @@
         now_ms: float,
         *,
         is_leaving: bool = False,
-    ) -> AppendTurn | ReadTurns | None:
+    ) -> AppendLease | ReadLeases | None:
         """Return what to ask of the store; called only while there is work.
 
         `rank` counts the live nodes that go before this one. A node that is leaving
         goes on with a turn that it has and takes no other.
         """
-        if self._is_asking and now_ms - self._asked_ms < ASK_AGAIN_MS:
+        if self._is_awaiting and now_ms - self._asked_ms < REQUEST_TIMEOUT_MS:
             return None
         if now_ms < self._until_ms - RENEW_MS:
             return None
         waited_ms = now_ms - work_since_ms
         is_last = self._holder is not None and self._is_own(self._holder)
-        if not is_last and waited_ms < rank * RANK_MS:
+        if not is_last and waited_ms < rank * RANK_DELAY_MS:
             return None
         if self._end is None:
-            self._ask(now_ms)
-            return ReadTurns(0)
+            self._record_request(now_ms)
+            return ReadLeases(0)
         if not is_last and not self._may_take(is_holder_alive, waited_ms, now_ms):
             return self._follow(rank, now_ms)
         if is_leaving and not is_last:
             return None
-        self._ask(now_ms)
-        own = TurnRecord(self._identity.node, self._identity.incarnation)
-        return AppendTurn(msgspec.json.encode(own), self._end)
+        self._record_request(now_ms)
+        own = LeaseRecord(self._identity.node, self._identity.incarnation)
+        return AppendLease(msgspec.json.encode(own), self._end)
 
-    def _follow(self, rank: int, now_ms: float) -> ReadTurns | None:
-        is_due = now_ms - self._asked_ms >= FOLLOW_MS
+    def _follow(self, rank: int, now_ms: float) -> ReadLeases | None:
+        is_due = now_ms - self._asked_ms >= FOLLOWER_READ_MS
         if rank >= MAX_FOLLOWERS or not is_due:
             return None
-        self._ask(now_ms)
-        return ReadTurns(self._end or 0)
+        self._record_request(now_ms)
+        return ReadLeases(self._end or 0)
 
     def _may_take(self, is_holder_alive: bool, waited_ms: float, now_ms: float) -> bool:
         if self._holder is None:
@@ -177,19 +177,19 @@
         if is_holder_alive and waited_ms < HOLDER_HEAD_START_MS:
             return False
         idle_ms = now_ms - self._seen_ms
-        return idle_ms >= ACT_MS + self._lease_ms + MARGIN_MS
+        return idle_ms >= ACTIVE_MS + self._lease_ms + MARGIN_MS
 
-    def _ask(self, now_ms: float) -> None:
-        self._is_asking = True
+    def _record_request(self, now_ms: float) -> None:
+        self._is_awaiting = True
         self._asked_ms = now_ms
 
-    def _is_own(self, record: TurnRecord) -> bool:
+    def _is_own(self, record: LeaseRecord) -> bool:
         own = self._identity
         return record.node == own.node and record.incarnation == own.incarnation
 
 
-def _decode(value: bytes) -> TurnRecord | None:
+def _decode(value: bytes) -> LeaseRecord | None:
     try:
-        return msgspec.json.decode(value, type=TurnRecord)
+        return msgspec.json.decode(value, type=LeaseRecord)
     except msgspec.DecodeError:
         return None
--- a/packages/toucanyard/src/toucanyard/link_messages.py
+++ b/packages/toucanyard/src/toucanyard/link_messages.py
@@ -95,7 +95,7 @@
     ready_in_ms: SpanMs
 
 
-class GoalAge(msgspec.Struct, frozen=True, array_like=True):
+class TargetWeightsAge(msgspec.Struct, frozen=True, array_like=True):
     """How long a node has known that weights are wanted."""
 
     model: str
@@ -162,7 +162,7 @@
     uses: tuple[ReplicaUse, ...] = ()
     news: tuple[ReplicaNews, ...] = ()
     parts: tuple[ReadPart, ...] = ()
-    goals: tuple[GoalAge, ...] = ()
+    weight_targets: tuple[TargetWeightsAge, ...] = ()
     stores: tuple[StoreNews, ...] = ()
     covers: Coverage = Coverage.GROUP
     nodes: tuple[NodeNews, ...] | None = None
--- a/packages/toucanyard/src/toucanyard/node_core.py
+++ b/packages/toucanyard/src/toucanyard/node_core.py
@@ -24,7 +24,7 @@
 from toucanyard.configuration import Configuration, Endpoint
 from toucanyard.configuration_log import ConfigurationLog
 from toucanyard.configuration_records import ConfigurationDelta
-from toucanyard.configuration_spread import ConfigurationSpread
+from toucanyard.configuration_sync import ConfigurationSynchronizer
 from toucanyard.core_events import (
     AppendSettled,
     AppendToLog,
@@ -77,10 +77,10 @@
     NodeName,
 )
 from toucanyard.options import Options
-from toucanyard.order_duties import OrderDuties
 from toucanyard.order_messages import ReadState, SendOrder
 from toucanyard.patches import list_endpoints
 from toucanyard.placement import Placement, PlacementLimits
+from toucanyard.pool_order_runner import PoolOrderRunner
 from toucanyard.request_flow import FlowAction, RequestFlow
 from toucanyard.snapshot_exchange import SnapshotExchange
 from toucanyard.snapshots import SnapshotBusy, SnapshotPart, SnapshotRequest
@@ -133,7 +133,7 @@
         self._node_count = 1
         self.log = ConfigurationLog(options.configuration, rng.random())
         self.membership = Membership(options.name, incarnation, options.membership, rng)
-        self.spread = ConfigurationSpread(self.log, self.membership)
+        self.synchronizer = ConfigurationSynchronizer(self.log, self.membership)
         view_blocks = options.placement.max_view_blocks
         self.placement = Placement(rng, PlacementLimits(max_blocks=view_blocks))
         self._peers = LinkedPeers(options.domain, self.membership)
@@ -141,7 +141,7 @@
         self.admission = Admission(options.admission, rng)
         self.claims = AtMostOnce(options.name, incarnation, options.claims, rng)
         self.directory = EndpointDirectory(self.membership)
-        self.duties = OrderDuties(self.identity, rng)
+        self.order_runner = PoolOrderRunner(self.identity, rng)
         self.snapshots = SnapshotExchange(
             options.domain,
             self.log,
@@ -220,12 +220,12 @@
             case MessageRead():
                 yield from self._handle_message(event, now_ms)
             case PatchSubmitted():
-                yield from self.spread.submit(event, now_ms)
+                yield from self.synchronizer.submit(event, now_ms)
             case TickPassed():
                 yield from self._tick(now_ms)
             case DrainBegun(address=address):
                 self.membership.handle(NodeLeaves(address), now_ms)
-                yield from self.duties.duties.release(now_ms)
+                yield from self.order_runner.leases.release(now_ms)
                 self._is_draining = True
             case HandOverBegun():
                 yield from self._apply_claims(self.claims.handle(event, now_ms), now_ms)
@@ -260,17 +260,17 @@
     ) -> Iterator[CoreAction]:
         match event:
             case LogRead():
-                yield from self.spread.read_log(event, now_ms)
-                self.duties.read_log(event, now_ms)
+                yield from self.synchronizer.read_log(event, now_ms)
+                self.order_runner.read_log(event, now_ms)
                 read = ClaimRecordsRead(
                     event.from_offset, event.next_offset, event.records
                 )
                 yield from self._apply_claims(self.claims.handle(read, now_ms), now_ms)
             case LogExpired(oldest=oldest):
-                self.log.note_expired(oldest)
-                self.duties.duties.note_expired()
+                self.log.handle_expired(oldest)
+                self.order_runner.leases.handle_expired()
             case LogReread():
-                self.log.note_reread()
+                self.log.restart_reading()
             case LogStateSeen(is_up=is_up):
                 state = LogState(is_up)
                 yield from self._apply_claims(self.claims.handle(state, now_ms), now_ms)
@@ -288,9 +288,11 @@
     def _settle(self, event: AppendSettled, now_ms: float) -> Iterator[CoreAction]:
         claimed: list[str] = []
         for record_id in event.record_ids:
-            if self.spread.owns(record_id):
-                yield from self.spread.settle(record_id, event.result, now_ms)
-            elif not self.duties.owns(record_id):
+            if self.synchronizer.owns(record_id):
+                yield from self.synchronizer.handle_append_result(
+                    record_id, event.result, now_ms
+                )
+            elif not self.order_runner.owns(record_id):
                 claimed.append(record_id)
         if claimed:
             settled = RecordsSettled(tuple(claimed), event.result)
@@ -307,7 +309,9 @@
                     self.membership.handle(arrived, now_ms), now_ms
                 )
             case ConfigurationRequest() | ConfigurationDelta() | ConfigurationOffer():
-                yield from self.spread.read_message(event.sender.node, message, now_ms)
+                yield from self.synchronizer.read_message(
+                    event.sender.node, message, now_ms
+                )
             case SnapshotRequest() | SnapshotPart() | SnapshotBusy():
                 yield from self.snapshots.handle(event.sender.node, message, now_ms)
             case _:
@@ -341,9 +345,11 @@
             case CacheDumpRead(endpoint=endpoint, dump=dump):
                 self.placement.apply_cache_dump(endpoint, dump, now_ms)
             case StateRead():
-                self.duties.note_state(event.endpoint, event.state, event.asked_ms)
+                self.order_runner.record_state(
+                    event.endpoint, event.state, event.asked_ms
+                )
             case OrderEnded(sent=sent, outcome=outcome):
-                self.duties.note_outcome(sent, outcome, now_ms)
+                self.order_runner.record_outcome(sent, outcome, now_ms)
             case EndpointSilent(endpoint=endpoint):
                 self.directory.note_failure(endpoint, now_ms)
 
@@ -353,17 +359,17 @@
         yield from self._apply_membership(
             self.membership.handle(MembershipTicked(), now_ms), now_ms
         )
-        yield from self.spread.tick(now_ms)
-        yield from self._tick_duties(now_ms)
+        yield from self.synchronizer.tick(now_ms)
+        yield from self._tick_order_runner(now_ms)
         yield from self.snapshots.tick(self._peers.find_names(), now_ms)
         yield from self._dumps.tick(self.configuration, now_ms)
 
-    def _tick_duties(self, now_ms: float) -> Iterator[CoreAction]:
+    def _tick_order_runner(self, now_ms: float) -> Iterator[CoreAction]:
         if self._is_draining:
             return
         nodes = [NodeName(vm.name) for vm in self.membership.find_nodes()]
         may_order = self.log.compute_allowance(now_ms).may_order
-        yield from self.duties.tick(
+        yield from self.order_runner.tick(
             self.configuration,
             nodes,
             may_order,
@@ -387,9 +393,9 @@
                     self.placement.note_incarnation(endpoint, incarnation)
                     self._dumps.hurry(now_ms)
                 case FetchConfiguration():
-                    yield from self.spread.fetch(action)
+                    yield from self.synchronizer.fetch(action)
                 case PeerConfirmed():
-                    self.spread.confirm(action, now_ms)
+                    self.synchronizer.confirm(action, now_ms)
 
 
 def _to_core(actions: Iterator[FlowAction]) -> Iterator[CoreAction]:
--- a/packages/toucanyard/src/toucanyard/order_reads.py
+++ b/packages/toucanyard/src/toucanyard/order_reads.py
@@ -13,12 +13,12 @@
 from toucanyard.configuration import Endpoint, Pool
 from toucanyard.names import EndpointName
 from toucanyard.order_messages import ReadState
-from toucanyard.orders import Need, PoolOrders
+from toucanyard.orders import PoolOrders, ReadReason
 
-_MOST_UNSURE: Final = 32
+_MAX_UNKNOWN_READS: Final = 32
 """Read together until each state is known and each number raised; a pool of 880 takes
 14 s and 19 KB/s for it."""
-_MOST_CHANGING: Final = 8
+_MAX_CHANGING_READS: Final = 8
 """Read together of those to be ordered; twice as many as may start to load meanwhile
 leaves room for small orders and for endpoints that don't answer."""
 _QUIET_MS: Final = 5_000.0
@@ -38,16 +38,16 @@
 
     def choose(self, pool: Pool, orders: PoolOrders, now_ms: float) -> list[ReadState]:
         """Return what to read now, taken as asked; wanted every 500 ms."""
-        by_need = orders.find_needs(pool, now_ms)
-        self.is_quiet = len(by_need[Need.NONE]) == len(pool.endpoints)
-        chosen = list(by_need[Need.ORDERED])
-        chosen += self._find_oldest(by_need[Need.UNSURE], _MOST_UNSURE)
-        chosen += self._find_oldest(by_need[Need.CHANGING], _MOST_CHANGING)
+        by_reason = orders.group_by_read_reason(pool, now_ms)
+        self.is_quiet = len(by_reason[ReadReason.NONE]) == len(pool.endpoints)
+        chosen = list(by_reason[ReadReason.ORDERED])
+        chosen += self._find_oldest(by_reason[ReadReason.UNKNOWN], _MAX_UNKNOWN_READS)
+        chosen += self._find_oldest(by_reason[ReadReason.CHANGING], _MAX_CHANGING_READS)
         # Together: each answer leads to a plan, which looks at the whole pool.
         quiet_ms = max(_QUIET_MS, _QUIET_MS_PER_ENDPOINT * len(pool.endpoints))
         if now_ms - self._all_asked_ms >= quiet_ms:
             self._all_asked_ms = now_ms
-            chosen += by_need[Need.NONE]
+            chosen += by_reason[ReadReason.NONE]
         return self._ask(chosen, orders, now_ms)
 
     def _find_oldest(
@@ -66,5 +66,5 @@
     ) -> list[ReadState]:
         for endpoint in chosen:
             self._asked_ms[endpoint.name] = now_ms
-            orders.note_asked(endpoint.name, now_ms)
+            orders.record_read_sent(endpoint.name, now_ms)
         return [ReadState(each.name, each.address) for each in chosen]
--- a/packages/toucanyard/src/toucanyard/orders.py
+++ b/packages/toucanyard/src/toucanyard/orders.py
@@ -30,9 +30,9 @@
 """How long a replica counts as cold after its load."""
 _FRESH_MS: Final = 2_000.0
 """How old a state may be for an order to be based on it."""
-_UNSURE_MS: Final = 15_000.0
+_UNKNOWN_STATE_MS: Final = 15_000.0
 """How long an endpoint that can't be read counts as one that may be loading."""
-_AGAIN_MS: Final = 1_000.0
+_MIN_ORDER_INTERVAL_MS: Final = 1_000.0
 """Least time between two orders to one endpoint."""
 _LOST_MS: Final = 2_000.0
 """How long an order without an answer may still be under way."""
@@ -55,7 +55,7 @@
     """When it was first asked after its last answer."""
 
 
-class _Counted(msgspec.Struct, frozen=True):
+class _PoolCounts(msgspec.Struct, frozen=True):
     """How many endpoints of a pool may be loading, answer, and are warm as well."""
 
     loading: int
@@ -63,14 +63,14 @@
     warm: int
 
 
-class Need(enum.Enum):
+class ReadReason(enum.Enum):
     """Why the state of an endpoint is to be read."""
 
     NONE = enum.auto()
     """As desired, or dead: seldom."""
     ORDERED = enum.auto()
     """An order is under way, whose end only a state shows."""
-    UNSURE = enum.auto()
+    UNKNOWN = enum.auto()
     """Not known yet, or its number is to be raised; no load is ordered before."""
     CHANGING = enum.auto()
     """To be ordered something, or suspected to be dead."""
@@ -90,13 +90,13 @@
         self._started_ms = now_ms
         self._replicas: dict[EndpointName, _Replica] = {}
         self._number = 0
-        self._starts = _STARTS_PER_S
-        self._starts_ms = now_ms
+        self._load_tokens = _STARTS_PER_S
+        self._tokens_updated_ms = now_ms
         self._unusable: Set[EndpointName] = frozenset()
-        self._counted: _Counted | None = None
+        self._counts: _PoolCounts | None = None
         """Worked out once a plan, and again after an order of it."""
 
-    def note_state(
+    def record_state(
         self, endpoint: EndpointName, state: EndpointState, asked_ms: float
     ) -> None:
         """Take in the state that an endpoint gave when asked at `asked_ms`."""
@@ -112,7 +112,7 @@
         if replica.order_id is None and asked_ms > replica.ordered_ms:
             replica.is_load_open = False
 
-    def note_outcome(
+    def record_outcome(
         self,
         endpoint: EndpointName,
         order_id: str,
@@ -133,40 +133,44 @@
             replica.is_load_open = False
         return outcome is OrderOutcome.STALE_FENCE
 
-    def find_needs(self, pool: Pool, now_ms: float) -> dict[Need, list[Endpoint]]:
+    def group_by_read_reason(
+        self, pool: Pool, now_ms: float
+    ) -> dict[ReadReason, list[Endpoint]]:
         """Return the endpoints by why their state is to be read."""
-        found: dict[Need, list[Endpoint]] = {need: [] for need in Need}
+        found: dict[ReadReason, list[Endpoint]] = {need: [] for need in ReadReason}
         for each in pool.endpoints:
-            found[self._find_need(pool, each.name, now_ms)].append(each)
+            found[self._find_read_reason(pool, each.name, now_ms)].append(each)
         return found
 
-    def note_asked(self, endpoint: EndpointName, now_ms: float) -> None:
+    def record_read_sent(self, endpoint: EndpointName, now_ms: float) -> None:
         """Take in that an endpoint is asked for its state now."""
         replica = self._replicas.setdefault(endpoint, _Replica())
         if replica.unanswered_ms is None:
             replica.unanswered_ms = now_ms
 
-    def _find_need(self, pool: Pool, name: EndpointName, now_ms: float) -> Need:
+    def _find_read_reason(
+        self, pool: Pool, name: EndpointName, now_ms: float
+    ) -> ReadReason:
         replica = self._replicas.get(name, _Replica())
         if self._is_dead(replica, now_ms):
             # In a large pool some replica is always dead. It must not be read at the
             # rate of a roll-out.
-            return Need.NONE
+            return ReadReason.NONE
         state = replica.state
         if state is None:
-            return Need.UNSURE
+            return ReadReason.UNKNOWN
         if replica.order_id or replica.is_load_open or state.is_loading:
-            return Need.ORDERED
+            return ReadReason.ORDERED
         if state.checks_fence and state.fence < self.fence:
-            return Need.UNSURE
+            return ReadReason.UNKNOWN
         is_as_desired = _find_change(pool, state) is None
         return (
-            Need.NONE
+            ReadReason.NONE
             if is_as_desired and name not in self._unusable
-            else (Need.CHANGING)
+            else (ReadReason.CHANGING)
         )
 
-    def note_unusable(self, names: Set[EndpointName]) -> None:
+    def set_unusable(self, names: Set[EndpointName]) -> None:
         """Take in which endpoints get no work; they are no capacity to count on."""
         self._unusable = names
 
@@ -178,7 +182,7 @@
         for name in set(self._replicas) - kept:
             del self._replicas[name]
         orders: list[SendOrder] = []
-        self._counted = None
+        self._counts = None
         is_fenced = self._is_fenced(pool, now_ms)
         for endpoint in pool.endpoints:
             replica = self._replicas.setdefault(endpoint.name, _Replica())
@@ -188,7 +192,7 @@
             replica.order_id = order.order_id
             replica.ordered_ms = now_ms
             replica.is_load_open = order.kind is OrderKind.LOAD
-            self._counted = None
+            self._counts = None
             orders.append(
                 SendOrder(self.pool, endpoint.name, endpoint.address, order, until_ms)
             )
@@ -213,10 +217,10 @@
         if change is None:
             return None
         if change is not OrderKind.LOAD:
-            return self._build_small(change, pool, state)
+            return self._build_role_or_adapter(change, pool, state)
         if not is_fenced or not self._may_load(pool, endpoint, now_ms):
             return None
-        self._starts -= 1
+        self._load_tokens -= 1
         return self._build(
             OrderKind.LOAD,
             state,
@@ -232,7 +236,7 @@
             and replica.order_id is None
             and replica.asked_ms > replica.ordered_ms
             and now_ms - replica.asked_ms <= _FRESH_MS
-            and now_ms - replica.ordered_ms >= _AGAIN_MS
+            and now_ms - replica.ordered_ms >= _MIN_ORDER_INTERVAL_MS
         )
 
     def _is_fenced(self, pool: Pool, now_ms: float) -> bool:
@@ -240,33 +244,35 @@
         for endpoint in pool.endpoints:
             replica = self._replicas.get(endpoint.name)
             if replica is None or replica.state is None:
-                if now_ms - self._started_ms < _UNSURE_MS:
+                if now_ms - self._started_ms < _UNKNOWN_STATE_MS:
                     return False
                 continue
             is_older = replica.state.checks_fence and replica.state.fence < self.fence
-            if is_older and now_ms - replica.asked_ms < _UNSURE_MS:
+            if is_older and now_ms - replica.asked_ms < _UNKNOWN_STATE_MS:
                 return False
         return True
 
     def _may_load(self, pool: Pool, endpoint: Endpoint, now_ms: float) -> bool:
-        passed_s = (now_ms - self._starts_ms) / 1000
-        self._starts = min(_STARTS_PER_S, self._starts + passed_s * _STARTS_PER_S)
-        self._starts_ms = now_ms
-        if self._starts < 1:
+        passed_s = (now_ms - self._tokens_updated_ms) / 1000
+        self._load_tokens = min(
+            _STARTS_PER_S, self._load_tokens + passed_s * _STARTS_PER_S
+        )
+        self._tokens_updated_ms = now_ms
+        if self._load_tokens < 1:
             return False
-        if self._counted is None:
-            self._counted = self._count(pool, now_ms)
-        counted = self._counted
+        if self._counts is None:
+            self._counts = self._count(pool, now_ms)
+        counts = self._counts
         name = endpoint.name
-        if counted.loading - self._may_be_loading(name, now_ms) >= MAX_LOADS:
+        if counts.loading - self._may_be_loading(name, now_ms) >= MAX_LOADS:
             return False
-        reachable = counted.reachable - self._is_reachable(name, now_ms)
-        warm = counted.warm - self._is_serving(name, now_ms)
+        reachable = counts.reachable - self._is_reachable(name, now_ms)
+        warm = counts.warm - self._is_serving(name, now_ms)
         return warm >= min(reachable, max(1, int(_WARM_SHARE * reachable)))
 
-    def _count(self, pool: Pool, now_ms: float) -> _Counted:
+    def _count(self, pool: Pool, now_ms: float) -> _PoolCounts:
         names = [each.name for each in pool.endpoints]
-        return _Counted(
+        return _PoolCounts(
             sum(self._may_be_loading(name, now_ms) for name in names),
             sum(self._is_reachable(name, now_ms) for name in names),
             sum(self._is_serving(name, now_ms) for name in names),
@@ -278,10 +284,12 @@
     def _may_be_loading(self, name: EndpointName, now_ms: float) -> bool:
         replica = self._replicas.get(name)
         if replica is None or replica.state is None:
-            return now_ms - self._started_ms < _UNSURE_MS
+            return now_ms - self._started_ms < _UNKNOWN_STATE_MS
         if replica.state.is_loading or replica.is_load_open:
             # An endpoint that died while it loaded no longer says how it ended.
-            return now_ms - max(replica.asked_ms, replica.ordered_ms) < _UNSURE_MS
+            return (
+                now_ms - max(replica.asked_ms, replica.ordered_ms) < _UNKNOWN_STATE_MS
+            )
         return False
 
     def _is_reachable(self, name: EndpointName, now_ms: float) -> bool:
@@ -297,7 +305,7 @@
 
     def _is_dead(self, replica: _Replica, now_ms: float) -> bool:
         since_ms = replica.unanswered_ms
-        return since_ms is not None and now_ms - since_ms >= _UNSURE_MS
+        return since_ms is not None and now_ms - since_ms >= _UNKNOWN_STATE_MS
 
     def _is_warm(self, name: EndpointName, now_ms: float) -> bool:
         replica = self._replicas.get(name)
@@ -311,7 +319,7 @@
             and (since_ms is None or now_ms - since_ms <= _FRESH_MS)
         )
 
-    def _build_small(
+    def _build_role_or_adapter(
         self, change: OrderKind, pool: Pool, state: EndpointState
     ) -> Order:
         if change is OrderKind.ROLE:
--- a/packages/toucanyard/src/toucanyard/part_placement.py
+++ b/packages/toucanyard/src/toucanyard/part_placement.py
@@ -31,7 +31,7 @@
 from toucanyard.replica_uses import ReplicaUses
 from toucanyard.replicas import KnownReplica
 from toucanyard.routes import EngineTraits, PromptStore
-from toucanyard.weights_goals import Goal
+from toucanyard.target_weights import TargetWeights
 
 FULL_SHARE: Final = 0.92
 """Share of a replica's memory that calls may take together; beyond it the engine drops
@@ -85,7 +85,7 @@
     prompt: Prompt
     shared: tuple[Part, ...]
     engine: EngineTraits
-    goal: Goal | None
+    target: TargetWeights | None
     candidates: list[Candidate]
     sources: dict[str, Sources]
     """By scope."""
@@ -134,7 +134,7 @@
         prompt: Prompt,
         engine: EngineTraits,
         usable: Sequence[KnownReplica],
-        goal: Goal | None,
+        target: TargetWeights | None,
         stores: Sequence[PromptStore],
         now_ms: float,
         *,
@@ -144,7 +144,7 @@
 
         `may_follow` tells whether it may wait for what another replica reads.
         """
-        candidates = self._find_candidates(request, prompt, usable, goal, now_ms)
+        candidates = self._find_candidates(request, prompt, usable, target, now_ms)
         shared = prompt.find_shared()
         sources = self._find_sources(candidates, shared, engine, stores, now_ms)
         own_side = self._narrowing.find_side(candidates, prompt)
@@ -153,7 +153,7 @@
             prompt,
             shared,
             engine,
-            goal,
+            target,
             candidates,
             sources,
             stores,
@@ -209,14 +209,14 @@
         request: RelayRequest,
         prompt: Prompt,
         usable: Sequence[KnownReplica],
-        goal: Goal | None,
+        target: TargetWeights | None,
         now_ms: float,
     ) -> list[Candidate]:
         shared = prompt.find_shared()
         found = []
         for known in usable:
             version = known.weights.get(prompt.model)
-            if version is None or self._is_too_old(version, goal, now_ms):
+            if version is None or self._is_too_old(version, target, now_ms):
                 continue
             scope = compute_scope(request, prompt, version)
             name = known.replica.name
@@ -224,8 +224,13 @@
             found.append(Candidate(known, version, scope, held))
         return found
 
-    def _is_too_old(self, version: int, goal: Goal | None, now_ms: float) -> bool:
-        return goal is not None and goal.compute_age(version, now_ms) > self._max_old_ms
+    def _is_too_old(
+        self, version: int, target: TargetWeights | None, now_ms: float
+    ) -> bool:
+        return (
+            target is not None
+            and target.compute_age(version, now_ms) > self._max_old_ms
+        )
 
     def _find_sources(
         self,
@@ -273,7 +278,7 @@
         wait_ms = use.unread_tokens / speed + use.running * self._policy.running_ms
         read_ms = unread / speed
         total_ms = wait_ms + read_ms * (1.0 + use.running * self._policy.pause_share)
-        total_ms += self._price(candidate, field.goal, now_ms)
+        total_ms += self._price(candidate, field.target, now_ms)
         if name not in field.own_names:
             total_ms += CROSS_MS
         total_ms += sources.compute_price(fetched, candidate.known.replica, engine)
@@ -282,10 +287,12 @@
             total_ms += self._price_missing(candidate, field, missing, covered, now_ms)
         return _Scored(candidate, total_ms, wait_ms, unread, fetched, missing)
 
-    def _price(self, candidate: Candidate, goal: Goal | None, now_ms: float) -> float:
+    def _price(
+        self, candidate: Candidate, target: TargetWeights | None, now_ms: float
+    ) -> float:
         price_ms = self._policy.failure_ms * candidate.known.compute_failures(now_ms)
-        if goal is not None and candidate.version < goal.version:
-            is_late = goal.compute_age(candidate.version, now_ms) > LATE_AFTER_MS
+        if target is not None and candidate.version < target.version:
+            is_late = target.compute_age(candidate.version, now_ms) > LATE_AFTER_MS
             policy = self._policy
             price_ms += policy.late_weights_ms if is_late else policy.old_weights_ms
         return price_ms
--- a/packages/toucanyard/src/toucanyard/patch_results.py
+++ b/packages/toucanyard/src/toucanyard/patch_results.py
@@ -34,7 +34,7 @@
         return self.rejection is None
 
 
-class PatchMemory:
+class PatchHistory:
     """Hold the latest results and the latest versions' patches.
 
     Invariant: an accepted result is never replaced by another one for the same id
@@ -60,18 +60,18 @@
         """Return the result of a patch, if it is remembered."""
         return self._results.get(patch_id)
 
-    def find_same(self, patch_id: str, base: int) -> PatchResult | None:
+    def find_for_base(self, patch_id: str, base: int) -> PatchResult | None:
         """Return the result of a patch under the same base, if it is remembered."""
         known = self._results.get(patch_id)
         return known if known is not None and known.base == base else None
 
-    def note_version(self, entry: HistoryEntry) -> None:
+    def record_version(self, entry: HistoryEntry) -> None:
         """Take in which patch made the newest version."""
         self._history.append(entry)
 
-    def settle(self, result: PatchResult) -> None:
+    def record_result(self, result: PatchResult) -> None:
         """Take in a result."""
-        known = self.find_same(result.patch_id, result.base)
+        known = self.find_for_base(result.patch_id, result.base)
         if known is not None and known.is_accepted():
             return
         self._results[result.patch_id] = result
@@ -83,7 +83,9 @@
         known = {entry.version: entry for entry in self._history}
         for entry in entries:
             known.setdefault(entry.version, entry)
-            self.settle(PatchResult(entry.patch_id, entry.version - 1, entry.version))
+            self.record_result(
+                PatchResult(entry.patch_id, entry.version - 1, entry.version)
+            )
         self._history = deque(
             (known[version] for version in sorted(known)), maxlen=_MAX_HISTORY
         )
--- a/packages/toucanyard/src/toucanyard/duties.py
+++ b/packages/toucanyard/src/toucanyard/pool_leases.py
@@ -22,19 +22,19 @@
 )
 from toucanyard.vm_view import compute_rank
 
-DUTY_PREFIX: Final = "duty-"
+POOL_LEASE_PREFIX: Final = "duty-"
 LEASE_MS: Final = 10_000.0
 RENEW_MS: Final = 3_000.0
 _DRIFT_SHARE: Final = 0.1
 """How much of the lease the holder gives up, for clocks that run unevenly."""
-_APPEND_AGAIN_MS: Final = 2_000.0
-_STAND_BACK_MS: Final = 1_000.0
+_APPEND_RETRY_MS: Final = 2_000.0
+_CANDIDATE_DELAY_MS: Final = 1_000.0
 """How much longer each further candidate waits before it claims."""
 _MAX_RECORD_CHARACTERS: Final = 2_048
 _MANY_LEASES: Final = 1_024
 
 
-class DutyRecord(msgspec.Struct, frozen=True, tag_field="kind", tag="duty"):
+class PoolLeaseRecord(msgspec.Struct, frozen=True, tag_field="kind", tag="duty"):
     """Claim, renew or give up the duty for a pool.
 
     `fence` is None in a claim, which gets its own offset; otherwise the number that is
@@ -48,7 +48,7 @@
     is_release: bool = False
 
 
-class Duty(msgspec.Struct, frozen=True):
+class PoolLease(msgspec.Struct, frozen=True):
     """A duty that this node holds, until a time on its own clock."""
 
     pool: PoolName
@@ -72,12 +72,12 @@
     """End of the lease by this node's clock, if this node holds it."""
 
 
-class _Sent(msgspec.Struct, frozen=True):
+class _PendingAppend(msgspec.Struct, frozen=True):
     pool: PoolName
     sent_ms: float
 
 
-class Duties:
+class PoolLeases:
     """Hold the duties of all pools as one node sees them.
 
     Invariant: at any time at most one node holds a valid lease whose own deadline has
@@ -88,33 +88,33 @@
         self._identity = identity
         self._rng = rng
         self._leases: dict[PoolName, _Lease] = {}
-        self._sent: dict[str, _Sent] = {}
+        self._pending: dict[str, _PendingAppend] = {}
         self._number = 0
         self._is_complete = False
         self._first_at_ms: float | None = None
         self._head_since_ms: float | None = None
         self._log_ms = float("-inf")
 
-    def note_start(self, oldest: int, from_offset: int) -> None:
+    def set_read_start(self, oldest: int, from_offset: int) -> None:
         """Take in where reading begins: whether records may be missing before."""
         self._is_complete = oldest == 0 and from_offset == 0
 
-    def note_expired(self) -> None:
+    def handle_expired(self) -> None:
         """Take in that records were missed, so that no state is known any more."""
         self._is_complete = False
         self._first_at_ms = None
         self._head_since_ms = None
         self._leases.clear()
 
-    def note_head(self, asked_ms: float) -> None:
+    def update_log_end(self, asked_ms: float) -> None:
         """Take in that everything up to the log's end at `asked_ms` was read."""
         if self._head_since_ms is None:
             self._head_since_ms = asked_ms
 
-    def find_held(self, now_ms: float) -> list[Duty]:
+    def find_held(self, now_ms: float) -> list[PoolLease]:
         """Return the duties that this node may act on now."""
         return [
-            Duty(pool, lease.fence, lease.until_ms)
+            PoolLease(pool, lease.fence, lease.until_ms)
             for pool, lease in self._leases.items()
             if lease.holder == self._identity and now_ms < lease.until_ms
         ]
@@ -132,7 +132,7 @@
         record = _decode(text)
         if record is None:
             return
-        sent = self._sent.pop(record.record_id, None)
+        sent = self._pending.pop(record.record_id, None)
         is_mine = record.node == self._identity and sent is not None
         lease = self._leases.get(record.pool)
         if lease is None:
@@ -165,16 +165,16 @@
         """
         lost = [
             record_id
-            for record_id, sent in self._sent.items()
+            for record_id, sent in self._pending.items()
             if now_ms - sent.sent_ms > LEASE_MS
         ]
         for record_id in lost:
-            del self._sent[record_id]
+            del self._pending[record_id]
         appends: list[AppendToLog] = []
         for pool in pools:
             if any(
-                sent.pool == pool and now_ms - sent.sent_ms < _APPEND_AGAIN_MS
-                for sent in self._sent.values()
+                sent.pool == pool and now_ms - sent.sent_ms < _APPEND_RETRY_MS
+                for sent in self._pending.values()
             ):
                 continue
             lease = self._leases.get(pool)
@@ -212,7 +212,7 @@
                 del self._leases[pool]
 
     def _is_valid(
-        self, lease: _Lease, record: DutyRecord, at_ms: float, now_ms: float
+        self, lease: _Lease, record: PoolLeaseRecord, at_ms: float, now_ms: float
     ) -> bool:
         last_ms = lease.last_at_ms
         is_free = last_ms is None or at_ms - last_ms >= LEASE_MS
@@ -230,9 +230,11 @@
         if self._first_at_ms is not None and at_ms - self._first_at_ms >= LEASE_MS:
             return True
         since_ms = self._head_since_ms
-        return since_ms is not None and now_ms - since_ms >= self._patience_ms()
+        return (
+            since_ms is not None and now_ms - since_ms >= self._compute_takeover_wait()
+        )
 
-    def _patience_ms(self) -> float:
+    def _compute_takeover_wait(self) -> float:
         return LEASE_MS * (1 + _DRIFT_SHARE)
 
     def _is_to_renew(self, lease: _Lease, now_ms: float) -> bool:
@@ -256,14 +258,14 @@
             for node in nodes
             if node != own
         )
-        wait_ms = min(rank, 8) * _STAND_BACK_MS
+        wait_ms = min(rank, 8) * _CANDIDATE_DELAY_MS
         if lease is not None and lease.seen_ms is not None:
             is_released = lease.is_known and lease.holder is None
             start_ms = lease.seen_ms
-            wait_ms += 0.0 if is_released else self._patience_ms()
+            wait_ms += 0.0 if is_released else self._compute_takeover_wait()
         else:
             start_ms = self._head_since_ms
-            wait_ms += 0.0 if self._is_complete else self._patience_ms()
+            wait_ms += 0.0 if self._is_complete else self._compute_takeover_wait()
         return now_ms - start_ms >= wait_ms
 
     def _append(
@@ -277,18 +279,18 @@
         self._number += 1
         identity = self._identity
         record_id = (
-            f"{DUTY_PREFIX}{identity.node}-{identity.incarnation}-{self._number}"
+            f"{POOL_LEASE_PREFIX}{identity.node}-{identity.incarnation}-{self._number}"
         )
-        self._sent[record_id] = _Sent(pool, now_ms)
-        record = DutyRecord(pool, identity, record_id, fence, is_release)
+        self._pending[record_id] = _PendingAppend(pool, now_ms)
+        record = PoolLeaseRecord(pool, identity, record_id, fence, is_release)
         text = msgspec.json.encode(record).decode()
         return AppendToLog(record_id, text, is_urgent=False)
 
 
-def _decode(text: str) -> DutyRecord | None:
+def _decode(text: str) -> PoolLeaseRecord | None:
     if len(text) > _MAX_RECORD_CHARACTERS or '"duty"' not in text:
         return None
     try:
-        return msgspec.json.decode(text.encode(), type=DutyRecord)
+        return msgspec.json.decode(text.encode(), type=PoolLeaseRecord)
     except (msgspec.DecodeError, UnicodeEncodeError, RecursionError):
         return None
--- a/packages/toucanyard/src/toucanyard/relay_core.py
+++ b/packages/toucanyard/src/toucanyard/relay_core.py
@@ -33,6 +33,8 @@
     DispatchEnded,
     FirstEventSeen,
     HolderLost,
+    LeaseAppended,
+    LeaseRead,
     LinkMessageRead,
     Note,
     OrderAnswered,
@@ -48,8 +50,6 @@
     StoreFailed,
     TickPassed,
     TopicRead,
-    TurnAppended,
-    TurnRead,
 )
 from toucanyard.relay_flow import RelayFlow
 from toucanyard.relay_options import RelayOptions
@@ -66,9 +66,9 @@
 from toucanyard.shared_limits import SharedLimits
 from toucanyard.status_exchange import StatusExchange
 from toucanyard.store_reads import StoreReads
-from toucanyard.topic_intake import TopicIntake
+from toucanyard.target_weights import TargetWeightsTable
+from toucanyard.topic_updates import TopicUpdates
 from toucanyard.view_exchange import ViewExchange
-from toucanyard.weights_goals import WeightsGoals
 
 PRUNE_MS: Final = 5_000.0
 TICK_MS: Final = 25.0
@@ -83,7 +83,7 @@
 
 CallEvent = CallArrived | CallerLeft | FirstEventSeen | DispatchEnded | ReplicaLimitSeen
 QuietEvent = PartsChanged | HolderLost | QuarantineWritten | QuarantineErased
-RolloutEvent = TurnRead | TurnAppended | ReplicaStateRead | OrderAnswered
+RolloutEvent = LeaseRead | LeaseAppended | ReplicaStateRead | OrderAnswered
 
 
 class RelayCore:
@@ -102,7 +102,7 @@
     ) -> None:
         self.options = options
         self.identity = identity
-        self.goals = WeightsGoals()
+        self.weight_targets = TargetWeightsTable()
         self.directory = ReplicaDirectory(options.drain_ms)
         listen = options.listen
         self.own_record = NodeRecord(
@@ -123,7 +123,7 @@
         calls = CallPlacement(
             options,
             self.directory,
-            self.goals,
+            self.weight_targets,
             self.sources,
             self.credits,
             rng,
@@ -143,14 +143,14 @@
             options.retries,
             options.policy,
             self.directory,
-            self.goals,
+            self.weight_targets,
             calls,
             self.guard,
             self.limits,
             rng,
         )
         self.facts = KnownFacts(
-            self.directory, self.goals, self.roster, self.flow, self.guard
+            self.directory, self.weight_targets, self.roster, self.flow, self.guard
         )
         self.parts = PartIntake(
             self.flow.book, self.sources, self.directory, self.facts
@@ -160,7 +160,7 @@
             identity,
             options.weights,
             self.directory,
-            self.goals,
+            self.weight_targets,
             self.roster,
             self.flow.uses,
             options.policy.rollout,
@@ -173,7 +173,7 @@
             self.gossip,
             self.replica_limits,
             self.guard,
-            self.goals,
+            self.weight_targets,
             lambda now_ms: self.sources.list_stores(self.index, now_ms),
             options.link_mbps,
             lambda: self.shares.pledge,
@@ -189,7 +189,7 @@
             self.shares, self.replica_limits, self.flow, self.statuses
         )
         self.reads = StoreReads(self.roster, self.exchange)
-        self.topics = TopicIntake(
+        self.topics = TopicUpdates(
             self.exchange,
             self.facts,
             self.directory,
@@ -241,10 +241,10 @@
                 | ReplicaLimitSeen()
             ):
                 yield from self._handle_call(event, now_ms)
-            case TurnRead() | TurnAppended() | ReplicaStateRead() | OrderAnswered():
+            case LeaseRead() | LeaseAppended() | ReplicaStateRead() | OrderAnswered():
                 yield from self._handle_rollout(event, now_ms)
             case TopicRead():
-                yield from self.topics.take_read(event, now_ms)
+                yield from self.topics.handle_read(event, now_ms)
             case StoreFailed():
                 yield _note_failed(event, now_ms)
             case PeersLinked(peers=peers):
@@ -365,7 +365,7 @@
             case NodeStatus():
                 yield from self._read_status(sender, message, now_ms)
             case ViewRecords():
-                yield from self.topics.take_records(sender, message, now_ms)
+                yield from self.topics.handle_records(sender, message, now_ms)
             case CreditAsk() | CreditAnswer():
                 yield from self._limit_events.read_message(sender, message, now_ms)
 
@@ -380,7 +380,7 @@
             if self.sources.note_heard(store.store, heard_ms, store.epoch):
                 self.flow.book.forget(store.store)
         self.parts.apply_read(status.parts, now_ms)
-        yield from self.topics.answer_status(sender, status.views, now_ms)
+        yield from self.topics.handle_status(sender, status.views, now_ms)
 
     def _link(self, names: list[NodeName], now_ms: float) -> Iterator[RelayAction]:
         before = set(self.exchange.linked)
--- a/packages/toucanyard/src/toucanyard/relay_events.py
+++ b/packages/toucanyard/src/toucanyard/relay_events.py
@@ -111,7 +111,7 @@
     holder: EndpointName
 
 
-class TurnRead(msgspec.Struct, frozen=True):
+class LeaseRead(msgspec.Struct, frozen=True):
     """The records of the turns to order, up to `end`."""
 
     records: tuple[tuple[int, bytes], ...]
@@ -119,7 +119,7 @@
     end: int
 
 
-class TurnAppended(msgspec.Struct, frozen=True):
+class LeaseAppended(msgspec.Struct, frozen=True):
     """How an append to the turns ended; no offset if it did not succeed."""
 
     offset: int | None
@@ -200,13 +200,13 @@
     message: LinkMessage
 
 
-class ReadTurns(msgspec.Struct, frozen=True):
+class ReadLeases(msgspec.Struct, frozen=True):
     """Read the turns to order from an offset on."""
 
     from_offset: int
 
 
-class AppendTurn(msgspec.Struct, frozen=True):
+class AppendLease(msgspec.Struct, frozen=True):
     """Append to the turns to order if they still end at this offset."""
 
     value: bytes
@@ -233,8 +233,8 @@
     | LinkMessageRead
     | PartsChanged
     | HolderLost
-    | TurnRead
-    | TurnAppended
+    | LeaseRead
+    | LeaseAppended
     | ReplicaStateRead
     | OrderAnswered
     | QuarantineWritten
@@ -245,8 +245,8 @@
 RelayAction = (
     RelayReply
     | SendToPeer
-    | ReadTurns
-    | AppendTurn
+    | ReadLeases
+    | AppendLease
     | ReadReplicaState
     | WeightsOrder
     | WriteQuarantine
--- a/packages/toucanyard/src/toucanyard/relay_flow.py
+++ b/packages/toucanyard/src/toucanyard/relay_flow.py
@@ -31,7 +31,7 @@
 from toucanyard.request_guard import Rejection, RequestGuard
 from toucanyard.requests import PROVED_NOT_RUN, EndingSeen
 from toucanyard.routes import RouteIndex
-from toucanyard.weights_goals import WeightsGoals
+from toucanyard.target_weights import TargetWeightsTable
 
 MIN_RETRY_AFTER_MS: Final = 100
 MAX_RETRY_AFTER_MS: Final = 2_000
@@ -54,7 +54,7 @@
         retries: RetryLimits,
         policy: RelayPolicy,
         directory: ReplicaDirectory,
-        goals: WeightsGoals,
+        weight_targets: TargetWeightsTable,
         calls: CallPlacement,
         guard: RequestGuard,
         limits: CallLimits,
@@ -66,7 +66,7 @@
         self._policy = policy
         self._refusals = CallRefusals(rng)
         self._directory = directory
-        self._goals = goals
+        self._weight_targets = weight_targets
         self._pending: dict[RequestId, PendingCall] = {}
         self._queues: dict[ServiceName, list[PendingCall]] = {}
         self._calls = calls
@@ -351,9 +351,9 @@
     def _guess_weights(self, known: KnownReplica, pending: PendingCall) -> None:
         """Believe a replica that refused for its weights to have the wanted ones."""
         prompt = pending.request.prompt
-        goal = None if prompt is None else self._goals.find(prompt.model)
-        if prompt is not None and goal is not None:
-            self._note_weights(known, prompt.model, goal.version)
+        target = None if prompt is None else self._weight_targets.find(prompt.model)
+        if prompt is not None and target is not None:
+            self._note_weights(known, prompt.model, target.version)
 
     def _note_weights(self, known: KnownReplica, model: str, version: int) -> None:
         if known.note_weights(model, version):
--- a/packages/toucanyard/src/toucanyard/replicas.py
+++ b/packages/toucanyard/src/toucanyard/replicas.py
@@ -21,7 +21,7 @@
     ServiceName,
 )
 from toucanyard.replica_lives import ReplicaLives
-from toucanyard.store_contact import Absence
+from toucanyard.store_availability import StoreOutage
 
 MIN_REST_MS: Final = 250.0
 """First pause after a failure; a crashed process refuses connections for longer."""
@@ -218,7 +218,7 @@
     def __init__(self, drain_ms: float = DRAIN_MS) -> None:
         """`drain_ms` is how long replicas run after they have left the list."""
         self._drain_ms = drain_ms
-        self._absence: Absence | None = None
+        self._absence: StoreOutage | None = None
         """When the store was last away for all nodes."""
         self._lives = ReplicaLives()
         self._served: frozenset[ServiceName] = frozenset()
@@ -346,7 +346,7 @@
                 each.removal = Removal(listed_ms, is_mass)
                 each.grace_until_ms = self._find_grace_end(each.removal)
 
-    def note_absence(self, absence: Absence | None) -> bool:
+    def note_absence(self, absence: StoreOutage | None) -> bool:
         """Take in when the store was last away for all nodes; return whether it's new.
 
         Only then are graces reckoned anew: peers say the same in each status.
--- a/packages/toucanyard/src/toucanyard/rollout_leader.py
+++ b/packages/toucanyard/src/toucanyard/rollout_leader.py
@@ -7,15 +7,16 @@
 
 import msgspec
 
+from toucanyard.leases import MAX_FOLLOWERS, Leases
 from toucanyard.names import EndpointName, NodeId
 from toucanyard.relay_events import (
-    AppendTurn,
+    AppendLease,
+    LeaseAppended,
+    LeaseRead,
     OrderAnswered,
+    ReadLeases,
     ReadReplicaState,
-    ReadTurns,
     ReplicaStateRead,
-    TurnAppended,
-    TurnRead,
     WeightsOrder,
 )
 from toucanyard.relay_notes import Note
@@ -24,26 +25,25 @@
 from toucanyard.replica_uses import ReplicaUses
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.roster import Roster
-from toucanyard.turns import MAX_FOLLOWERS, Turns
-from toucanyard.weights_goals import Goal, WeightsGoals
+from toucanyard.target_weights import TargetWeights, TargetWeightsTable
 from toucanyard.weights_rollout import (
     ANNOUNCE_MS,
-    FAR_ANNOUNCE_MS,
-    Pressure,
+    HUB_ANNOUNCE_MS,
+    RolloutBudget,
     WeightsRollout,
 )
 
-LAST_READ_MS: Final = 300.0
+FINAL_READ_DELAY_MS: Final = 300.0
 """Time after the work is done at which candidates look who did it, and when."""
 
 SAFE_SHARE: Final = 0.75
 """Share of the time for new weights in which a rollout plans to end."""
 
-LOOK_MS: Final = 100.0
+SCAN_INTERVAL_MS: Final = 100.0
 """Time between two looks for replicas that are behind; at each tick, those of 70 took a
 fifth of all that a node decides."""
 
-RolloutAction = AppendTurn | ReadTurns | ReadReplicaState | WeightsOrder | Note
+RolloutAction = AppendLease | ReadLeases | ReadReplicaState | WeightsOrder | Note
 
 
 class _Work(msgspec.Struct):
@@ -59,14 +59,14 @@
 
     __slots__ = (
         "_directory",
-        "_goals",
+        "_weight_targets",
         "_roster",
         "_rollouts",
-        "_turns",
+        "_leases",
         "_uses",
         "_work",
         "_identity",
-        "_looked_ms",
+        "_scanned_ms",
         "_deadline_ms",
         "_policy",
     )
@@ -76,7 +76,7 @@
         identity: NodeId,
         timings: WeightsTimings,
         directory: ReplicaDirectory,
-        goals: WeightsGoals,
+        weight_targets: TargetWeightsTable,
         roster: Roster,
         uses: ReplicaUses,
         policy: RolloutPolicy,
@@ -85,31 +85,31 @@
         self._deadline_ms = float(timings.deadline_ms)
         self._identity = identity
         self._directory = directory
-        self._goals = goals
+        self._weight_targets = weight_targets
         self._roster = roster
         self._uses = uses
-        self._turns = Turns(identity, float(timings.lease_ms))
+        self._leases = Leases(identity, float(timings.lease_ms))
         self._rollouts: dict[str, WeightsRollout] = {}
         self._work = _Work()
-        self._looked_ms = float("-inf")
+        self._scanned_ms = float("-inf")
 
     def handle(
         self,
-        event: TurnRead | TurnAppended | ReplicaStateRead | OrderAnswered,
+        event: LeaseRead | LeaseAppended | ReplicaStateRead | OrderAnswered,
         now_ms: float,
     ) -> None:
         """Take in what the store or a replica answered."""
         match event:
-            case TurnRead():
-                self._turns.note_read(event, now_ms)
-            case TurnAppended():
-                self._turns.note_appended(event)
+            case LeaseRead():
+                self._leases.apply_read(event, now_ms)
+            case LeaseAppended():
+                self._leases.apply_append(event)
             case ReplicaStateRead():
-                self._note_state(event, now_ms)
+                self._record_state(event, now_ms)
             case OrderAnswered():
                 rollout = self._rollouts.get(event.order.model)
-                if rollout is not None and rollout.note_answer(event, now_ms):
-                    self._turns.give_up()
+                if rollout is not None and rollout.record_answer(event, now_ms):
+                    self._leases.give_up()
 
     def list_changing(self) -> list[EndpointName]:
         """Return the replicas that this node is changing."""
@@ -130,31 +130,31 @@
         next one would wait out the lease, and a roll of all VMs would stop every
         holder before the weights are in place.
         """
-        if not self.is_busy() and now_ms - self._looked_ms < LOOK_MS:
+        if not self.is_busy() and now_ms - self._scanned_ms < SCAN_INTERVAL_MS:
             return []
-        self._looked_ms = now_ms
+        self._scanned_ms = now_ms
         behind = self._find_behind(now_ms)
         if not behind and not self.list_changing():
-            return self._rest(now_ms)
+            return self._read_after_work(now_ms)
         if self._work.since_ms is None:
             self._work = _Work(since_ms=now_ms)
         actions: list[RolloutAction] = []
-        holder = self._turns.find_holder()
+        holder = self._leases.find_holder()
         is_alive = self._roster.is_alive(holder, now_ms)
         rank = self._roster.find_rank("orders", now_ms)
-        asked = self._turns.tick(
+        asked = self._leases.tick(
             self._work.since_ms or now_ms, rank, is_alive, now_ms, is_leaving=is_leaving
         )
         if asked is not None:
             actions.append(asked)
-        turn = self._turns.find_turn(now_ms)
-        if turn is None:
+        lease = self._leases.find_lease(now_ms)
+        if lease is None:
             for rollout in self._rollouts.values():
                 rollout.stop(self._directory.list_all())
             return actions
         for model, replicas in self._find_replicas(now_ms).items():
-            goal = self._goals.find(model)
-            if goal is None:
+            target = self._weight_targets.find(model)
+            if target is None:
                 continue
             rollout = self._rollouts.setdefault(
                 model, WeightsRollout(self._identity.node, self._policy)
@@ -164,47 +164,53 @@
                 for each in replicas
             }
             is_near = self._roster.is_full_mesh()
-            announce_ms = ANNOUNCE_MS if is_near else FAR_ANNOUNCE_MS
+            announce_ms = ANNOUNCE_MS if is_near else HUB_ANNOUNCE_MS
             actions += rollout.plan(
                 model,
-                goal.version,
+                target.version,
                 replicas,
-                turn,
+                lease,
                 loads,
                 now_ms,
                 announce_ms,
-                pressure=self._find_pressure(model, goal, replicas, now_ms),
+                budget=self._compute_budget(model, target, replicas, now_ms),
             )
         return actions
 
-    def _find_pressure(
-        self, model: str, goal: Goal, replicas: Sequence[KnownReplica], now_ms: float
-    ) -> Pressure:
+    def _compute_budget(
+        self,
+        model: str,
+        target: TargetWeights,
+        replicas: Sequence[KnownReplica],
+        now_ms: float,
+    ) -> RolloutBudget:
         oldest = min(each.weights.get(model, 0) for each in replicas)
-        left_ms = self._deadline_ms * SAFE_SHARE - goal.compute_age(oldest, now_ms)
-        return Pressure(left_ms)
+        left_ms = self._deadline_ms * SAFE_SHARE - target.compute_age(oldest, now_ms)
+        return RolloutBudget(left_ms)
 
-    def _rest(self, now_ms: float) -> list[RolloutAction]:
+    def _read_after_work(self, now_ms: float) -> list[RolloutAction]:
         """Look once after the work who did it: a turn counts from when it was seen."""
         work = self._work
         if work.since_ms is not None:
             self._work = _Work(done_ms=now_ms)
             return []
-        is_due = work.done_ms is not None and now_ms - work.done_ms >= LAST_READ_MS
+        is_due = (
+            work.done_ms is not None and now_ms - work.done_ms >= FINAL_READ_DELAY_MS
+        )
         if not is_due:
             return []
         self._work = _Work()
         if self._roster.find_rank("orders", now_ms) >= MAX_FOLLOWERS:
             return []
-        return [ReadTurns(0)]
+        return [ReadLeases(0)]
 
-    def _note_state(self, read: ReplicaStateRead, now_ms: float) -> None:
-        if self._is_other_life(read, now_ms):
+    def _record_state(self, read: ReplicaStateRead, now_ms: float) -> None:
+        if self._is_other_incarnation(read, now_ms):
             return
         for rollout in self._rollouts.values():
-            rollout.note_state(read)
+            rollout.record_state(read)
 
-    def _is_other_life(self, read: ReplicaStateRead, now_ms: float) -> bool:
+    def _is_other_incarnation(self, read: ReplicaStateRead, now_ms: float) -> bool:
         """Tell whether a report is not of the life that was asked.
 
         Its count of orders would allow an order that was meant for the other one.
@@ -227,13 +233,13 @@
         ]
 
     def _is_behind(self, known: KnownReplica, model: str) -> bool:
-        goal = self._goals.find(model)
-        return goal is not None and known.weights.get(model, 0) < goal.version
+        target = self._weight_targets.find(model)
+        return target is not None and known.weights.get(model, 0) < target.version
 
     def _find_replicas(self, now_ms: float) -> dict[str, list[KnownReplica]]:
         found: dict[str, list[KnownReplica]] = {}
         for known in self._directory.list_served(now_ms):
             for model in known.weights:
-                if self._goals.find(model) is not None:
+                if self._weight_targets.find(model) is not None:
                     found.setdefault(model, []).append(known)
         return found
--- a/packages/toucanyard/src/toucanyard/settings.py
+++ b/packages/toucanyard/src/toucanyard/settings.py
@@ -32,7 +32,7 @@
     """Say which file and field is wrong; the command line exits with status 2."""
 
 
-class _RefusedJsonError(Exception):
+class _RejectedJsonError(Exception):
     """JSON that the library takes, and that leaves open what was meant."""
 
 
@@ -95,9 +95,9 @@
         ) from error
     try:
         return jsonc.loads(
-            _blank_comments(text),
+            _replace_comments(text),
             object_pairs_hook=_build_object,
-            parse_constant=_refuse_constant,
+            parse_constant=_reject_constant,
         )
     except json.JSONDecodeError as error:
         where = f"line {error.lineno} column {error.colno}"
@@ -105,11 +105,11 @@
         raise SettingsError(f"{file}: {where}: found {found!r}: {error.msg}") from error
     except RecursionError as error:
         raise SettingsError(f"{file}: found JSON nested too deeply") from error
-    except _RefusedJsonError as error:
+    except _RejectedJsonError as error:
         raise SettingsError(f"{file}: {error}") from error
 
 
-def _blank_comments(text: str) -> str:
+def _replace_comments(text: str) -> str:
     """Put blanks in place of comments.
 
     The library takes them out with their line ends, so that the lines of its errors
@@ -132,11 +132,11 @@
         return fields
     names = [name for name, _ in pairs]
     twice = next(name for name in names if names.count(name) > 1)
-    raise _RefusedJsonError(f"found field {twice!r} twice, expected it once")
+    raise _RejectedJsonError(f"found field {twice!r} twice, expected it once")
 
 
-def _refuse_constant(text: str) -> NoReturn:
-    raise _RefusedJsonError(f"found {text}, expected a number")
+def _reject_constant(text: str) -> NoReturn:
+    raise _RejectedJsonError(f"found {text}, expected a number")
 
 
 def _list_addresses(options: Options) -> Iterator[tuple[str, Address]]:
--- a/packages/toucanyard/src/toucanyard/snapshot_exchange.py
+++ b/packages/toucanyard/src/toucanyard/snapshot_exchange.py
@@ -18,8 +18,8 @@
 from toucanyard.patches import find_owners
 from toucanyard.placement import Placement
 from toucanyard.snapshots import (
-    Ask,
     EndpointHint,
+    SendRequest,
     Snapshot,
     SnapshotBusy,
     SnapshotFetch,
@@ -87,9 +87,9 @@
                     self._server.begin(sender, message, data, now_ms)
                 yield SendMessage(sender, self._server.answer(sender, message, now_ms))
             case SnapshotPart() | SnapshotBusy():
-                yield from self._take(sender, message, now_ms)
+                yield from self._handle_answer(sender, message, now_ms)
 
-    def _take(
+    def _handle_answer(
         self, sender: NodeName, message: SnapshotPart | SnapshotBusy, now_ms: float
     ) -> Iterator[SendMessage]:
         if self._fetch is None or self._is_done:
@@ -129,6 +129,6 @@
                 self._directory.note_weights(hint.endpoint, hint.weights_version)
 
 
-def _to_message(ask: Ask | None) -> Iterator[SendMessage]:
-    if ask is not None:
-        yield SendMessage(ask.peer, ask.request)
+def _to_message(to_send: SendRequest | None) -> Iterator[SendMessage]:
+    if to_send is not None:
+        yield SendMessage(to_send.peer, to_send.request)
--- a/packages/toucanyard/src/toucanyard/snapshots.py
+++ b/packages/toucanyard/src/toucanyard/snapshots.py
@@ -23,7 +23,7 @@
 _MAX_ENDPOINTS: Final = 20_000
 _SERVED_BYTES_PER_S: Final = 1_000_000
 _MAX_SERVED: Final = 2
-_GIVE_UP_MS: Final = 2_000.0
+_TIMEOUT_MS: Final = 2_000.0
 _RETRY_MS: Final = 200.0
 
 
@@ -118,7 +118,7 @@
 
     def __init__(self) -> None:
         self._serving: dict[tuple[NodeName, int], _Serving] = {}
-        self._free_ms = 0.0
+        self._next_send_ms = 0.0
 
     def needs_snapshot(
         self, peer: NodeName, request: SnapshotRequest, now_ms: float
@@ -142,25 +142,25 @@
         serving = self._serving.get((peer, request.transfer))
         if serving is None:
             return SnapshotBusy(request.transfer, _RETRY_MS)
-        if now_ms < self._free_ms:
+        if now_ms < self._next_send_ms:
             serving.asked_ms = now_ms
-            return SnapshotBusy(request.transfer, self._free_ms - now_ms)
+            return SnapshotBusy(request.transfer, self._next_send_ms - now_ms)
         serving.asked_ms = now_ms
         parts = max(1, -(-len(serving.data) // PART_BYTES))
         start = request.part * PART_BYTES
         data = serving.data[start : start + PART_BYTES]
-        self._free_ms = now_ms + len(data) * 1_000 / _SERVED_BYTES_PER_S
+        self._next_send_ms = now_ms + len(data) * 1_000 / _SERVED_BYTES_PER_S
         if request.part >= parts - 1:
             del self._serving[peer, request.transfer]
         return SnapshotPart(request.transfer, request.part, parts, serving.digest, data)
 
     def _drop_idle(self, now_ms: float) -> None:
         for key, serving in list(self._serving.items()):
-            if now_ms - serving.asked_ms > _GIVE_UP_MS:
+            if now_ms - serving.asked_ms > _TIMEOUT_MS:
                 del self._serving[key]
 
 
-class Ask(msgspec.Struct, frozen=True):
+class SendRequest(msgspec.Struct, frozen=True):
     """Send a request to a peer."""
 
     peer: NodeName
@@ -179,37 +179,39 @@
         self, domain: DomainName, peers: Sequence[Vm], rng: random.Random
     ) -> None:
         shuffled = sorted(peers, key=lambda vm: (vm.domain != domain, rng.random()))
-        self._waiting = [NodeName(vm.name) for vm in shuffled]
+        self._untried_peers = [NodeName(vm.name) for vm in shuffled]
         self._rng = rng
         self._peer: NodeName | None = None
         self._transfer = 0
         self._received: list[bytes] = []
         self._size = 0
         self._asked_ms = 0.0
-        self._began_ms = 0.0
-        self._again_ms: float | None = None
+        self._peer_started_ms = 0.0
+        self._retry_at_ms: float | None = None
         self.snapshot: Snapshot | None = None
 
     def is_over(self) -> bool:
         """Tell whether nothing more will come."""
-        return self.snapshot is not None or (self._peer is None and not self._waiting)
+        return self.snapshot is not None or (
+            self._peer is None and not self._untried_peers
+        )
 
-    def tick(self, now_ms: float) -> Ask | None:
+    def tick(self, now_ms: float) -> SendRequest | None:
         """Return the next request, if one is due."""
         if self.is_over():
             return None
         if self._peer is None:
             return self._try_next(now_ms)
-        if self._again_ms is not None and now_ms >= self._again_ms:
-            self._again_ms = None
-            return self._ask(now_ms)
-        if now_ms - self._asked_ms > _GIVE_UP_MS:
+        if self._retry_at_ms is not None and now_ms >= self._retry_at_ms:
+            self._retry_at_ms = None
+            return self._request_part(now_ms)
+        if now_ms - self._asked_ms > _TIMEOUT_MS:
             return self._try_next(now_ms)
         return None
 
     def handle(
         self, peer: NodeName, message: SnapshotPart | SnapshotBusy, now_ms: float
-    ) -> Ask | None:
+    ) -> SendRequest | None:
         """Take in a peer's answer; return the next request, if any."""
         if peer != self._peer or message.transfer != self._transfer:
             return None
@@ -222,10 +224,10 @@
         if self._size > MAX_SNAPSHOT_BYTES:
             return self._try_next(now_ms)
         if len(self._received) < message.parts:
-            return self._ask(now_ms)
+            return self._request_part(now_ms)
         return self._finish(message, now_ms)
 
-    def _finish(self, message: SnapshotPart, now_ms: float) -> Ask | None:
+    def _finish(self, message: SnapshotPart, now_ms: float) -> SendRequest | None:
         data = b"".join(self._received)
         if xxhash.xxh3_64_intdigest(data) != message.digest:
             return self._try_next(now_ms)
@@ -235,27 +237,27 @@
             return self._try_next(now_ms)
         return None
 
-    def _wait(self, message: SnapshotBusy, now_ms: float) -> Ask | None:
-        if not self._received and now_ms - self._began_ms > _GIVE_UP_MS:
+    def _wait(self, message: SnapshotBusy, now_ms: float) -> SendRequest | None:
+        if not self._received and now_ms - self._peer_started_ms > _TIMEOUT_MS:
             return self._try_next(now_ms)
-        wait_ms = min(max(message.retry_after_ms, 10.0), _GIVE_UP_MS / 2)
-        self._again_ms = now_ms + wait_ms * self._rng.uniform(1.0, 1.5)
+        wait_ms = min(max(message.retry_after_ms, 10.0), _TIMEOUT_MS / 2)
+        self._retry_at_ms = now_ms + wait_ms * self._rng.uniform(1.0, 1.5)
         self._asked_ms = now_ms
         return None
 
-    def _try_next(self, now_ms: float) -> Ask | None:
+    def _try_next(self, now_ms: float) -> SendRequest | None:
         self._received = []
         self._size = 0
-        self._again_ms = None
-        self._peer = self._waiting.pop(0) if self._waiting else None
+        self._retry_at_ms = None
+        self._peer = self._untried_peers.pop(0) if self._untried_peers else None
         if self._peer is None:
             return None
-        self._began_ms = now_ms
+        self._peer_started_ms = now_ms
         self._transfer = self._rng.getrandbits(48)
-        return self._ask(now_ms)
+        return self._request_part(now_ms)
 
-    def _ask(self, now_ms: float) -> Ask:
+    def _request_part(self, now_ms: float) -> SendRequest:
         assert self._peer is not None
         self._asked_ms = now_ms
         request = SnapshotRequest(self._transfer, len(self._received))
-        return Ask(self._peer, request)
+        return SendRequest(self._peer, request)
--- a/packages/toucanyard/src/toucanyard/status_exchange.py
+++ b/packages/toucanyard/src/toucanyard/status_exchange.py
@@ -17,10 +17,10 @@
 from toucanyard.limit_pledges import Pledge
 from toucanyard.link_messages import (
     Coverage,
-    GoalAge,
     NodeStatus,
     ReadPart,
     StoreNews,
+    TargetWeightsAge,
 )
 from toucanyard.names import NodeName
 from toucanyard.part_reports import PartReports
@@ -31,8 +31,8 @@
 from toucanyard.request_guard import RequestGuard
 from toucanyard.roster import Roster
 from toucanyard.status_schedule import URGENT_MS, Audience, StatusSchedule
+from toucanyard.target_weights import TargetWeightsTable
 from toucanyard.view_exchange import ViewExchange
-from toucanyard.weights_goals import WeightsGoals
 
 LARGE_TOKENS: Final = 500
 """Least tokens of a part that peers are told of in a fleet that is not meshed: there
@@ -64,7 +64,7 @@
         gossip: ReplicaGossip,
         replica_limits: ReplicaLimits,
         guard: RequestGuard,
-        goals: WeightsGoals,
+        weight_targets: TargetWeightsTable,
         list_stores: Callable[[float], Iterable[StoreNews]],
         link_mbps: float,
         find_pledge: Callable[[], Pledge | None] = lambda: None,
@@ -77,7 +77,7 @@
         self._gossip = gossip
         self._replica_limits = replica_limits
         self._guard = guard
-        self._goals = goals
+        self._weight_targets = weight_targets
         self._list_stores = list_stores
         self._link_mbps = link_mbps
         self._leaves: set[NodeName] = set()
@@ -201,8 +201,10 @@
             case Coverage.FLEET if sender == self._roster.find_primary():
                 self._uses.apply_fleet(status.uses, now_ms)
         self._pass_on_parts(sender, status.parts, now_ms)
-        for each in status.goals:
-            self._goals.note_age(each.model, each.version, each.age_ms, now_ms)
+        for each in status.weight_targets:
+            self._weight_targets.record_age(
+                each.model, each.version, each.age_ms, now_ms
+            )
         self._gossip.apply_lives(status.lives, now_ms)
         is_replica_news = self._gossip.apply(status.news, now_ms)
         is_replica_news |= self._guard.apply_gossip(
@@ -322,7 +324,10 @@
             is_ready=self._roster.is_ready,
             views=self._views.list_statuses(now_ms),
             news=tuple(self._gossip.list_news(now_ms)),
-            goals=tuple(GoalAge(*each) for each in self._goals.list_recent(now_ms)),
+            weight_targets=tuple(
+                TargetWeightsAge(*each)
+                for each in self._weight_targets.list_recent(now_ms)
+            ),
             stores=tuple(self._list_stores(now_ms)),
             covers=Coverage.NOBODY,
             lives=tuple(self._gossip.list_lives(now_ms)),
--- a/packages/toucanyard/src/toucanyard/store_contact.py
+++ b/packages/toucanyard/src/toucanyard/store_availability.py
@@ -22,7 +22,7 @@
 NEVER: Final = float("-inf")
 
 
-class Answered(msgspec.Struct, frozen=True):
+class AnsweredRead(msgspec.Struct, frozen=True):
     """The store answered a read, and others without a break before it.
 
     Invariant: since_ms <= asked_ms.
@@ -36,7 +36,7 @@
     """Since when no break is known."""
 
 
-class Absence(msgspec.Struct, frozen=True):
+class StoreOutage(msgspec.Struct, frozen=True):
     """The store answered nobody for a while. Invariant: before_ms < returned_ms."""
 
     before_ms: float
@@ -45,7 +45,7 @@
     """When the first read after it was asked."""
 
 
-class StoreContact:
+class StoreAvailability:
     """What is known of the store's answers about one topic.
 
     Invariants: `asked_ms` never moves on but by another read; a break that a peer's
@@ -63,21 +63,21 @@
         self._before_ms = NEVER
         """When the last read before the break was asked; NEVER without a break."""
 
-    def find_answered(self) -> Answered | None:
+    def find_last_read(self) -> AnsweredRead | None:
         """Return what to tell peers; None before any answer."""
         if self.asked_ms == NEVER:
             return None
-        return Answered(self._read_id, self.asked_ms, self._since_ms)
+        return AnsweredRead(self._read_id, self.asked_ms, self._since_ms)
 
-    def find_absence(self) -> Absence | None:
+    def find_outage(self) -> StoreOutage | None:
         """Return when the store was last away for all nodes, if it was."""
         if self._before_ms == NEVER:
             return None
-        return Absence(self._before_ms, self._since_ms)
+        return StoreOutage(self._before_ms, self._since_ms)
 
-    def note(self, answered: Answered, away_ms: float) -> None:
+    def record_read(self, answered: AnsweredRead, away_ms: float) -> None:
         """Take in answers; the store was away if none came for `away_ms`."""
-        self._note_stretch(answered, away_ms)
+        self._extend_period(answered, away_ms)
         if answered.read_id == self._read_id:
             # The same read over another path: the shortest one tells best when it was.
             self.asked_ms = min(self.asked_ms, answered.asked_ms)
@@ -91,7 +91,7 @@
         self._read_id = answered.read_id
         self.asked_ms = answered.asked_ms
 
-    def _note_stretch(self, answered: Answered, away_ms: float) -> None:
+    def _extend_period(self, answered: AnsweredRead, away_ms: float) -> None:
         if answered.since_ms > self.asked_ms + away_ms:
             self._before_ms = self.asked_ms
             self._since_ms = answered.since_ms
--- a/packages/toucanyard/src/toucanyard/store_reads.py
+++ b/packages/toucanyard/src/toucanyard/store_reads.py
@@ -9,13 +9,13 @@
 from toucanyard.keyed_view import Topic
 from toucanyard.roster import Roster
 from toucanyard.store_schedule import (
-    LATE_MS,
     MAX_ASKING_RANK,
+    MAX_READ_LATENESS_MS,
     RETRY_MS,
     SILENT_RETRY_MS,
     compute_due,
     compute_poll_wait,
-    compute_wanted_age,
+    compute_read_age,
 )
 from toucanyard.view_exchange import ViewExchange
 
@@ -61,18 +61,21 @@
     def _is_store_silent(self, now_ms: float) -> bool:
         """Tell whether no node has had an answer about replicas for too long."""
         topic = Topic.REPLICAS
-        wanted_ms = compute_wanted_age(
+        wanted_ms = compute_read_age(
             topic,
             self._roster.find_rank(topic.value, now_ms),
             is_full_mesh=self._roster.is_full_mesh(),
         )
-        return now_ms - self._exchange.views[topic].confirmed_ms > wanted_ms + LATE_MS
+        return (
+            now_ms - self._exchange.views[topic].confirmed_ms
+            > wanted_ms + MAX_READ_LATENESS_MS
+        )
 
     def mark_outdated(self, topic: Topic) -> None:
         """Read a topic soon, of which the store holds more than this node has read."""
         self._outdated.add(topic)
 
-    def note_begun(self, topic: Topic, now_ms: float) -> None:
+    def record_read_started(self, topic: Topic, now_ms: float) -> None:
         """Note that this node asks the store for a topic."""
         self._asked_ms[topic] = now_ms
         self._outdated.discard(topic)
--- a/packages/toucanyard/src/toucanyard/store_schedule.py
+++ b/packages/toucanyard/src/toucanyard/store_schedule.py
@@ -16,17 +16,17 @@
 
 from toucanyard.keyed_view import Topic
 
-READ_MS: Final = {
+MAX_TOPIC_AGE_MS: Final = {
     Topic.OPERATOR: 1_000.0,
     Topic.REPLICAS: 400.0,
     Topic.NODES: 3_000.0,
 }
 """Age of a topic at which the first node reads it."""
-STAND_BACK_MS: Final = 450.0
+SECOND_READER_DELAY_MS: Final = 450.0
 """How much older it gets before the second node reads; a status takes 250 ms."""
-NEXT_MS: Final = 150.0
+NEXT_READER_DELAY_MS: Final = 150.0
 """The same for each further one, up to MAX_RANK."""
-FAR_MS: Final = 1_500.0
+HUB_READER_DELAY_MS: Final = 1_500.0
 """How much older a topic gets before the second node of a fleet that is not meshed
 reads it: what the first one read takes a few links to all others."""
 MAX_RANK: Final = 3
@@ -37,7 +37,7 @@
 MAX_ASKING_RANK: Final = 1
 """Highest rank of a node that asks again while a read of its own has no answer. A store
 that returns is then seen RETRY_MS later, and not when a read of 1.2 s is given up."""
-LATE_MS: Final = 200.0
+MAX_READ_LATENESS_MS: Final = 200.0
 """By how much a read may come later than it is due on a busy node."""
 MIN_POLL_MS: Final = 3_500.0
 POLL_MS_PER_NODE: Final = 100.0
@@ -50,22 +50,26 @@
 """How much later than by another way a poll may bring a record."""
 
 
-def compute_wanted_age(topic: Topic, rank: int, *, is_full_mesh: bool = True) -> float:
+def compute_read_age(topic: Topic, rank: int, *, is_full_mesh: bool = True) -> float:
     """Return the age of a topic at which a node of that rank reads it."""
     if rank == 0:
-        return READ_MS[topic]
-    back_ms = STAND_BACK_MS if is_full_mesh else FAR_MS
-    return READ_MS[topic] + back_ms + min(rank - 1, MAX_RANK) * NEXT_MS
+        return MAX_TOPIC_AGE_MS[topic]
+    back_ms = SECOND_READER_DELAY_MS if is_full_mesh else HUB_READER_DELAY_MS
+    return (
+        MAX_TOPIC_AGE_MS[topic]
+        + back_ms
+        + min(rank - 1, MAX_RANK) * NEXT_READER_DELAY_MS
+    )
 
 
-def compute_away(topic: Topic, *, is_full_mesh: bool) -> float:
+def compute_outage_threshold(topic: Topic, *, is_full_mesh: bool) -> float:
     """Return the time without an answer after which the store was away for all nodes.
 
     By then every live node has tried. Before, it may be that only those that go first
     were cut off, and entries that vanish meanwhile were taken away.
     """
-    last_ms = compute_wanted_age(topic, MAX_RANK + 1, is_full_mesh=is_full_mesh)
-    return last_ms + RETRY_MS + LATE_MS
+    last_ms = compute_read_age(topic, MAX_RANK + 1, is_full_mesh=is_full_mesh)
+    return last_ms + RETRY_MS + MAX_READ_LATENESS_MS
 
 
 def compute_due(
@@ -77,7 +81,7 @@
     is_full_mesh: bool = True,
 ) -> float:
     """Return when a node should read a topic."""
-    wanted_ms = compute_wanted_age(topic, rank, is_full_mesh=is_full_mesh)
+    wanted_ms = compute_read_age(topic, rank, is_full_mesh=is_full_mesh)
     return max(confirmed_ms + wanted_ms, asked_ms + RETRY_MS)
 
 
--- a/packages/toucanyard/src/toucanyard/weights_goals.py
+++ b/packages/toucanyard/src/toucanyard/target_weights.py
@@ -20,7 +20,7 @@
 """Versions of one model that are remembered; older ones run nowhere any more."""
 
 
-class Goal:
+class TargetWeights:
     """The wanted versions of one model, each with when this node learned of it.
 
     Invariant: versions only grow.
@@ -38,7 +38,7 @@
         self._named.append((version, now_ms))
         del self._named[:-MAX_NAMED]
 
-    def note_age(self, version: int, learned_ms: float) -> None:
+    def record_age(self, version: int, learned_ms: float) -> None:
         """Take in that a version has been wanted for longer than this node knew."""
         self._named = [
             (each, min(at_ms, learned_ms) if each == version else at_ms)
@@ -61,36 +61,38 @@
         return 0.0
 
 
-class WeightsGoals:
+class TargetWeightsTable:
     """The wanted weights of every model. Invariant: a version never falls."""
 
-    __slots__ = ("_goals",)
+    __slots__ = ("_weight_targets",)
 
     def __init__(self) -> None:
-        self._goals: dict[str, Goal] = {}
+        self._weight_targets: dict[str, TargetWeights] = {}
 
     def apply(self, wanted: WantedWeights, now_ms: float) -> bool:
         """Take in a wanted version; return whether it is newer than the last."""
-        goal = self._goals.setdefault(wanted.model, Goal())
-        if goal.version >= wanted.version:
+        target = self._weight_targets.setdefault(wanted.model, TargetWeights())
+        if target.version >= wanted.version:
             return False
-        goal.apply(wanted.version, now_ms)
+        target.apply(wanted.version, now_ms)
         return True
 
-    def find(self, model: str) -> Goal | None:
+    def find(self, model: str) -> TargetWeights | None:
         """Return the goal of a model."""
-        return self._goals.get(model)
+        return self._weight_targets.get(model)
 
-    def note_age(self, model: str, version: int, age_ms: float, now_ms: float) -> None:
+    def record_age(
+        self, model: str, version: int, age_ms: float, now_ms: float
+    ) -> None:
         """Take in for how long a peer has known of a version."""
-        goal = self._goals.get(model)
-        if goal is not None:
-            goal.note_age(version, now_ms - age_ms)
+        target = self._weight_targets.get(model)
+        if target is not None:
+            target.record_age(version, now_ms - age_ms)
 
     def list_recent(self, now_ms: float) -> list[tuple[str, int, float]]:
         """Return model, version and age of what was named lately."""
         return [
             (model, version, now_ms - learned_ms)
-            for model, goal in self._goals.items()
-            for version, learned_ms in goal.list_recent(now_ms - RECENT_MS)
+            for model, target in self._weight_targets.items()
+            for version, learned_ms in target.list_recent(now_ms - RECENT_MS)
         ]
--- a/packages/toucanyard/src/toucanyard/topic_intake.py
+++ b/packages/toucanyard/src/toucanyard/topic_updates.py
@@ -19,12 +19,12 @@
 from toucanyard.status_exchange import StatusExchange
 from toucanyard.view_exchange import ViewExchange
 
-POLLED_HOLD_MS: Final = 250.0
+POLLED_DELAY_MS: Final = 250.0
 """How long peers in a large fleet are left to read what operators wrote: all of them
 poll for it, and sent by each to each a large configuration fills slow links."""
 
 
-class TopicIntake:
+class TopicUpdates:
     """How records reach this node's views and what it knows.
 
     Invariant: replicas that left the list count by what all nodes have read of the
@@ -35,7 +35,7 @@
         "_directory",
         "_exchange",
         "_facts",
-        "_known_ms",
+        "_assumed_age_ms",
         "_roster",
         "_statuses",
     )
@@ -54,11 +54,11 @@
         self._directory = directory
         self._roster = roster
         self._statuses = statuses
-        self._known_ms = weights_deadline_ms / 2
+        self._assumed_age_ms = weights_deadline_ms / 2
         """For how long wanted weights count as named that stood in the store before
         this node looked."""
 
-    def take_read(self, read: TopicRead, now_ms: float) -> Iterator[RelayAction]:
+    def handle_read(self, read: TopicRead, now_ms: float) -> Iterator[RelayAction]:
         """Take in what the store gave."""
         view = self._exchange.views[read.topic]
         before, listed_ms = view.end, view.confirmed_ms
@@ -73,46 +73,46 @@
             is_whole=read.is_whole,
             now_ms=now_ms,
         )
-        yield from self._note_contact()
+        yield from self._update_availability()
         if read.topic is Topic.OPERATOR:
-            yield _note_read(read, before, now_ms)
+            yield _build_read_entry(read, before, now_ms)
         yield from self._facts.apply(
             changes,
             "store",
             now_ms,
             listed_ms=listed_ms,
-            known_for_ms=self._known_ms if read.is_whole else 0.0,
+            known_for_ms=self._assumed_age_ms if read.is_whole else 0.0,
         )
         if changes or view.end > before:
             targets = self._statuses.find_targets(read.topic, is_polled=read.is_polled)
             yield from self._exchange.push(targets, read.topic, before, now_ms)
 
-    def take_records(
+    def handle_records(
         self, sender: NodeName, message: ViewRecords, now_ms: float
     ) -> Iterator[RelayAction]:
         """Take in what a peer sent."""
         view = self._exchange.views[message.topic]
         before, listed_ms = view.end, view.confirmed_ms
         changes = self._exchange.apply_records(message, now_ms)
-        yield from self._note_contact()
+        yield from self._update_availability()
         if message.topic is Topic.OPERATOR and message.end > before:
-            yield _note_records(sender, message, before, view.end)
+            yield _build_records_entry(sender, message, before, view.end)
         yield from self._facts.apply(changes, sender, now_ms, listed_ms=listed_ms)
         if view.end > before:
             targets = self._statuses.find_targets(message.topic, sender)
             yield from self._exchange.push(targets, message.topic, before, now_ms)
 
-    def answer_status(
+    def handle_status(
         self, sender: NodeName, views: Sequence[ViewStatus], now_ms: float
     ) -> Iterator[RelayAction]:
         """Take in how far a peer knows each topic, and send it what it lacks."""
-        hold_ms = 0.0 if self._roster.is_full_mesh() else POLLED_HOLD_MS
-        yield from self._exchange.answer_status(sender, views, now_ms, hold_ms=hold_ms)
-        yield from self._note_contact()
+        hold_ms = 0.0 if self._roster.is_full_mesh() else POLLED_DELAY_MS
+        yield from self._exchange.handle_status(sender, views, now_ms, hold_ms=hold_ms)
+        yield from self._update_availability()
 
-    def _note_contact(self) -> Iterator[RelayAction]:
+    def _update_availability(self) -> Iterator[RelayAction]:
         """Let replicas that left the list count by what is known of the store now."""
-        absence = self._exchange.views[Topic.REPLICAS].contact.find_absence()
+        absence = self._exchange.views[Topic.REPLICAS].availability.find_outage()
         if not self._directory.note_absence(absence):
             return
         if absence is None:
@@ -122,7 +122,7 @@
             yield Note("store_returned", {"away_ms": away_ms})
 
 
-def _note_read(read: TopicRead, before: int, now_ms: float) -> Note:
+def _build_read_entry(read: TopicRead, before: int, now_ms: float) -> Note:
     fields = {
         "source": "store",
         "records": len(read.records),
@@ -133,7 +133,7 @@
     return Note("operators_records_read", fields)
 
 
-def _note_records(
+def _build_records_entry(
     sender: NodeName, message: ViewRecords, before: int, end: int
 ) -> Note:
     fields = {
--- a/packages/toucanyard/src/toucanyard/view_exchange.py
+++ b/packages/toucanyard/src/toucanyard/view_exchange.py
@@ -15,17 +15,24 @@
 from toucanyard.names import NodeName
 from toucanyard.relay_events import SendToPeer
 from toucanyard.seen_updates import new_update_id
-from toucanyard.store_contact import Answered
-from toucanyard.store_schedule import compute_away
+from toucanyard.store_availability import AnsweredRead
+from toucanyard.store_schedule import compute_outage_threshold
 
-PUSH_AGAIN_MS: Final = 700.0
+RESEND_MS: Final = 700.0
 """After this time records are sent again to a peer whose status lacks them."""
 
 
 class ViewExchange:
     """The views of one node, and what its peers were told of them."""
 
-    __slots__ = ("_is_full_mesh", "_pushed", "_risen_ms", "_rng", "linked", "views")
+    __slots__ = (
+        "_is_full_mesh",
+        "_sent_ends",
+        "_updated_ms",
+        "_rng",
+        "linked",
+        "views",
+    )
 
     def __init__(
         self, decode: Decode, is_full_mesh: Callable[[], bool], rng: random.Random
@@ -34,9 +41,9 @@
         self._rng = rng
         self.views = {topic: KeyedView(topic, decode) for topic in Topic}
         self.linked: tuple[NodeName, ...] = ()
-        self._risen_ms = dict.fromkeys(Topic, float("-inf"))
+        self._updated_ms = dict.fromkeys(Topic, float("-inf"))
         """When this node learned of the newest records of each topic."""
-        self._pushed: dict[tuple[NodeName, Topic], tuple[int, float]] = {}
+        self._sent_ends: dict[tuple[NodeName, Topic], tuple[int, float]] = {}
 
     def apply_read(
         self,
@@ -51,9 +58,9 @@
         """Take in what the store gave when asked at `asked_ms`."""
         view = self.views[topic]
         if end > view.end:
-            self._risen_ms[topic] = now_ms
+            self._updated_ms[topic] = now_ms
         changes = view.apply(records, end, is_whole=is_whole)
-        answered = Answered(new_update_id(self._rng), asked_ms, asked_ms)
+        answered = AnsweredRead(new_update_id(self._rng), asked_ms, asked_ms)
         self._confirm(view, end, answered)
         return changes
 
@@ -64,10 +71,10 @@
             # This node's next status shows the peer what is missing.
             return []
         if message.end > view.end:
-            self._risen_ms[message.topic] = now_ms
+            self._updated_ms[message.topic] = now_ms
         changes = view.apply(message.records, message.end, is_whole=message.is_whole)
         if message.answer is not None:
-            self._confirm(view, message.end, _date(message.answer, now_ms))
+            self._confirm(view, message.end, _to_answered_read(message.answer, now_ms))
         return changes
 
     def push(
@@ -77,7 +84,7 @@
         for name in names:
             yield self._build(name, topic, since, now_ms)
 
-    def answer_status(
+    def handle_status(
         self,
         sender: NodeName,
         statuses: Sequence[ViewStatus],
@@ -92,48 +99,54 @@
         for status in statuses:
             view = self.views[status.topic]
             if status.answer is not None:
-                self._confirm(view, status.end, _date(status.answer, now_ms))
-            is_new = now_ms - self._risen_ms[status.topic] < hold_ms
+                self._confirm(
+                    view, status.end, _to_answered_read(status.answer, now_ms)
+                )
+            is_new = now_ms - self._updated_ms[status.topic] < hold_ms
             if status.topic is Topic.OPERATOR and is_new:
                 continue
-            if status.end < view.end and not self._was_told(sender, view, now_ms):
+            if status.end < view.end and not self._was_sent(sender, view, now_ms):
                 yield self._build(sender, status.topic, status.end, now_ms)
 
     def list_statuses(self, now_ms: float) -> tuple[ViewStatus, ...]:
         """Return how far this node knows each topic."""
         return tuple(
-            ViewStatus(topic, view.find_told_end(), _tell_answer(view, now_ms))
+            ViewStatus(
+                topic, view.find_reported_end(), _build_read_update(view, now_ms)
+            )
             for topic, view in self.views.items()
         )
 
-    def _confirm(self, view: KeyedView, end: int, answered: Answered) -> None:
-        away_ms = compute_away(view.topic, is_full_mesh=self._is_full_mesh())
+    def _confirm(self, view: KeyedView, end: int, answered: AnsweredRead) -> None:
+        away_ms = compute_outage_threshold(
+            view.topic, is_full_mesh=self._is_full_mesh()
+        )
         view.confirm(end, answered, away_ms)
 
-    def _was_told(self, name: NodeName, view: KeyedView, now_ms: float) -> bool:
-        end, told_ms = self._pushed.get((name, view.topic), (-1, float("-inf")))
-        return end >= view.end and now_ms - told_ms < PUSH_AGAIN_MS
+    def _was_sent(self, name: NodeName, view: KeyedView, now_ms: float) -> bool:
+        end, sent_ms = self._sent_ends.get((name, view.topic), (-1, float("-inf")))
+        return end >= view.end and now_ms - sent_ms < RESEND_MS
 
     def _build(
         self, name: NodeName, topic: Topic, since: int, now_ms: float
     ) -> SendToPeer:
         view = self.views[topic]
         is_whole, records = view.list_since(since)
-        self._pushed[(name, topic)] = (view.end, now_ms)
-        answer = _tell_answer(view, now_ms)
+        self._sent_ends[(name, topic)] = (view.end, now_ms)
+        answer = _build_read_update(view, now_ms)
         return SendToPeer(
             name, ViewRecords(topic, since, view.end, is_whole, tuple(records), answer)
         )
 
 
-def _tell_answer(view: KeyedView, now_ms: float) -> StoreReadUpdate | None:
-    answered = view.contact.find_answered()
+def _build_read_update(view: KeyedView, now_ms: float) -> StoreReadUpdate | None:
+    answered = view.availability.find_last_read()
     if answered is None:
         return None
     steady_ms = answered.asked_ms - answered.since_ms
     return StoreReadUpdate(answered.read_id, now_ms - answered.asked_ms, steady_ms)
 
 
-def _date(answer: StoreReadUpdate, now_ms: float) -> Answered:
+def _to_answered_read(answer: StoreReadUpdate, now_ms: float) -> AnsweredRead:
     asked_ms = now_ms - answer.age_ms
-    return Answered(answer.read_id, asked_ms, asked_ms - answer.steady_ms)
+    return AnsweredRead(answer.read_id, asked_ms, asked_ms - answer.steady_ms)
--- a/tests/toucanyard/configuration_fakes.py
+++ b/tests/toucanyard/configuration_fakes.py
@@ -42,17 +42,17 @@
             self.append(encode_checkpoint(checkpoint))
         return checkpoint is not None
 
-    def give(
+    def replay(
         self, node: ConfigurationLog, limit: int = 1_000, now_ms: float = 0.0
     ) -> list[PatchResult]:
         """Let a node read on from where it is; return what became of patches."""
-        node.note_expired(self.oldest)
+        node.handle_expired(self.oldest)
         first = node.next_offset
         results = [
             node.apply_record(first + number, float(first + number), text, now_ms)
             for number, text in enumerate(self.texts[first : first + limit])
         ]
-        node.note_head(len(self.texts), now_ms)
+        node.update_log_end(len(self.texts), now_ms)
         return [result for result in results if result is not None]
 
 
--- a/tests/toucanyard/crash_fleet.py
+++ b/tests/toucanyard/crash_fleet.py
@@ -216,8 +216,8 @@
         for action in core.handle(event, self.now_ms):
             if isinstance(action, SendToPeer):
                 read = LinkMessageRead(core.identity, action.message)
-                due_ms = self.now_ms + self._way_ms
-                self._on_the_way.append((due_ms, name, action.node, read))
+                due_ms = self.now_ms + self._latency_ms
+                self._in_transit.append((due_ms, name, action.node, read))
             else:
                 self._carry_out(name, action)
 
@@ -270,7 +270,7 @@
         core = self.cores[name]
         if name in self.store_away or not core.reads.is_due(Topic.NODES, self.now_ms):
             return
-        core.reads.note_begun(Topic.NODES, self.now_ms)
+        core.reads.record_read_started(Topic.NODES, self.now_ms)
         since = core.exchange.views[Topic.NODES].end
         records = tuple(self._node_records[since:])
         end = len(self._node_records)
@@ -368,7 +368,7 @@
                 self._end(call, "node killed")
                 for engine in self.engines.values():
                     engine.calls.pop(call.request.request_id, None)
-        self._on_the_way.clear()
+        self._in_transit.clear()
         self._linked.clear()
         for number, (name, core) in enumerate(list(self.cores.items())):
             self.add(name, number, core.options.domain)
--- a/tests/toucanyard/fleet_fakes.py
+++ b/tests/toucanyard/fleet_fakes.py
@@ -384,7 +384,8 @@
             assert version >= highest or version == 0, (node.name, version, highest)
             self.highest[node.name] = max(highest, version)
         holders = sum(
-            bool(node.core.duties.duties.find_held(self.now_ms)) for node in self.nodes
+            bool(node.core.order_runner.leases.find_held(self.now_ms))
+            for node in self.nodes
         )
         self.most_holders = max(self.most_holders, holders)
 
--- a/tests/toucanyard/limit_fleet.py
+++ b/tests/toucanyard/limit_fleet.py
@@ -142,7 +142,7 @@
                     engine.calls.pop(call.request.request_id, None)
         self.dead.update(names)
         self.frozen.difference_update(names)
-        self._on_the_way = [m for m in self._on_the_way if self.dead.isdisjoint(m[1:3])]
+        self._in_transit = [m for m in self._in_transit if self.dead.isdisjoint(m[1:3])]
         self.link()
 
     def start_again(self, names: Collection[NodeName]) -> None:
@@ -168,9 +168,9 @@
         return found
 
     def _deliver(self) -> None:
-        self._on_the_way = [
+        self._in_transit = [
             each
-            for each in self._on_the_way
+            for each in self._in_transit
             if (each[1] in self._far_side) is (each[2] in self._far_side)
             and each[1] not in self.muted
         ]
--- a/tests/toucanyard/order_fakes.py
+++ b/tests/toucanyard/order_fakes.py
@@ -18,7 +18,6 @@
     NodeName,
     PoolName,
 )
-from toucanyard.order_duties import OrderDuties
 from toucanyard.order_messages import (
     EndpointState,
     Order,
@@ -27,6 +26,7 @@
     ReadState,
     SendOrder,
 )
+from toucanyard.pool_order_runner import PoolOrderRunner
 
 STEP_MS = 100.0
 LOAD_MS = 600.0
@@ -99,8 +99,8 @@
     def __init__(self, world: OrderWorld, name: str, incarnation: str) -> None:
         self.world = world
         self.identity = NodeId(NodeName(name), Incarnation(incarnation))
-        self.duties = OrderDuties(self.identity, random.Random(name))
-        self.duties.duties.note_start(0, len(world.records))
+        self.order_runner = PoolOrderRunner(self.identity, random.Random(name))
+        self.order_runner.leases.set_read_start(0, len(world.records))
         self.read = len(world.records)
         self.paused_until_ms = 0.0
         self.configuration = world.configuration
@@ -113,12 +113,14 @@
             return
         for offset in range(self.read, len(world.records)):
             at_ms, text = world.records[offset]
-            self.duties.duties.apply_record(offset, at_ms, text, world.now_ms)
+            self.order_runner.leases.apply_record(offset, at_ms, text, world.now_ms)
         self.read = len(world.records)
-        self.duties.duties.note_head(world.now_ms)
+        self.order_runner.leases.update_log_end(world.now_ms)
         nodes = [node.identity.node for node in world.nodes]
-        actions = self.duties.tick(self.configuration, nodes, True, world.now_ms)
-        self.held = {duty.fence for duty in self.duties.duties.find_held(world.now_ms)}
+        actions = self.order_runner.tick(self.configuration, nodes, True, world.now_ms)
+        self.held = {
+            lease.fence for lease in self.order_runner.leases.find_held(world.now_ms)
+        }
         for action in actions:
             self.carry_out(action)
 
@@ -131,17 +133,19 @@
             case ReadState(endpoint=endpoint):
                 world.reads += 1
                 state = world.engines[endpoint].state
-                self.duties.note_state(endpoint, state, world.now_ms)
+                self.order_runner.record_state(endpoint, state, world.now_ms)
             case SendOrder():
                 fate = world.find_fate()
                 if fate == "delayed":
                     world.delayed.append((world.now_ms + 4_000, action))
-                    self.duties.note_outcome(action, OrderOutcome.LOST, world.now_ms)
+                    self.order_runner.record_outcome(
+                        action, OrderOutcome.LOST, world.now_ms
+                    )
                     return
                 outcome = world.engines[action.endpoint].take(action.order)
                 if fate == "answer_lost":
                     outcome = OrderOutcome.LOST
-                self.duties.note_outcome(action, outcome, world.now_ms)
+                self.order_runner.record_outcome(action, outcome, world.now_ms)
 
 
 class OrderWorld:
@@ -205,7 +209,7 @@
         self.most_loading = max(self.most_loading, loading)
         self.least_serving = min(self.least_serving, len(self.engines) - loading)
         holders = sum(
-            bool(node.duties.duties.find_held(self.now_ms)) for node in self.nodes
+            bool(node.order_runner.leases.find_held(self.now_ms)) for node in self.nodes
         )
         self.most_holders = max(self.most_holders, holders)
 
--- a/tests/toucanyard/store_fleet.py
+++ b/tests/toucanyard/store_fleet.py
@@ -57,8 +57,8 @@
         way_ms: float = 0.0,
     ) -> None:
         self._drain_ms = drain_ms
-        self._way_ms = way_ms
-        self._on_the_way: list[tuple[float, NodeName, NodeName, RelayEvent]] = []
+        self._latency_ms = way_ms
+        self._in_transit: list[tuple[float, NodeName, NodeName, RelayEvent]] = []
         self._failing: dict[NodeName, list[float]] = {}
         """When the reads that get no answer end."""
         self._log: list[KeyedRecord] = []
@@ -103,12 +103,12 @@
             match action:
                 case SendToPeer(node=other, message=message):
                     read = LinkMessageRead(core.identity, message)
-                    due_ms = self.now_ms + self._way_ms
-                    self._on_the_way.append((due_ms, name, other, read))
+                    due_ms = self.now_ms + self._latency_ms
+                    self._in_transit.append((due_ms, name, other, read))
                 case RelayReply(verdict=verdict):
-                    self._note_verdict(name, verdict)
+                    self._record_verdict(name, verdict)
 
-    def _note_verdict(self, name: NodeName, verdict: object) -> None:
+    def _record_verdict(self, name: NodeName, verdict: object) -> None:
         if not isinstance(verdict, RelayDispatch):
             return
         self.sent.append(Sent(name, verdict.replica, self.now_ms))
@@ -129,11 +129,11 @@
                 self._call_all()
 
     def _deliver(self) -> None:
-        waiting, self._on_the_way = self._on_the_way, []
+        waiting, self._in_transit = self._in_transit, []
         for due_ms, sender, receiver, event in waiting:
             is_held = not self.cut_off.isdisjoint((sender, receiver))
             if due_ms > self.now_ms or is_held:
-                self._on_the_way.append((due_ms, sender, receiver, event))
+                self._in_transit.append((due_ms, sender, receiver, event))
             else:
                 self.handle(receiver, event)
 
@@ -147,7 +147,7 @@
             return
         if failing and not core.reads.may_ask_again(Topic.REPLICAS, self.now_ms):
             return
-        core.reads.note_begun(Topic.REPLICAS, self.now_ms)
+        core.reads.record_read_started(Topic.REPLICAS, self.now_ms)
         self.asked += 1
         if name in self.store_away or name in self.cut_off:
             failing.append(self.now_ms + STORE_TIMEOUT_MS)
--- a/tests/toucanyard/test_call_placement.py
+++ b/tests/toucanyard/test_call_placement.py
@@ -13,7 +13,7 @@
 from toucanyard.replicas import ReplicaDirectory
 from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
-from toucanyard.weights_goals import WantedWeights, WeightsGoals
+from toucanyard.target_weights import TargetWeightsTable, WantedWeights
 
 from .relay_examples import (
     ENGINES,
@@ -37,8 +37,8 @@
         directory = ReplicaDirectory()
         for name in "ab":
             directory.apply(build_replica(name), 0.0)
-        goals = WeightsGoals()
-        goals.apply(WantedWeights(MODEL, 1), 0.0)
+        weight_targets = TargetWeightsTable()
+        weight_targets.apply(WantedWeights(MODEL, 1), 0.0)
         own = NodeRecord(
             NodeName("n1"),
             Incarnation("i"),
@@ -50,7 +50,9 @@
         sources.note_heard(STORE_NAME, 0.0, 1)
         rng = random.Random(1)
         credits = ReplicaCredits(ReplicaLimits(rng))
-        self.placement = CallPlacement(OPTIONS, directory, goals, sources, credits, rng)
+        self.placement = CallPlacement(
+            OPTIONS, directory, weight_targets, sources, credits, rng
+        )
         self.placement.index = RouteIndex(build_table())
 
     def place(self, name: str, prompt: Prompt, now_ms: float = 10.0) -> RelayDispatch:
--- a/tests/toucanyard/test_configuration_log.py
+++ b/tests/toucanyard/test_configuration_log.py
@@ -32,7 +32,7 @@
     log.append_patch(build_patch("first", 0))
     log.append_patch(build_patch("ana", 1))
     log.append_patch(build_patch("luis", 1))
-    results = log.give(node)
+    results = log.replay(node)
     assert [result.version for result in results] == [1, 2, 2]
     assert results[2].rejection is ErrorKind.PATCH_CONFLICT
     assert [each.name for each in node.configuration.customers] == ["first", "ana"]
@@ -44,8 +44,8 @@
     log, node = FakeLog(), start_node()
     log.append_patch(build_patch("ana", 0))
     log.append_patch(build_patch("ana", 0))
-    results = log.give(node)
-    assert results[1] == results[0] == node.result_of("ana")
+    results = log.replay(node)
+    assert results[1] == results[0] == node.find_result("ana")
     assert node.configuration.version == 1
 
 
@@ -54,12 +54,12 @@
     pass over the second, since one that started later applies it."""
     log, node, late = FakeLog(), start_node(), start_node()
     log.append_patch(build_patch("p", 0, "ana"))
-    log.give(node)
+    log.replay(node)
     log.append_checkpoint(node)
     log.oldest = 1
     log.append_patch(build_patch("p", 1, "luis"))
-    log.give(node)
-    log.give(late)
+    log.replay(node)
+    log.replay(late)
     assert node.configuration == late.configuration
     assert node.configuration.version == 2
 
@@ -70,19 +70,19 @@
     number the next patch as the one that it missed."""
     log, writer = FakeLog(), start_node()
     log.append_patch(build_patch("one", 0))
-    log.give(writer)
+    log.replay(writer)
     checkpoint = writer.build_checkpoint()
     assert checkpoint is not None
     log.append_patch(build_patch("two", 1))
     log.append(encode_checkpoint(checkpoint))
     log.append_patch(build_patch("rival", 1))
     late = start_node()
-    log.give(writer)
+    log.replay(writer)
     log.oldest = 2
-    log.give(late)
-    assert late.is_missing and late.configuration.version == 0
+    log.replay(late)
+    assert late.has_gap and late.configuration.version == 0
     log.append_checkpoint(writer)
-    log.give(late)
+    log.replay(late)
     assert late.configuration == writer.configuration
 
 
@@ -93,15 +93,15 @@
     log.append_patch(build_patch("one", 0))
     log.append('{"kind": "configuration_swap", "version": 2}')
     log.append_patch(build_patch("late", 1))
-    log.give(node)
-    assert node.configuration.version == 1 and node.is_missing
+    log.replay(node)
+    assert node.configuration.version == 1 and node.has_gap
     assert not node.compute_allowance(0.0).may_order
     assert node.unknown_kinds == {"configuration_swap": 1}
     swapped = msgspec.structs.replace(node.configuration, version=2)
     newer = CheckpointRecord(configuration=swapped, next_offset=len(log.texts))
     log.append(encode_checkpoint(newer))
-    log.give(node)
-    assert node.configuration == swapped and not node.is_missing
+    log.replay(node)
+    assert node.configuration == swapped and not node.has_gap
 
 
 def test_newer_format_of_a_patch_halts_like_an_unknown_kind() -> None:
@@ -109,8 +109,8 @@
     text = encode_patch(build_patch("one", 0)).replace('"format":1', '"format":2')
     log.append(text)
     log.append_patch(build_patch("late", 0))
-    log.give(node)
-    assert node.is_missing and node.configuration.version == 0
+    log.replay(node)
+    assert node.has_gap and node.configuration.version == 0
 
 
 @given(st.text(max_size=200) | st.sampled_from(["[]", "{}", '{"kind":1}', "\ud800"]))
@@ -123,7 +123,7 @@
     log.append("[" * 100_000)
     log.append(" " * MAX_PATCH_BYTES + encode_patch(build_patch("large", 0)))
     log.append_patch(build_patch("good", 0))
-    log.give(node)
+    log.replay(node)
     assert [entry.patch_id for entry in node.history] == ["good"]
 
 
@@ -132,7 +132,7 @@
     log.append_patch(build_patch("one", 0))
     forged = CheckpointRecord(configuration=Configuration(version=9), next_offset=1)
     log.append(encode_checkpoint(forged))
-    log.give(node)
+    log.replay(node)
     assert node.configuration.version == 1
     assert node.counts.refused_checkpoints == 1
 
@@ -140,11 +140,11 @@
 def test_peers_carry_a_version_while_the_log_is_down_for_a_node() -> None:
     log, node, cut_off = FakeLog(), start_node(), start_node()
     log.append_patch(build_patch("one", 0))
-    log.give(node)
-    log.give(cut_off)
+    log.replay(node)
+    log.replay(cut_off)
     log.append_patch(build_patch("two", 1))
     log.append_patch(build_patch("lost", 1))
-    log.give(node)
+    log.replay(node)
     delta = node.build_delta(1)
     assert delta is not None and cut_off.adopt_delta(delta)
     assert cut_off.configuration == node.configuration
@@ -160,13 +160,13 @@
     log, node, peer, late = FakeLog(), start_node(), start_node(), start_node()
     log.append_patch(build_patch("one", 0))
     for each in (node, peer, late):
-        log.give(each)
+        log.replay(each)
     log.append_patch(build_patch("two", 1))
-    log.give(peer)
+    log.replay(peer)
     log.append_patch(build_patch("three", 2))
     log.oldest = 2
-    log.give(node)
-    assert node.is_missing
+    log.replay(node)
+    assert node.has_gap
     delta = peer.build_delta(1)
     assert delta is not None and node.adopt_delta(delta)
     assert node.configuration.version == 3
@@ -180,21 +180,21 @@
     within the bound it must stop what one could forbid, and go on serving."""
     log, node = FakeLog(), start_node()
     log.append_patch(build_patch("one", 0))
-    log.give(node, now_ms=0.0)
+    log.replay(node, now_ms=0.0)
     bound_ms = TIMINGS.stale_after_ms
     assert node.compute_allowance(bound_ms).may_order
     allowance = node.compute_allowance(bound_ms + 1)
     assert not (allowance.is_current or allowance.may_order or allowance.may_patch)
-    assert node.note_peer(1, node.digest, bound_ms)
+    assert node.apply_peer_confirmation(1, node.digest, bound_ms)
     assert node.is_current(bound_ms + 1)
-    assert not node.note_peer(1, node.digest + 1, bound_ms)
+    assert not node.apply_peer_confirmation(1, node.digest + 1, bound_ms)
 
 
 def test_read_behind_the_head_confirms_nothing() -> None:
     log, node = FakeLog(), start_node()
     log.append_patch(build_patch("one", 0))
     log.append_patch(build_patch("two", 1))
-    log.give(node, limit=1)
+    log.replay(node, limit=1)
     assert not node.is_current(0.0)
 
 
@@ -206,13 +206,13 @@
     log.append_patch(build_patch("one", 0))
     due_ms = float(TIMINGS.checkpoint_after_ms)
     for node in (early, other):
-        log.give(node)
-        node.note_checkpoint_appended(0.0)
-        log.give(node, now_ms=due_ms)
+        log.replay(node)
+        node.record_checkpoint_appended(0.0)
+        log.replay(node, now_ms=due_ms)
     assert early.is_checkpoint_due(due_ms) and not other.is_checkpoint_due(due_ms)
     log.append_checkpoint(early)
-    early.note_checkpoint_appended(due_ms)
-    log.give(other, now_ms=due_ms)
+    early.record_checkpoint_appended(due_ms)
+    log.replay(other, now_ms=due_ms)
     assert not other.is_checkpoint_due(due_ms * 1.25)
 
 
@@ -244,13 +244,13 @@
         self.log.append(text)
         if again:
             self.log.append(text)
-        self.check(self.log.give(self.reference))
+        self.check(self.log.replay(self.reference))
         return text
 
     @rule(text=patches)
     def append_late(self, text: str) -> None:
         self.log.append(text)
-        self.check(self.log.give(self.reference))
+        self.check(self.log.replay(self.reference))
 
     @rule(text=st.sampled_from(["rogue", '{"kind": "claim"}', '{"kind": "patch"}']))
     def append_rogue(self, text: str) -> None:
@@ -258,7 +258,7 @@
 
     @rule(node=st.integers(0, 2), limit=st.integers(1, 4))
     def read(self, node: int, limit: int) -> None:
-        self.check(self.log.give(self.nodes[node], limit))
+        self.check(self.log.replay(self.nodes[node], limit))
 
     @rule(node=st.integers(0, 2))
     def checkpoint(self, node: int) -> None:
@@ -269,7 +269,7 @@
         self.log.oldest = min(self.log.oldest + count, len(self.log.texts))
 
     @rule(source=st.integers(0, 2), taker=st.integers(0, 2), whole=st.booleans())
-    def tell(self, source: int, taker: int, whole: bool) -> None:
+    def send_state(self, source: int, taker: int, whole: bool) -> None:
         if whole:
             checkpoint = self.nodes[source].build_checkpoint()
             if checkpoint is not None:
@@ -288,7 +288,7 @@
 
     @invariant()
     def every_replica_holds_what_the_full_replay_holds(self) -> None:
-        self.log_all()
+        self.replay_all()
         for number, node in enumerate(self.nodes):
             version = node.configuration.version
             assert version >= self.highest[number]
@@ -296,7 +296,7 @@
             if version:
                 assert node.configuration == self.known[version]
 
-    def log_all(self) -> None:
+    def replay_all(self) -> None:
         reference = self.reference
         first = reference.next_offset
         for offset, text in enumerate(self.log.texts[first:], first):
@@ -315,7 +315,7 @@
 def test_checkpoint_round_trips() -> None:
     log, node = FakeLog(), start_node()
     log.append_patch(build_patch("one", 0))
-    log.give(node)
+    log.replay(node)
     checkpoint = node.build_checkpoint()
     assert checkpoint is not None
     assert decode_record(encode_checkpoint(checkpoint)) == checkpoint
@@ -332,14 +332,14 @@
     that precedes it in content. Taking the checkpoint alone would lose the patch."""
     log, writer, late = FakeLog(), start_node(), start_node()
     log.append_patch(build_patch("one", 0))
-    log.give(writer)
+    log.replay(writer)
     checkpoint = writer.build_checkpoint()
     assert checkpoint is not None
     log.append_patch(build_patch("two", 1))
     log.append(encode_checkpoint(checkpoint))
-    log.give(writer)
+    log.replay(writer)
     log.oldest = 1
-    log.give(late)
+    log.replay(late)
     assert late.configuration == writer.configuration
     assert late.configuration.version == 2
 
@@ -350,10 +350,10 @@
     log, node = FakeLog(), start_node()
     for number in range(3):
         log.append_patch(build_patch(f"p{number}", number))
-    log.give(node)
+    log.replay(node)
     older = CheckpointRecord(configuration=Configuration(version=1), next_offset=9)
     strange = CheckpointRecord(configuration=Configuration(version=9), next_offset=2)
     assert not node.adopt(older) and not node.adopt(strange)
-    node.note_expired(6)
+    node.handle_expired(6)
     assert not node.adopt(older)
     assert node.configuration.version == 3
--- a/tests/toucanyard/test_customer_limits_over_nodes.py
+++ b/tests/toucanyard/test_customer_limits_over_nodes.py
@@ -237,7 +237,7 @@
 def test_slow_answers_use_up_nothing() -> None:
     """Guards against homes that grant again what they granted and was not heard yet."""
     fleet = LimitFleet(3, 3)
-    fleet._way_ms = 150.0
+    fleet._latency_ms = 150.0
     calls = fleet.play(6_000.0, USUAL_TOKENS_PER_S)
     fleet.run_for(2_000.0)
     assert count_refused(list_owed(calls, LIMIT)) == 0
--- a/tests/toucanyard/test_keyed_view.py
+++ b/tests/toucanyard/test_keyed_view.py
@@ -3,7 +3,7 @@
 from hypothesis import given, strategies as st
 
 from toucanyard.keyed_view import MAX_TOMBSTONES, KeyedRecord, KeyedView, Topic
-from toucanyard.store_contact import Answered
+from toucanyard.store_availability import AnsweredRead
 
 
 def decode(_: Topic, key: str, value: bytes) -> object:
@@ -125,8 +125,8 @@
 def test_confirmation_counts_only_for_what_is_known() -> None:
     view = build_view()
     view.apply([], 5, is_whole=False)
-    view.confirm(7, Answered(1, 100.0, 100.0), 1_800.0)
+    view.confirm(7, AnsweredRead(1, 100.0, 100.0), 1_800.0)
     assert view.confirmed_ms == float("-inf")
-    view.confirm(5, Answered(2, 90.0, 90.0), 1_800.0)
-    view.confirm(5, Answered(3, 80.0, 80.0), 1_800.0)
+    view.confirm(5, AnsweredRead(2, 90.0, 90.0), 1_800.0)
+    view.confirm(5, AnsweredRead(3, 80.0, 80.0), 1_800.0)
     assert view.confirmed_ms == 90.0
--- a/tests/toucanyard/test_turns.py
+++ b/tests/toucanyard/test_leases.py
@@ -4,15 +4,15 @@
 
 from hypothesis import given, settings, strategies as st
 
+from toucanyard.leases import ACTIVE_MS, REQUEST_TIMEOUT_MS, Leases
 from toucanyard.names import Incarnation, NodeId, NodeName
-from toucanyard.relay_events import AppendTurn, ReadTurns, TurnAppended, TurnRead
-from toucanyard.turns import ACT_MS, ASK_AGAIN_MS, Turns
+from toucanyard.relay_events import AppendLease, LeaseAppended, LeaseRead, ReadLeases
 
 LEASE_MS = 3_000.0
 
 
-def build_turns(name: str) -> Turns:
-    return Turns(NodeId(NodeName(name), Incarnation("i")), LEASE_MS)
+def build_leases(name: str) -> Leases:
+    return Leases(NodeId(NodeName(name), Incarnation("i")), LEASE_MS)
 
 
 class Log:
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.records: list[bytes] = []
 
-    def append(self, asked: AppendTurn) -> int | None:
+    def append(self, asked: AppendLease) -> int | None:
         if asked.at != len(self.records):
             return None
         self.records.append(asked.value)
@@ -29,30 +29,30 @@
 
 
 def serve(
-    turns: Turns, log: Log, asked: AppendTurn | ReadTurns | None, now_ms: float
+    leases: Leases, log: Log, asked: AppendLease | ReadLeases | None, now_ms: float
 ) -> None:
     match asked:
-        case ReadTurns(from_offset=begin):
+        case ReadLeases(from_offset=begin):
             numbered = tuple(enumerate(log.records))[begin:]
-            turns.note_read(TurnRead(numbered, len(log.records)), now_ms)
-        case AppendTurn():
+            leases.apply_read(LeaseRead(numbered, len(log.records)), now_ms)
+        case AppendLease():
             offset = log.append(asked)
-            turns.note_appended(TurnAppended(offset, now_ms))
+            leases.apply_append(LeaseAppended(offset, now_ms))
 
 
-def take(turns: Turns, log: Log, now_ms: float, since_ms: float = 0.0) -> None:
+def acquire(leases: Leases, log: Log, now_ms: float, since_ms: float = 0.0) -> None:
     """Let a node read and append until it has what it may have."""
     for _ in range(3):
-        serve(turns, log, turns.tick(since_ms, 0, False, now_ms), now_ms)
+        serve(leases, log, leases.tick(since_ms, 0, False, now_ms), now_ms)
 
 
 def test_first_node_takes_the_turn_at_once_and_keeps_its_fence() -> None:
-    turns, log = build_turns("a"), Log()
-    take(turns, log, 0.0)
-    first = turns.find_turn(1.0)
+    leases, log = build_leases("a"), Log()
+    acquire(leases, log, 0.0)
+    first = leases.find_lease(1.0)
     assert first is not None
-    take(turns, log, 600.0)
-    second = turns.find_turn(ACT_MS + 1)
+    acquire(leases, log, 600.0)
+    second = leases.find_lease(ACTIVE_MS + 1)
     assert second is not None
     assert (first.fence, second.fence) == (0, 0)
     assert len(log.records) == 2
@@ -64,25 +64,25 @@
     Two nodes that order within the lease would undo each other's work at a replica.
     """
     log = Log()
-    take(build_turns("a"), log, 0.0)
-    other = build_turns("b")
-    take(other, log, 100.0)
-    assert other.find_turn(100.0) is None
-    early_ms = 100.0 + ACT_MS + LEASE_MS
-    take(other, log, early_ms)
-    assert other.find_turn(early_ms) is None
-    late_ms = early_ms + ASK_AGAIN_MS
-    take(other, log, late_ms)
-    turn = other.find_turn(late_ms)
-    assert turn is not None
-    assert turn.fence == 1
+    acquire(build_leases("a"), log, 0.0)
+    other = build_leases("b")
+    acquire(other, log, 100.0)
+    assert other.find_lease(100.0) is None
+    early_ms = 100.0 + ACTIVE_MS + LEASE_MS
+    acquire(other, log, early_ms)
+    assert other.find_lease(early_ms) is None
+    late_ms = early_ms + REQUEST_TIMEOUT_MS
+    acquire(other, log, late_ms)
+    lease = other.find_lease(late_ms)
+    assert lease is not None
+    assert lease.fence == 1
 
 
 def test_paused_holder_does_not_act_when_it_wakes() -> None:
-    turns, log = build_turns("a"), Log()
-    take(turns, log, 0.0)
-    assert turns.find_turn(ACT_MS - 1) is not None
-    assert turns.find_turn(ACT_MS) is None
+    leases, log = build_leases("a"), Log()
+    acquire(leases, log, 0.0)
+    assert leases.find_lease(ACTIVE_MS - 1) is not None
+    assert leases.find_lease(ACTIVE_MS) is None
 
 
 def test_append_without_an_answer_gives_no_turn_until_it_is_read() -> None:
@@ -90,27 +90,27 @@
 
     Taken as failed, a second claim would stand beside the first with another fence.
     """
-    turns, log = build_turns("a"), Log()
-    asked = turns.tick(0.0, 0, False, 0.0)
-    serve(turns, log, asked, 0.0)
-    asked = turns.tick(0.0, 0, False, 0.0)
-    assert isinstance(asked, AppendTurn)
+    leases, log = build_leases("a"), Log()
+    asked = leases.tick(0.0, 0, False, 0.0)
+    serve(leases, log, asked, 0.0)
+    asked = leases.tick(0.0, 0, False, 0.0)
+    assert isinstance(asked, AppendLease)
     log.append(asked)
-    turns.note_appended(TurnAppended(None, 0.0))
-    assert turns.find_turn(1.0) is None
-    assert isinstance(turns.tick(0.0, 0, False, 10.0), ReadTurns)
+    leases.apply_append(LeaseAppended(None, 0.0))
+    assert leases.find_lease(1.0) is None
+    assert isinstance(leases.tick(0.0, 0, False, 10.0), ReadLeases)
 
 
 def test_last_holder_that_is_alive_goes_first() -> None:
     log = Log()
-    take(build_turns("a"), log, 0.0)
-    other = build_turns("b")
-    take(other, log, 0.0)
+    acquire(build_leases("a"), log, 0.0)
+    other = build_leases("b")
+    acquire(other, log, 0.0)
     late_ms = 10_000.0
     asked = other.tick(late_ms - 100, 0, True, late_ms)
-    assert isinstance(asked, ReadTurns)
+    assert isinstance(asked, ReadLeases)
     serve(other, log, asked, late_ms)
-    assert isinstance(other.tick(late_ms - 800, 0, True, late_ms), AppendTurn)
+    assert isinstance(other.tick(late_ms - 800, 0, True, late_ms), AppendLease)
 
 
 def test_who_stands_by_follows_the_turn_and_takes_it_in_time() -> None:
@@ -119,16 +119,16 @@
     Who read only once would find its claim refused, and wait the whole lease again.
     """
     log = Log()
-    holder, other = build_turns("a"), build_turns("b")
+    holder, other = build_leases("a"), build_leases("b")
     now_ms = 0.0
     while now_ms < 10_000.0:
         now_ms += 25.0
         serve(other, log, other.tick(0.0, 1, True, now_ms), now_ms)
         if now_ms <= 4_000.0:
             serve(holder, log, holder.tick(0.0, 0, False, now_ms), now_ms)
-        if other.find_turn(now_ms) is not None:
+        if other.find_lease(now_ms) is not None:
             break
-    assert 4_000 + LEASE_MS < now_ms <= 4_000 + LEASE_MS + ACT_MS + 1_000
+    assert 4_000 + LEASE_MS < now_ms <= 4_000 + LEASE_MS + ACTIVE_MS + 1_000
 
 
 def test_leaving_node_ends_its_turn_and_takes_no_other() -> None:
@@ -136,27 +136,27 @@
 
     Each holder that stopped ordering at once cost the next one the whole lease.
     """
-    turns, log = build_turns("a"), Log()
-    take(turns, log, 0.0)
-    asked = turns.tick(0.0, 0, False, 600.0, is_leaving=True)
-    assert isinstance(asked, AppendTurn)
-    other = build_turns("b")
+    leases, log = build_leases("a"), Log()
+    acquire(leases, log, 0.0)
+    asked = leases.tick(0.0, 0, False, 600.0, is_leaving=True)
+    assert isinstance(asked, AppendLease)
+    other = build_leases("b")
     serve(other, log, other.tick(0.0, 0, False, 0.0, is_leaving=True), 0.0)
     assert other.tick(0.0, 0, False, 60_000.0, is_leaving=True) is None
 
 
 def test_lost_question_is_asked_again() -> None:
-    turns = build_turns("a")
-    assert isinstance(turns.tick(0.0, 0, False, 0.0), ReadTurns)
-    assert turns.tick(0.0, 0, False, ASK_AGAIN_MS - 1) is None
-    assert isinstance(turns.tick(0.0, 0, False, ASK_AGAIN_MS), ReadTurns)
+    leases = build_leases("a")
+    assert isinstance(leases.tick(0.0, 0, False, 0.0), ReadLeases)
+    assert leases.tick(0.0, 0, False, REQUEST_TIMEOUT_MS - 1) is None
+    assert isinstance(leases.tick(0.0, 0, False, REQUEST_TIMEOUT_MS), ReadLeases)
 
 
 def test_unreadable_record_is_passed_over() -> None:
-    turns = build_turns("a")
-    turns.note_read(TurnRead(((0, b"\xff"),), 1), 0.0)
-    asked = turns.tick(0.0, 0, False, 1.0)
-    assert isinstance(asked, AppendTurn)
+    leases = build_leases("a")
+    leases.apply_read(LeaseRead(((0, b"\xff"),), 1), 0.0)
+    asked = leases.tick(0.0, 0, False, 1.0)
+    assert isinstance(asked, AppendLease)
     assert asked.at == 1
 
 
@@ -165,10 +165,10 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.nodes = {name: build_turns(name) for name in "abc"}
+        self.nodes = {name: build_leases(name) for name in "abc"}
         self.paused_until = dict.fromkeys(self.nodes, 0.0)
         self.log = Log()
-        self.late: list[tuple[float, AppendTurn]] = []
+        self.late: list[tuple[float, AppendLease]] = []
         self.acted: list[tuple[float, str, int]] = []
 
     def append_late(self, now_ms: float) -> None:
@@ -187,20 +187,20 @@
     def step(
         self, name: str, rank: int, lost_share: float, late_share: float, now_ms: float
     ) -> None:
-        turns = self.nodes[name]
-        asked = turns.tick(0.0, rank, False, now_ms)
+        leases = self.nodes[name]
+        asked = leases.tick(0.0, rank, False, now_ms)
         is_lost = self.rng.random() < lost_share
-        if isinstance(asked, AppendTurn) and self.rng.random() < late_share:
+        if isinstance(asked, AppendLease) and self.rng.random() < late_share:
             self.late.append((now_ms + self.rng.uniform(100, 6_000), asked))
-            turns.note_appended(TurnAppended(None, now_ms))
-        elif isinstance(asked, AppendTurn) and is_lost:
+            leases.apply_append(LeaseAppended(None, now_ms))
+        elif isinstance(asked, AppendLease) and is_lost:
             self.log.append(asked)
-            turns.note_appended(TurnAppended(None, now_ms))
+            leases.apply_append(LeaseAppended(None, now_ms))
         elif asked is not None and not is_lost:
-            serve(turns, self.log, asked, now_ms)
-        turn = turns.find_turn(now_ms)
-        if turn is not None:
-            self.acted.append((now_ms, name, turn.fence))
+            serve(leases, self.log, asked, now_ms)
+        lease = leases.find_lease(now_ms)
+        if lease is not None:
+            self.acted.append((now_ms, name, lease.fence))
 
 
 @settings(max_examples=200)
--- a/tests/toucanyard/test_log_start.py
+++ b/tests/toucanyard/test_log_start.py
@@ -10,7 +10,6 @@
 
 from core_world import ANY_PORT
 from toucanyard.core_events import LogExpired, LogRead, LogReread
-from toucanyard.duties import DutyRecord
 from toucanyard.log_start import StartSearch, compute_span_ms
 from toucanyard.names import DomainName, Incarnation, NodeId, NodeName, PoolName
 from toucanyard.node_core import NodeCore
@@ -22,6 +21,7 @@
     PlatformOptions,
 )
 from toucanyard.platform_log import LogRecord
+from toucanyard.pool_leases import PoolLeaseRecord
 
 from .configuration_fakes import FakeLog, build_patch, start_node
 
@@ -116,7 +116,7 @@
     log, writer = FakeLog(), start_node()
     for base in range(versions):
         log.append_patch(build_patch(f"patch-{base}", base))
-    log.give(writer)
+    log.replay(writer)
     assert log.append_checkpoint(writer)
     log.append_patch(build_patch("last", versions))
     return log, log.texts
@@ -163,7 +163,7 @@
     claim, now behind the second, must not make the first node the holder again."""
     pool = PoolName("model-pool")
     first, second = (
-        DutyRecord(pool, NodeId(NodeName(name), Incarnation("x")), name, None)
+        PoolLeaseRecord(pool, NodeId(NodeName(name), Incarnation("x")), name, None)
         for name in ("node-8", "node-9")
     )
     texts = ["{}"] * 60
@@ -173,8 +173,8 @@
     core = build_core()
     core.handle(LogExpired(5), 5_000.0)
     read(core, texts, 5)
-    holder = core.duties.duties.find_holder(pool)
+    holder = core.order_runner.leases.find_holder(pool)
     assert holder is not None and holder.node == "node-9"
     core.handle(LogReread(), 5_000.0)
     read(core, texts, 0, 30)
-    assert core.duties.duties.find_holder(pool) == holder
+    assert core.order_runner.leases.find_holder(pool) == holder
--- a/tests/toucanyard/test_node_core.py
+++ b/tests/toucanyard/test_node_core.py
@@ -184,7 +184,7 @@
     for seen, expected in ((digest + 1, {PEER.node}), (digest, set())):
         told = Digest(PEER.node, 1.0, world.now_ms, 1, seen, 0.0)
         world.handle(MessageRead(PEER, told))
-        assert world.core.spread.divergent == expected
+        assert world.core.synchronizer.divergent == expected
 
 
 def test_nothing_is_kept_of_an_endpoint_that_left_the_configuration() -> None:
--- a/tests/toucanyard/test_orders.py
+++ b/tests/toucanyard/test_orders.py
@@ -115,9 +115,9 @@
     world = OrderWorld(3, checks_fence=True)
     world.run(15_000)
     holder = next(node for node in world.nodes if node.held)
-    for append in holder.duties.duties.release(world.now_ms):
+    for append in holder.order_runner.leases.release(world.now_ms):
         world.records.append((world.now_ms, append.text))
-    assert not holder.duties.duties.find_held(world.now_ms)
+    assert not holder.order_runner.leases.find_held(world.now_ms)
     holder.paused_until_ms = world.now_ms + 90_000
     world.run(4_000)
     assert any(node.held for node in world.nodes if node is not holder)
@@ -177,11 +177,11 @@
     world.run(20_000)
     world.want("w2")
     holder = next(node for node in world.nodes if node.held)
-    entry = next(iter(holder.duties._held.values()))
+    entry = next(iter(holder.order_runner._held_pools.values()))
     pool = world.configuration.pools[0]
     world.run(600)
     name = pool.endpoints[0].name
     state = EndpointState(world.engines[name].state.incarnation, "m", "w1")
     before_ms = world.now_ms - 10_000
-    entry.orders.note_state(name, state, before_ms)
+    entry.orders.record_state(name, state, before_ms)
     assert entry.orders.plan(pool, world.now_ms + 9_000, world.now_ms) == []
--- a/tests/toucanyard/test_part_placement.py
+++ b/tests/toucanyard/test_part_placement.py
@@ -22,7 +22,7 @@
 from toucanyard.replica_uses import ReplicaUses
 from toucanyard.replicas import KnownReplica
 from toucanyard.routes import PromptStore
-from toucanyard.weights_goals import Goal
+from toucanyard.target_weights import TargetWeights
 
 from .relay_examples import MODEL, TRAITS, build_prompt, build_replica, build_request
 
@@ -37,8 +37,8 @@
     def __init__(self, *names: str, version: int = 1) -> None:
         self.book = PartBook()
         self.uses = ReplicaUses()
-        self.goal = Goal()
-        self.goal.apply(version, 0.0)
+        self.target = TargetWeights()
+        self.target.apply(version, 0.0)
         self.placement = PartPlacement(self.book, self.uses, MAX_OLD_MS)
         weights = ((MODEL, version),)
         self.known = [
@@ -54,7 +54,7 @@
     ) -> PlacedPrompt | None:
         request = build_request(request_id, prompt=PROMPT, **changes)
         return self.placement.choose(
-            request, PROMPT, TRAITS, self.known, self.goal, stores, now_ms
+            request, PROMPT, TRAITS, self.known, self.target, stores, now_ms
         )
 
     def note(self, name: str, parts: Sequence[Part], ready_ms: float = 0.0) -> None:
@@ -137,7 +137,7 @@
     pool = Pool(*"ab", version=1)
     pool.note("a", PROMPT.parts[:2])
     pool.known[1] = KnownReplica(build_replica("b", weights=((MODEL, 2),)))
-    pool.goal.apply(2, 0.0)
+    pool.target.apply(2, 0.0)
     pool.load("a", 40, 1_000, 1_000)
     placed = pool.choose()
     assert placed is not None
@@ -159,7 +159,7 @@
 def test_replica_with_old_weights_is_avoided_and_then_not_used() -> None:
     pool = Pool(*"ab")
     pool.known[1] = KnownReplica(build_replica("b", weights=((MODEL, 2),)))
-    pool.goal.apply(2, 0.0)
+    pool.target.apply(2, 0.0)
     pool.note("a", PROMPT.parts[:2])
     assert find_name(pool.choose(100.0)) == "a"
     assert find_name(pool.choose(LATE_AFTER_MS + 1)) == "b"
@@ -175,7 +175,7 @@
     """
     pool = Pool("a")
     for second in range(1, 9):
-        pool.goal.apply(1 + second, second * 1_000.0)
+        pool.target.apply(1 + second, second * 1_000.0)
     assert pool.choose(1_000 + MAX_OLD_MS) is not None
     assert pool.choose(1_001 + MAX_OLD_MS) is None
 
@@ -313,7 +313,7 @@
 def choose_alone(name: str, prompt: Prompt, pool: Pool) -> str:
     request = build_request(name, prompt=prompt)
     placed = pool.placement.choose(
-        request, prompt, TRAITS, pool.known, pool.goal, (), 1_000.0
+        request, prompt, TRAITS, pool.known, pool.target, (), 1_000.0
     )
     chosen = find_name(placed)
     tokens = prompt.count_tokens()
@@ -378,7 +378,7 @@
     pool.load(leader, 20, 1_000, 9_000)
     request = build_request("q", prompt=PROMPT, arrived_ms=1_000.0)
     placed = pool.placement.choose(
-        request, PROMPT, TRAITS, pool.known, pool.goal, (), 1_010.0, may_follow=False
+        request, PROMPT, TRAITS, pool.known, pool.target, (), 1_010.0, may_follow=False
     )
     assert placed is not None
 
--- a/tests/toucanyard/test_order_duties.py
+++ b/tests/toucanyard/test_pool_order_runner.py
@@ -11,8 +11,8 @@
     NodeId,
     NodeName,
 )
-from toucanyard.order_duties import OrderDuties
 from toucanyard.order_messages import EndpointState, ReadState
+from toucanyard.pool_order_runner import PoolOrderRunner
 
 NODE = NodeId(NodeName("node-1"), Incarnation("a"))
 TICK_MS = 100
@@ -25,23 +25,23 @@
     pools = build_patch().put.pools
     configuration = Configuration(version=1, pools=pools)
     dead = EndpointName(build_endpoint("engine-0", 10).name)
-    duties = OrderDuties(NODE, random.Random(1))
-    duties.duties.note_start(0, 0)
-    duties.duties.note_head(0.0)
+    runner = PoolOrderRunner(NODE, random.Random(1))
+    runner.leases.set_read_start(0, 0)
+    runner.leases.update_log_end(0.0)
     offset = 0
     reads: list[int] = []
     for number in range(ROUNDS):
         now_ms = float(number * TICK_MS)
-        for action in duties.tick(configuration, [NODE.node], True, now_ms):
+        for action in runner.tick(configuration, [NODE.node], True, now_ms):
             match action:
                 case AppendToLog(text=text):
-                    duties.duties.apply_record(offset, now_ms, text, now_ms)
+                    runner.leases.apply_record(offset, now_ms, text, now_ms)
                     offset += 1
                 case ReadState(endpoint=endpoint):
                     reads.append(number)
                     if endpoint != dead:
                         state = EndpointState(Incarnation("x"), "m", "w1")
-                        duties.note_state(endpoint, state, now_ms)
+                        runner.record_state(endpoint, state, now_ms)
     assert any(reads)
     late = [number for number in reads if number >= ROUNDS // 2]
     assert len(late) <= 7 * len(pools[0].endpoints)
--- a/tests/toucanyard/test_pool_orders.py
+++ b/tests/toucanyard/test_pool_orders.py
@@ -5,7 +5,7 @@
 from toucanyard.configuration import Endpoint, Pool
 from toucanyard.names import Address, DomainName, EndpointName, Incarnation, PoolName
 from toucanyard.order_messages import EndpointState, OrderKind, OrderOutcome, SendOrder
-from toucanyard.orders import Need, PoolOrders
+from toucanyard.orders import PoolOrders, ReadReason
 
 LATER_MS = 60_000.0
 
@@ -32,7 +32,7 @@
 
     def read(self, number: int, asked_ms: float, **changes: object) -> None:
         state = msgspec.structs.replace(self.state, **changes)
-        self.orders.note_state(EndpointName(f"e{number}"), state, asked_ms)
+        self.orders.record_state(EndpointName(f"e{number}"), state, asked_ms)
 
     def read_all(self, asked_ms: float, count: int) -> None:
         for number in range(count):
@@ -61,7 +61,7 @@
     plan.read(3, 200.0, fence=4)
     (raising,) = plan.plan(300.0)
     assert raising.endpoint == "e3" and raising.order.kind is OrderKind.ROLE
-    plan.orders.note_outcome(
+    plan.orders.record_outcome(
         raising.endpoint, raising.order.order_id, OrderOutcome.DONE, 400.0
     )
     plan.read_all(1_500.0, 4)
@@ -84,7 +84,7 @@
     sent = plan.plan(200.0)
     assert len(sent) == 2
     for each in sent:
-        plan.orders.note_outcome(
+        plan.orders.record_outcome(
             each.endpoint, each.order.order_id, OrderOutcome.LOST, 300.0
         )
     plan.read_all(1_900.0, 7)
@@ -97,7 +97,9 @@
     plan = Plan(1)
     plan.read_all(100.0, 1)
     (sent,) = plan.plan(200.0)
-    plan.orders.note_outcome(sent.endpoint, sent.order.order_id, OrderOutcome.DONE, 900)
+    plan.orders.record_outcome(
+        sent.endpoint, sent.order.order_id, OrderOutcome.DONE, 900
+    )
     plan.read_all(800.0, 1)
     assert plan.plan(2_500.0) == []
     plan.read_all(2_600.0, 1)
@@ -123,7 +125,7 @@
     plan = Plan(6)
     plan.read_all(100.0, 6)
     for endpoint in plan.pool.endpoints:
-        plan.orders.note_asked(endpoint.name, 600.0)
+        plan.orders.record_read_sent(endpoint.name, 600.0)
     plan.read_all(700.0, 2)
     plan.read_all(3_000.0, 2)
     assert plan.plan(3_100.0) == []
@@ -136,7 +138,7 @@
     Counted as warm, they would let it load the few that still serve."""
     plan = Plan(5)
     plan.read_all(100.0, 5)
-    plan.orders.note_unusable({EndpointName(f"e{number}") for number in (1, 2, 3)})
+    plan.orders.set_unusable({EndpointName(f"e{number}") for number in (1, 2, 3)})
     serving = {EndpointName("e0"), EndpointName("e4")}
     assert not serving & {each.endpoint for each in plan.plan(200.0)}
     plan = Plan(5)
@@ -152,7 +154,7 @@
     first = plan.plan(200.0)
     assert len(first) == 2
     for each in first:
-        plan.orders.note_outcome(
+        plan.orders.record_outcome(
             each.endpoint, each.order.order_id, OrderOutcome.DONE, 250.0
         )
     for number in (0, 1):
@@ -165,7 +167,7 @@
     plan = Plan(1)
     plan.read_all(100.0, 1)
     (sent,) = plan.plan(200.0)
-    assert plan.orders.note_outcome(
+    assert plan.orders.record_outcome(
         sent.endpoint, sent.order.order_id, OrderOutcome.STALE_FENCE, 300.0
     )
-    assert not plan.orders.find_needs(plan.pool, 300.0)[Need.NONE]
+    assert not plan.orders.group_by_read_reason(plan.pool, 300.0)[ReadReason.NONE]
--- a/tests/toucanyard/test_relay_core.py
+++ b/tests/toucanyard/test_relay_core.py
@@ -14,8 +14,8 @@
 from toucanyard.replicas import DRAIN_MS, RETURN_SEEN_MS, SEND_MS
 from toucanyard.roster import STATUS_KEPT_MS
 from toucanyard.routes import RoutedCustomer
-from toucanyard.store_schedule import READ_MS, compute_wanted_age
-from toucanyard.weights_goals import WantedWeights
+from toucanyard.store_schedule import MAX_TOPIC_AGE_MS, compute_read_age
+from toucanyard.target_weights import WantedWeights
 
 from .relay_examples import DESK, build_replica, build_table
 from .relay_fleet import Fleet, put
@@ -167,8 +167,8 @@
             if core.reads.is_due(Topic.REPLICAS, fleet.now_ms):
                 first_ms.setdefault(name, fleet.now_ms - begun_ms)
     ordered = sorted(first_ms.values())
-    assert ordered[0] == pytest.approx(READ_MS[Topic.REPLICAS], abs=50)
-    wanted_ms = compute_wanted_age(Topic.REPLICAS, 1)
+    assert ordered[0] == pytest.approx(MAX_TOPIC_AGE_MS[Topic.REPLICAS], abs=50)
+    wanted_ms = compute_read_age(Topic.REPLICAS, 1)
     assert ordered[1] == pytest.approx(wanted_ms, abs=300)
     assert ordered[1] < ordered[2]
 
@@ -186,19 +186,19 @@
     fleet.link()
     fleet.read("b", Topic.OPERATOR, wanted, is_whole=True)
     fleet.run(300.0)
-    goal = fleet.core("b").goals.find("m")
-    assert goal is not None
-    assert goal.compute_age(1, fleet.now_ms) >= 9_000.0
+    target = fleet.core("b").weight_targets.find("m")
+    assert target is not None
+    assert target.compute_age(1, fleet.now_ms) >= 9_000.0
 
 
 def test_node_that_starts_alone_takes_wanted_weights_for_old() -> None:
     fleet = Fleet("a")
     wanted = KeyedRecord("version/m", 0, put(WantedWeights("m", 2)))
     fleet.read("a", Topic.OPERATOR, wanted, is_whole=True)
-    goal = fleet.core("a").goals.find("m")
-    assert goal is not None
+    target = fleet.core("a").weight_targets.find("m")
+    assert target is not None
     deadline_ms = fleet.core("a").options.weights.deadline_ms
-    assert goal.compute_age(1, 0.0) == deadline_ms / 2
+    assert target.compute_age(1, 0.0) == deadline_ms / 2
 
 
 def test_links_reject_what_is_no_message() -> None:
--- a/tests/toucanyard/test_relay_flow.py
+++ b/tests/toucanyard/test_relay_flow.py
@@ -28,7 +28,7 @@
 from toucanyard.requests import EndingSeen, Refuse, Repeatability
 from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
-from toucanyard.weights_goals import WantedWeights, WeightsGoals
+from toucanyard.target_weights import TargetWeightsTable, WantedWeights
 
 from .relay_examples import (
     DESK,
@@ -57,8 +57,8 @@
         for name in desks:
             desk = build_replica(name, service=DESK, slots=SLOTS, weights=())
             self.directory.apply(desk, 0.0)
-        self.goals = WeightsGoals()
-        self.goals.apply(WantedWeights(MODEL, 1), 0.0)
+        self.weight_targets = TargetWeightsTable()
+        self.weight_targets.apply(WantedWeights(MODEL, 1), 0.0)
         own = NodeRecord(
             NodeName("n1"),
             Incarnation("i"),
@@ -70,13 +70,13 @@
         rng = random.Random(1)
         credits = ReplicaCredits(ReplicaLimits(rng))
         calls = CallPlacement(
-            OPTIONS, self.directory, self.goals, sources, credits, rng
+            OPTIONS, self.directory, self.weight_targets, sources, credits, rng
         )
         self.flow = RelayFlow(
             OPTIONS.retries,
             OPTIONS.policy,
             self.directory,
-            self.goals,
+            self.weight_targets,
             calls,
             RequestGuard(self.directory, lambda *_: 0, rng),
             CallLimits(OPTIONS.limits, OPTIONS.policy.limits, Incarnation("i")),
--- a/tests/toucanyard/test_replica_lives.py
+++ b/tests/toucanyard/test_replica_lives.py
@@ -17,7 +17,7 @@
 )
 from toucanyard.replica_lives import TOLD_MS, ReplicaLives, name_life
 from toucanyard.replicas import Replica, ReplicaDirectory
-from toucanyard.store_contact import Absence
+from toucanyard.store_availability import StoreOutage
 
 from .relay_examples import ENGINES, MODEL, build_replica, build_table
 from .relay_fleet import Fleet, put
@@ -216,7 +216,7 @@
 def test_foreign_entry_has_no_grace_while_the_store_is_in_trouble() -> None:
     fleet = build_fleet("a")
     fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE)))
-    fleet.core("a").directory.note_absence(Absence(-9_000.0, 0.0))
+    fleet.core("a").directory.note_absence(StoreOutage(-9_000.0, 0.0))
     foreign = InvalidRecord(Topic.REPLICAS, "not JSON")
     fleet.read("a", Topic.REPLICAS, record(1, foreign))
     assert list_usable(fleet) == []
--- a/tests/toucanyard/test_replicas.py
+++ b/tests/toucanyard/test_replicas.py
@@ -13,8 +13,8 @@
     SEND_MS,
     ReplicaDirectory,
 )
-from toucanyard.store_contact import Absence
-from toucanyard.store_schedule import compute_wanted_age
+from toucanyard.store_availability import StoreOutage
+from toucanyard.store_schedule import compute_read_age
 
 from .relay_examples import ENGINES, MODEL, build_replica
 
@@ -56,7 +56,7 @@
     """
     for drain_ms in (2_000.0, 4_000.0):
         directory = build_directory("a", "b", "c", drain_ms=drain_ms)
-        directory.note_absence(Absence(-5_000.0, 0.0))
+        directory.note_absence(StoreOutage(-5_000.0, 0.0))
         directory.remove([EndpointName("a")], 300.0, listed_ms=-5_000.0)
         end_ms = min(LAPSE_GRACE_MS, drain_ms - SEND_MS - RETURN_SEEN_MS)
         assert list_usable(directory, end_ms - 1) == ["a", "b", "c"]
@@ -71,7 +71,7 @@
     By itself it takes the store to have been away; what the others say goes first.
     """
     directory = build_directory("a", "b", "c")
-    directory.note_absence(Absence(-3_000.0, 0.0))
+    directory.note_absence(StoreOutage(-3_000.0, 0.0))
     directory.remove([EndpointName("a")], 100.0, listed_ms=-3_000.0)
     assert list_usable(directory, 200.0) == ["a", "b", "c"]
     directory.note_absence(None)
@@ -86,7 +86,7 @@
     """
     directory = build_directory("a", "b", "c")
     directory.remove([EndpointName("a")], 0.0, listed_ms=-400.0)
-    directory.note_absence(Absence(10_000.0, 15_000.0))
+    directory.note_absence(StoreOutage(10_000.0, 15_000.0))
     assert list_usable(directory, 15_100.0) == ["b", "c"]
 
 
@@ -94,7 +94,7 @@
     directory = build_directory("a", "b", "c")
     directory.remove([EndpointName("a")], 0.0, listed_ms=-400.0)
     directory.remove_foreign(EndpointName("a"), 100.0)
-    directory.note_absence(Absence(-400.0, 5_000.0))
+    directory.note_absence(StoreOutage(-400.0, 5_000.0))
     assert list_usable(directory, 5_100.0) == ["b", "c"]
 
 
@@ -113,7 +113,7 @@
     learn of it a second late; calls that it sends after that reach a process that ends.
     """
     directory = build_directory("a", "b", "c")
-    learned_late_ms = compute_wanted_age(Topic.REPLICAS, 2)
+    learned_late_ms = compute_read_age(Topic.REPLICAS, 2)
     both = [EndpointName("a"), EndpointName("b")]
     directory.remove(both, 0.0, listed_ms=-learned_late_ms)
     assert list_usable(directory, 2_000.0 - learned_late_ms) == ["c"]
--- a/tests/toucanyard/test_snapshots.py
+++ b/tests/toucanyard/test_snapshots.py
@@ -11,8 +11,8 @@
 from toucanyard.names import DomainName, EndpointName, Incarnation, NodeName
 from toucanyard.snapshots import (
     PART_BYTES,
-    Ask,
     EndpointHint,
+    SendRequest,
     Snapshot,
     SnapshotBusy,
     SnapshotFetch,
@@ -59,7 +59,9 @@
                 while ask is not None:
                     ask = self.carry(number, fetch, ask)
 
-    def carry(self, number: int, fetch: SnapshotFetch, ask: Ask) -> Ask | None:
+    def carry(
+        self, number: int, fetch: SnapshotFetch, ask: SendRequest
+    ) -> SendRequest | None:
         self.asked.append(ask.peer)
         if ask.peer in self.dead:
             return None
