--- a/tests/toucanyard/test_weights_rollout.py
+++ b/tests/toucanyard/test_weights_rollout.py
@@ -2,6 +2,7 @@
 
 from toucanyard.crash_watch import Reach
 from toucanyard.failed_loads import HALT_MS, MAX_FAILED_LOADS
+from toucanyard.leases import Lease
 from toucanyard.names import EndpointName, NodeName
 from toucanyard.relay_events import (
     OrderAnswered,
@@ -12,22 +13,21 @@
 )
 from toucanyard.relay_policy import RolloutPolicy
 from toucanyard.replicas import KnownReplica
-from toucanyard.turns import Turn
 from toucanyard.weights_rollout import (
     ANNOUNCE_MS,
-    CALM,
     LOST_MS,
     MANY_REPLICAS,
     SILENT_MS,
     SKIP_MS,
-    Pressure,
+    UNLIMITED,
+    RolloutBudget,
     WeightsRollout,
 )
 
 from .relay_examples import MODEL, build_replica
 
 POLICY = RolloutPolicy()
-TURN = Turn(7, float("inf"))
+LEASE = Lease(7, float("inf"))
 STEP_MS = 20.0
 LOAD_MS = 400.0
 BACK_MS = 2_000.0
@@ -52,7 +52,7 @@
         self.back_ms: dict[str, float] = {}
         self.orders: list[tuple[float, WeightsOrder]] = []
         self.now_ms = 0.0
-        self.pressure = CALM
+        self.budget = UNLIMITED
 
     def run(self, version: int, for_ms: float) -> None:
         end_ms = self.now_ms + for_ms
@@ -63,15 +63,15 @@
                 MODEL,
                 version,
                 self.known,
-                TURN,
+                LEASE,
                 self.running,
                 self.now_ms,
-                pressure=self.pressure,
+                budget=self.budget,
             )
             for action in actions:
                 match action:
                     case ReadReplicaState(replica=name):
-                        self.rollout.note_state(self.read(name))
+                        self.rollout.record_state(self.read(name))
                     case WeightsOrder():
                         self.take(action)
 
@@ -127,7 +127,7 @@
             self.counts[name] += 1
             self.loading[name] = order.version
             self.busy_until[name] = self.now_ms + LOAD_MS
-        self.rollout.note_answer(OrderAnswered(order, status), self.now_ms)
+        self.rollout.record_answer(OrderAnswered(order, status), self.now_ms)
 
 
 def test_all_replicas_get_the_weights_two_at_a_time() -> None:
@@ -216,7 +216,7 @@
     fleet = Fleet("a")
     fleet.run(2, ANNOUNCE_MS + 3 * STEP_MS)
     order = fleet.orders[0][1]
-    assert fleet.rollout.note_answer(OrderAnswered(order, 412), fleet.now_ms)
+    assert fleet.rollout.record_answer(OrderAnswered(order, 412), fleet.now_ms)
     fleet.rollout.stop(fleet.known)
     assert fleet.rollout.list_changing() == []
     assert not fleet.known[0].is_loading(fleet.now_ms)
@@ -263,7 +263,7 @@
     for known in fleet.known[:2]:
         known.rest_until_ms = float("inf")
         fleet.dead.add(known.replica.name)
-    fleet.pressure = Pressure(1_000.0)
+    fleet.budget = RolloutBudget(1_000.0)
     assert count_at_once(fleet) == POLICY.min_changing
 
 
@@ -273,7 +273,7 @@
     Two reports a second of each would cost the node that orders more than all else.
     """
     fleet = Fleet(*(f"r{number}" for number in range(MANY_REPLICAS + 1)))
-    actions = fleet.rollout.plan(MODEL, 2, fleet.known, TURN, {}, 0.0)
+    actions = fleet.rollout.plan(MODEL, 2, fleet.known, LEASE, {}, 0.0)
     asked = [each for each in actions if isinstance(each, ReadReplicaState)]
     changing = fleet.rollout.list_changing()
     assert {each.replica for each in asked} <= set(changing)
--- a/tests/toucanyard_node/polling_fleet.py
+++ b/tests/toucanyard_node/polling_fleet.py
@@ -114,10 +114,10 @@
     async def erase_quarantine(self, fingerprint: str) -> None:
         raise StoreError("not used")
 
-    async def read_turns(self, offset: int) -> tuple[Sequence[tuple[int, bytes]], int]:
+    async def read_leases(self, offset: int) -> tuple[Sequence[tuple[int, bytes]], int]:
         raise StoreError("not used")
 
-    async def append_turn(self, value: bytes, at: int) -> int:
+    async def append_lease(self, value: bytes, at: int) -> int:
         raise StoreError("not used")
 
 
--- a/tests/toucanyard_node/test_relay_store.py
+++ b/tests/toucanyard_node/test_relay_store.py
@@ -82,10 +82,10 @@
         await self._wait(0.0)
         self.append(Topic.NODES, f"quarantine/{fingerprint}", None)
 
-    async def read_turns(self, offset: int) -> tuple[Sequence[tuple[int, bytes]], int]:
+    async def read_leases(self, offset: int) -> tuple[Sequence[tuple[int, bytes]], int]:
         raise StoreError("not used")
 
-    async def append_turn(self, value: bytes, at: int) -> int:
+    async def append_lease(self, value: bytes, at: int) -> int:
         raise StoreError("not used")
 
     async def _wait(self, wait_ms: float) -> None:
@@ -203,7 +203,9 @@
             world.store.is_silent = False
             returned_ms = trio.current_time() * 1000
             await trio.sleep(2)
-            absence = world.core.exchange.views[Topic.REPLICAS].contact.find_absence()
+            absence = world.core.exchange.views[
+                Topic.REPLICAS
+            ].availability.find_outage()
             assert absence is not None
             seen_late_ms = absence.returned_ms - returned_ms
             assert 0.0 <= seen_late_ms <= RETURN_SEEN_MS
--- a/tests/toucanyard_platform/test_decoders_fuzz.py
+++ b/tests/toucanyard_platform/test_decoders_fuzz.py
@@ -16,7 +16,7 @@
 from toucanyard.quarantine import QuarantinedRequest, Release
 from toucanyard.replicas import Replica
 from toucanyard.routes import RouteTable
-from toucanyard.weights_goals import WantedWeights
+from toucanyard.target_weights import WantedWeights
 from toucanyard_node.relay_ports import StoreError
 from toucanyard_platform.json_answers import AnswerInvalidError
 from toucanyard_platform.part_client import decode_page
--- a/tests/toucanyard_platform/test_records.py
+++ b/tests/toucanyard_platform/test_records.py
@@ -20,7 +20,7 @@
 from toucanyard.replicas import Replica
 from toucanyard.requests import Repeatability
 from toucanyard.routes import RouteTable
-from toucanyard.weights_goals import WantedWeights
+from toucanyard.target_weights import WantedWeights
 from toucanyard_platform.records import decode_record
 
 
--- a/tests/toucanyard_platform/test_store_client.py
+++ b/tests/toucanyard_platform/test_store_client.py
@@ -17,7 +17,7 @@
 from toucanyard.node_records import NodeRecord
 from toucanyard.quarantine import QuarantinedRequest
 from toucanyard_node.http_exchange import HttpRequest
-from toucanyard_node.relay_ports import RecordsGoneError, StoreError, TurnTakenError
+from toucanyard_node.relay_ports import LeaseConflictError, RecordsGoneError, StoreError
 from toucanyard_platform.store_client import (
     StoreClient,
     split_keyed,
@@ -104,13 +104,13 @@
         with pytest.raises(RecordsGoneError):
             await StoreClient(address).read_since(Topic.OPERATOR, 1, 0.0)
         with pytest.raises(StoreError):
-            await StoreClient(address).read_turns(0)
+            await StoreClient(address).read_leases(0)
 
 
 async def test_turn_that_another_took_is_told_apart() -> None:
     async with serve(lambda _: (412, (), b'{"end":9}')) as (address, seen):
-        with pytest.raises(TurnTakenError) as caught:
-            await StoreClient(address).append_turn(b"x", 4)
+        with pytest.raises(LeaseConflictError) as caught:
+            await StoreClient(address).append_lease(b"x", 4)
     assert caught.value.end == 9
     assert seen[0].query["at"] == "4"
     assert seen[0].body == frame(b"x")
@@ -137,7 +137,7 @@
 
 async def test_store_that_is_away_is_a_failure() -> None:
     with pytest.raises(StoreError) as caught:
-        await StoreClient(Address("127.0.0.1:1")).read_turns(0)
+        await StoreClient(Address("127.0.0.1:1")).read_leases(0)
     assert caught.value.is_refused
 
 
