--- a/packages/toucanyard/src/toucanyard/configuration.py
+++ b/packages/toucanyard/src/toucanyard/configuration.py
@@ -1,8 +1,7 @@
 """What operators declare: customers, pools, endpoints, services and rules.
 
-A Configuration is a value: it is never changed in place, and its version number
-tells two of them apart. Records and patches that lead from one version to the next
-are in `configuration_log`.
+A Configuration is immutable and identified by its version number. The records and
+patches that lead from one version to the next are in `configuration_log`.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 
 
 class Role(enum.StrEnum):
-    """Which part of a request an engine takes."""
+    """Phases of a request that an engine runs."""
 
     BOTH = "both"
     PREFILL = "prefill"
@@ -39,17 +38,17 @@
 
 
 class Customer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One customer: its callers' keys, as SHA-256 in hexadecimal, and its share."""
+    """One customer: hashes of its callers' keys (SHA-256 in hexadecimal) and share."""
 
     name: CustomerName
     key_hashes: tuple[str, ...]
     weight: float = 1.0
     max_running: int = 0
-    """Most requests in execution at once on one node; 0 sets no limit."""
+    """Maximum number of requests in execution on one node; 0 means no limit."""
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One operator and its keys, as SHA-256 in hexadecimal."""
+    """One operator and the hashes of its keys (SHA-256 in hexadecimal)."""
 
     name: str
     key_hashes: tuple[str, ...]
@@ -65,20 +64,20 @@
 
 
 class PlacementPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Prices and limits that steer placement in one pool."""
+    """Prices and limits for placement in one pool."""
 
     prefill_ms_per_block: float = 8.0
-    """Time an engine takes to compute one missing block of the prompt."""
+    """Time that an engine needs to compute one missing block of the prompt."""
     recompute_price: float = 8.0
-    """Price of a recomputed millisecond beside a waited one."""
+    """Price of a millisecond of recomputation, relative to a millisecond of waiting."""
     candidates: int = 3
-    """Replicas that one prefix is spread over while it is not hot."""
+    """Number of replicas that serve one prefix while it is not hot."""
     max_running: int = 16
-    """Requests in execution on one replica before others queue."""
+    """Requests in execution on one replica before further ones queue."""
 
 
 class Pool(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Replicas of one model and what is desired of them."""
+    """Replicas of one model and their desired state."""
 
     name: PoolName
     model: str
@@ -90,10 +89,10 @@
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A plain service and which of its calls may be repeated.
+    """A plain service and the calls to it that may be repeated.
 
-    A call is "METHOD /path-prefix"; what no entry of `repeatable_calls` covers may
-    run once only, except GET and HEAD, which may always be repeated.
+    An entry of `repeatable_calls` is "METHOD /path-prefix". A call that no entry
+    covers runs at most once, except GET and HEAD, which may always be repeated.
     """
 
     name: ServiceName
@@ -103,7 +102,7 @@
 
 
 class Rule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Send requests for a model name, of some customers or all, to a pool."""
+    """Route requests for a model name, from some customers or all, to a pool."""
 
     model: str
     pool: PoolName
@@ -112,7 +111,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One accepted version; version 0 is the empty one before any patch."""
+    """One accepted version; version 0 is the empty one that precedes any patch."""
 
     version: int = 0
     customers: tuple[Customer, ...] = ()
@@ -139,14 +138,14 @@
         return None
 
     def find_customer_by_hash(self, key_hash: str) -> Customer | None:
-        """Return the customer one of whose keys has this hash."""
+        """Return the customer that has a key with this hash."""
         for customer in self.customers:
             if key_hash in customer.key_hashes:
                 return customer
         return None
 
     def find_operator_by_hash(self, key_hash: str) -> Operator | None:
-        """Return the operator one of whose keys has this hash."""
+        """Return the operator that has a key with this hash."""
         for operator in self.operators:
             if key_hash in operator.key_hashes:
                 return operator
--- a/packages/toucanyard/src/toucanyard/configuration_freshness.py
+++ b/packages/toucanyard/src/toucanyard/configuration_freshness.py
@@ -1,6 +1,6 @@
-"""Tell how long ago the configuration was known to be the newest, and what is due.
+"""Track when the configuration was last confirmed, and when a checkpoint is due.
 
-Times are this node's own. A confirmation counts from when it was asked for.
+Times are on this node's clock. A confirmation dates from when it was requested.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class ConfigurationFreshness:
-    """Hold when the version was last confirmed and a checkpoint last seen."""
+    """Times of the last confirmation of the version and of the last checkpoint."""
 
     __slots__ = (
         "_checkpoint_seen_ms",
@@ -27,33 +27,34 @@
         self._checkpoint_seen_ms: float | None = None
 
     def confirm(self, at_ms: float) -> None:
-        """Take in that the version was the newest at a time."""
+        """Record that the version was the newest one at `at_ms`."""
         if self._confirmed_ms is None or at_ms > self._confirmed_ms:
             self._confirmed_ms = at_ms
         if self._first_confirmed_ms is None:
             self._first_confirmed_ms = at_ms
 
     def record_checkpoint(self, now_ms: float) -> None:
-        """Take in that a checkpoint came, or left this node, while it was current."""
+        """Record that a current node read or appended a checkpoint."""
         self._checkpoint_seen_ms = now_ms
 
     def find_age_ms(self, now_ms: float) -> float | None:
-        """Return how long ago the version was last confirmed."""
+        """Return the time since the version was last confirmed."""
         if self._confirmed_ms is None:
             return None
         return max(0.0, now_ms - self._confirmed_ms)
 
     def is_fresh(self, now_ms: float) -> bool:
-        """Tell whether the version was confirmed within the bound."""
+        """Return whether the version was confirmed recently enough."""
         age_ms = self.find_age_ms(now_ms)
         return age_ms is not None and age_ms <= self._timings.stale_after_ms
 
     def is_checkpoint_due(self, now_ms: float) -> bool:
-        """Tell whether no checkpoint was seen for long enough.
+        """Return whether it is time to append a checkpoint.
 
-        A checkpoint read while catching up may be nearly as old as the retention, so
-        only one that came while this node was current counts. The jitter lets one
-        node come first; the others see its checkpoint. Two of them do no harm.
+        A checkpoint that was read while catching up may be nearly as old as the log's
+        retention, so only one read while this node was current counts. Due to the
+        jitter one node appends first and the others see its checkpoint; two
+        checkpoints do no harm.
         """
         if self._first_confirmed_ms is None:
             return False
--- a/packages/toucanyard/src/toucanyard/configuration_log.py
+++ b/packages/toucanyard/src/toucanyard/configuration_log.py
@@ -1,10 +1,10 @@
-"""Replay configuration records from the platform's log, the same way on every node.
+"""Replay configuration records from the platform's log, identically on every node.
 
-The log orders patches: the first valid one on a base version makes the next version,
-a later one on the same base is rejected with the winner's number. A checkpoint
-states a version together with the offset up to which it was replayed; from there on
-a node that missed older records, because they expired, replays as the others did.
-The same value, told by a peer, is a snapshot.
+The log orders patches: the first valid patch on a base version makes the next version;
+a later one on the same base is rejected with the number of the version that won. A
+checkpoint holds a version and the offset up to which the log was replayed, so that a
+node for which older records have expired continues from there like the others. The
+same value, sent by a peer, is a snapshot.
 """
 
 from __future__ import annotations
@@ -44,9 +44,9 @@
 class Allowance(msgspec.Struct, frozen=True):
     """What a node may do under the version that it knows.
 
-    Serving goes on under an old version: endpoints and customers that it names were
-    valid seconds ago. Orders could undo a newer version's, and a patch can't be
-    answered truthfully.
+    Serving continues under an outdated version, since its endpoints and customers
+    were valid seconds ago. Orders could revert those of a newer version, and the
+    result of a patch can't be determined.
     """
 
     is_current: bool
@@ -57,14 +57,14 @@
 class ConfigurationLog:
     """Hold the configuration in force on one node.
 
-    Invariants: the version never goes down; while `is_missing` is false, the
+    Invariants: the version never decreases; while `has_gap` is false, the
     configuration is the replay of every record before `next_offset`; while it is
-    true, no patch is applied, since an unseen record may have made a version that
-    the patch must lose to.
+    true, no patch is applied, since an unread record may have made a version that
+    conflicts with the patch.
     """
 
     def __init__(self, timings: ConfigurationTimings, jitter: float = 0.0) -> None:
-        """Start empty; `jitter` in 0..1 spreads checkpoints of nodes over time."""
+        """Start empty; `jitter` in 0..1 staggers the checkpoints of nodes."""
         self._freshness = ConfigurationFreshness(timings, jitter)
         self._versions = ConfigurationVersions()
         self._patch_history = PatchHistory()
@@ -75,7 +75,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Return the configuration that was replayed last."""
+        """Return the newest configuration that was replayed."""
         return self._versions.newest
 
     @property
@@ -85,56 +85,56 @@
 
     @property
     def in_force(self) -> Configuration:
-        """Return the configuration to decide by; the empty one until it is found.
+        """Return the configuration in force; the empty one until the node catches up.
 
         A node that has just started replays versions that were replaced long ago. They
-        must not come into force again, nor go to peers, so it decides by none until it
-        has met the end of the log, or the state of a peer, once.
+        must neither come into force again nor be sent to peers, so no version is in
+        force until the node has reached the end of the log, or received a peer's state.
         """
         return self.configuration if self._is_caught_up else _EMPTY
 
     @property
     def digest(self) -> int:
-        """Return the hash of the configuration that was replayed last."""
+        """Return the hash of the newest configuration that was replayed."""
         return self._versions.digest
 
     @property
     def has_gap(self) -> bool:
-        """Tell whether records were missed that no checkpoint has covered yet."""
+        """Return whether records were missed that no checkpoint has covered yet."""
         return self._missed.is_any()
 
     @property
     def unknown_kinds(self) -> dict[str, int]:
-        """Return unknown configuration kinds that were met, with their count."""
+        """Return how often each unknown kind of configuration record was read."""
         return dict(self.counts.by_unknown_kind)
 
     def find_version(self, version: int) -> Configuration | None:
-        """Return a version if it is among the latest ones that this node has seen."""
+        """Return a version if it is among the latest ones on this node."""
         return self._versions.find(version)
 
     def find_result(self, patch_id: str) -> PatchResult | None:
-        """Return what became of a patch, if this node knows it."""
+        """Return the result of a patch, if this node knows it."""
         return self._patch_history.find(patch_id)
 
     def find_confirmed_age_ms(self, now_ms: float) -> float | None:
-        """Return how long ago the version was last known to be the newest."""
+        """Return the time since the version was last confirmed to be the newest."""
         return self._freshness.find_age_ms(now_ms)
 
     def is_current(self, now_ms: float) -> bool:
-        """Tell whether log or peers confirmed the version within the bound."""
+        """Return whether the log or a peer confirmed the version recently enough."""
         return self._freshness.is_fresh(now_ms) and not self.has_gap
 
     def compute_allowance(self, now_ms: float) -> Allowance:
-        """Return what may be done under the version in force."""
+        """Return what this node may do under the version in force."""
         is_current = self.is_current(now_ms)
         return Allowance(is_current, may_order=is_current, may_patch=is_current)
 
     def check_patch(self, patch: Patch) -> PatchResult:
-        """Return what would become of a patch if nothing else reached the log."""
+        """Return the result of a patch if it were the next record of the log."""
         return self._evaluate(patch)[0]
 
     def build_checkpoint(self) -> CheckpointRecord | None:
-        """Return the state as a checkpoint; None when records were missed."""
+        """Return the state as a checkpoint; None if records were missed."""
         if self.has_gap or self.configuration.version == 0:
             return None
         return CheckpointRecord(
@@ -144,7 +144,7 @@
         )
 
     def is_checkpoint_due(self, now_ms: float) -> bool:
-        """Tell whether this node should append a checkpoint now."""
+        """Return whether this node should append a checkpoint now."""
         return (
             self.is_current(now_ms)
             and self.configuration.version > 0
@@ -152,23 +152,23 @@
         )
 
     def record_checkpoint_appended(self, now_ms: float) -> None:
-        """Take in that this node appended a checkpoint, so that it waits again."""
+        """Record that this node appended a checkpoint, which restarts its timer."""
         self._freshness.record_checkpoint(now_ms)
 
     def handle_expired(self, oldest: int) -> None:
-        """Take in that reading can go on from `oldest` only."""
+        """Skip records that have expired; `oldest` is the first one still kept."""
         if oldest <= self.next_offset:
             return
         self.next_offset = oldest
         self._missed.start(oldest)
 
     def needs_older(self) -> bool:
-        """Tell whether everything was read from a late start and led to no version."""
+        """Return whether the log was read from a late start and gave no version."""
         is_without = self.has_gap and self.configuration.version == 0
         return self._is_caught_up and is_without
 
     def restart_reading(self) -> None:
-        """Take in that reading begins again at the first record, unless it need not."""
+        """Start reading again at the first record, if older records are needed."""
         if not self.needs_older():
             return
         self._is_caught_up = False
@@ -176,10 +176,10 @@
         self.next_offset = 0
 
     def update_log_end(self, log_next: int, asked_ms: float) -> None:
-        """Take in how far the log goes, as told by a read begun at `asked_ms`.
+        """Record the end of the log, as returned by a read that began at `asked_ms`.
 
-        The time of asking counts, not that of the answer: an answer delayed on its
-        way tells nothing about the time since.
+        The confirmation dates from the request, not from the response: a delayed
+        response says nothing about the time since the request.
         """
         if self.next_offset < log_next:
             return
@@ -190,10 +190,10 @@
     def apply_peer_confirmation(
         self, version: int, digest: int, confirmed_ms: float
     ) -> bool:
-        """Take in that a peer knew at `confirmed_ms` that its version was the newest.
+        """Record that a peer's version was confirmed as the newest at `confirmed_ms`.
 
-        `confirmed_ms` is in this node's time. Return False if the peer holds another
-        value under the same version, which only a node with other code can.
+        `confirmed_ms` is on this node's clock. Return False if the peer holds another
+        value under the same version, which is possible only with other code.
         """
         own = self.configuration
         if version != own.version:
@@ -208,10 +208,10 @@
     def apply_record(
         self, offset: int, at_ms: float, text: str, now_ms: float
     ) -> PatchResult | None:
-        """Replay the record at one offset; return what became of a patch.
+        """Replay the record at one offset; return the result if it is a patch.
 
-        Every record is given, of whatever kind, in the order of the log; those that a
-        snapshot already covers change nothing. No text makes it raise.
+        The caller passes every record, of any kind, in the order of the log. Records
+        that a snapshot already covers change nothing. No text raises an exception.
         """
         if offset < self.next_offset:
             return self._find_covered_result(text)
@@ -235,9 +235,9 @@
                 return None
 
     def build_delta(self, base: int) -> ConfigurationDelta | None:
-        """Return the patches that lead from a version to the one in force here.
+        """Return the patches from a version to this node's newest one.
 
-        None when there are none, or some are no longer kept.
+        Return None if there are none, or if some are no longer kept.
         """
         if self.has_gap or base >= self.configuration.version:
             return None
@@ -253,7 +253,7 @@
         )
 
     def adopt_delta(self, delta: ConfigurationDelta) -> bool:
-        """Take a peer's patches if they lead on from here; return whether they do."""
+        """Apply a peer's patches if they start at this version; return success."""
         if delta.base != self.configuration.version:
             return False
         configuration = self.configuration
@@ -275,10 +275,10 @@
         return True
 
     def adopt(self, checkpoint: CheckpointRecord) -> bool:
-        """Take a higher state from a peer, where it is in force.
+        """Adopt a newer state that is in force at a peer; return whether it changed.
 
-        Return whether anything changed. One that covers less than this node has
-        replayed, or has a lower version, is never taken: a node doesn't go back.
+        A state with a lower version, or one that covers less of the log than this node
+        has replayed, is never adopted: a node must not revert to an earlier state.
         """
         if not self._is_usable(checkpoint):
             return False
@@ -296,8 +296,8 @@
         return is_new
 
     def _find_covered_result(self, text: str) -> PatchResult | None:
-        # A snapshot tells of accepted patches only. Who waits here for a patch that
-        # the peer saw rejected would wait in vain if its record were passed over.
+        # A snapshot lists accepted patches only. An operator who waits here for a
+        # patch that the peer rejected would get no answer if its record were skipped.
         record = decode_record(text)
         if not isinstance(record, PatchRecord) or self.has_gap:
             return None
@@ -323,10 +323,11 @@
 
     def _handle_unknown(self, offset: int, record: UnknownRecord) -> None:
         self.counts.note_unknown(record.kind)
-        # Newer nodes may have made a version out of it. Applying the next patch on
-        # the old base here would give two values to one number; the last good version
-        # stays until a checkpoint or a peer gives a higher one. A record that names
-        # no next version can't have made one, and is only counted.
+        # Nodes with newer code may have made a version from it. Applying the next
+        # patch on the old base here would give one version number two values, so the
+        # last good version stays until a checkpoint or a peer provides a higher one.
+        # A record that doesn't name the next version can't have made it and is only
+        # counted.
         if record.version == self.configuration.version + 1:
             self._missed.start(offset + 1)
 
@@ -341,7 +342,7 @@
             if self._is_usable(checkpoint):
                 self._adopt(checkpoint)
         elif configuration != self._versions.find(configuration.version):
-            # Replay without a gap knows every version: this one was never made.
+            # A replay without a gap has seen every version, so this one is invalid.
             self.counts.refused_checkpoints += 1
         elif self.is_current(now_ms):
             self._freshness.record_checkpoint(now_ms)
@@ -367,9 +368,9 @@
         known = self._patch_history.find_for_base(record.patch_id, record.base)
         is_older = record.base < self.configuration.version
         if is_older and known is not None:
-            # Its author lost the answer and appended it again. This answer is the
-            # only use of memory here: what is applied must not depend on it, since
-            # a node that started later remembers less.
+            # The author got no answer and appended the patch again. The history may
+            # only be used to answer: what is applied must not depend on it, since a
+            # node that started later has less of it.
             return known
         result, configuration = self._evaluate(record.to_patch())
         if configuration is not None:
--- a/packages/toucanyard/src/toucanyard/configuration_records.py
+++ b/packages/toucanyard/src/toucanyard/configuration_records.py
@@ -1,7 +1,7 @@
-"""Give the shape of configuration records in the log and between nodes.
+"""Define the configuration records in the log and in messages between nodes.
 
-Records are JSON texts with a `kind` tag. Decoding never raises: a node must get past
-anything that stands in the log.
+Records are JSON texts with a `kind` tag. Decoding never raises: a node must be able to
+skip any record of the log.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 _CONFIGURATION_PREFIX: Final = "configuration"
 _KINDS: Final = ("patch", "checkpoint")
 FORMAT: Final = 1
-"""Raised when nodes of today would misread a record; written only with its news."""
+"""Incremented when nodes with older code would misread a record."""
 
 
 class PatchRecord(
     msgspec.Struct, frozen=True, tag="patch", tag_field="kind", kw_only=True
 ):
-    """A patch as the log holds it."""
+    """A patch as stored in the log."""
 
     patch_id: str
     base: int
@@ -47,7 +47,7 @@
 
 
 class HistoryEntry(msgspec.Struct, frozen=True):
-    """Which patch made a version, by whom and where in the log."""
+    """The patch that made a version, its author and its place in the log."""
 
     version: int
     patch_id: str
@@ -61,9 +61,9 @@
 ):
     """A version, and the offset of the first record that it doesn't cover.
 
-    `next_offset` is what makes it safe: a patch may reach the log between the
-    reading that led to this version and the checkpoint itself, and a node that
-    started after such a patch would never see it.
+    `next_offset` is needed because a patch may reach the log between the read that
+    led to this version and the checkpoint itself; a node that started at the
+    checkpoint would never see that patch.
     """
 
     configuration: Configuration
@@ -73,7 +73,7 @@
 
 
 class ConfigurationDelta(msgspec.Struct, frozen=True, tag="configuration_delta"):
-    """The accepted patches after one version, and the state that they lead to."""
+    """The accepted patches after one version, and the resulting state."""
 
     base: int
     patches: tuple[PatchRecord, ...]
@@ -90,7 +90,7 @@
 
 
 def encode_patch(patch: Patch) -> str:
-    """Return the log record of a patch, or raise PatchInvalidError if too large."""
+    """Return the log record of a patch; raise PatchInvalidError if it is too large."""
     record = PatchRecord(
         patch_id=patch.patch_id,
         base=patch.base,
@@ -110,29 +110,29 @@
 
 
 def compute_digest(configuration: Configuration) -> int:
-    """Return a hash by which two nodes compare what they hold under one version."""
+    """Return a hash for comparing the values of one version on two nodes."""
     return xxhash.xxh3_64_intdigest(msgspec.json.encode(configuration))
 
 
 class SkipReason(enum.StrEnum):
-    """Why a record is passed over."""
+    """Why a record is skipped."""
 
     FOREIGN = "foreign"
-    """Of a kind that belongs to another matter."""
+    """The record is of a kind that doesn't concern the configuration."""
     MALFORMED = "malformed"
     OVERSIZED = "oversized"
 
 
 class Skipped(msgspec.Struct, frozen=True):
-    """A record that doesn't bear on the configuration."""
+    """A record that has no effect on the configuration."""
 
     reason: SkipReason
 
 
 class UnknownRecord(msgspec.Struct, frozen=True):
-    """A configuration record of a kind that newer nodes may understand.
+    """A configuration record of a kind that newer code may understand.
 
-    `version` is the one that it says it makes; 0 if it doesn't.
+    `version` is the version that the record says it makes; 0 if it names none.
     """
 
     kind: str
@@ -143,7 +143,7 @@
 
 
 def decode_record(text: str) -> Record:
-    """Decode one record of the log; whatever the text, nothing is raised."""
+    """Decode one record of the log; no text raises an exception."""
     if len(text) > MAX_CHECKPOINT_BYTES:
         return Skipped(SkipReason.OVERSIZED)
     try:
--- a/packages/toucanyard/src/toucanyard/configuration_sync.py
+++ b/packages/toucanyard/src/toucanyard/configuration_sync.py
@@ -1,7 +1,7 @@
-"""Keep a node's configuration in step: the log, peers' digests, operators' patches.
+"""Synchronize a node's configuration with the log and its peers, and accept patches.
 
-Joins `configuration_log` and `membership`: what the log or a peer tells about the
-configuration goes to the first, what comes into force goes to the second.
+Connects `configuration_log` and `membership`: the log receives what the platform or a
+peer reports about the configuration, membership receives what comes into force.
 """
 
 from __future__ import annotations
@@ -48,8 +48,8 @@
 class _PendingPatch(msgspec.Struct):
     """A patch whose result is awaited.
 
-    `may_be_logged` never goes back to false: once an append's answer was lost, no later
-    refusal proves that the patch is not in the log.
+    `may_be_logged` is never reset: once the answer to an append was lost, a later
+    refusal doesn't prove that the patch is not in the log.
     """
 
     deadline_ms: float
@@ -58,11 +58,11 @@
 
 
 class ConfigurationSynchronizer:
-    """One node's configuration and the patches that its operators wait for.
+    """One node's configuration and the patches whose results its operators await.
 
-    Invariant: each PatchSubmitted gets one PatchAnswered, at its deadline at the
-    latest; an answer of "not accepted" is given only where replay of the log proves
-    it, or the record provably never reached the log.
+    Invariant: each PatchSubmitted gets exactly one PatchAnswered, no later than its
+    deadline. A rejection is reported only if replay of the log proves it, or if the
+    record provably never reached the log.
     """
 
     def __init__(self, log: ConfigurationLog, membership: Membership) -> None:
@@ -71,10 +71,10 @@
         self._pending_patches: dict[str, _PendingPatch] = {}
         self._reported_version = 0
         self.divergent: set[NodeName] = set()
-        """Peers with another value under this node's version: they run other code."""
+        """Peers with another value under this node's version, due to other code."""
 
     def read_log(self, event: LogRead, now_ms: float) -> Iterator[SyncAction]:
-        """Replay records and take in how far the log goes."""
+        """Replay records and record the end of the log."""
         log = self._log
         for record in event.records:
             result = log.apply_record(record.offset, record.at_ms, record.text, now_ms)
@@ -89,7 +89,7 @@
         message: ConfigurationRequest | ConfigurationDelta | ConfigurationOffer,
         now_ms: float,
     ) -> Iterator[SyncAction]:
-        """Answer a peer's request, or adopt what a peer sent."""
+        """Answer a peer's request, or adopt the state that a peer sent."""
         match message:
             case ConfigurationRequest(base=base):
                 yield from self._send_configuration(sender, base)
@@ -101,14 +101,14 @@
         self._update_membership(now_ms)
 
     def fetch(self, action: FetchConfiguration) -> Iterator[SyncAction]:
-        """Ask a peer that has a higher version for it."""
-        # What was replayed counts, though it may not be in force yet: a delta from
-        # the version in force would not lead on from it.
+        """Request the newer version from a peer."""
+        # The base is the replayed version, though it may not be in force yet: a delta
+        # from the version in force could not be applied to it.
         base = self._log.configuration.version
         yield SendMessage(action.peer, ConfigurationRequest(base))
 
     def confirm(self, action: PeerConfirmed, now_ms: float) -> None:
-        """Take in that a peer knew its version to be the newest."""
+        """Record that a peer's version was confirmed as the newest."""
         log = self._log
         if log.apply_peer_confirmation(
             action.version, action.digest, action.confirmed_ms
@@ -119,7 +119,7 @@
         self._update_membership(now_ms)
 
     def submit(self, event: PatchSubmitted, now_ms: float) -> Iterator[SyncAction]:
-        """Check a patch and append it, or answer at once why not."""
+        """Check a patch and append it, or reject it at once with the reason."""
         patch = event.patch
         known = self._log.find_result(patch.patch_id)
         if known is not None and known.base == patch.base:
@@ -143,7 +143,7 @@
     def handle_append_result(
         self, record_id: str, result: AppendResult, now_ms: float
     ) -> Iterator[SyncAction]:
-        """Take in what became of an append of this node."""
+        """Handle the result of an append of this node."""
         if record_id.startswith(_CHECKPOINT_PREFIX):
             if result is AppendResult.DONE:
                 self._log.record_checkpoint_appended(now_ms)
@@ -153,24 +153,24 @@
         if pending is None or result is AppendResult.DONE:
             return
         if result is AppendResult.UNKNOWN:
-            # The service drops an append whose sender gave up on a slow answer, so it
-            # is sent again. If the first one counts as well, its patch id settles it.
+            # The service drops an append whose client timed out, so it is sent again.
+            # If the first one succeeded as well, replay recognizes the patch id.
             pending.may_be_logged = True
             yield AppendToLog(record_id, pending.text, is_urgent=True)
             return
         if pending.may_be_logged:
             return
-        # Without effect for certain, so "not accepted" is true.
+        # The append certainly had no effect, so the patch can be rejected.
         del self._pending_patches[patch_id]
         yield PatchAnswered(
             patch_id,
             self._log.configuration.version,
             ErrorKind.LOG_UNAVAILABLE,
-            "the log took no record",
+            "the log accepted no record",
         )
 
     def tick(self, now_ms: float) -> Iterator[SyncAction]:
-        """Answer patches whose time is up, and append a checkpoint when due."""
+        """Answer patches whose deadline has passed; append a checkpoint when due."""
         for patch_id, pending in list(self._pending_patches.items()):
             if pending.deadline_ms <= now_ms:
                 del self._pending_patches[patch_id]
@@ -192,7 +192,7 @@
             )
 
     def owns(self, record_id: str) -> bool:
-        """Tell whether a log record of this node concerns the configuration."""
+        """Return whether a log record of this node concerns the configuration."""
         return record_id.startswith((_PATCH_PREFIX, _CHECKPOINT_PREFIX))
 
     def _append(self, event: PatchSubmitted) -> Iterator[SyncAction]:
--- a/packages/toucanyard/src/toucanyard/configuration_versions.py
+++ b/packages/toucanyard/src/toucanyard/configuration_versions.py
@@ -1,4 +1,4 @@
-"""Hold the latest versions of the configuration and the patches that made them."""
+"""Store the latest versions of the configuration and the patches that made them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 class ConfigurationVersions:
     """The latest versions by number.
 
-    Invariant: `newest` is the last one kept; it is never dropped.
+    Invariant: `newest` is the version added last; it is never dropped.
     """
 
     __slots__ = ("_by_number", "_digest", "_patches", "newest")
@@ -37,14 +37,14 @@
         return self._by_number.get(number)
 
     def find_patches(self, base: int) -> tuple[PatchRecord, ...] | None:
-        """Return the patches from a version to the newest, if all are kept."""
+        """Return the patches from a version to the newest one, if all are kept."""
         numbers = range(base + 1, self.newest.version + 1)
         if any(number not in self._patches for number in numbers):
             return None
         return tuple(self._patches[number] for number in numbers)
 
     def keep(self, configuration: Configuration) -> None:
-        """Make a version the newest."""
+        """Add a version as the newest one."""
         self.newest = configuration
         self._digest = None
         self._by_number[configuration.version] = configuration
--- a/packages/toucanyard/src/toucanyard/patch_results.py
+++ b/packages/toucanyard/src/toucanyard/patch_results.py
@@ -1,7 +1,7 @@
-"""Remember what became of patches, and which patch made which version.
+"""Store the results of recent patches, and which patch made which version.
 
-This memory only answers questions. Nothing that is applied may depend on it, since a
-node that started later has less of it.
+This history only serves to answer queries. What is applied must not depend on it,
+since a node that started later has less of it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class PatchResult(msgspec.Struct, frozen=True):
-    """What became of a patch; `version` is its own or, if rejected, the winner's."""
+    """The result of a patch; `version` is its own or, if rejected, the winner's."""
 
     patch_id: str
     base: int
@@ -30,14 +30,14 @@
     text: str = ""
 
     def is_accepted(self) -> bool:
-        """Tell whether the patch made a version."""
+        """Return whether the patch made a version."""
         return self.rejection is None
 
 
 class PatchHistory:
-    """Hold the latest results and the latest versions' patches.
+    """The latest results, and the patches of the latest versions.
 
-    Invariant: an accepted result is never replaced by another one for the same id
+    Invariant: an accepted result is never replaced by another result for the same id
     and base.
     """
 
@@ -53,24 +53,24 @@
         return tuple(self._history)
 
     def find_for_checkpoint(self) -> tuple[HistoryEntry, ...]:
-        """Return as much of the history as a checkpoint carries."""
+        """Return the part of the history that a checkpoint includes."""
         return tuple(self._history)[-_CHECKPOINT_HISTORY:]
 
     def find(self, patch_id: str) -> PatchResult | None:
-        """Return the result of a patch, if it is remembered."""
+        """Return the result of a patch, if it is still stored."""
         return self._results.get(patch_id)
 
     def find_for_base(self, patch_id: str, base: int) -> PatchResult | None:
-        """Return the result of a patch under the same base, if it is remembered."""
+        """Return the result of a patch on the given base, if it is still stored."""
         known = self._results.get(patch_id)
         return known if known is not None and known.base == base else None
 
     def record_version(self, entry: HistoryEntry) -> None:
-        """Take in which patch made the newest version."""
+        """Record which patch made the newest version."""
         self._history.append(entry)
 
     def record_result(self, result: PatchResult) -> None:
-        """Take in a result."""
+        """Store a result, unless an accepted one is known for the same base."""
         known = self.find_for_base(result.patch_id, result.base)
         if known is not None and known.is_accepted():
             return
@@ -79,7 +79,7 @@
             del self._results[next(iter(self._results))]
 
     def merge(self, entries: Sequence[HistoryEntry]) -> None:
-        """Take in history that a checkpoint or a peer tells."""
+        """Merge the history of a checkpoint, from the log or from a peer."""
         known = {entry.version: entry for entry in self._history}
         for entry in entries:
             known.setdefault(entry.version, entry)
--- a/packages/toucanyard/src/toucanyard/patches.py
+++ b/packages/toucanyard/src/toucanyard/patches.py
@@ -1,8 +1,8 @@
-"""Apply an operator's patch to a configuration and check what comes out.
+"""Apply an operator's patch to a configuration and validate the result.
 
-Every node replays the same patches, so nothing here depends on settings, time or the
-node: the limits are constants, and the same patch on the same configuration gives
-the same result everywhere.
+Every node replays the same patches, so nothing here may depend on settings, time or
+the node: limits are constants, and a patch to a given configuration has the same
+result on every node.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 
 
 class PutEndpoint(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One endpoint and the pool or service that it belongs to."""
+    """An endpoint and the pool or service that it belongs to."""
 
     of: str
     endpoint: Endpoint
 
 
 class Put(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a patch adds or, where the name exists, replaces."""
+    """Objects that a patch adds or, if the name exists, replaces."""
 
     customers: tuple[Customer, ...] = ()
     operators: tuple[Operator, ...] = ()
@@ -52,7 +52,7 @@
 
 
 class Remove(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Names of what a patch removes; a rule is named by its model."""
+    """Names of the objects that a patch removes; a rule is named by its model."""
 
     customers: tuple[str, ...] = ()
     operators: tuple[str, ...] = ()
@@ -63,7 +63,7 @@
 
 
 class Patch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One change against a numbered version, named so that it can be settled."""
+    """A change to a numbered version, with an id by which to look up its result."""
 
     patch_id: str
     base: int
@@ -73,11 +73,11 @@
 
 
 class PatchInvalidError(Exception):
-    """Say why a patch can't be applied; the text is for the operator."""
+    """A patch can't be applied; the text is shown to the operator."""
 
 
 def apply_patch(configuration: Configuration, patch: Patch) -> Configuration:
-    """Return the next version, or raise PatchInvalidError."""
+    """Return the next version; raise PatchInvalidError if the patch is invalid."""
     put, remove = patch.put, patch.remove
     result = Configuration(
         version=configuration.version + 1,
@@ -95,7 +95,7 @@
 
 
 def check_configuration(configuration: Configuration) -> None:
-    """Raise PatchInvalidError if a configuration contradicts itself."""
+    """Raise PatchInvalidError if a configuration is inconsistent."""
     _check_names("customer", [each.name for each in configuration.customers])
     _check_names("operator", [each.name for each in configuration.operators])
     owners = find_owners(configuration)
@@ -111,7 +111,7 @@
 
 
 def find_owners(configuration: Configuration) -> list[Pool | Service]:
-    """Return everything that has endpoints."""
+    """Return the pools and services, which have endpoints."""
     return [*configuration.pools, *configuration.services]
 
 
@@ -143,8 +143,8 @@
             raise PatchInvalidError(f"found no rule for {model!r} to remove")
     kept = [rule for rule in present if rule.model not in removed]
     merged = {(rule.model, rule.customers): rule for rule in [*kept, *put]}
-    # The first rule that covers a request is taken: one for all customers before one
-    # for some of them would hide it.
+    # The first matching rule applies, so a rule for all customers must come after
+    # those for some customers; otherwise it would shadow them.
     return tuple(sorted(merged.values(), key=lambda rule: not rule.customers))
 
 
@@ -201,7 +201,7 @@
         for key_hash in owner.key_hashes:
             if not _KEY_HASH.fullmatch(key_hash):
                 raise PatchInvalidError(
-                    f"found a key of {owner.name!r} that is no SHA-256 in hexadecimal"
+                    f"found a key of {owner.name!r} that is not a hexadecimal SHA-256"
                 )
             if key_hash in seen:
                 raise PatchInvalidError(f"found a key of {owner.name!r} twice")
@@ -257,8 +257,8 @@
             placement.candidates,
             placement.max_running,
         )
-        # Not-a-number compares false with everything, and is refused so. A number that
-        # no float holds would raise in every node, at each replay of the patch.
+        # The negated comparisons reject NaN, which compares false with everything. A
+        # number too large for a float would raise at each replay on every node.
         if not least >= 0 or not most <= _MAX_NUMBER:
             raise PatchInvalidError(f"found placement of {pool.name!r} out of range")
     for service in configuration.services:
