--- a/packages/toucanyard/src/toucanyard/keyed_view.py
+++ b/packages/toucanyard/src/toucanyard/keyed_view.py
@@ -1,8 +1,8 @@
 """Hold the newest record of each key of one topic of the platform's log.
 
 Records come from the log, from its list of newest records and from other nodes, in any
-order and more than once. Offsets decide which of two is newer, so a stale page or a
-peer that lags never undoes what is known.
+order and more than once. Offsets decide which of two records is newer, so a stale page
+or a lagging peer never reverts a newer record.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from toucanyard.store_availability import AnsweredRead, StoreAvailability
 
 MAX_TOMBSTONES: Final = 1_000
-"""Removed keys that are remembered, to tell a peer that lags of the removal."""
+"""Maximum number of removed keys kept, to inform lagging peers of the removals."""
 
 
 class Topic(enum.StrEnum):
-    """What is kept in the platform's log, by who writes it."""
+    """Topics of the platform's log, by their writers."""
 
     OPERATOR = "operator"
     """Routes and wanted weights."""
     REPLICAS = "replicas"
-    """What each replica says of itself."""
+    """The description that each replica publishes of itself."""
     NODES = "nodes"
-    """Where each node can be reached."""
+    """The address of each node."""
 
 
 class KeyedRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One record; without a value, its key has been removed."""
+    """One record; None as its value means that the key was removed."""
 
     key: str
     offset: int
@@ -39,7 +39,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A key whose fact has changed; None after its removal."""
+    """A key whose fact has changed; the fact is None after a removal."""
 
     key: str
     fact: object | None
@@ -47,7 +47,7 @@
 
 
 class InvalidRecord(msgspec.Struct, frozen=True):
-    """A record that can't be read or says what can't be: another writer's."""
+    """A record, from another writer, that can't be decoded or is inconsistent."""
 
     topic: Topic
     reason: str
@@ -59,8 +59,8 @@
 
 
 Decode = Callable[[Topic, str, bytes], object | None]
-"""Turns a value into a typed fact; an InvalidRecord for what can't be read, None for
-what isn't wanted."""
+"""Decodes a value into a typed fact; returns an InvalidRecord if it can't be decoded,
+None if the record is not needed."""
 
 
 class KeyedView:
@@ -84,16 +84,16 @@
         self.topic = topic
         self.end = 0
         self.availability = StoreAvailability()
-        """When the store, asked by any node, had nothing beyond `end`."""
+        """Reads by any node to which the store returned nothing beyond `end`."""
         self._decode = decode
         self._entries: dict[str, _Entry] = {}
         self._unreadable_keys: set[str] = set()
-        """Keys whose only record that came can't be read."""
+        """Keys of which only a record that can't be decoded was received."""
         self._complete_from = 0
 
     @property
     def confirmed_ms(self) -> float:
-        """Return when the store, asked by any node, last had nothing beyond `end`."""
+        """Return when any node last sent a read that returned nothing beyond `end`."""
         return self.availability.asked_ms
 
     def list_facts(self) -> list[object]:
@@ -103,14 +103,15 @@
         ]
 
     def find_reported_end(self) -> int:
-        """Return up to where peers needn't tell this node anything.
+        """Return the offset before which peers need not send records to this node.
 
-        A record that can't be read may have taken the place of one that peers hold.
+        It is 0 while a key has no readable record: a record that can't be decoded may
+        have replaced one that peers still hold.
         """
         return 0 if self._unreadable_keys else self.end
 
     def list_since(self, offset: int) -> tuple[bool, list[KeyedRecord]]:
-        """Return whether the records are all there are, and those from an offset on."""
+        """Return the records from an offset on, and whether they are the whole topic."""
         is_whole = offset < self._complete_from
         records = [
             entry.record
@@ -124,9 +125,9 @@
     def apply(
         self, records: Sequence[KeyedRecord], end: int, *, is_whole: bool
     ) -> list[Change]:
-        """Take in records that reach up to `end`; return what has changed.
+        """Apply records that cover the topic up to `end`; return the changes.
 
-        `is_whole` tells that keys without a record have been removed.
+        If `is_whole` is true, keys without a record have been removed.
         """
         changes = [change for each in records if (change := self._apply_one(each))]
         if is_whole:
@@ -137,9 +138,9 @@
         return changes
 
     def confirm(self, end: int, answered: AnsweredRead, away_ms: float) -> None:
-        """Note that the store, when it was asked, had nothing beyond `end`.
+        """Record a read to which the store returned nothing beyond `end`.
 
-        It was away if no answer is known for `away_ms`.
+        The store was unavailable if no answered read is known for `away_ms`.
         """
         if end <= self.end:
             self.availability.record_read(answered, away_ms)
@@ -153,14 +154,14 @@
         if record.value is not None:
             fact = self._decode(self.topic, record.key, record.value)
         if isinstance(fact, InvalidRecord) and self.topic is not Topic.REPLICAS:
-            # The value before stays in force and is sent to peers that start. One bad
-            # record would otherwise leave every restarted node without routes.
+            # The previous value stays in force and is sent to starting peers.
+            # Otherwise one bad record would leave every restarted node without routes.
             if entry is None:
                 self._unreadable_keys.add(record.key)
             return Change(record.key, fact, before)
         self._unreadable_keys.discard(record.key)
-        # A heartbeat that says nothing new keeps the older record: passed on, each
-        # would cost every link between nodes its bytes.
+        # A heartbeat without a change keeps the older record: forwarding each one would
+        # use bandwidth on every link between nodes.
         if fact is not None and fact == before:
             return None
         self._entries[record.key] = _Entry(record, fact)
--- a/packages/toucanyard/src/toucanyard/known_facts.py
+++ b/packages/toucanyard/src/toucanyard/known_facts.py
@@ -1,6 +1,6 @@
-"""Apply what records say to the parts of the core that decide by it.
+"""Apply changes of records to the parts of the core that depend on them.
 
-Each change of what the node believes is a note for the log, with where it came from.
+Each change of the node's state is logged together with its source.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 from toucanyard.target_weights import TargetWeightsTable, WantedWeights
 
 MAX_AGE_MS: Final = 1e6
-"""Age that is logged for a list that the store has never confirmed."""
+"""Maximum age in the log, also used for a list that the store has never confirmed."""
 
 
 class KnownFacts:
-    """Routes, wanted weights, replicas and nodes as the records say.
+    """Routes, wanted weights, replicas and nodes according to the records.
 
-    Invariants: the version of the routes in force never falls; no record that can't be
-    read changes anything but the use of the replica in whose place it stands.
+    Invariants: the version of the routes in force never decreases; a record that can't
+    be decoded has no effect except that the replica whose record it replaced gets no
+    more calls.
     """
 
     __slots__ = (
@@ -67,9 +68,9 @@
         listed_ms: float,
         known_for_ms: float = 0.0,
     ) -> Iterator[Note]:
-        """Apply changes; `listed_ms` is when the store confirmed what was known before.
+        """Apply changes; `listed_ms` is when the store confirmed the previous state.
 
-        `known_for_ms` is how long wanted weights may have been named before.
+        `known_for_ms` is how long ago wanted weights may have been set by operators.
         """
         gone: list[EndpointName] = []
         for change in changes:
@@ -81,7 +82,7 @@
                 continue
             match change.before:
                 case Replica(listed_as=listed_as):
-                    # The entry that went may be an earlier life's that came late.
+                    # The removed entry may be a late one of an earlier incarnation.
                     current = self._directory.find_current(listed_as)
                     if current is not None:
                         gone.append(current.replica.name)
@@ -164,14 +165,14 @@
             yield Note("replica_outdated", _describe(replica, source))
             return
         if before is not None and before is not known:
-            # It remembers nothing of its life before.
+            # The new incarnation starts with an empty cache.
             self._flow.book.forget(before.replica.name)
             fields = _describe(replica, source) | {"before": before.replica.name}
             yield Note("replica_restarted", fields)
         elif any(
             version > had.get(model, version) for model, version in replica.weights
         ):
-            # Loading weights drops all that was read under the ones before.
+            # Loading weights clears what the replica cached under the previous ones.
             self._flow.book.forget(replica.name)
         is_same = known is before and had == known.weights
         if not is_same or was_gone or was_usable != known.is_listed(now_ms):
--- a/packages/toucanyard/src/toucanyard/store_availability.py
+++ b/packages/toucanyard/src/toucanyard/store_availability.py
@@ -1,9 +1,9 @@
-"""Know since when the store has been answering, as far as any node has told.
+"""Track since when the store has been available, from the reads of all nodes.
 
-A node's own failed call says nothing of the store: the node may be cut off. What all
-nodes read together does. As long as any of them reads, the store is there, and whatever
-leaves a list was taken away. If nobody could, entries may have lapsed for want of a
-store to renew them in.
+A failed read of one node doesn't show that the store is unavailable, since the node
+may be partitioned from it. The reads of all nodes together do: as long as any of them
+succeeds, the store is available, and an entry that leaves a list was removed. During an
+outage for all nodes, entries may have expired because they couldn't be renewed.
 """
 
 from __future__ import annotations
@@ -15,71 +15,72 @@
 from toucanyard.seen_updates import SeenUpdates
 
 RECENT_READS: Final = 16
-"""Reads that are told apart from newer ones when they are told again; one comes each
-0.4 s, so this spans several times the slowest way through a fleet."""
+"""Number of reads that are recognized when they are reported again. There is one read
+each 0.4 s, so this covers several times the slowest path through a fleet."""
 SAME_MS: Final = 50.0
-"""Two accounts of one moment that differ by less differ by the ways they came."""
+"""Two reported times of one event that differ by less than this differ only by the
+latency of the paths on which they were received."""
 NEVER: Final = float("-inf")
 
 
 class AnsweredRead(msgspec.Struct, frozen=True):
-    """The store answered a read, and others without a break before it.
+    """A read that the store answered, at the end of a period without an outage.
 
     Invariant: since_ms <= asked_ms.
     """
 
     read_id: int
-    """Drawn at random by the node that read."""
+    """A random number chosen by the node that read."""
     asked_ms: float
-    """When that node asked, in the time of whoever holds this."""
+    """When that node sent the read, on the clock of the node that holds this value."""
     since_ms: float
-    """Since when no break is known."""
+    """Start of the period without a known outage."""
 
 
 class StoreOutage(msgspec.Struct, frozen=True):
-    """The store answered nobody for a while. Invariant: before_ms < returned_ms."""
+    """A period in which no node got an answer. Invariant: before_ms < returned_ms."""
 
     before_ms: float
-    """When the last read before was asked."""
+    """When the last answered read before the outage was sent."""
     returned_ms: float
-    """When the first read after it was asked."""
+    """When the first answered read after the outage was sent."""
 
 
 class StoreAvailability:
-    """What is known of the store's answers about one topic.
+    """The availability of the store, by the answered reads of one topic.
 
-    Invariants: `asked_ms` never moves on but by another read; a break that a peer's
-    reads fill is none.
+    Invariants: only a new read increases `asked_ms`; a gap that is covered by a peer's
+    reads is not an outage.
     """
 
     __slots__ = ("_before_ms", "_read_id", "_recent", "_since_ms", "asked_ms")
 
     def __init__(self) -> None:
         self.asked_ms = NEVER
-        """When the newest read that was answered was asked."""
+        """When the newest answered read was sent."""
         self._read_id = 0
         self._recent = SeenUpdates(RECENT_READS)
         self._since_ms = NEVER
         self._before_ms = NEVER
-        """When the last read before the break was asked; NEVER without a break."""
+        """When the last read before the outage was sent; NEVER without an outage."""
 
     def find_last_read(self) -> AnsweredRead | None:
-        """Return what to tell peers; None before any answer."""
+        """Return the newest answered read, to report to peers, if there is any."""
         if self.asked_ms == NEVER:
             return None
         return AnsweredRead(self._read_id, self.asked_ms, self._since_ms)
 
     def find_outage(self) -> StoreOutage | None:
-        """Return when the store was last away for all nodes, if it was."""
+        """Return the last outage of the store for all nodes, if there was one."""
         if self._before_ms == NEVER:
             return None
         return StoreOutage(self._before_ms, self._since_ms)
 
     def record_read(self, answered: AnsweredRead, away_ms: float) -> None:
-        """Take in answers; the store was away if none came for `away_ms`."""
+        """Record a read; a gap longer than `away_ms` before it was an outage."""
         self._extend_period(answered, away_ms)
         if answered.read_id == self._read_id:
-            # The same read over another path: the shortest one tells best when it was.
+            # The same read over another path; the shortest path is the most accurate.
             self.asked_ms = min(self.asked_ms, answered.asked_ms)
             return
         # Each hop drops its own latency from the reported age, so a relayed read looks
--- a/packages/toucanyard/src/toucanyard/store_reads.py
+++ b/packages/toucanyard/src/toucanyard/store_reads.py
@@ -1,7 +1,7 @@
-"""Know when this node should read each topic of the platform's store.
+"""Determine when this node should read each topic of the platform's store.
 
-Puts the schedule of reads together with what one node knows: its rank among the live
-nodes, how old each topic is, and when it asked last.
+Combines the schedule of reads with the state of one node: its rank among the live
+nodes, the age of each topic, and when it last sent a read.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class StoreReads:
-    """The reads of one node: when the next one is due, and when the last one began."""
+    """When the next read of each topic is due on one node, and when the last began."""
 
     __slots__ = ("_asked_ms", "_exchange", "_outdated", "_roster")
 
@@ -32,11 +32,11 @@
         self._outdated: set[Topic] = set()
 
     def is_due(self, topic: Topic, now_ms: float) -> bool:
-        """Tell whether this node should read a topic now."""
+        """Return whether this node should read a topic now."""
         return now_ms >= self.find_due(topic, now_ms)
 
     def find_due(self, topic: Topic, now_ms: float) -> float:
-        """Return when this node should read a topic, as far as it knows now."""
+        """Return when this node should read a topic, by its current state."""
         if topic in self._outdated:
             return self._asked_ms[topic] + RETRY_MS
         due_ms = compute_due(
@@ -48,18 +48,19 @@
         )
         if topic is not Topic.OPERATOR or not self._is_store_silent(now_ms):
             return due_ms
-        # The store's return shows in an answer about replicas, which all nodes wait
-        # for. These reads are for a store that answers about some topics only.
+        # All nodes retry reads of the replicas, whose success shows that the store is
+        # available again. These reads are for a store that answers for some topics
+        # only.
         if self.may_ask_again(topic, now_ms):
             return max(due_ms, self._asked_ms[topic] + SILENT_RETRY_MS)
         return float("inf")
 
     def may_ask_again(self, topic: Topic, now_ms: float) -> bool:
-        """Tell whether to read a topic though a read of it has no answer yet."""
+        """Return whether to read a topic while an earlier read of it is pending."""
         return self._roster.find_rank(topic.value, now_ms) <= MAX_ASKING_RANK
 
     def _is_store_silent(self, now_ms: float) -> bool:
-        """Tell whether no node has had an answer about replicas for too long."""
+        """Return whether the last answered read of replicas by any node is overdue."""
         topic = Topic.REPLICAS
         wanted_ms = compute_read_age(
             topic,
@@ -72,14 +73,14 @@
         )
 
     def mark_outdated(self, topic: Topic) -> None:
-        """Read a topic soon, of which the store holds more than this node has read."""
+        """Schedule a read of a topic for which the store has newer records."""
         self._outdated.add(topic)
 
     def record_read_started(self, topic: Topic, now_ms: float) -> None:
-        """Note that this node asks the store for a topic."""
+        """Record that this node sends a read of a topic to the store."""
         self._asked_ms[topic] = now_ms
         self._outdated.discard(topic)
 
     def compute_poll_wait(self, draw: float, now_ms: float) -> float:
-        """Return how long a long poll may wait, in ms, by a random number up to 1."""
+        """Return the wait of a long poll in ms, given a random number up to 1."""
         return compute_poll_wait(self._roster.count_nodes(now_ms), draw)
--- a/packages/toucanyard/src/toucanyard/store_schedule.py
+++ b/packages/toucanyard/src/toucanyard/store_schedule.py
@@ -1,13 +1,14 @@
 """Decide when this node reads a topic from the platform's store.
 
-Every call costs all nodes from one rate, so usually one node reads a topic that changes
-all the time and tells the others. Who reads is not agreed on: each node reads once what
-it knows is older than it stands for, and the ranks of live nodes stagger that age. When
-the reader dies or the store refuses it, the next one starts within its own stagger.
-
-Long polls come on top for a topic that seldom changes. They make its changes known
-sooner, but no bound rests on them: on a lost connection a poll looks like a quiet
-topic.
+The store's request rate is shared by all nodes, so usually one node reads a topic that
+changes constantly and sends the records to the others. The reader is not elected: each
+node reads a topic once its copy exceeds a maximum age, and that age is staggered by the
+ranks of the live nodes. When the reader fails or the store refuses its reads, the next
+node takes over after its own delay.
+
+A topic that seldom changes is also read by long polls. They deliver its changes sooner,
+but no bound depends on them: a poll on a lost connection looks like a topic without
+changes.
 """
 
 from __future__ import annotations
@@ -21,37 +22,39 @@
     Topic.REPLICAS: 400.0,
     Topic.NODES: 3_000.0,
 }
-"""Age of a topic at which the first node reads it."""
+"""Age of a topic at which the node of rank 0 reads it."""
 SECOND_READER_DELAY_MS: Final = 450.0
-"""How much older it gets before the second node reads; a status takes 250 ms."""
+"""Additional age at which the node of rank 1 reads it; a status takes 250 ms."""
 NEXT_READER_DELAY_MS: Final = 150.0
-"""The same for each further one, up to MAX_RANK."""
+"""Additional age for each further rank, up to MAX_RANK."""
 HUB_READER_DELAY_MS: Final = 1_500.0
-"""How much older a topic gets before the second node of a fleet that is not meshed
-reads it: what the first one read takes a few links to all others."""
+"""Additional age for rank 1 in a fleet that is not a full mesh, where the records that
+the first node read pass several links until they reach all others."""
 MAX_RANK: Final = 3
 RETRY_MS: Final = 300.0
-"""Least time between two reads of one node."""
+"""Minimum time between two reads of one node."""
 SILENT_RETRY_MS: Final = 800.0
-"""The same for operators' records while the store is silent about replicas too."""
+"""The same for operators' records while reads of replicas get no answer either."""
 MAX_ASKING_RANK: Final = 1
-"""Highest rank of a node that asks again while a read of its own has no answer. A store
-that returns is then seen RETRY_MS later, and not when a read of 1.2 s is given up."""
+"""Highest rank of a node that sends another read while one of its own is pending. The
+return of the store is then detected after RETRY_MS, rather than when a pending read
+times out after 1.2 s."""
 MAX_READ_LATENESS_MS: Final = 200.0
-"""By how much a read may come later than it is due on a busy node."""
+"""Maximum delay of a due read on a busy node."""
 MIN_POLL_MS: Final = 3_500.0
 POLL_MS_PER_NODE: Final = 100.0
-"""Waits of long polls grow with the nodes that make them."""
+"""Increase of the wait of long polls with the number of nodes."""
 MAX_POLL_MS: Final = 20_000.0
 POLL_SPREAD: Final = 0.5
-"""Share by which a wait differs from the mean. A change ends all polls at one moment;
-spread again, their answers keep the topic confirmed for all nodes."""
+"""Maximum deviation of a wait from the mean, as a share. A change ends all polls at
+once; with randomized waits, later answers are spread over time again and keep the topic
+confirmed for all nodes."""
 POLL_LAG_MS: Final = 300.0
-"""How much later than by another way a poll may bring a record."""
+"""How much later a poll may deliver a record than another path."""
 
 
 def compute_read_age(topic: Topic, rank: int, *, is_full_mesh: bool = True) -> float:
-    """Return the age of a topic at which a node of that rank reads it."""
+    """Return the age of a topic at which a node of the given rank reads it."""
     if rank == 0:
         return MAX_TOPIC_AGE_MS[topic]
     back_ms = SECOND_READER_DELAY_MS if is_full_mesh else HUB_READER_DELAY_MS
@@ -63,10 +66,10 @@
 
 
 def compute_outage_threshold(topic: Topic, *, is_full_mesh: bool) -> float:
-    """Return the time without an answer after which the store was away for all nodes.
+    """Return the time without an answered read that counts as an outage for all nodes.
 
-    By then every live node has tried. Before, it may be that only those that go first
-    were cut off, and entries that vanish meanwhile were taken away.
+    By then every live node has sent a read. After a shorter gap, possibly only the
+    nodes of low rank were partitioned, and entries that left the list were removed.
     """
     last_ms = compute_read_age(topic, MAX_RANK + 1, is_full_mesh=is_full_mesh)
     return last_ms + RETRY_MS + MAX_READ_LATENESS_MS
@@ -86,9 +89,6 @@
 
 
 def compute_poll_wait(node_count: int, draw: float) -> float:
-    """Return how long a read of a topic that seldom changes may wait, in ms.
-
-    `draw` is a random number from 0 to 1.
-    """
+    """Return the wait of a long poll, in ms; `draw` is a random number from 0 to 1."""
     mean_ms = min(MIN_POLL_MS + POLL_MS_PER_NODE * node_count, MAX_POLL_MS)
     return mean_ms * (1.0 + POLL_SPREAD * (2.0 * draw - 1.0))
--- a/packages/toucanyard/src/toucanyard/topic_updates.py
+++ b/packages/toucanyard/src/toucanyard/topic_updates.py
@@ -1,7 +1,7 @@
-"""Take in what the store and peers say of its topics, and pass it on.
+"""Apply records of topics from the store and from peers, and forward them.
 
-What a node reads or is sent changes its views; each change is applied to what the node
-knows, and peers that lack the new records are sent them.
+Records that a node reads or receives update its views; each change is applied to the
+node's state, and new records are sent to the peers that lack them.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from toucanyard.view_exchange import ViewExchange
 
 POLLED_DELAY_MS: Final = 250.0
-"""How long peers in a large fleet are left to read what operators wrote: all of them
-poll for it, and sent by each to each a large configuration fills slow links."""
+"""Time in which peers in a large fleet can read operators' records themselves. All of
+them poll for these, and a large configuration sent on every link fills slow ones."""
 
 
 class TopicUpdates:
-    """How records reach this node's views and what it knows.
+    """Updates of this node's views and state by records.
 
-    Invariant: replicas that left the list count by what all nodes have read of the
-    store, as it is known after each event.
+    Invariant: after each event, the directory evaluates replicas that left the list by
+    the store's availability as known from the reads of all nodes.
     """
 
     __slots__ = (
@@ -55,15 +55,15 @@
         self._roster = roster
         self._statuses = statuses
         self._assumed_age_ms = weights_deadline_ms / 2
-        """For how long wanted weights count as named that stood in the store before
-        this node looked."""
+        """Assumed age of wanted weights that were in the store before this node's
+        first read."""
 
     def handle_read(self, read: TopicRead, now_ms: float) -> Iterator[RelayAction]:
-        """Take in what the store gave."""
+        """Apply a read of the store."""
         view = self._exchange.views[read.topic]
         before, listed_ms = view.end, view.confirmed_ms
         if read.topic is Topic.REPLICAS and not self._roster.is_full_mesh():
-            # All nodes rely on the reader's word that the list is as it was.
+            # All nodes depend on the reader to confirm that the list is unchanged.
             self._statuses.note_due()
         changes = self._exchange.apply_read(
             read.topic,
@@ -90,7 +90,7 @@
     def handle_records(
         self, sender: NodeName, message: ViewRecords, now_ms: float
     ) -> Iterator[RelayAction]:
-        """Take in what a peer sent."""
+        """Apply records that a peer sent."""
         view = self._exchange.views[message.topic]
         before, listed_ms = view.end, view.confirmed_ms
         changes = self._exchange.apply_records(message, now_ms)
@@ -105,13 +105,13 @@
     def handle_status(
         self, sender: NodeName, views: Sequence[ViewStatus], now_ms: float
     ) -> Iterator[RelayAction]:
-        """Take in how far a peer knows each topic, and send it what it lacks."""
+        """Record how far a peer has read each topic, and send it what it lacks."""
         hold_ms = 0.0 if self._roster.is_full_mesh() else POLLED_DELAY_MS
         yield from self._exchange.handle_status(sender, views, now_ms, hold_ms=hold_ms)
         yield from self._update_availability()
 
     def _update_availability(self) -> Iterator[RelayAction]:
-        """Let replicas that left the list count by what is known of the store now."""
+        """Pass the store's availability to the directory, for replicas off the list."""
         absence = self._exchange.views[Topic.REPLICAS].availability.find_outage()
         if not self._directory.note_absence(absence):
             return
--- a/packages/toucanyard/src/toucanyard/view_exchange.py
+++ b/packages/toucanyard/src/toucanyard/view_exchange.py
@@ -1,7 +1,7 @@
-"""Keep the views of all topics and tell peers what they lack.
+"""Keep the views of all topics and send peers the records that they lack.
 
-Records that one node reads from the store go to its peers at once. What got lost on the
-way shows in the next status, which says how far each node knows each topic.
+Records that one node reads from the store are sent to its peers at once. A lost message
+is detected by the next status, which contains each node's offset in each topic.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from toucanyard.store_schedule import compute_outage_threshold
 
 RESEND_MS: Final = 700.0
-"""After this time records are sent again to a peer whose status lacks them."""
+"""Time after which records are sent again to a peer whose status lacks them."""
 
 
 class ViewExchange:
-    """The views of one node, and what its peers were told of them."""
+    """The views of one node, and how much of them was sent to its peers."""
 
     __slots__ = (
         "_is_full_mesh",
@@ -42,7 +42,7 @@
         self.views = {topic: KeyedView(topic, decode) for topic in Topic}
         self.linked: tuple[NodeName, ...] = ()
         self._updated_ms = dict.fromkeys(Topic, float("-inf"))
-        """When this node learned of the newest records of each topic."""
+        """When this node received the newest records of each topic."""
         self._sent_ends: dict[tuple[NodeName, Topic], tuple[int, float]] = {}
 
     def apply_read(
@@ -55,7 +55,7 @@
         is_whole: bool,
         now_ms: float,
     ) -> list[Change]:
-        """Take in what the store gave when asked at `asked_ms`."""
+        """Apply the answer of the store to a read sent at `asked_ms`."""
         view = self.views[topic]
         if end > view.end:
             self._updated_ms[topic] = now_ms
@@ -65,7 +65,7 @@
         return changes
 
     def apply_records(self, message: ViewRecords, now_ms: float) -> list[Change]:
-        """Take in what a peer sent; nothing if something before it is missing."""
+        """Apply records that a peer sent, unless earlier records are missing."""
         view = self.views[message.topic]
         if message.since > view.end and not message.is_whole:
             # This node's next status shows the peer what is missing.
@@ -80,7 +80,7 @@
     def push(
         self, names: Iterable[NodeName], topic: Topic, since: int, now_ms: float
     ) -> Iterator[SendToPeer]:
-        """Tell some peers of new records."""
+        """Send new records to the given peers."""
         for name in names:
             yield self._build(name, topic, since, now_ms)
 
@@ -92,9 +92,9 @@
         *,
         hold_ms: float = 0.0,
     ) -> Iterator[SendToPeer]:
-        """Take in how far a peer knows each topic, and tell it what it lacks.
+        """Record how far a peer has read each topic, and send it what it lacks.
 
-        `hold_ms` is how long a peer is left to read the operators' topic by itself.
+        `hold_ms` is the time in which a peer can read the operators' topic itself.
         """
         for status in statuses:
             view = self.views[status.topic]
@@ -109,7 +109,7 @@
                 yield self._build(sender, status.topic, status.end, now_ms)
 
     def list_statuses(self, now_ms: float) -> tuple[ViewStatus, ...]:
-        """Return how far this node knows each topic."""
+        """Return how far this node has read each topic."""
         return tuple(
             ViewStatus(
                 topic, view.find_reported_end(), _build_read_update(view, now_ms)
