--- a/packages/toucanyard/src/toucanyard/failed_loads.py
+++ b/packages/toucanyard/src/toucanyard/failed_loads.py
@@ -1,8 +1,8 @@
-"""Halt the roll-out of weights that end each replica which loads them.
+"""Halt the rollout of weights that crash the replicas which load them.
 
-A replica that ended under an order starts again with the weights that it had, and
-would be ordered again. Weights that no replica has loaded, while several ended under
-them, are left alone for a while and then tried by one replica.
+A replica that crashed during a load restarts with its previous weights and would be
+ordered to load again. If several replicas crashed during the load of a version and none
+has loaded it, the version is halted for a while and then tried on one replica.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from toucanyard.names import EndpointName
 
 MAX_FAILED_LOADS: Final = 3
-"""Replicas that ended under an order, after which the version is halted."""
+"""Number of replicas that crashed during a load, at which the version is halted."""
 HALT_MS: Final = 60_000.0
-"""Time until one replica tries a halted version again."""
+"""Time until a halted version is tried again on one replica."""
 MAX_VERSIONS: Final = 16
-"""Versions whose failures are remembered, the newest ones."""
+"""Maximum number of versions whose failures are stored; the newest are kept."""
 
 
 class FailedLoads:
-    """What became of the loads of one model's versions.
+    """Failed loads of the versions of one model's weights.
 
     Invariant: a version that a replica has loaded is not halted.
     """
@@ -33,24 +33,24 @@
         self._halted_ms: dict[int, float] = {}
 
     def count(self, version: int) -> int:
-        """Return how many replicas ended under an order of a version."""
+        """Return how many replicas crashed while they loaded a version."""
         return len(self._failed.get(version, ()))
 
     def is_halted(self, version: int, now_ms: float) -> bool:
-        """Tell whether no replica is to load a version now."""
+        """Return whether no replica may load a version now."""
         halted_ms = self._halted_ms.get(version)
         return halted_ms is not None and now_ms - halted_ms < HALT_MS
 
     def is_on_trial(self, version: int) -> bool:
-        """Tell whether one replica alone is to load a version."""
+        """Return whether only one replica at a time may load a version."""
         return self.count(version) >= MAX_FAILED_LOADS
 
     def record_read(
         self, replica: EndpointName, version: int, reach: Reach, now_ms: float
     ) -> bool:
-        """Record what was found at a replica under an order; return whether it halts.
+        """Record a replica without a report during a load; return whether this halts.
 
-        `reach` is what came instead of a report.
+        `reach` is the result of the request for the report.
         """
         if reach not in (Reach.NO_LISTENER, Reach.REPLACED):
             return False
@@ -66,6 +66,6 @@
         return True
 
     def forget(self, version: int) -> None:
-        """Drop what is held against a version, since a replica has loaded it."""
+        """Clear the failures of a version, since a replica has loaded it."""
         self._failed.pop(version, None)
         self._halted_ms.pop(version, None)
--- a/packages/toucanyard/src/toucanyard/keyed_view.py
+++ b/packages/toucanyard/src/toucanyard/keyed_view.py
@@ -111,7 +111,7 @@
         return 0 if self._unreadable_keys else self.end
 
     def list_since(self, offset: int) -> tuple[bool, list[KeyedRecord]]:
-        """Return the records from an offset on, and whether they are the whole topic."""
+        """Return whether the records are the whole topic, and those from `offset` on."""
         is_whole = offset < self._complete_from
         records = [
             entry.record
--- a/packages/toucanyard/src/toucanyard/leases.py
+++ b/packages/toucanyard/src/toucanyard/leases.py
@@ -1,10 +1,10 @@
-"""Take turns at ordering: one node at a time, by conditional appends to the store.
+"""Lease the right to send weight orders to one node at a time, by conditional appends.
 
-A turn is a lease. The record that begins it goes in only if nothing was appended since
-its author last read, and its offset is the fence on the orders. The holder acts for a
-short time after each of its records; another node waits that time and the least time
-between two holders after the last record it saw, by its own clock. Both are measured
-by clocks that count while a VM is suspended.
+The record that starts a lease is appended only if the topic has not changed since its
+author last read it, and the record's offset is the fence of the orders. The holder may
+act for a short time after each of its records. Another node waits for that time plus
+the minimum time between two holders, counted on its own clock from when it read the
+last record. Both use clocks that advance while a VM is suspended.
 """
 
 from __future__ import annotations
@@ -22,43 +22,43 @@
 )
 
 ACTIVE_MS: Final = 1_000.0
-"""How long a holder may order after it sent its last record."""
+"""How long a holder may send orders after it sent its last record."""
 RENEW_MS: Final = 500.0
-"""Time left of a turn at which it is renewed while there is work."""
+"""Remaining time at which a lease is renewed while there is work."""
 MARGIN_MS: Final = 200.0
-"""What clocks may run apart over one turn, with much to spare."""
+"""Allowance for clock drift during one lease, with a large reserve."""
 RANK_DELAY_MS: Final = 250.0
-"""How much longer each further candidate waits before it takes a turn."""
+"""Additional wait of each further candidate before it acquires the lease."""
 HOLDER_HEAD_START_MS: Final = 700.0
-"""How long others leave new work to the last holder if it is alive."""
+"""How long other nodes leave new work to the last holder if it is alive."""
 FOLLOWER_READ_MS: Final = 600.0
-"""Time between two reads of those who stand by for the turn. A record counts from when
-it was seen: one seen late would put off the next holder by as much."""
+"""Time between two reads of the standby nodes. The wait counts from when a record was
+read, so a record read late would delay the next holder by as much."""
 MAX_FOLLOWERS: Final = 3
-"""Live nodes that stand by for the turn; the others needn't read who holds it."""
+"""Number of standby nodes; other nodes don't read who holds the lease."""
 REQUEST_TIMEOUT_MS: Final = 1_000.0
-"""After this time a read or an append without an answer is made again."""
+"""Time after which a read or an append without an answer is retried."""
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """Who takes or keeps the turn."""
+    """The node that acquires or renews the lease."""
 
     node: NodeName
     incarnation: Incarnation
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """A turn that this node holds."""
+    """A lease that this node holds."""
 
     fence: int
     until_ms: float
 
 
 class Leases:
-    """The turn as one node sees it.
+    """The lease as known on one node.
 
-    Invariant: at most one node is between its last record and ACT_MS after it, and two
-    holders' times lie `lease_ms` apart.
+    Invariant: at most one node is within ACTIVE_MS after its last record, and these
+    periods of two holders are at least `lease_ms` apart.
     """
 
     __slots__ = (
@@ -87,27 +87,27 @@
         self._is_awaiting = False
 
     def find_lease(self, now_ms: float) -> Lease | None:
-        """Return the turn that this node may act on now."""
+        """Return the lease under which this node may send orders now."""
         if self._fence < 0 or now_ms >= self._until_ms:
             return None
         return Lease(self._fence, self._until_ms)
 
     def find_holder(self) -> NodeName | None:
-        """Return who took or kept the turn last."""
+        """Return the node that last acquired or renewed the lease."""
         return None if self._holder is None else self._holder.node
 
     def give_up(self) -> None:
-        """Stop acting at once, since a replica knows a higher fence."""
+        """Stop using the lease at once, since a replica has a higher fence."""
         self._until_ms = float("-inf")
         self._fence = -1
         self._end = None
 
     def apply_read(self, read: LeaseRead, now_ms: float) -> None:
-        """Take in records; those of other nodes end this node's turn."""
+        """Apply records that were read; those of other nodes end this node's lease."""
         self._is_awaiting = False
         for offset, value in read.records:
             record = _decode(value)
-            # A record that is read again is as old as when it was first seen.
+            # A record that is read again still dates from when it was first read.
             if record is None or offset < self._seen_end:
                 continue
             self._holder = record
@@ -118,10 +118,10 @@
         self._seen_end = max(self._seen_end, read.end)
 
     def apply_append(self, appended: LeaseAppended) -> None:
-        """Take in how an append ended."""
+        """Apply the result of an append."""
         self._is_awaiting = False
         if appended.offset is None:
-            # It may have gone in, or may yet: only reading tells.
+            # The append may have succeeded, or may do so later: only a read shows it.
             self._end = None
             return
         if self._fence < 0:
@@ -140,10 +140,10 @@
         *,
         is_leaving: bool = False,
     ) -> AppendLease | ReadLeases | None:
-        """Return what to ask of the store; called only while there is work.
+        """Return the next request to the store; called only while there is work.
 
-        `rank` counts the live nodes that go before this one. A node that is leaving
-        goes on with a turn that it has and takes no other.
+        `rank` is the number of live nodes that precede this one. A leaving node may
+        renew a lease that it holds but does not acquire one.
         """
         if self._is_awaiting and now_ms - self._asked_ms < REQUEST_TIMEOUT_MS:
             return None
--- a/packages/toucanyard/src/toucanyard/options.py
+++ b/packages/toucanyard/src/toucanyard/options.py
@@ -1,7 +1,7 @@
-"""Every setting of a node, as one class with a section for each matter.
+"""Define all settings of a node, as one class with a section for each topic.
 
-Decoded strictly: an unknown field, a wrong type or a value out of range is refused
-with the path of the field. Durations end in `_ms`, sizes in `_bytes`.
+Decoding is strict: an unknown field, a wrong type or a value out of range is rejected
+with the path of the field. Names of durations end in `_ms`, of sizes in `_bytes`.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 
 class PlatformOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
     log: IpAndPort
     vm_list: IpAndPort
 
 
 class CallerLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits on the callers' face."""
+    """Limits on the server for callers."""
 
     max_connections: Count = 2_000
     max_body_bytes: SizeBytes = 4_000_000
@@ -46,7 +46,7 @@
     header_timeout_ms: DurationMs = 5_000
     idle_timeout_ms: DurationMs = 60_000
     write_timeout_ms: DurationMs = 30_000
-    """How long a caller may take nothing of an answer that waits for it."""
+    """How long a caller may read nothing of a pending answer."""
     default_deadline_ms: DurationMs = 30_000
     max_deadline_ms: DurationMs = 300_000
     """Longest deadline of a caller; at most half of `claims.window_ms`."""
@@ -62,12 +62,12 @@
     max_silence_ms: DurationMs = 3_000
     max_resumes: Count = 5
     replay_buffer_bytes: SizeBytes = 24_576
-    """What one stream keeps for a caller that resumes it."""
+    """Bytes that one stream keeps for a caller that resumes it."""
     replay_keep_ms: DurationMs = 30_000
     kept_streams_bytes: SizeBytes = 8_000_000
-    """What all streams that have ended keep together."""
+    """Bytes that all ended streams keep together."""
     resume_grace_ms: DurationMs = 1_000
-    """How long an engine goes on for a caller that went away."""
+    """How long an engine continues for a caller that has disconnected."""
     max_idle_connections: Count = 32
 
 
@@ -75,52 +75,54 @@
     """Limits on requests that may run at most once."""
 
     window_ms: DurationMs = 600_000
-    """How long a key is remembered; shorter than the log's retention."""
+    """How long a key is kept; shorter than the log's retention."""
     log_retention_ms: DurationMs = 3_600_000
     append_timeout_ms: DurationMs = 1_000
     gather_ms: DurationMs = 5
-    """How long claims wait for others, so that they share one append."""
+    """How long claims wait for others to share one append."""
     max_appends_per_s: Count = 30
-    """This node's share of the log's rate."""
+    """This node's share of the log's append rate."""
     kept_answers_bytes: SizeBytes = 32_000_000
     max_keys: Count = 50_000
-    """Most keys remembered of each sort; when full, new keys are refused."""
+    """Maximum number of keys kept of each kind; when full, new keys are rejected."""
     max_claims: Count = 50_000
-    """Most claims remembered, of all nodes; when full, chosen keys are refused."""
+    """Maximum number of claims kept, of all nodes; when full, chosen keys are
+    rejected."""
     max_customer_share: Share = 0.5
-    """Most of a node's own keys that one customer may take."""
+    """Maximum share of a node's own keys that one customer may use."""
     resend_ms: DurationMs = 100
-    """How often a question to a peer that has not answered is sent again."""
+    """Interval at which an unanswered request to a peer is sent again."""
     note_gather_ms: DurationMs = 1
-    """Notes to witnesses go out at once if none did for this long, else together."""
+    """Records to backup nodes are sent at once if none was sent for this long;
+    otherwise they are batched."""
     ask_patience_ms: DurationMs = 300
-    """How long the issuer of a key may be silent before its witness is asked."""
+    """How long the issuer of a key may not answer before its backup node is asked."""
     ledger_ms: DurationMs = 60_000
-    """How long keys are issued on one ledger of a witness."""
+    """How long keys are issued on one ledger of a backup node."""
     hand_over_ms: DurationMs = 5_000
-    """Longest time that a planned stop takes to hand ended keys to peers."""
+    """Maximum time of a planned stop to transfer ended keys to peers."""
 
     def __post_init__(self) -> None:
-        """Refuse a window that the log may have forgotten a part of."""
-        # A claim that left the log inside the window would let its key run again.
+        """Reject a window that is not fully covered by the log's retention."""
+        # If a claim expired from the log inside the window, its key could run again.
         if self.window_ms * 2 > self.log_retention_ms:
             raise ValueError("window_ms must be at most half of log_retention_ms")
 
 
 class MembershipTimings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Timings of failure detection and of what nodes tell each other."""
+    """Timings of failure detection and of messages between nodes."""
 
     vm_list_poll_ms: DurationMs = 1_000
     load_poll_ms: DurationMs = 250
     poll_timeout_ms: DurationMs = 500
     max_polls_per_s: Count = 64
-    """Load polls of one node that watches every endpoint."""
+    """Load polls of one node that monitors every endpoint."""
     max_shared_polls_per_s: Count = 4
-    """Load polls of one node where nodes share the watching."""
+    """Load polls of one node if nodes share the monitoring."""
     max_event_bytes_per_s: SizeBytes = 4_000_000
-    """Cache events and lists of blocks of one node that watches every endpoint."""
+    """Cache events and block lists of one node that monitors every endpoint."""
     max_shared_event_bytes_per_s: SizeBytes = 400
-    """The same of one node where nodes share the watching."""
+    """The same for one node if nodes share the monitoring."""
     digest_interval_ms: DurationMs = 1_000
     max_peers: Count = 8
     suspect_after_ms: DurationMs = 2_000
@@ -132,7 +134,7 @@
 
 
 class ConfigurationTimings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Timings of the configuration's spread."""
+    """Timings of the configuration's synchronization."""
 
     log_poll_wait_ms: DurationMs = 1_000
     stale_after_ms: DurationMs = 5_000
@@ -140,26 +142,27 @@
 
 
 class PlacementOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits on what one node knows for placement."""
+    """Limits on the state that one node keeps for placement."""
 
     max_view_blocks: Count = 400_000
-    """Cached blocks known over all endpoints; half of it above 64 endpoints."""
+    """Maximum number of cached blocks tracked over all endpoints; half of it if there
+    are more than 64 endpoints."""
 
 
 class AdmissionLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits on what one node lets in."""
+    """Limits on the requests that one node admits."""
 
     max_queued: Count = 1_000
     max_queued_per_customer: Count = 500
     retry_budget_share: Share = 0.1
-    """Retries allowed as a share of first tries."""
+    """Maximum retries as a share of first attempts."""
     max_attempts: Count = 3
     max_wait_ms: DurationMs = 4_000
-    """Longest expected wait in the queue; what would wait longer is refused."""
+    """Maximum expected wait in the queue; requests with a longer one are rejected."""
     target_wait_ms: DurationMs = 500
-    """Wait at an endpoint above which its limit shrinks."""
+    """Wait at an endpoint above which its limit is reduced."""
     max_customer_share: Share = 0.8
-    """Share of a pool's places on this node that one customer may hold."""
+    """Maximum share of a pool's slots on this node that one customer may use."""
 
 
 class DrainTimings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -170,7 +173,7 @@
 
 
 class StatsdOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where counts and quantiles are sent."""
+    """Destination of counters and quantiles."""
 
     address: IpAndPort
     prefix: str = "toucanyard"
@@ -187,7 +190,7 @@
     peer_secrets: Annotated[tuple[str, ...], msgspec.Meta(min_length=1)]
     """Secrets shared by nodes, newest first: the first signs, each is accepted."""
     bootstrap_operator_hashes: tuple[str, ...] = ()
-    """Hashed keys accepted from operators while the configuration names none."""
+    """Key hashes accepted from operators while the configuration has no operators."""
     callers: CallerLimits = CallerLimits()
     streams: StreamLimits = StreamLimits()
     claims: ClaimLimits = ClaimLimits()
--- a/packages/toucanyard/src/toucanyard/order_messages.py
+++ b/packages/toucanyard/src/toucanyard/order_messages.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints, what endpoints say they have, and how orders end."""
+"""Messages about orders: orders to endpoints, endpoint states and outcomes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Order(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One order, as an endpoint takes it."""
+    """One order, as sent to an endpoint."""
 
     order_id: str
     fence: int
@@ -32,7 +32,7 @@
 
 
 class EndpointState(msgspec.Struct, frozen=True):
-    """What an endpoint says it has loaded."""
+    """What an endpoint reports to have loaded."""
 
     incarnation: Incarnation
     model: str
@@ -45,12 +45,12 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """What became of an order, as its sender saw it."""
+    """The outcome of an order, as seen by its sender."""
 
     DONE = "done"
     NOT_SENT = "not_sent"
     LOST = "lost"
-    """Sent, and no answer came: it may have taken effect, or may yet."""
+    """Sent without an answer: it may have taken effect, or may do so later."""
     STALE_FENCE = "stale_fence"
     UNEXPECTED_STATE = "unexpected_state"
     BUSY = "busy"
@@ -67,7 +67,7 @@
 
 
 class ReadState(msgspec.Struct, frozen=True):
-    """Ask an endpoint for its state."""
+    """Request an endpoint's state."""
 
     endpoint: EndpointName
     address: Address
--- a/packages/toucanyard/src/toucanyard/order_reads.py
+++ b/packages/toucanyard/src/toucanyard/order_reads.py
@@ -1,7 +1,8 @@
-"""Choose which endpoints of a held pool to read now.
+"""Choose which endpoints of a leased pool to read now.
 
-What an order waits for is read at once. Of the many that are still to be changed only
-as many as can be ordered soon, the one read longest ago first; the rest seldom.
+Endpoints with an order under way are read each time. Of those still to be changed,
+only as many are read as can be ordered soon, the one read longest ago first. The
+others are read seldom.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from toucanyard.orders import PoolOrders, ReadReason
 
 _MAX_UNKNOWN_READS: Final = 32
-"""Read together until each state is known and each number raised; a pool of 880 takes
-14 s and 19 KB/s for it."""
+"""Maximum number read at once until each state is known and each fence is raised. This
+takes 14 s and 19 KB/s for a pool of 880 endpoints."""
 _MAX_CHANGING_READS: Final = 8
-"""Read together of those to be ordered; twice as many as may start to load meanwhile
-leaves room for small orders and for endpoints that don't answer."""
+"""Maximum number read at once of those to be ordered. It is twice the number that may
+start to load meanwhile, to allow for other orders and endpoints that don't answer."""
 _QUIET_MS: Final = 5_000.0
 _QUIET_MS_PER_ENDPOINT: Final = 100.0
 
 
 class StateReads:
-    """When each endpoint of one pool was last asked, and all that are quiet."""
+    """When each endpoint of one pool was last read, and all without changes."""
 
     __slots__ = ("_all_asked_ms", "_asked_ms", "is_quiet")
 
@@ -34,16 +35,16 @@
         self._asked_ms: dict[EndpointName, float] = {}
         self._all_asked_ms = float("-inf")
         self.is_quiet = False
-        """Whether the last choice met nothing that is to be changed."""
+        """Whether the last choice found no endpoint that needs a change."""
 
     def choose(self, pool: Pool, orders: PoolOrders, now_ms: float) -> list[ReadState]:
-        """Return what to read now, taken as asked; wanted every 500 ms."""
+        """Return what to read now, and record it as read; to be called every 500 ms."""
         by_reason = orders.group_by_read_reason(pool, now_ms)
         self.is_quiet = len(by_reason[ReadReason.NONE]) == len(pool.endpoints)
         chosen = list(by_reason[ReadReason.ORDERED])
         chosen += self._find_oldest(by_reason[ReadReason.UNKNOWN], _MAX_UNKNOWN_READS)
         chosen += self._find_oldest(by_reason[ReadReason.CHANGING], _MAX_CHANGING_READS)
-        # Together: each answer leads to a plan, which looks at the whole pool.
+        # All at once, since each answer triggers a plan that examines the whole pool.
         quiet_ms = max(_QUIET_MS, _QUIET_MS_PER_ENDPOINT * len(pool.endpoints))
         if now_ms - self._all_asked_ms >= quiet_ms:
             self._all_asked_ms = now_ms
@@ -53,7 +54,7 @@
     def _find_oldest(
         self, endpoints: Sequence[Endpoint], most: int
     ) -> Sequence[Endpoint]:
-        """Return those that were asked longest ago."""
+        """Return those that were read longest ago."""
         if len(endpoints) <= most:
             return endpoints
         asked_ms = self._asked_ms
--- a/packages/toucanyard/src/toucanyard/orders.py
+++ b/packages/toucanyard/src/toucanyard/orders.py
@@ -1,8 +1,8 @@
 """Plan the orders that bring the endpoints of one pool to their desired state.
 
-Nothing is trusted to have held: each order is followed by reading the endpoint's
-state, and what is still wrong is ordered anew. Orders are conditional on the weights
-that were read, so one that arrives late changes nothing that has moved on.
+No order is assumed to have succeeded: after each one the endpoint's state is read, and
+a new order is sent if it still differs. Orders are conditional on the weights that were
+read, so a late one has no effect on an endpoint that has changed since.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 
 MAX_LOADS: Final = 2
 _WARM_SHARE: Final = 0.6
-"""Share of the other replicas that stay warm while one loads."""
+"""Share of the other replicas that must be warm while one loads."""
 _WARM_MS: Final = 5_000.0
 """How long a replica counts as cold after its load."""
 _FRESH_MS: Final = 2_000.0
-"""How old a state may be for an order to be based on it."""
+"""Maximum age of a state on which an order is based."""
 _UNKNOWN_STATE_MS: Final = 15_000.0
-"""How long an endpoint that can't be read counts as one that may be loading."""
+"""How long an endpoint whose state can't be read is assumed to be loading."""
 _MIN_ORDER_INTERVAL_MS: Final = 1_000.0
-"""Least time between two orders to one endpoint."""
+"""Minimum time between two orders to one endpoint."""
 _LOST_MS: Final = 2_000.0
-"""How long an order without an answer may still be under way."""
+"""How long an order without an answer may still be in transit."""
 _STARTS_PER_S: Final = 2.0
-"""Loads that one holder starts in a second; the weight store takes few."""
+"""Maximum rate of loads started by one holder; the weight store supports few."""
 
 
 class _Replica(msgspec.Struct):
-    """What the holder knows of one endpoint."""
+    """What the lease holder knows of one endpoint."""
 
     state: EndpointState | None = None
     asked_ms: float = float("-inf")
@@ -49,14 +49,14 @@
     """The order whose answer is awaited."""
     ordered_ms: float = float("-inf")
     is_load_open: bool = False
-    """A load was ordered and no state read since shows how it ended."""
+    """A load was ordered, and no state read since then shows its result."""
     cold_until_ms: float = float("-inf")
     unanswered_ms: float | None = None
-    """When it was first asked after its last answer."""
+    """When it was first read after its last answer."""
 
 
 class _PoolCounts(msgspec.Struct, frozen=True):
-    """How many endpoints of a pool may be loading, answer, and are warm as well."""
+    """How many endpoints of a pool may be loading, are reachable, and are warm."""
 
     loading: int
     reachable: int
@@ -67,21 +67,21 @@
     """Why the state of an endpoint is to be read."""
 
     NONE = enum.auto()
-    """As desired, or dead: seldom."""
+    """As desired, or dead: read seldom."""
     ORDERED = enum.auto()
-    """An order is under way, whose end only a state shows."""
+    """An order is under way, and only a state shows its result."""
     UNKNOWN = enum.auto()
-    """Not known yet, or its number is to be raised; no load is ordered before."""
+    """The state is unknown or its fence is too low; this blocks all loads."""
     CHANGING = enum.auto()
-    """To be ordered something, or suspected to be dead."""
+    """An order is to be sent, or the endpoint may be dead."""
 
 
 class PoolOrders:
     """Plan the orders of one pool under one fencing number.
 
-    Invariants: at most MAX_LOADS replicas load or may be loading when a load is
-    ordered; no load is ordered before each endpoint that checks fences has this
-    number, so that orders of an earlier holder can't add to them.
+    Invariants: at most MAX_LOADS replicas are or may be loading when a load is ordered;
+    no load is ordered until each endpoint that checks fences has this number, so that
+    orders of an earlier holder can't start further loads.
     """
 
     def __init__(self, pool: PoolName, fence: int, now_ms: float) -> None:
@@ -94,12 +94,12 @@
         self._tokens_updated_ms = now_ms
         self._unusable: Set[EndpointName] = frozenset()
         self._counts: _PoolCounts | None = None
-        """Worked out once a plan, and again after an order of it."""
+        """Computed once per plan, and again after each order of the plan."""
 
     def record_state(
         self, endpoint: EndpointName, state: EndpointState, asked_ms: float
     ) -> None:
-        """Take in the state that an endpoint gave when asked at `asked_ms`."""
+        """Record the state that an endpoint returned to a request at `asked_ms`."""
         replica = self._replicas.setdefault(endpoint, _Replica())
         if asked_ms <= replica.asked_ms:
             return
@@ -119,15 +119,15 @@
         outcome: OrderOutcome,
         now_ms: float,
     ) -> bool:
-        """Take in an answer; return whether the duty has gone to someone else."""
+        """Record the outcome of an order; return whether there is a newer holder."""
         replica = self._replicas.get(endpoint)
         if replica is None or replica.order_id != order_id:
             return outcome is OrderOutcome.STALE_FENCE
         replica.order_id = None
-        # Whatever the answer, only a state read from now on tells what is loaded.
+        # Whatever the outcome, only a state read from now on shows what is loaded.
         replica.ordered_ms = now_ms
         if outcome is OrderOutcome.LOST:
-            # It may still be under way and start a load after the next read.
+            # It may still be in transit and start a load after the next read.
             replica.ordered_ms = now_ms + _LOST_MS
         if outcome is OrderOutcome.NOT_SENT:
             replica.is_load_open = False
@@ -136,14 +136,14 @@
     def group_by_read_reason(
         self, pool: Pool, now_ms: float
     ) -> dict[ReadReason, list[Endpoint]]:
-        """Return the endpoints by why their state is to be read."""
+        """Return the endpoints by the reason to read their states."""
         found: dict[ReadReason, list[Endpoint]] = {need: [] for need in ReadReason}
         for each in pool.endpoints:
             found[self._find_read_reason(pool, each.name, now_ms)].append(each)
         return found
 
     def record_read_sent(self, endpoint: EndpointName, now_ms: float) -> None:
-        """Take in that an endpoint is asked for its state now."""
+        """Record that a read of an endpoint's state is sent now."""
         replica = self._replicas.setdefault(endpoint, _Replica())
         if replica.unanswered_ms is None:
             replica.unanswered_ms = now_ms
@@ -154,7 +154,7 @@
         replica = self._replicas.get(name, _Replica())
         if self._is_dead(replica, now_ms):
             # In a large pool some replica is always dead. It must not be read at the
-            # rate of a roll-out.
+            # rate used during a rollout.
             return ReadReason.NONE
         state = replica.state
         if state is None:
@@ -171,11 +171,11 @@
         )
 
     def set_unusable(self, names: Set[EndpointName]) -> None:
-        """Take in which endpoints get no work; they are no capacity to count on."""
+        """Set which endpoints get no requests and so don't count as capacity."""
         self._unusable = names
 
     def plan(self, pool: Pool, until_ms: float, now_ms: float) -> list[SendOrder]:
-        """Return the orders to send now; none is to be sent after `until_ms`."""
+        """Return the orders to send now; none may be sent after `until_ms`."""
         if now_ms >= until_ms:
             return []
         kept = {endpoint.name for endpoint in pool.endpoints}
@@ -210,8 +210,8 @@
         if state is None or not self._may_order(replica, now_ms):
             return None
         if state.checks_fence and state.fence < self.fence:
-            # Changes nothing but the number: from now on a late order of an earlier
-            # holder is refused here.
+            # This order only raises the fence, so that the endpoint rejects late orders
+            # of an earlier holder.
             return self._build(OrderKind.ROLE, state, role=state.role)
         change = _find_change(pool, state)
         if change is None:
@@ -240,7 +240,7 @@
         )
 
     def _is_fenced(self, pool: Pool, now_ms: float) -> bool:
-        """Tell whether no earlier holder's order can start a load any more."""
+        """Return whether orders of earlier holders can no longer start a load."""
         for endpoint in pool.endpoints:
             replica = self._replicas.get(endpoint.name)
             if replica is None or replica.state is None:
@@ -286,17 +286,17 @@
         if replica is None or replica.state is None:
             return now_ms - self._started_ms < _UNKNOWN_STATE_MS
         if replica.state.is_loading or replica.is_load_open:
-            # An endpoint that died while it loaded no longer says how it ended.
+            # An endpoint that died while loading never reports the result.
             return (
                 now_ms - max(replica.asked_ms, replica.ordered_ms) < _UNKNOWN_STATE_MS
             )
         return False
 
     def _is_reachable(self, name: EndpointName, now_ms: float) -> bool:
-        """Tell whether an endpoint counts for the capacity to be kept.
+        """Return whether an endpoint counts for the capacity to be kept.
 
-        Those that are dead don't, or a pool with many of them would never get new
-        weights.
+        Dead endpoints don't count; otherwise a pool with many of them would never get
+        new weights.
         """
         replica = self._replicas.get(name)
         if replica is None or replica.state is None:
@@ -337,8 +337,8 @@
         adapter: str = "",
         role: str = "",
     ) -> Order:
-        # Each try has an id of its own. With one id for the same goal, an endpoint
-        # that was led astray since would answer that it had already been done.
+        # Each attempt has its own id. If attempts for one target shared an id, an
+        # endpoint whose weights changed since would report the order as already done.
         self._number += 1
         return Order(
             order_id=f"{self.pool}-{self.fence}-{self._number}",
--- a/packages/toucanyard/src/toucanyard/pool_leases.py
+++ b/packages/toucanyard/src/toucanyard/pool_leases.py
@@ -1,9 +1,9 @@
-"""Decide by records in the log which node brings a pool to its desired state.
+"""Determine by records in the log which node brings a pool to its desired state.
 
-A duty is a lease for one pool. A claim is valid when no valid record of that pool
-stands within the lease before it, by the log's own clock, and its offset is the
-fencing number on the holder's orders. The holder counts its lease from before it
-sent the append, on its own clock, so it stops before the log lets another start.
+The right to send a pool's orders is a lease. A claim is valid if there is no valid
+record of the pool within the lease time before it, by the log's clock, and its offset
+is the fencing number of the holder's orders. The holder measures its lease on its own
+clock from before it sent the append, so it stops before the log permits another holder.
 """
 
 from __future__ import annotations
@@ -26,19 +26,20 @@
 LEASE_MS: Final = 10_000.0
 RENEW_MS: Final = 3_000.0
 _DRIFT_SHARE: Final = 0.1
-"""How much of the lease the holder gives up, for clocks that run unevenly."""
+"""Share by which the holder shortens its lease, to allow for clock drift."""
 _APPEND_RETRY_MS: Final = 2_000.0
 _CANDIDATE_DELAY_MS: Final = 1_000.0
-"""How much longer each further candidate waits before it claims."""
+"""Additional wait of each further candidate before it sends a claim."""
 _MAX_RECORD_CHARACTERS: Final = 2_048
 _MANY_LEASES: Final = 1_024
 
 
 class PoolLeaseRecord(msgspec.Struct, frozen=True, tag_field="kind", tag="duty"):
-    """Claim, renew or give up the duty for a pool.
+    """Claim, renew or release the lease of a pool.
 
-    `fence` is None in a claim, which gets its own offset; otherwise the number that is
-    renewed or, with `is_release`, given up. `record_id` tells the author its own.
+    `fence` is None in a claim, whose own offset becomes the fence; otherwise it is the
+    fence that is renewed or, with `is_release`, released. By `record_id` the author
+    recognizes its own records.
     """
 
     pool: PoolName
@@ -49,7 +50,7 @@
 
 
 class PoolLease(msgspec.Struct, frozen=True):
-    """A duty that this node holds, until a time on its own clock."""
+    """A lease that this node holds until a time on its own clock."""
 
     pool: PoolName
     fence: int
@@ -57,10 +58,10 @@
 
 
 class _Lease(msgspec.Struct):
-    """What the records of one pool lead to.
+    """The state of one pool's lease, by the records read.
 
-    While `is_known` is false, records may be missing before the first one read, and
-    only their times are noted.
+    While `is_known` is false, records before the first one read may be missing, and
+    only the times of records are stored.
     """
 
     is_known: bool
@@ -78,10 +79,10 @@
 
 
 class PoolLeases:
-    """Hold the duties of all pools as one node sees them.
+    """The leases of all pools as known on one node.
 
-    Invariant: at any time at most one node holds a valid lease whose own deadline has
-    not passed, unless clocks drift by more than a tenth of the lease.
+    Invariant: at any time at most one node holds a valid lease that has not expired on
+    its own clock, unless clocks drift by more than a tenth of the lease.
     """
 
     def __init__(self, identity: NodeId, rng: random.Random) -> None:
@@ -96,23 +97,23 @@
         self._log_ms = float("-inf")
 
     def set_read_start(self, oldest: int, from_offset: int) -> None:
-        """Take in where reading begins: whether records may be missing before."""
+        """Record where reading starts, hence whether earlier records are missing."""
         self._is_complete = oldest == 0 and from_offset == 0
 
     def handle_expired(self) -> None:
-        """Take in that records were missed, so that no state is known any more."""
+        """Discard all state, since records expired before they were read."""
         self._is_complete = False
         self._first_at_ms = None
         self._head_since_ms = None
         self._leases.clear()
 
     def update_log_end(self, asked_ms: float) -> None:
-        """Take in that everything up to the log's end at `asked_ms` was read."""
+        """Record that the log was read up to its end at `asked_ms`."""
         if self._head_since_ms is None:
             self._head_since_ms = asked_ms
 
     def find_held(self, now_ms: float) -> list[PoolLease]:
-        """Return the duties that this node may act on now."""
+        """Return the leases under which this node may send orders now."""
         return [
             PoolLease(pool, lease.fence, lease.until_ms)
             for pool, lease in self._leases.items()
@@ -120,12 +121,12 @@
         ]
 
     def find_holder(self, pool: PoolName) -> NodeId | None:
-        """Return who the log says held a pool's duty last."""
+        """Return the last holder of a pool's lease according to the log."""
         lease = self._leases.get(pool)
         return None if lease is None else lease.holder
 
     def apply_record(self, offset: int, at_ms: float, text: str, now_ms: float) -> None:
-        """Replay one record of any kind; no text makes it raise."""
+        """Replay one record of any kind; no text raises an exception."""
         at_ms = self._log_ms = max(at_ms, self._log_ms)
         if self._first_at_ms is None:
             self._first_at_ms = at_ms
@@ -159,7 +160,7 @@
     def tick(
         self, pools: Sequence[PoolName], nodes: Sequence[NodeName], now_ms: float
     ) -> list[AppendToLog]:
-        """Return records to append: renewals, and claims of duties that are free.
+        """Return records to append: renewals, and claims of leases that are free.
 
         Called only while the configuration is known to be current.
         """
@@ -185,7 +186,7 @@
         return appends
 
     def release(self, now_ms: float) -> list[AppendToLog]:
-        """Give up every duty, for a planned stop; nothing is held after this."""
+        """Release all leases, for a planned stop; none is held afterwards."""
         appends: list[AppendToLog] = []
         for duty in self.find_held(now_ms):
             self._leases[duty.pool].until_ms = float("-inf")
@@ -194,16 +195,16 @@
         return appends
 
     def give_up(self, pool: PoolName) -> None:
-        """Stop acting on a duty at once, since an endpoint knows a higher number."""
+        """Stop using a lease at once, since an endpoint has a higher fence."""
         lease = self._leases.get(pool)
         if lease is not None:
             lease.until_ms = float("-inf")
 
     def _drop_expired(self, at_ms: float) -> None:
-        """Forget leases that are over, once there are many.
+        """Delete expired leases once there are many.
 
-        One that is over and one that never was lead to the same verdicts, and records
-        that name ever new pools would fill the memory.
+        An expired lease is equivalent to none, and records that keep naming new pools
+        would otherwise exhaust the memory.
         """
         if len(self._leases) < _MANY_LEASES:
             return
@@ -217,8 +218,8 @@
         last_ms = lease.last_at_ms
         is_free = last_ms is None or at_ms - last_ms >= LEASE_MS
         if not lease.is_known:
-            # Something unread may have made another one the holder. After a whole
-            # lease without any record of the pool, no lease can stand, whoever held.
+            # An unread record may have made another node the holder. After the full
+            # lease time without a record of the pool, any earlier lease has expired.
             return record.fence is None and is_free and self._covers(at_ms, now_ms)
         if record.fence is None:
             return is_free or lease.holder is None
@@ -226,7 +227,7 @@
         return is_holder and not is_free
 
     def _covers(self, at_ms: float, now_ms: float) -> bool:
-        """Tell whether the whole lease before a record was read."""
+        """Return whether the log was read for the full lease time before a record."""
         if self._first_at_ms is not None and at_ms - self._first_at_ms >= LEASE_MS:
             return True
         since_ms = self._head_since_ms
--- a/packages/toucanyard/src/toucanyard/pool_order_runner.py
+++ b/packages/toucanyard/src/toucanyard/pool_order_runner.py
@@ -1,4 +1,4 @@
-"""Join duties and orders: what one node does for the pools whose duty it holds."""
+"""Run the orders of one node for the pools whose leases it holds."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from toucanyard.pool_leases import POOL_LEASE_PREFIX, PoolLeases
 
 _READ_MS: Final = 500.0
-"""Time between two choices of what to read."""
+"""Time between two selections of the states to read."""
 _PLAN_MS: Final = 250.0
 _IDLE_PLAN_MS: Final = 1_000.0
-"""Time between two plans without news; a plan looks at each endpoint of the pool."""
+"""Time between two plans while no new state arrives; a plan examines each endpoint."""
 
 FindUnusable = Callable[[Sequence[Endpoint], float], Set[EndpointName]]
 OrderAction = AppendToLog | SendOrder | ReadState
@@ -41,9 +41,9 @@
 
 
 class PoolOrderRunner:
-    """Hold the duties of one node and plan the orders that go with them.
+    """Hold the pool leases of one node and plan the orders for these pools.
 
-    Invariant: a plan belongs to one fencing number; a new one starts from nothing.
+    Invariant: a plan belongs to one fencing number; a new number starts an empty plan.
     """
 
     def __init__(self, identity: NodeId, rng: random.Random) -> None:
@@ -53,11 +53,11 @@
         self._next_offset = 0
 
     def read_log(self, read: LogRead, now_ms: float) -> None:
-        """Judge the duties' records of a part of the log."""
+        """Replay the lease records of a part of the log."""
         if read.from_offset == 0 and self._next_offset == 0:
             self.leases.set_read_start(0, 0)
-        # What is read again was judged already; a second time, an old claim of a duty
-        # would come after newer ones.
+        # Records that are read again are skipped, since an old claim would otherwise be
+        # replayed after newer ones.
         records = [each for each in read.records if each.offset >= self._next_offset]
         self._next_offset = max(self._next_offset, read.next_offset)
         for record in records:
@@ -66,7 +66,7 @@
             self.leases.update_log_end(read.asked_ms)
 
     def owns(self, record_id: str) -> bool:
-        """Tell whether a log record of this node concerns duties."""
+        """Return whether a log record of this node concerns pool leases."""
         return record_id.startswith(POOL_LEASE_PREFIX)
 
     def tick(
@@ -77,10 +77,10 @@
         now_ms: float,
         find_unusable: FindUnusable | None = None,
     ) -> list[OrderAction]:
-        """Return what to append, read and order now; wanted every 100 ms or so.
+        """Return what to append, read and order now; to be called every 100 ms or so.
 
         `may_order` is false while the configuration may be outdated: orders under an
-        old version could undo those of a newer one.
+        old version could revert those of a newer one.
         """
         if not may_order:
             return []
@@ -110,7 +110,7 @@
     def record_state(
         self, endpoint: EndpointName, state: EndpointState, asked_ms: float
     ) -> None:
-        """Take in the state that an endpoint gave when asked at `asked_ms`."""
+        """Record the state that an endpoint returned to a request at `asked_ms`."""
         entry = self._find_entry(endpoint)
         if entry is not None:
             entry.orders.record_state(endpoint, state, asked_ms)
@@ -119,7 +119,7 @@
     def record_outcome(
         self, sent: SendOrder, outcome: OrderOutcome, now_ms: float
     ) -> None:
-        """Take in what became of an order; a stale number ends the duty here."""
+        """Record the outcome of an order; a stale fence ends this node's lease."""
         entry = self._held_pools.get(sent.pool)
         if entry is None or entry.orders.fence != sent.order.fence:
             return
--- a/packages/toucanyard/src/toucanyard/rollout_leader.py
+++ b/packages/toucanyard/src/toucanyard/rollout_leader.py
@@ -1,4 +1,4 @@
-"""Lead the rollout of new weights while this node holds the turn to order them."""
+"""Lead the rollout of new weights while this node holds the lease for orders."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 )
 
 FINAL_READ_DELAY_MS: Final = 300.0
-"""Time after the work is done at which candidates look who did it, and when."""
+"""Time after the end of the work at which candidates read who held the lease."""
 
 SAFE_SHARE: Final = 0.75
-"""Share of the time for new weights in which a rollout plans to end."""
+"""Share of the deadline for new weights in which a rollout is planned to finish."""
 
 SCAN_INTERVAL_MS: Final = 100.0
-"""Time between two looks for replicas that are behind; at each tick, those of 70 took a
-fifth of all that a node decides."""
+"""Time between two scans for outdated replicas. With 70 replicas and a scan at each
+tick, scans took a fifth of a node's time for decisions."""
 
 RolloutAction = AppendLease | ReadLeases | ReadReplicaState | WeightsOrder | Note
 
@@ -52,9 +52,9 @@
 
 
 class RolloutLeader:
-    """Orders for all models, by whichever node has the turn.
+    """The rollouts of all models, led by the node that holds the lease.
 
-    Invariant: orders are planned only while this node holds a turn.
+    Invariant: orders are planned only while this node holds the lease.
     """
 
     __slots__ = (
@@ -98,7 +98,7 @@
         event: LeaseRead | LeaseAppended | ReplicaStateRead | OrderAnswered,
         now_ms: float,
     ) -> None:
-        """Take in what the store or a replica answered."""
+        """Handle an answer of the store or of a replica."""
         match event:
             case LeaseRead():
                 self._leases.apply_read(event, now_ms)
@@ -120,15 +120,15 @@
         ]
 
     def is_busy(self) -> bool:
-        """Tell whether replicas are known to be behind, or being changed."""
+        """Return whether replicas are known to be outdated or are being changed."""
         return self._work.since_ms is not None or bool(self.list_changing())
 
     def tick(self, now_ms: float, *, is_leaving: bool = False) -> list[RolloutAction]:
-        """Return what to ask of the store and of replicas now.
+        """Return the requests to send to the store and to replicas now.
 
-        A node that is leaving ends what it has begun: were it to stop at once, the
-        next one would wait out the lease, and a roll of all VMs would stop every
-        holder before the weights are in place.
+        A leaving node completes the work that it has started. If it stopped at once,
+        the next node would have to wait for the lease to expire, and a rolling restart
+        of all VMs would stop every holder before the weights are in place.
         """
         if not self.is_busy() and now_ms - self._scanned_ms < SCAN_INTERVAL_MS:
             return []
@@ -189,7 +189,7 @@
         return RolloutBudget(left_ms)
 
     def _read_after_work(self, now_ms: float) -> list[RolloutAction]:
-        """Look once after the work who did it: a turn counts from when it was seen."""
+        """Read the lease once after the work, since it counts from when it is read."""
         work = self._work
         if work.since_ms is not None:
             self._work = _Work(done_ms=now_ms)
@@ -211,9 +211,9 @@
             rollout.record_state(read)
 
     def _is_other_incarnation(self, read: ReplicaStateRead, now_ms: float) -> bool:
-        """Tell whether a report is not of the life that was asked.
+        """Return whether a report is of another incarnation than the one requested.
 
-        Its count of orders would allow an order that was meant for the other one.
+        Its order count would make an order meant for the other incarnation acceptable.
         """
         known = self._directory.find(read.replica)
         if known is None or read.state is None or read.state.born_ms is None:
--- a/packages/toucanyard/src/toucanyard/settings.py
+++ b/packages/toucanyard/src/toucanyard/settings.py
@@ -1,6 +1,6 @@
-"""Read settings and patches: JSON with comments, decoded strictly.
+"""Read settings and patches as JSON with comments, with strict decoding.
 
-An error names the file, the path of the field, what was found and what is expected.
+An error names the file, the path of the field, the value found and what is expected.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class SettingsError(Exception):
-    """Say which file and field is wrong; the command line exits with status 2."""
+    """An invalid file; names the field, and the command line exits with status 2."""
 
 
 class _RejectedJsonError(Exception):
-    """JSON that the library takes, and that leaves open what was meant."""
+    """JSON that the library accepts although its meaning is ambiguous."""
 
 
 def load_document(file: Path, kind: type[T]) -> T:
@@ -53,7 +53,7 @@
 
 
 def check_ranges(file: Path, options: Options) -> None:
-    """Refuse settings that are each valid but contradict one another."""
+    """Reject settings that are individually valid but contradict each other."""
     callers = options.callers
     if callers.default_deadline_ms > callers.max_deadline_ms:
         raise SettingsError(
@@ -62,8 +62,8 @@
             " - at `$.callers.default_deadline_ms`"
         )
     window_ms = options.claims.window_ms
-    # A key counts from its first try: were it forgotten while a request under it is
-    # still waiting, a retry would run a second time.
+    # The window starts at a key's first attempt. If the key expired while a request
+    # under it was still waiting, a retry would run a second time.
     if callers.max_deadline_ms * 2 > window_ms:
         raise SettingsError(
             f"{file}: found max_deadline_ms {callers.max_deadline_ms}, expected"
@@ -110,10 +110,10 @@
 
 
 def _replace_comments(text: str) -> str:
-    """Put blanks in place of comments.
+    """Replace comments with blanks.
 
-    The library takes them out with their line ends, so that the lines of its errors
-    would not be those of the file.
+    The library removes them with their line ends, so the line numbers in its errors
+    would not match the file.
     """
     return _STRING_OR_COMMENT.sub(
         lambda match: match[0] if match[0][0] == '"' else _NO_BREAK.sub(" ", match[0]),
@@ -122,10 +122,10 @@
 
 
 def _build_object(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    """Return an object, and refuse a field that stands twice.
+    """Return an object; reject duplicate fields.
 
-    The library keeps the last one: an operator who mends the first would see no
-    effect and no error.
+    The library keeps the last one, so an operator who edits the first would see neither
+    an effect nor an error.
     """
     fields = dict(pairs)
     if len(fields) == len(pairs):
--- a/packages/toucanyard/src/toucanyard/settings_errors.py
+++ b/packages/toucanyard/src/toucanyard/settings_errors.py
@@ -1,7 +1,7 @@
-"""Say what was found and what is expected where a document doesn't fit its class.
+"""Describe why a document doesn't match its class: what was found, what is expected.
 
-The decoding library names the path and what it expects, but seldom the value, which
-is looked up in the document here. Values of secrets are never repeated.
+The decoding library reports the path and what it expects, but seldom the value, so the
+value is looked up in the document. Values of secrets are never shown.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 def _find_value(document: object, path: str) -> object:
-    """Return what stands at a path, such as `$.pools[0].name`."""
+    """Return the value at a path, such as `$.pools[0].name`."""
     value = document
     for step in _STEP.finditer(path):
         name, index = step[1], step[2]
--- a/packages/toucanyard/src/toucanyard/snapshot_exchange.py
+++ b/packages/toucanyard/src/toucanyard/snapshot_exchange.py
@@ -1,7 +1,7 @@
-"""Give starting peers a snapshot of this node, and fetch one at this node's start.
+"""Send snapshots of this node to starting peers, and fetch one when this node starts.
 
-Joins `snapshots` with what the other modules know. A fetch begins with the first
-links and ends with the first whole snapshot; serving doesn't wait for it.
+Connects `snapshots` with the state of other modules. A fetch begins with the first
+links and ends with the first complete snapshot; serving doesn't wait for it.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 )
 
 _FETCH_WITHIN_MS: Final = 10_000.0
-"""How long after the start a snapshot is of use: everything is learned by then."""
+"""Time after the start in which a snapshot is useful: by then all is learned anyway."""
 
 
 class SnapshotExchange:
     """The snapshots that one node serves, and the one that it fetches at its start.
 
-    Invariant: at most one fetch is made in a node's life.
+    Invariant: a node makes at most one fetch per incarnation.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._started_ms: float | None = None
 
     def tick(self, linked: frozenset[NodeName], now_ms: float) -> Iterator[SendMessage]:
-        """Begin the fetch once there are links, and ask for what is due."""
+        """Start the fetch once there are links, and send the requests that are due."""
         if self._is_done:
             return
         if self._started_ms is None:
@@ -79,7 +79,7 @@
     def handle(
         self, sender: NodeName, message: SnapshotMessage, now_ms: float
     ) -> Iterator[SendMessage]:
-        """Answer a peer's request, or take in a peer's answer."""
+        """Answer a peer's request, or handle a peer's answer."""
         match message:
             case SnapshotRequest():
                 if self._server.needs_snapshot(sender, message, now_ms):
@@ -122,7 +122,7 @@
             self._log.adopt(snapshot.configuration)
         for hint in snapshot.endpoints:
             if self._membership.find_incarnation(hint.endpoint) is not None:
-                # What this node has seen itself since its start is newer.
+                # What this node has observed itself since its start is newer.
                 continue
             self._placement.note_incarnation(hint.endpoint, hint.incarnation)
             if hint.weights_version:
--- a/packages/toucanyard/src/toucanyard/snapshots.py
+++ b/packages/toucanyard/src/toucanyard/snapshots.py
@@ -1,7 +1,7 @@
-"""Give a starting node what a running one knows, in parts of bounded size and rate.
+"""Send a running node's state to a starting one, in parts of bounded size and rate.
 
-A snapshot has the configuration and, beside it, hints that make the first seconds
-better: incarnations, leaving addresses, weights, loads. A node needs only the
+A snapshot contains the configuration and hints that improve decisions in the first
+seconds: incarnations, leaving addresses, weights, loads. A node needs only the
 configuration to serve; everything else is learned again if it is missing.
 """
 
@@ -28,7 +28,7 @@
 
 
 class EndpointHint(msgspec.Struct, frozen=True, array_like=True):
-    """What a node knows of one endpoint."""
+    """What a node knows about one endpoint."""
 
     endpoint: EndpointName
     incarnation: Incarnation
@@ -38,10 +38,10 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What one node gives another at its start.
+    """The state that one node sends to another at its start.
 
-    `next_offset` is where the log is to be read on from for everything but the
-    configuration, which carries its own.
+    `next_offset` is the offset from which to continue reading the log for everything
+    but the configuration, which contains its own.
     """
 
     configuration: CheckpointRecord | None
@@ -51,14 +51,14 @@
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, tag="snapshot_request"):
-    """Ask a peer for a part; part 0 makes the peer take a new snapshot."""
+    """Request a part from a peer; part 0 makes the peer create a new snapshot."""
 
     transfer: int
     part: int
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, tag="snapshot_part"):
-    """One part of an encoded snapshot; the digest is that of the whole."""
+    """One part of an encoded snapshot, with the digest of the complete snapshot."""
 
     transfer: int
     part: int
@@ -68,7 +68,7 @@
 
 
 class SnapshotBusy(msgspec.Struct, frozen=True, tag="snapshot_busy"):
-    """Say that this node serves enough others now, and when to ask again."""
+    """Refuse a request while others are served, with the time until a retry."""
 
     transfer: int
     retry_after_ms: float
@@ -78,25 +78,25 @@
 
 
 class SnapshotInvalidError(Exception):
-    """The bytes are no snapshot."""
+    """The bytes are not a valid snapshot."""
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the bytes of a snapshot, with hints cut to their bounds."""
+    """Return the bytes of a snapshot, with hints truncated to their bounds."""
     bounded = msgspec.structs.replace(
         snapshot,
         endpoints=snapshot.endpoints[:_MAX_ENDPOINTS],
     )
     data = msgspec.msgpack.encode(bounded)
     if len(data) > MAX_SNAPSHOT_BYTES:
-        # The hints are what can be done without.
+        # The hints are dispensable.
         bare = msgspec.structs.replace(bounded, endpoints=())
         data = msgspec.msgpack.encode(bare)
     return data
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Return the snapshot in some bytes, or raise SnapshotInvalidError."""
+    """Decode a snapshot; raise SnapshotInvalidError if the bytes are invalid."""
     try:
         return msgspec.msgpack.decode(data, type=Snapshot)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -110,10 +110,10 @@
 
 
 class SnapshotServer:
-    """Serve snapshots to few peers at once and at a limited rate.
+    """Serve snapshots to a few peers at once and at a limited rate.
 
-    Invariant: at most _MAX_SERVED encoded snapshots are held. In a herd restart the
-    few nodes that kept running would otherwise spend themselves on the others.
+    Invariant: at most _MAX_SERVED encoded snapshots are held. When most nodes restart
+    at once, the few that kept running would otherwise be overloaded by the others.
     """
 
     def __init__(self) -> None:
@@ -123,7 +123,7 @@
     def needs_snapshot(
         self, peer: NodeName, request: SnapshotRequest, now_ms: float
     ) -> bool:
-        """Tell whether a new snapshot is to be taken for this request."""
+        """Return whether to create a new snapshot for this request."""
         self._drop_idle(now_ms)
         is_known = (peer, request.transfer) in self._serving
         return request.part == 0 and not is_known and len(self._serving) < _MAX_SERVED
@@ -138,7 +138,7 @@
     def answer(
         self, peer: NodeName, request: SnapshotRequest, now_ms: float
     ) -> SnapshotPart | SnapshotBusy:
-        """Return the part asked for, or when to ask again."""
+        """Return the requested part, or when to retry."""
         serving = self._serving.get((peer, request.transfer))
         if serving is None:
             return SnapshotBusy(request.transfer, _RETRY_MS)
@@ -161,18 +161,18 @@
 
 
 class SendRequest(msgspec.Struct, frozen=True):
-    """Send a request to a peer."""
+    """Send a snapshot request to a peer."""
 
     peer: NodeName
     request: SnapshotRequest
 
 
 class SnapshotFetch:
-    """Fetch one snapshot at a node's start, from one peer after the other.
+    """Fetch one snapshot at a node's start, trying one peer after another.
 
-    Peers in another failure domain come last, unless none of the own answers; order
-    within each is random, so that a herd doesn't fall upon one node. It is over when
-    a snapshot is whole or every peer was tried.
+    Peers in other failure domains are tried after those in the node's own. The order
+    within each group is random, so that nodes starting together don't all choose the
+    same peer. The fetch ends when a snapshot is complete or every peer was tried.
     """
 
     def __init__(
@@ -191,7 +191,7 @@
         self.snapshot: Snapshot | None = None
 
     def is_over(self) -> bool:
-        """Tell whether nothing more will come."""
+        """Return whether the fetch has ended."""
         return self.snapshot is not None or (
             self._peer is None and not self._untried_peers
         )
@@ -212,7 +212,7 @@
     def handle(
         self, peer: NodeName, message: SnapshotPart | SnapshotBusy, now_ms: float
     ) -> SendRequest | None:
-        """Take in a peer's answer; return the next request, if any."""
+        """Handle a peer's answer; return the next request, if any."""
         if peer != self._peer or message.transfer != self._transfer:
             return None
         if isinstance(message, SnapshotBusy):
--- a/packages/toucanyard/src/toucanyard/target_weights.py
+++ b/packages/toucanyard/src/toucanyard/target_weights.py
@@ -1,4 +1,4 @@
-"""Know which weights operators want of each model, and for how long they have."""
+"""Track the weights that operators want for each model, and since when."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 
 class WantedWeights(msgspec.Struct, frozen=True):
-    """Weights that operators have named for a model."""
+    """Weights that operators have requested for a model."""
 
     model: str
     version: int
 
 
 RECENT_MS: Final = 15_000.0
-"""How long peers are told when weights were named; by then all replicas have them."""
+"""How long the age of target weights is sent to peers; by then all replicas have the
+weights."""
 MAX_NAMED: Final = 64
-"""Versions of one model that are remembered; older ones run nowhere any more."""
+"""Maximum number of versions kept per model; no replica runs older ones any more."""
 
 
 class TargetWeights:
-    """The wanted versions of one model, each with when this node learned of it.
+    """The target versions of one model, each with when this node learned of it.
 
-    Invariant: versions only grow.
+    Invariant: versions only increase.
     """
 
     __slots__ = ("_named", "version")
@@ -33,27 +34,27 @@
         self._named: list[tuple[int, float]] = []
 
     def apply(self, version: int, now_ms: float) -> None:
-        """Take in a version that is newer than the last."""
+        """Set a new target version, which is newer than the current one."""
         self.version = version
         self._named.append((version, now_ms))
         del self._named[:-MAX_NAMED]
 
     def record_age(self, version: int, learned_ms: float) -> None:
-        """Take in that a version has been wanted for longer than this node knew."""
+        """Record that a version has been a target for longer than known so far."""
         self._named = [
             (each, min(at_ms, learned_ms) if each == version else at_ms)
             for each, at_ms in self._named
         ]
 
     def list_recent(self, since_ms: float) -> list[tuple[int, float]]:
-        """Return the versions that were learned of since a time."""
+        """Return the versions that this node learned of since a time."""
         return [each for each in self._named if each[1] >= since_ms]
 
     def compute_age(self, version: int, now_ms: float) -> float:
-        """Return how long weights have been replaced by newer ones, 0 if they are not.
+        """Return how long ago a version was superseded, or 0 if it was not.
 
-        It counts from the first newer version: while versions follow each other fast,
-        weights two versions back would else never be too old.
+        The age counts from the first newer version. Otherwise, with versions in quick
+        succession, even weights that are two versions behind would never be too old.
         """
         for newer, learned_ms in self._named:
             if newer > version:
@@ -62,7 +63,7 @@
 
 
 class TargetWeightsTable:
-    """The wanted weights of every model. Invariant: a version never falls."""
+    """The target weights of every model. Invariant: a version never decreases."""
 
     __slots__ = ("_weight_targets",)
 
@@ -70,7 +71,7 @@
         self._weight_targets: dict[str, TargetWeights] = {}
 
     def apply(self, wanted: WantedWeights, now_ms: float) -> bool:
-        """Take in a wanted version; return whether it is newer than the last."""
+        """Apply a wanted version; return whether it is newer than the current one."""
         target = self._weight_targets.setdefault(wanted.model, TargetWeights())
         if target.version >= wanted.version:
             return False
@@ -78,19 +79,19 @@
         return True
 
     def find(self, model: str) -> TargetWeights | None:
-        """Return the goal of a model."""
+        """Return the target weights of a model."""
         return self._weight_targets.get(model)
 
     def record_age(
         self, model: str, version: int, age_ms: float, now_ms: float
     ) -> None:
-        """Take in for how long a peer has known of a version."""
+        """Record for how long a peer has known of a version."""
         target = self._weight_targets.get(model)
         if target is not None:
             target.record_age(version, now_ms - age_ms)
 
     def list_recent(self, now_ms: float) -> list[tuple[str, int, float]]:
-        """Return model, version and age of what was named lately."""
+        """Return model, version and age of recent target versions."""
         return [
             (model, version, now_ms - learned_ms)
             for model, target in self._weight_targets.items()
--- a/packages/toucanyard/src/toucanyard/weights_rollout.py
+++ b/packages/toucanyard/src/toucanyard/weights_rollout.py
@@ -1,9 +1,9 @@
-"""Plan the orders that bring replicas to the wanted weights, a few at a time.
+"""Plan the orders that bring replicas to the target weights, a few at a time.
 
-Nothing is trusted to have held: each order is conditional on the replica's count of
-orders, so one that arrives late changes nothing, and a report shows what came of it.
-A replica is announced to all nodes as loading a moment before it is ordered, so that
-they send their calls elsewhere instead of having them refused.
+No order is assumed to have succeeded: each is conditional on the replica's order count,
+so a late order has no effect, and a report of the replica shows the result. A replica
+is announced to all nodes as loading shortly before it is ordered to load, so that they
+send their calls to other replicas instead of having them rejected.
 """
 
 from __future__ import annotations
@@ -29,35 +29,37 @@
 
 MANY_REPLICAS: Final = 16
 MANY_CHANGING_SHARE: Final = 0.25
-"""The same share among more replicas than that. With 0.4 of 70 changing and a quarter
-dead, calls found 9 to 24 replicas, and queues of seconds stood long after the load."""
+"""Share that may change at once if there are more replicas than MANY_REPLICAS. With 0.4
+of 70 changing and a quarter dead, 9 to 24 replicas were left for calls, and queues of
+seconds remained long after the load."""
 ANNOUNCE_MS: Final = 60.0
-"""Time from the announcement to the order; it takes one way between two nodes."""
+"""Time from the announcement to the order; it is sent over one link between nodes."""
 HUB_ANNOUNCE_MS: Final = 250.0
-"""The same where it takes three ways, by two hubs that send each 75 ms at most."""
+"""The same for a path of three links over two hubs, each of which adds up to 75 ms."""
 REPORT_INTERVAL_MS: Final = 120.0
-"""Time between two reports of a replica under an order."""
+"""Time between two requests for the report of a replica that is being changed."""
 FRESH_MS: Final = 1_000.0
-"""How old a report may be for an order to be based on it."""
+"""Maximum age of a report on which an order is based."""
 LOST_MS: Final = 1_200.0
-"""After this time an order whose effect doesn't show is given again."""
+"""Time after which an order without a visible effect is sent again."""
 LOADING_MS: Final = 1_500.0
-"""How long an announcement counts unless it is renewed."""
+"""How long an announcement is valid unless it is renewed."""
 SILENT_MS: Final = 800.0
-"""After this time without a report a replica is left alone; it is dead or cut off."""
+"""Time without a report after which a replica, dead or unreachable, is skipped."""
 POLL_INTERVAL_MS: Final = 500.0
-"""Time between two looks at which replicas report."""
+"""Time between two polls of all replicas for reports."""
 REPORT_VALID_MS: Final = 1_200.0
-"""How long a report shows that a replica is there: two looks and what reports take."""
+"""How long a replica counts as responding after a report: two polls and the time that
+reports take."""
 SKIP_MS: Final = 2_000.0
-"""How long a replica without a report is left alone."""
+"""How long a replica without a report is skipped."""
 MAX_LOADING_MS: Final = 6_000.0
-"""After this time a replica under an order no longer counts as loading."""
+"""Time after which a replica that was ordered to load no longer counts as loading."""
 
 INITIAL_LOAD_MS: Final = 2_000.0
-"""How long a replica is taken to be out of use until loads have shown it."""
+"""Assumed duration of a load until loads have been measured."""
 LOAD_MEAN_WEIGHT: Final = 0.3
-"""Weight of one load in the mean of how long they take."""
+"""Weight of one load in the moving average of their durations."""
 
 _ACCEPTED: Final = 202
 _ALREADY_LOADED: Final = 200
@@ -75,22 +77,23 @@
 
 
 class RolloutBudget(msgspec.Struct, frozen=True):
-    """What a rollout has to be paced by."""
+    """The time that is left for a rollout."""
 
     left_ms: float
     """Time until new weights have to be in place."""
 
 
 UNLIMITED: Final = RolloutBudget(float("inf"))
-"""There is all the time."""
+"""A budget without a deadline."""
 
 RolloutAction = ReadReplicaState | WeightsOrder | Note
 
 
 class WeightsRollout:
-    """The changes under way; what it knows is this node's alone.
+    """The changes of replicas under way, known to this node only.
 
-    Invariant: no order without a turn, and none on a report from before the last one.
+    Invariant: no order is sent without a lease, nor based on a report from before the
+    previous order.
     """
 
     __slots__ = (
@@ -116,18 +119,18 @@
         self._log_entries: list[Note] = []
         self._skipped_ms: dict[EndpointName, float] = {}
         self._reported_ms: dict[EndpointName, float] = {}
-        """When replicas were asked for the reports that came last."""
+        """When the last report received from each replica was requested."""
         self._polled_ms = float("-inf")
         self._is_paced = False
         self._mean_load_ms = INITIAL_LOAD_MS
-        """How long a replica is out of use for new weights, as seen lately."""
+        """Moving average of how long a replica is out of use for new weights."""
 
     def list_changing(self) -> list[EndpointName]:
         """Return the replicas that are being changed."""
         return list(self._changes)
 
     def record_state(self, read: ReplicaStateRead) -> None:
-        """Take in a report."""
+        """Record a replica's report, or its absence."""
         change = self._changes.get(read.replica)
         if read.state is None:
             if change is not None and change.ordered_ms is not None:
@@ -138,11 +141,11 @@
             change.report = read
 
     def is_halted(self, version: int, now_ms: float) -> bool:
-        """Tell whether a version is left alone, since replicas ended under it."""
+        """Return whether a version is halted, since replicas crashed loading it."""
         return self._failures.is_halted(version, now_ms)
 
     def _record_lost_load(self, read: ReplicaStateRead, change: _Change) -> None:
-        """Record that a replica under an order did not report."""
+        """Record that a replica that was ordered to load did not report."""
         version = change.version
         if self._failures.record_read(read.replica, version, read.reach, read.asked_ms):
             count = self._failures.count(version)
@@ -150,19 +153,19 @@
             self._log_entries.append(Note("rollout_halted", fields))
 
     def record_answer(self, answered: OrderAnswered, now_ms: float) -> bool:
-        """Take in an answer to an order; return whether a higher fence is known."""
+        """Record the answer to an order; return whether there is a higher fence."""
         change = self._changes.get(answered.order.replica)
         if change is not None:
             is_taken = answered.status in (_ACCEPTED, _ALREADY_LOADED)
             if not is_taken and answered.status is not None:
-                # Refused, so a new report is needed and the order may be given again.
+                # Rejected: a new report is needed before the order is sent again.
                 change.ordered_ms = None
                 change.report = None
                 change.announced_ms = now_ms
         return answered.status == _STALE_FENCE
 
     def stop(self, known: Iterable[KnownReplica]) -> None:
-        """Forget what is under way: the turn is over."""
+        """Discard all changes under way, since the lease has ended."""
         for each in known:
             if each.replica.name in self._changes:
                 each.loading_until_ms = float("-inf")
@@ -180,10 +183,10 @@
         *,
         budget: RolloutBudget = UNLIMITED,
     ) -> list[RolloutAction]:
-        """Return what to read and to order now."""
+        """Return the reports to request and the orders to send now."""
         self._announce_ms = announce_ms
-        # Asked of thousands of replicas, reports would cost their node more than all
-        # else; a share of many leaves enough, though some are away.
+        # Polling thousands of replicas would be the node's largest cost. A share of
+        # many replicas leaves enough of them, even if some are unavailable.
         is_small = len(replicas) <= MANY_REPLICAS
         self._is_paced = self._policy.is_paced and is_small
         self._remove_finished(model, version, replicas, now_ms)
@@ -210,7 +213,7 @@
         replicas: Sequence[KnownReplica],
         now_ms: float,
     ) -> None:
-        """Take out the replicas that are done, gone, or take too long."""
+        """Remove changes that are complete, whose replica is gone, or that time out."""
         by_name = {each.replica.name: each for each in replicas}
         for name, change in list(self._changes.items()):
             known = by_name.get(name)
@@ -257,7 +260,7 @@
             and each.weights[model] < version
             and self._is_responding(each, now_ms)
         ]
-        # The idlest first: its calls end soonest.
+        # The replica with the fewest calls first, since its calls end soonest.
         behind.sort(key=lambda each: load_of.get(each.replica.name, 0))
         if self._is_paced:
             most = self._compute_paced_limit(replicas, behind, budget, now_ms)
@@ -272,10 +275,10 @@
     def _poll_replicas(
         self, replicas: Sequence[KnownReplica], now_ms: float
     ) -> Iterator[RolloutAction]:
-        """Ask all replicas for a report, to see which of them are there.
+        """Request reports from all replicas, to see which of them respond.
 
-        A replica that has just fallen silent is listed for seconds. Counted as one
-        that carries calls, or taken for a load that never begins, it leaves too few.
+        A replica that has just failed stays listed for seconds. If it counted as
+        serving calls, or were chosen for a load, too few replicas would be left.
         """
         is_due = now_ms - self._polled_ms >= POLL_INTERVAL_MS
         if not self._is_paced or not is_due:
@@ -287,7 +290,7 @@
                 yield ReadReplicaState(replica.name, replica.listed_as, replica.address)
 
     def _compute_limit(self, count: int) -> int:
-        """Return how many of so many replicas may change at once."""
+        """Return how many of `count` replicas may change at once."""
         share = MANY_CHANGING_SHARE if count > MANY_REPLICAS else self._policy.share
         most = max(self._policy.min_changing, int(share * count))
         return min(most, max(count - 1, 1))
@@ -299,10 +302,10 @@
         budget: RolloutBudget,
         now_ms: float,
     ) -> int:
-        """Return how many may change at once, by what calls can use and by the time.
+        """Return how many may change at once, by usable replicas and remaining time.
 
-        Replicas that are silent or fail carry nothing; a share of all would take half
-        of those that are left.
+        Replicas that don't respond or fail serve no calls; a share of all replicas
+        could take half of the usable ones.
         """
         usable = sum(self._is_responding(each, now_ms) for each in replicas)
         usual = self._compute_limit(len(replicas))
@@ -315,7 +318,7 @@
         return min(max(paced, needed), usual, max(usable - 1, 1))
 
     def _is_responding(self, known: KnownReplica, now_ms: float) -> bool:
-        """Tell whether a replica has reported lately."""
+        """Return whether a replica has reported recently and is not skipped."""
         name = known.replica.name
         reported_ms = self._reported_ms.get(name, float("-inf"))
         if self._is_paced and now_ms - reported_ms > REPORT_VALID_MS:
@@ -378,7 +381,7 @@
         )
 
     def _check_lost_order(self, change: _Change, now_ms: float) -> None:
-        """Let an order be given again that shows no effect."""
+        """Allow an order that shows no effect to be sent again."""
         ordered_ms = change.ordered_ms
         report = change.report
         if ordered_ms is None or report is None or report.state is None:
