--- a/packages/toucanyard-node/src/toucanyard_node/relay_store.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_store.py
@@ -172,7 +172,7 @@
     def _is_due(self, topic: Topic, now_ms: float) -> bool:
         is_due = self._core.reads.is_due(topic, now_ms)
         if self._reading[topic]:
-            return is_due and self._core.reads.may_ask_again(topic, now_ms)
+            return is_due and self._core.reads.may_retry_read(topic, now_ms)
         if topic is Topic.OPERATOR:
             return is_due
         is_new = topic in self._needs_whole and not self._core.exchange.views[topic].end
--- a/packages/toucanyard/src/toucanyard/configuration_log.py
+++ b/packages/toucanyard/src/toucanyard/configuration_log.py
@@ -164,8 +164,8 @@
 
     def needs_older(self) -> bool:
         """Return whether the log was read from a late start and gave no version."""
-        is_without = self.has_gap and self.configuration.version == 0
-        return self._is_caught_up and is_without
+        has_no_version = self.has_gap and self.configuration.version == 0
+        return self._is_caught_up and has_no_version
 
     def restart_reading(self) -> None:
         """Start reading again at the first record, if older records are needed."""
--- a/packages/toucanyard/src/toucanyard/keyed_view.py
+++ b/packages/toucanyard/src/toucanyard/keyed_view.py
@@ -111,7 +111,7 @@
         return 0 if self._unreadable_keys else self.end
 
     def list_since(self, offset: int) -> tuple[bool, list[KeyedRecord]]:
-        """Return whether the records are the whole topic, and those from `offset` on."""
+        """Return whether all records are included, and those from `offset` on."""
         is_whole = offset < self._complete_from
         records = [
             entry.record
@@ -137,13 +137,13 @@
         self._trim()
         return changes
 
-    def confirm(self, end: int, answered: AnsweredRead, away_ms: float) -> None:
+    def confirm(self, end: int, read: AnsweredRead, away_ms: float) -> None:
         """Record a read to which the store returned nothing beyond `end`.
 
         The store was unavailable if no answered read is known for `away_ms`.
         """
         if end <= self.end:
-            self.availability.record_read(answered, away_ms)
+            self.availability.record_read(read, away_ms)
 
     def _apply_one(self, record: KeyedRecord) -> Change | None:
         entry = self._entries.get(record.key)
--- a/packages/toucanyard/src/toucanyard/known_facts.py
+++ b/packages/toucanyard/src/toucanyard/known_facts.py
@@ -72,7 +72,7 @@
 
         `known_for_ms` is how long ago wanted weights may have been set by operators.
         """
-        gone: list[EndpointName] = []
+        removed: list[EndpointName] = []
         for change in changes:
             if isinstance(change.fact, InvalidRecord):
                 yield from self._apply_invalid(change.key, change.fact, source, now_ms)
@@ -85,15 +85,15 @@
                     # The removed entry may be a late one of an earlier incarnation.
                     current = self._directory.find_current(listed_as)
                     if current is not None:
-                        gone.append(current.replica.name)
+                        removed.append(current.replica.name)
                 case NodeRecord(name=node):
                     self._roster.remove(node)
                     yield Note("node_gone", {"node": node, "source": source})
                 case QuarantinedRequest() as quarantined:
                     self._guard.on_record_removed(quarantined)
-        if gone:
-            self._directory.remove(gone, now_ms, listed_ms=listed_ms)
-        for replica in gone:
+        if removed:
+            self._directory.remove(removed, now_ms, listed_ms=listed_ms)
+        for replica in removed:
             known = self._directory.find(replica)
             counts_ms = 0.0 if known is None else known.grace_until_ms - now_ms
             yield Note(
@@ -158,8 +158,8 @@
     ) -> Iterator[Note]:
         before = self._directory.find_current(replica.listed_as)
         was_usable = before is not None and before.is_listed(now_ms)
-        was_gone = before is not None and before.gone_ms is not None
-        had = {} if before is None else dict(before.weights)
+        was_removed = before is not None and before.gone_ms is not None
+        weights_before = {} if before is None else dict(before.weights)
         known = self._directory.apply(replica, now_ms)
         if known is None:
             yield Note("replica_outdated", _describe(replica, source))
@@ -170,12 +170,13 @@
             fields = _describe(replica, source) | {"before": before.replica.name}
             yield Note("replica_restarted", fields)
         elif any(
-            version > had.get(model, version) for model, version in replica.weights
+            version > weights_before.get(model, version)
+            for model, version in replica.weights
         ):
             # Loading weights clears what the replica cached under the previous ones.
             self._flow.book.forget(replica.name)
-        is_same = known is before and had == known.weights
-        if not is_same or was_gone or was_usable != known.is_listed(now_ms):
+        is_same = known is before and weights_before == known.weights
+        if not is_same or was_removed or was_usable != known.is_listed(now_ms):
             fields = _describe(replica, source)
             fields |= {"is_leaving": known.is_leaving, "weights": dict(known.weights)}
             yield Note("replica_known", fields)
--- a/packages/toucanyard/src/toucanyard/settings.py
+++ b/packages/toucanyard/src/toucanyard/settings.py
@@ -77,7 +77,7 @@
             f" max_silence_ms {streams.max_silence_ms} - at `$.streams.min_silence_ms`"
         )
     for path, address in _list_addresses(options):
-        if not _is_possible(address):
+        if not _is_valid_address(address):
             raise SettingsError(
                 f"{file}: found {json.dumps(address)}, expected an IP number and a port"
                 f" up to {_MAX_PORT} - at `{path}`"
@@ -150,7 +150,7 @@
         yield "$.statsd.address", options.statsd.address
 
 
-def _is_possible(address: Address) -> bool:
+def _is_valid_address(address: Address) -> bool:
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/packages/toucanyard/src/toucanyard/store_availability.py
+++ b/packages/toucanyard/src/toucanyard/store_availability.py
@@ -76,29 +76,29 @@
             return None
         return StoreOutage(self._before_ms, self._since_ms)
 
-    def record_read(self, answered: AnsweredRead, away_ms: float) -> None:
+    def record_read(self, read: AnsweredRead, away_ms: float) -> None:
         """Record a read; a gap longer than `away_ms` before it was an outage."""
-        self._extend_period(answered, away_ms)
-        if answered.read_id == self._read_id:
+        self._extend_period(read, away_ms)
+        if read.read_id == self._read_id:
             # The same read over another path; the shortest path is the most accurate.
-            self.asked_ms = min(self.asked_ms, answered.asked_ms)
+            self.asked_ms = min(self.asked_ms, read.asked_ms)
             return
         # Each hop drops its own latency from the reported age, so a relayed read looks
         # newer than it is. Accepting it would keep the list fresh on every node, and
         # nobody would poll the store.
-        if answered.read_id in self._recent or answered.asked_ms <= self.asked_ms:
+        if read.read_id in self._recent or read.asked_ms <= self.asked_ms:
             return
-        self._recent.add(answered.read_id)
-        self._read_id = answered.read_id
-        self.asked_ms = answered.asked_ms
+        self._recent.add(read.read_id)
+        self._read_id = read.read_id
+        self.asked_ms = read.asked_ms
 
-    def _extend_period(self, answered: AnsweredRead, away_ms: float) -> None:
-        if answered.since_ms > self.asked_ms + away_ms:
+    def _extend_period(self, read: AnsweredRead, away_ms: float) -> None:
+        if read.since_ms > self.asked_ms + away_ms:
             self._before_ms = self.asked_ms
-            self._since_ms = answered.since_ms
+            self._since_ms = read.since_ms
             return
-        is_earlier = answered.since_ms < self._since_ms - SAME_MS
-        if is_earlier and answered.asked_ms + away_ms >= self._since_ms:
-            self._since_ms = answered.since_ms
+        is_earlier = read.since_ms < self._since_ms - SAME_MS
+        if is_earlier and read.asked_ms + away_ms >= self._since_ms:
+            self._since_ms = read.since_ms
             if self._since_ms <= self._before_ms + away_ms:
                 self._before_ms = NEVER
--- a/packages/toucanyard/src/toucanyard/store_reads.py
+++ b/packages/toucanyard/src/toucanyard/store_reads.py
@@ -9,8 +9,8 @@
 from toucanyard.keyed_view import Topic
 from toucanyard.roster import Roster
 from toucanyard.store_schedule import (
-    MAX_ASKING_RANK,
     MAX_READ_LATENESS_MS,
+    MAX_RETRY_RANK,
     RETRY_MS,
     SILENT_RETRY_MS,
     compute_due,
@@ -51,13 +51,13 @@
         # All nodes retry reads of the replicas, whose success shows that the store is
         # available again. These reads are for a store that answers for some topics
         # only.
-        if self.may_ask_again(topic, now_ms):
+        if self.may_retry_read(topic, now_ms):
             return max(due_ms, self._asked_ms[topic] + SILENT_RETRY_MS)
         return float("inf")
 
-    def may_ask_again(self, topic: Topic, now_ms: float) -> bool:
+    def may_retry_read(self, topic: Topic, now_ms: float) -> bool:
         """Return whether to read a topic while an earlier read of it is pending."""
-        return self._roster.find_rank(topic.value, now_ms) <= MAX_ASKING_RANK
+        return self._roster.find_rank(topic.value, now_ms) <= MAX_RETRY_RANK
 
     def _is_store_silent(self, now_ms: float) -> bool:
         """Return whether the last answered read of replicas by any node is overdue."""
--- a/packages/toucanyard/src/toucanyard/store_schedule.py
+++ b/packages/toucanyard/src/toucanyard/store_schedule.py
@@ -35,7 +35,7 @@
 """Minimum time between two reads of one node."""
 SILENT_RETRY_MS: Final = 800.0
 """The same for operators' records while reads of replicas get no answer either."""
-MAX_ASKING_RANK: Final = 1
+MAX_RETRY_RANK: Final = 1
 """Highest rank of a node that sends another read while one of its own is pending. The
 return of the store is then detected after RETRY_MS, rather than when a pending read
 times out after 1.2 s."""
--- a/packages/toucanyard/src/toucanyard/target_weights.py
+++ b/packages/toucanyard/src/toucanyard/target_weights.py
@@ -17,7 +17,7 @@
 RECENT_MS: Final = 15_000.0
 """How long the age of target weights is sent to peers; by then all replicas have the
 weights."""
-MAX_NAMED: Final = 64
+MAX_TARGET_VERSIONS: Final = 64
 """Maximum number of versions kept per model; no replica runs older ones any more."""
 
 
@@ -27,28 +27,28 @@
     Invariant: versions only increase.
     """
 
-    __slots__ = ("_named", "version")
+    __slots__ = ("_learned", "version")
 
     def __init__(self) -> None:
         self.version = 0
-        self._named: list[tuple[int, float]] = []
+        self._learned: list[tuple[int, float]] = []
 
     def apply(self, version: int, now_ms: float) -> None:
         """Set a new target version, which is newer than the current one."""
         self.version = version
-        self._named.append((version, now_ms))
-        del self._named[:-MAX_NAMED]
+        self._learned.append((version, now_ms))
+        del self._learned[:-MAX_TARGET_VERSIONS]
 
     def record_age(self, version: int, learned_ms: float) -> None:
         """Record that a version has been a target for longer than known so far."""
-        self._named = [
+        self._learned = [
             (each, min(at_ms, learned_ms) if each == version else at_ms)
-            for each, at_ms in self._named
+            for each, at_ms in self._learned
         ]
 
     def list_recent(self, since_ms: float) -> list[tuple[int, float]]:
         """Return the versions that this node learned of since a time."""
-        return [each for each in self._named if each[1] >= since_ms]
+        return [each for each in self._learned if each[1] >= since_ms]
 
     def compute_age(self, version: int, now_ms: float) -> float:
         """Return how long ago a version was superseded, or 0 if it was not.
@@ -56,7 +56,7 @@
         The age counts from the first newer version. Otherwise, with versions in quick
         succession, even weights that are two versions behind would never be too old.
         """
-        for newer, learned_ms in self._named:
+        for newer, learned_ms in self._learned:
             if newer > version:
                 return now_ms - learned_ms
         return 0.0
--- a/packages/toucanyard/src/toucanyard/topic_updates.py
+++ b/packages/toucanyard/src/toucanyard/topic_updates.py
@@ -112,13 +112,13 @@
 
     def _update_availability(self) -> Iterator[RelayAction]:
         """Pass the store's availability to the directory, for replicas off the list."""
-        absence = self._exchange.views[Topic.REPLICAS].availability.find_outage()
-        if not self._directory.note_absence(absence):
+        outage = self._exchange.views[Topic.REPLICAS].availability.find_outage()
+        if not self._directory.note_absence(outage):
             return
-        if absence is None:
+        if outage is None:
             yield Note("store_was_there", {})
         else:
-            away_ms = round(absence.returned_ms - absence.before_ms)
+            away_ms = round(outage.returned_ms - outage.before_ms)
             yield Note("store_returned", {"away_ms": away_ms})
 
 
--- a/tests/toucanyard/store_fleet.py
+++ b/tests/toucanyard/store_fleet.py
@@ -145,7 +145,7 @@
             self.handle(name, StoreFailed("replicas", "no answer", asked_ms))
         if not core.reads.is_due(Topic.REPLICAS, self.now_ms):
             return
-        if failing and not core.reads.may_ask_again(Topic.REPLICAS, self.now_ms):
+        if failing and not core.reads.may_retry_read(Topic.REPLICAS, self.now_ms):
             return
         core.reads.record_read_started(Topic.REPLICAS, self.now_ms)
         self.asked += 1
--- a/tests/toucanyard/test_store_availability.py
+++ b/tests/toucanyard/test_store_availability.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("since_ms", "absence"),
+    ("since_ms", "outage"),
     [
         (0.0, None),
         (2_100.0, None),
@@ -47,7 +47,7 @@
     ],
 )
 def test_what_peers_have_read_fills_a_break_or_moves_its_end(
-    since_ms: float, absence: StoreOutage | None
+    since_ms: float, outage: StoreOutage | None
 ) -> None:
     """A node reads nothing from 0.4 s to 5 s; a peer tells of its own answers.
 
@@ -56,7 +56,7 @@
     """
     availability = build_availability(0.0, 400.0, 5_000.0)
     availability.record_read(AnsweredRead(77, 5_200.0, since_ms), AWAY_MS)
-    assert availability.find_outage() == absence
+    assert availability.find_outage() == outage
 
 
 def test_answers_from_before_the_break_change_nothing() -> None:
--- a/tests/toucanyard/test_weights_rollout.py
+++ b/tests/toucanyard/test_weights_rollout.py
@@ -95,11 +95,11 @@
     def start_again(self, name: str) -> None:
         """Start another life; it has the weights that the one before had."""
         del self.back_ms[name]
-        life = f"{name.partition('@')[0]}@{round(self.now_ms)}"
+        incarnation = f"{name.partition('@')[0]}@{round(self.now_ms)}"
         number = [each.replica.name for each in self.known].index(EndpointName(name))
-        self.known[number] = KnownReplica(build_replica(life))
-        self.versions[life] = self.versions.pop(name)
-        self.counts[life], self.busy_until[life] = 0, 0.0
+        self.known[number] = KnownReplica(build_replica(incarnation))
+        self.versions[incarnation] = self.versions.pop(name)
+        self.counts[incarnation], self.busy_until[incarnation] = 0, 0.0
 
     def read(self, name: EndpointName) -> ReplicaStateRead:
         if name in self.back_ms:
