--- a/packages/toucanyard/src/toucanyard/leases.py
+++ b/packages/toucanyard/src/toucanyard/leases.py
@@ -156,22 +156,24 @@
         if self._end is None:
             self._record_request(now_ms)
             return ReadLeases(0)
-        if not is_last and not self._may_take(is_holder_alive, waited_ms, now_ms):
-            return self._follow(rank, now_ms)
+        if not is_last and not self._may_acquire(is_holder_alive, waited_ms, now_ms):
+            return self._read_as_standby(rank, now_ms)
         if is_leaving and not is_last:
             return None
         self._record_request(now_ms)
         own = LeaseRecord(self._identity.node, self._identity.incarnation)
         return AppendLease(msgspec.json.encode(own), self._end)
 
-    def _follow(self, rank: int, now_ms: float) -> ReadLeases | None:
+    def _read_as_standby(self, rank: int, now_ms: float) -> ReadLeases | None:
         is_due = now_ms - self._asked_ms >= FOLLOWER_READ_MS
         if rank >= MAX_FOLLOWERS or not is_due:
             return None
         self._record_request(now_ms)
         return ReadLeases(self._end or 0)
 
-    def _may_take(self, is_holder_alive: bool, waited_ms: float, now_ms: float) -> bool:
+    def _may_acquire(
+        self, is_holder_alive: bool, waited_ms: float, now_ms: float
+    ) -> bool:
         if self._holder is None:
             return True
         if is_holder_alive and waited_ms < HOLDER_HEAD_START_MS:
--- a/tests/toucanyard/configuration_fakes.py
+++ b/tests/toucanyard/configuration_fakes.py
@@ -1,4 +1,4 @@
-"""Give tests of the configuration a log, patches and replicas."""
+"""Provide a log, patches and nodes to tests of the configuration."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def build_patch(patch_id: str, base: int, customer: str = "") -> Patch:
-    """Return a patch that adds one customer, named as the patch unless told."""
+    """Return a patch that adds one customer, by default named like the patch."""
     added = Customer(CustomerName(customer or patch_id), ())
     return Patch(patch_id, base, "maria", Put(customers=(added,)))
 
 
 class FakeLog(msgspec.Struct):
-    """Hold records by dense offsets and let the oldest expire."""
+    """Store records under consecutive offsets, of which the oldest may expire."""
 
     texts: list[str] = msgspec.field(default_factory=list)
     oldest: int = 0
@@ -36,7 +36,7 @@
         return self.append(encode_patch(patch))
 
     def append_checkpoint(self, node: ConfigurationLog) -> bool:
-        """Append a node's checkpoint, if it has one to give."""
+        """Append a node's checkpoint, if it can build one."""
         checkpoint = node.build_checkpoint()
         if checkpoint is not None:
             self.append(encode_checkpoint(checkpoint))
@@ -45,7 +45,7 @@
     def replay(
         self, node: ConfigurationLog, limit: int = 1_000, now_ms: float = 0.0
     ) -> list[PatchResult]:
-        """Let a node read on from where it is; return what became of patches."""
+        """Let a node read on from its next offset; return the results of patches."""
         node.handle_expired(self.oldest)
         first = node.next_offset
         results = [
@@ -57,5 +57,5 @@
 
 
 def start_node(jitter: float = 0.0) -> ConfigurationLog:
-    """Return a node that knows nothing yet."""
+    """Return a node without any state."""
     return ConfigurationLog(TIMINGS, jitter)
--- a/tests/toucanyard/order_fakes.py
+++ b/tests/toucanyard/order_fakes.py
@@ -1,4 +1,4 @@
-"""Give tests of duties and orders a log, engines and nodes that can be paused."""
+"""Provide a log, engines and pausable nodes to tests of pool leases and orders."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 class Clock(Protocol):
-    """Whatever tells the time of a test."""
+    """The current time of a test."""
 
     now_ms: float
 
 
 class FakeEngine:
-    """Carry orders out as an endpoint does, and note how many load at once."""
+    """Execute orders as an endpoint does, and record their fences."""
 
     def __init__(self, world: Clock, checks_fence: bool) -> None:
         self.world = world
@@ -94,7 +94,7 @@
 
 
 class FakeNode:
-    """Drive one node's duties; while paused, neither reads nor acts."""
+    """Run one node's leases and orders; while paused, it neither reads nor acts."""
 
     def __init__(self, world: OrderWorld, name: str, incarnation: str) -> None:
         self.world = world
@@ -135,7 +135,7 @@
                 state = world.engines[endpoint].state
                 self.order_runner.record_state(endpoint, state, world.now_ms)
             case SendOrder():
-                fate = world.find_fate()
+                fate = world.choose_order_fate()
                 if fate == "delayed":
                     world.delayed.append((world.now_ms + 4_000, action))
                     self.order_runner.record_outcome(
@@ -149,7 +149,7 @@
 
 
 class OrderWorld:
-    """Hold engines, nodes and the log under one clock."""
+    """Engines, nodes and the log on one clock."""
 
     def __init__(self, engines: int, checks_fence: bool, seed: int = 0) -> None:
         self.now_ms = 0.0
@@ -171,13 +171,13 @@
         self.most_holders = 0
         self.reads = 0
 
-    def find_fate(self) -> str:
+    def choose_order_fate(self) -> str:
         if self.rng.random() >= self.bad_share:
             return "answered"
         return self.rng.choice(["delayed", "answer_lost"])
 
     def want(self, version: str, nodes: int = 3) -> None:
-        """Bring new weights into force on the first nodes."""
+        """Set new weights in the configuration of the first nodes."""
         old = self.configuration
         pool = msgspec.structs.replace(old.pools[0], weights_version=version)
         self.configuration = Configuration(old.version + 1, pools=(pool,))
@@ -185,7 +185,7 @@
             node.configuration = self.configuration
 
     def restart(self, number: int) -> None:
-        """Replace a node by an empty one of the same name."""
+        """Replace a node by a new one of the same name, without state."""
         old = self.nodes[number].identity
         incarnation = old.incarnation + "a"
         self.nodes[number] = FakeNode(self, old.node, incarnation)
--- a/tests/toucanyard/store_fleet.py
+++ b/tests/toucanyard/store_fleet.py
@@ -1,8 +1,8 @@
 """Run a fleet that reads its list of replicas from a store, as real nodes do.
 
-The store may be away for some nodes or for all of them, and entries lapse meanwhile.
-Messages between nodes take a while; those of a node that is cut off wait until it is
-back, as bytes on a connection do.
+The store may be unavailable to some or all nodes, while entries expire. Messages
+between nodes have a latency; those of a partitioned node are delivered once it is
+reconnected, like bytes on a connection.
 """
 
 from __future__ import annotations
@@ -60,18 +60,18 @@
         self._latency_ms = way_ms
         self._in_transit: list[tuple[float, NodeName, NodeName, RelayEvent]] = []
         self._failing: dict[NodeName, list[float]] = {}
-        """When the reads that get no answer end."""
+        """When the pending reads that get no answer time out."""
         self._log: list[KeyedRecord] = []
         self._calls = 0
         self.store_away: set[NodeName] = set()
-        """Nodes that the store does not answer."""
+        """Nodes to which the store does not answer."""
         self.cut_off: set[NodeName] = set()
-        """Nodes that reach neither the store nor each other."""
+        """Nodes that can reach neither the store nor each other."""
         self.asked = 0
-        """Reads of the list that were asked of the store, answered or not."""
+        """Number of reads of the list sent to the store, answered or not."""
         self.sent: list[Sent] = []
         self.unsent: list[tuple[NodeName, float]] = []
-        """Calls for which no replica was found at once."""
+        """Calls for which no replica was found immediately."""
         super().__init__(domains, nodes_each)
         self._send_calls = False
 
--- a/tests/toucanyard/test_configuration_in_force.py
+++ b/tests/toucanyard/test_configuration_in_force.py
@@ -1,4 +1,4 @@
-"""Which version a node decides by while it replays what it missed."""
+"""Tests for the version in force while a node replays the log."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def read(core: NodeCore, log: list[str], start: int, end: int) -> int:
-    """Read one page, which says how far the log goes; return the version shown."""
+    """Read one page, which includes the log's end; return the version in force."""
     records = tuple(LogRecord(at, 1_000.0, log[at]) for at in range(start, end))
     core.handle(LogRead(start, end, records, len(log), 1_000.0), 1_000.0)
     return core.configuration.version
@@ -59,11 +59,11 @@
 
 @given(st.integers(1, 12), st.sets(st.integers(1, 11)))
 def test_replay_shows_no_version_but_the_newest(versions: int, cuts: set[int]) -> None:
-    """A node restarts and reads a long log page by page.
+    """Guards against old versions in force while a restarted node reads a long log.
 
-    Each page but the last ends at a version that was replaced long ago. Shown, it
-    would be lower than what callers had from this node before, and removed customers
-    and endpoints would be served by it for as long as the replay takes.
+    Each page but the last ends at a version that was replaced long ago. In force, it
+    would be lower than the version before the restart, and removed customers and
+    endpoints would be served until the replay ends.
     """
     core, log = build_core(), build_log(versions)
     ends = sorted({0, versions, *(cut for cut in cuts if cut < versions)})
@@ -72,7 +72,7 @@
 
 
 def test_peers_state_ends_the_wait() -> None:
-    """The log goes down in the middle of a replay; a peer has the newest version."""
+    """The log becomes unavailable during a replay; a peer has the newest version."""
     core, log, peer = build_core(), build_log(4), build_core()
     assert read(core, log, 0, 2) == 0
     read(peer, log, 0, 4)
@@ -84,7 +84,7 @@
 
 
 def test_old_version_is_not_given_to_peers() -> None:
-    """All nodes restart together; one that is still replaying is asked by another."""
+    """All nodes restart together; one requests the state of a still replaying one."""
     core, log = build_core(), build_log(4)
     read(core, log, 0, 2)
     asked = MessageRead(PEER, ConfigurationRequest(0))
--- a/tests/toucanyard/test_configuration_log.py
+++ b/tests/toucanyard/test_configuration_log.py
@@ -26,8 +26,8 @@
 
 
 def test_racing_operators_get_the_winners_number() -> None:
-    """Two operators patch version 1 at once. The log orders them; the second is told
-    version 2, which is the other's, and nothing of its patch is in force."""
+    """Two operators patch version 1 at once, and the log orders the patches. The second
+    is rejected with version 2, the other's, and no part of its patch is in force."""
     log, node = FakeLog(), start_node()
     log.append_patch(build_patch("first", 0))
     log.append_patch(build_patch("ana", 1))
@@ -39,8 +39,8 @@
 
 
 def test_lost_append_answer_is_settled_by_patch_id() -> None:
-    """An operator's append took effect but its answer was lost, so the patch is
-    appended again. It must be told its own version, not that it lost to itself."""
+    """An append succeeds but its answer is lost, so the patch is appended again. The
+    result must be the patch's own version, not a conflict with itself."""
     log, node = FakeLog(), start_node()
     log.append_patch(build_patch("ana", 0))
     log.append_patch(build_patch("ana", 0))
@@ -50,8 +50,8 @@
 
 
 def test_equal_patch_ids_on_other_bases_do_not_part_replicas() -> None:
-    """Two operators pick the same patch id. A node that remembers the first must not
-    pass over the second, since one that started later applies it."""
+    """Two operators choose the same patch id. A node that has the first patch in its
+    history must not skip the second, since a node that started later applies it."""
     log, node, late = FakeLog(), start_node(), start_node()
     log.append_patch(build_patch("p", 0, "ana"))
     log.replay(node)
@@ -65,9 +65,9 @@
 
 
 def test_checkpoint_behind_a_patch_is_replayed_from_its_own_offset() -> None:
-    """A patch reaches the log between a node's reading and its checkpoint. A node
-    that starts after the patch expired must not take the checkpoint, or it would
-    number the next patch as the one that it missed."""
+    """A patch reaches the log between a node's read and its checkpoint. A node that
+    starts after the patch expired must not adopt the checkpoint; otherwise it would
+    give the next patch the version number of the one that it missed."""
     log, writer = FakeLog(), start_node()
     log.append_patch(build_patch("one", 0))
     log.replay(writer)
@@ -87,8 +87,8 @@
 
 
 def test_unknown_configuration_kind_keeps_last_good_version() -> None:
-    """A newer node appends a kind that this one can't read and it makes version 2.
-    A patch on version 1 follows: elsewhere it lost, so here it must not win."""
+    """A node with newer code appends a record of an unknown kind that makes version 2.
+    A patch on version 1 follows, which other nodes reject, so this one must too."""
     log, node = FakeLog(), start_node()
     log.append_patch(build_patch("one", 0))
     log.append('{"kind": "configuration_swap", "version": 2}')
@@ -154,9 +154,9 @@
 
 
 def test_delta_taken_with_later_patches_kept_back_is_passed_on_whole() -> None:
-    """Records expire unread, a patch behind them is kept back, and a peer's delta
-    closes the gap. Patches filed under wrong versions would be passed on to the next
-    node, which could not take them and would fall back to whole states."""
+    """Records expire unread, a later patch is deferred, and a peer's delta closes the
+    gap. If patches were stored under wrong versions, the next node could not apply the
+    forwarded delta and would fall back to complete states."""
     log, node, peer, late = FakeLog(), start_node(), start_node(), start_node()
     log.append_patch(build_patch("one", 0))
     for each in (node, peer, late):
@@ -176,8 +176,8 @@
 
 
 def test_node_that_cannot_confirm_reports_it_and_stops_orders() -> None:
-    """A node is cut off from log and peers. It can't know of newer versions, so
-    within the bound it must stop what one could forbid, and go on serving."""
+    """A node reaches neither the log nor peers, so it can't learn of newer versions.
+    Within the bound it must stop orders and patches, while it continues to serve."""
     log, node = FakeLog(), start_node()
     log.append_patch(build_patch("one", 0))
     log.replay(node, now_ms=0.0)
@@ -199,9 +199,9 @@
 
 
 def test_checkpoint_comes_before_records_expire_also_in_a_quiet_log() -> None:
-    """Nothing is appended for an hour, so the only configuration record expires and
-    a later restart of all nodes finds none. A checkpoint must come in time, from one
-    node first."""
+    """Nothing is appended for an hour, so the only configuration record would expire,
+    and a later restart of all nodes would find none. A checkpoint must be appended in
+    time, by one node first."""
     log, early, other = FakeLog(), start_node(0.0), start_node(1.0)
     log.append_patch(build_patch("one", 0))
     due_ms = float(TIMINGS.checkpoint_after_ms)
@@ -217,7 +217,7 @@
 
 
 class ReplicaMachine(RuleBasedStateMachine):
-    """Drive nodes, operators and a log that expires; compare with one full replay."""
+    """Run nodes, operators and a log that expires; compare with one full replay."""
 
     patches = Bundle("patches")
 
@@ -282,7 +282,7 @@
 
     @rule(node=st.integers(0, 2))
     def restart(self, node: int) -> None:
-        """Lose everything; a node without any configuration serves nothing."""
+        """Discard a node's state; a node without any configuration serves nothing."""
         self.nodes[node] = start_node()
         self.highest[node] = 0
 
@@ -306,9 +306,9 @@
 
 
 def test_no_replica_reverts_or_parts_from_the_others() -> None:
-    """Operators race, append twice and late, records expire, nodes read in part, die,
-    start empty and take states from one another. If any node applied a patch that
-    another saw lose, two values would stand under one number."""
+    """Operators race and append twice or late, records expire, nodes read partially,
+    restart without state and adopt states of each other. If a node applied a patch
+    that another rejected, one version number would have two values."""
     run_state_machine_as_test(ReplicaMachine)
 
 
@@ -328,8 +328,8 @@
 
 
 def test_patch_read_before_its_checkpoint_is_not_lost() -> None:
-    """A node starts behind expired records and reads a patch, then the checkpoint
-    that precedes it in content. Taking the checkpoint alone would lose the patch."""
+    """A node starts after expired records and reads a patch, then a checkpoint of the
+    version before it. Adopting only the checkpoint would lose the patch."""
     log, writer, late = FakeLog(), start_node(), start_node()
     log.append_patch(build_patch("one", 0))
     log.replay(writer)
@@ -345,8 +345,8 @@
 
 
 def test_lower_or_less_covering_state_is_never_taken() -> None:
-    """A peer that was paused for long, or runs other code, offers its state. Taking
-    it would bring back what a later version took away."""
+    """A peer that was paused for long, or runs other code, offers its state. Adopting
+    it would restore what a later version removed."""
     log, node = FakeLog(), start_node()
     for number in range(3):
         log.append_patch(build_patch(f"p{number}", number))
--- a/tests/toucanyard/test_keyed_view.py
+++ b/tests/toucanyard/test_keyed_view.py
@@ -39,9 +39,10 @@
 def test_any_order_and_repetition_ends_with_the_newest(
     entries: list[tuple[str, bytes | None]], rng: object
 ) -> None:
-    """A node hears of records from the store and from peers, twice and crossed.
+    """A node receives records from the store and from peers, twice and out of order.
 
-    Taken in the order of arrival, an old entry would bring a removed replica back.
+    If they were applied in the order of arrival, an old entry would restore a removed
+    replica.
     """
     log = build_log(entries)
     shuffled = log + log
@@ -58,8 +59,8 @@
 ) -> None:
     """The store's list of newest records is read while records are appended.
 
-    Its pages are of different moments: a key in it may be older than what this node has
-    read from the log since, and the list may lack a key that was written after it.
+    Its pages date from different times: a record in it may be older than one that this
+    node has read from the log, and it may lack a key that was written later.
     """
     log = build_log(entries)
     cut = data.draw(st.integers(0, len(log)))
@@ -97,9 +98,9 @@
 
 
 def test_forgotten_history_is_made_up_by_a_whole_list() -> None:
-    """The store forgets its records while this node is cut off, one key went meanwhile.
+    """While this node is partitioned, a key is removed and the store's records expire.
 
-    Reading on from the oldest record that is left would keep the dead replica for ever.
+    Reading on from the oldest record left would keep the dead replica for ever.
     """
     view = build_view()
     view.apply(
--- a/tests/toucanyard/test_leases.py
+++ b/tests/toucanyard/test_leases.py
@@ -16,7 +16,7 @@
 
 
 class Log:
-    """The store's topic: conditional appends, answers that may be lost."""
+    """The store's topic, with conditional appends."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
@@ -41,7 +41,7 @@
 
 
 def acquire(leases: Leases, log: Log, now_ms: float, since_ms: float = 0.0) -> None:
-    """Let a node read and append until it has what it may have."""
+    """Let a node read and append until it holds the lease, if it may."""
     for _ in range(3):
         serve(leases, log, leases.tick(since_ms, 0, False, now_ms), now_ms)
 
@@ -59,9 +59,9 @@
 
 
 def test_next_holder_waits_out_the_one_before() -> None:
-    """The holder is cut off in mid-work; another node sees its last record.
+    """The holder is partitioned during its work; another node reads its last record.
 
-    Two nodes that order within the lease would undo each other's work at a replica.
+    Two nodes that send orders within the lease would revert each other's work.
     """
     log = Log()
     acquire(build_leases("a"), log, 0.0)
@@ -86,9 +86,9 @@
 
 
 def test_append_without_an_answer_gives_no_turn_until_it_is_read() -> None:
-    """The store appends and its answer is lost; or it appends seconds later.
+    """The store appends and its answer is lost, or it appends seconds later.
 
-    Taken as failed, a second claim would stand beside the first with another fence.
+    If the append counted as failed, there would be a second claim with another fence.
     """
     leases, log = build_leases("a"), Log()
     asked = leases.tick(0.0, 0, False, 0.0)
@@ -114,9 +114,10 @@
 
 
 def test_who_stands_by_follows_the_turn_and_takes_it_in_time() -> None:
-    """The holder renews its turn many times and is then killed in mid-work.
+    """The holder renews its lease many times and is then killed during its work.
 
-    Who read only once would find its claim refused, and wait the whole lease again.
+    A standby node that read only once would have its claim refused, and would wait for
+    the full lease again.
     """
     log = Log()
     holder, other = build_leases("a"), build_leases("b")
@@ -132,9 +133,9 @@
 
 
 def test_leaving_node_ends_its_turn_and_takes_no_other() -> None:
-    """All VMs are stopped in turn while new weights are loaded.
+    """All VMs are restarted one after another while new weights are loaded.
 
-    Each holder that stopped ordering at once cost the next one the whole lease.
+    If a leaving holder stopped at once, the next one would wait for the full lease.
     """
     leases, log = build_leases("a"), Log()
     acquire(leases, log, 0.0)
@@ -161,7 +162,7 @@
 
 
 class Fleet:
-    """Three nodes with work to do, whose pauses and answers chance decides."""
+    """Three nodes with work to do, with random pauses and lost answers."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -213,9 +214,9 @@
 def test_two_holders_never_act_within_the_lease(
     seed: int, lost_share: float, pause_share: float, late_share: float
 ) -> None:
-    """Three nodes with work to do, pauses, lost answers and late appends, for a minute.
+    """Three nodes have work for a minute, with pauses, lost answers and late appends.
 
-    Whenever two nodes order within the lease, one undoes what the other began.
+    If two nodes sent orders within the lease, one would revert the other's work.
     """
     fleet = Fleet(random.Random(seed))
     for step in range(2_400):
--- a/tests/toucanyard/test_orders.py
+++ b/tests/toucanyard/test_orders.py
@@ -20,8 +20,9 @@
 
 
 def test_roll_out_of_a_large_pool_reads_little() -> None:
-    """Two loads start in a second, whatever the size of the pool. Read all twice a
-    second, a pool of 880 took 12% of its holder's core and 467 KB/s for minutes."""
+    """Two loads start per second, whatever the size of the pool. Reading all endpoints
+    twice a second took 12% of the holder's core and 467 KB/s for minutes in a pool of
+    880."""
     world = OrderWorld(120, checks_fence=True)
     world.run(30_000)
     world.want("w2")
@@ -33,9 +34,9 @@
 
 
 def test_paused_holder_does_nothing_when_it_wakes() -> None:
-    """The holder is paused for longer than its lease and another takes over, with a
-    newer version. When the first wakes, its own clock must tell it that its lease is
-    over before it sends anything, though it has read nothing yet."""
+    """The holder is paused for longer than its lease, and another node takes over with
+    a newer version. When the first resumes, it must recognize by its own clock that its
+    lease has expired, before it sends or reads anything."""
     world = OrderWorld(4, checks_fence=False)
     world.run(15_000)
     holder = next(node for node in world.nodes if node.held)
@@ -52,9 +53,9 @@
 
 
 def test_late_order_of_an_earlier_holder_is_refused_where_fences_are_checked() -> None:
-    """An order left the first holder before its lease ended and arrives after the
-    second took over. The second raised the number at each endpoint first, so that the
-    late order can't add a load or bring back old weights."""
+    """An order of the first holder arrives after a second holder took over. The second
+    must raise the fence at each endpoint first, so that the late order can't start
+    another load or restore old weights."""
     world = OrderWorld(4, checks_fence=True)
     world.run(15_000)
     first = next(node for node in world.nodes if node.held)
@@ -68,9 +69,9 @@
 
 
 def test_endpoint_led_astray_is_brought_back() -> None:
-    """An endpoint that checks no fences took a late order for old weights. Nothing
-    tells the holder; it must see it when it reads the state back, and its new order
-    must not be taken for the one that was done before."""
+    """An endpoint that doesn't check fences accepts a late order for old weights. The
+    holder must detect it when it reads the state, and its new order must not be taken
+    for the one that was already done."""
     world = OrderWorld(4, checks_fence=False)
     world.run(15_000)
     world.want("w2")
@@ -96,8 +97,8 @@
 
 
 def test_all_nodes_restart_and_a_duty_is_taken_up_again() -> None:
-    """Every node is replaced, so nobody knows who held the duty. It must neither be
-    claimed while the last lease may run, nor stay without a holder."""
+    """Every node is replaced, so none knows who held the lease. It must neither be
+    claimed while the last lease may be valid, nor stay without a holder."""
     world = OrderWorld(3, checks_fence=True)
     world.run(15_000)
     for number in range(3):
@@ -139,10 +140,10 @@
 def test_one_holder_two_loads_and_convergence_under_faults(
     checks_fence: bool, seed: int, steps: list[tuple[str, int, int]]
 ) -> None:
-    """Nodes pause, wake and are replaced; engines crash; orders arrive late and
-    answers get lost; the log goes down. Two leases must never run at once by their
-    holders' clocks; where fences are checked, late orders must not add a third load;
-    and when the faults end, the desired weights are everywhere."""
+    """Nodes pause, resume and are replaced; engines crash; orders arrive late and
+    answers are lost; the log becomes unavailable. Two leases must never be valid at
+    once by their holders' clocks; where fences are checked, late orders must not start
+    a third load; and after the faults, all endpoints get the desired weights."""
     world = OrderWorld(5, checks_fence, seed)
     world.bad_share = 0.2
     for number, (step, which, seconds) in enumerate(steps):
@@ -171,8 +172,8 @@
 
 
 def test_state_that_crossed_an_order_is_not_taken_for_its_result() -> None:
-    """A state asked before an order was sent arrives after it. It must not close the
-    order, or another would be sent while the first is under way."""
+    """A state requested before an order was sent arrives after it. It must not count as
+    the order's result; otherwise a second order would be sent during the first."""
     world = OrderWorld(2, checks_fence=False)
     world.run(20_000)
     world.want("w2")
--- a/tests/toucanyard/test_patches.py
+++ b/tests/toucanyard/test_patches.py
@@ -132,8 +132,8 @@
     ],
 )
 def test_number_that_no_float_holds_is_refused(placement: PlacementPolicy) -> None:
-    # An operator slips on a key. Accepted, the number raises in every node when it is
-    # weighed, and again at each replay: no node would start any more.
+    # If a mistyped number were accepted, it would raise in every node when it is used,
+    # and again at each replay, so that no node could start.
     with pytest.raises(PatchInvalidError):
         apply(Put(pools=(msgspec.structs.replace(POOL, placement=placement),)))
     with pytest.raises(PatchInvalidError):
--- a/tests/toucanyard/test_pool_leases.py
+++ b/tests/toucanyard/test_pool_leases.py
@@ -34,8 +34,8 @@
 
 
 def test_claim_within_a_lease_is_void() -> None:
-    """Two nodes claim at once, or one whose view is late. The log's order decides, and
-    on every node alike."""
+    """Two nodes claim at once, or one claims by an outdated view. The order of the log
+    decides, identically on every node."""
     leases = build_leases()
     leases.apply_record(0, 0.0, build_text("one"), 0.0)
     leases.apply_record(1, LEASE_MS - 1, build_text("two"), 0.0)
@@ -45,8 +45,8 @@
 
 
 def test_renewal_after_the_lease_is_void() -> None:
-    """A paused holder's append reaches the log after its lease ended. Counted, it
-    would stop a claim that others may already have made."""
+    """A paused holder's append reaches the log after its lease expired. If it were
+    valid, it would void a claim that another node may already have made."""
     leases = build_leases()
     leases.apply_record(0, 0.0, build_text("one"), 0.0)
     leases.apply_record(1, LEASE_MS, build_text("one", 0), 0.0)
@@ -64,8 +64,8 @@
 
 
 def test_node_that_missed_records_believes_no_claim_before_a_whole_lease() -> None:
-    """A node starts reading after the holder's claim. A void claim that comes next
-    looks valid to it; taking it, the node would later hold a duty beside another."""
+    """A node starts reading after the holder's claim, so the next, void claim looks
+    valid. If it were accepted, two nodes could hold the lease."""
     leases = build_leases(is_complete=False)
     leases.apply_record(7, 0.0, build_text("void"), 0.0)
     assert leases.find_holder(POOL) is None
@@ -87,8 +87,8 @@
 
 
 def test_lease_counts_from_before_the_append() -> None:
-    """The append's answer takes most of the lease. Counted from its arrival, this node
-    would act when the log already lets another start."""
+    """The answer to an append takes most of the lease. If the lease counted from the
+    answer, this node would still act when the log permits another holder."""
     leases = build_leases()
     leases.update_log_end(0.0)
     (append,) = leases.tick([POOL], [], 0.0)
--- a/tests/toucanyard/test_pool_order_runner.py
+++ b/tests/toucanyard/test_pool_order_runner.py
@@ -20,8 +20,8 @@
 
 
 def test_dead_replica_does_not_keep_its_pool_read_all_the_time() -> None:
-    # One replica of a pool is dead for good; the others are as desired. Reading all of
-    # them twice a second because of it took a whole core of a node with large pools.
+    # One replica of a pool stays dead; the others are as desired. Reading all of them
+    # twice a second because of it used a full core of a node with large pools.
     pools = build_patch().put.pools
     configuration = Configuration(version=1, pools=pools)
     dead = EndpointName(build_endpoint("engine-0", 10).name)
--- a/tests/toucanyard/test_pool_orders.py
+++ b/tests/toucanyard/test_pool_orders.py
@@ -11,7 +11,7 @@
 
 
 class Plan:
-    """One pool whose wanted weights are w2 while w1 is loaded, under number 5."""
+    """One pool whose desired weights are w2 while w1 is loaded, under fence 5."""
 
     def __init__(self, endpoints: int, checks_fence: bool = False) -> None:
         self.state = EndpointState(
@@ -43,7 +43,7 @@
 
 
 def test_order_is_conditional_on_the_weights_that_were_read() -> None:
-    """An order that arrives late must not undo what has moved on since."""
+    """An order that arrives late must not revert newer weights."""
     plan = Plan(1)
     plan.read_all(5_000.0, 1)
     assert plan.orders.plan(plan.pool, 5_100.0, 5_100.0) == []
@@ -54,8 +54,8 @@
 
 
 def test_no_load_before_each_endpoint_knows_the_number() -> None:
-    """An order of the earlier holder may still be on its way to an endpoint that has
-    not seen the new number. It would add a third load."""
+    """An order of the earlier holder may still be in transit to an endpoint that
+    doesn't have the new fence. It would start a third load."""
     plan = Plan(4, checks_fence=True)
     plan.read_all(100.0, 4)
     plan.read(3, 200.0, fence=4)
@@ -77,8 +77,8 @@
 
 
 def test_load_without_an_answer_counts_until_a_state_shows_its_end() -> None:
-    """Two loads were ordered and both answers were lost. Either may start yet; a third
-    would make the weight store slow for all."""
+    """Two loads were ordered and both answers were lost. Both may still start; a third
+    load would overload the weight store."""
     plan = Plan(7)
     plan.read_all(100.0, 7)
     sent = plan.plan(200.0)
@@ -107,8 +107,8 @@
 
 
 def test_replica_just_loaded_is_cold_and_does_not_count_as_capacity() -> None:
-    """Its cache is empty. Loading the others at once would send every prompt to
-    replicas that must recompute it."""
+    """Its cache is empty. If the others loaded at once, every prompt would go to
+    replicas that have to recompute it."""
     plan = Plan(3)
     plan.read_all(100.0, 3)
     plan.read(0, 1_000.0, weights_version="w2")
@@ -134,8 +134,8 @@
 
 
 def test_replicas_that_get_no_work_are_no_capacity() -> None:
-    """Peers tell that most replicas are dead, long before the holder reads them again.
-    Counted as warm, they would let it load the few that still serve."""
+    """Peers report most replicas as dead long before the holder reads them again. If
+    they counted as warm, the holder would load the few that still serve."""
     plan = Plan(5)
     plan.read_all(100.0, 5)
     plan.orders.set_unusable({EndpointName(f"e{number}") for number in (1, 2, 3)})
@@ -147,8 +147,8 @@
 
 
 def test_loads_that_end_at_once_do_not_start_more_than_two_in_a_second() -> None:
-    """Small weights load in a moment. Ordered as fast as that, a large pool would ask
-    the weight store for more than it gives, and all loads would wait."""
+    """Small weights load immediately. Without a rate limit, the loads of a large pool
+    would overload the weight store, and all would wait."""
     plan = Plan(20)
     plan.read_all(100.0, 20)
     first = plan.plan(200.0)
--- a/tests/toucanyard/test_settings.py
+++ b/tests/toucanyard/test_settings.py
@@ -1,4 +1,4 @@
-"""Wrong settings: an operator reads which file and field, what was found, and why."""
+"""Tests for errors about settings: file, field, value found and value expected."""
 
 from __future__ import annotations
 
--- a/tests/toucanyard/test_snapshots.py
+++ b/tests/toucanyard/test_snapshots.py
@@ -35,7 +35,7 @@
 
 
 class Transfers:
-    """Carry requests between fetching nodes and serving ones, 10 ms a step."""
+    """Transfer requests between fetching and serving nodes in steps of 10 ms."""
 
     def __init__(self, fetchers: int, dead: tuple[str, ...] = ()) -> None:
         names = [("near", HERE), ("far1", THERE), ("far2", THERE)]
@@ -96,8 +96,8 @@
 
 
 def test_herd_is_served_at_a_bounded_rate() -> None:
-    """All nodes but three restart at once. Those three must serve callers, so they
-    give snapshots to few at a time and so many bytes a second, and no more."""
+    """All nodes but three restart at once. Those three must also serve callers, so the
+    number of peers and the bytes per second for snapshots are limited."""
     transfers = Transfers(40)
     transfers.run(1_000)
     assert transfers.sent_bytes <= 3 * (1_000_000 + PART_BYTES)
--- a/tests/toucanyard/test_store_availability.py
+++ b/tests/toucanyard/test_store_availability.py
@@ -15,7 +15,7 @@
 
 
 def build_availability(*reads_ms: float) -> StoreAvailability:
-    """Return the contact of a node that has read at these times."""
+    """Return the availability as known to a node that has read at these times."""
     availability = StoreAvailability()
     for read_id, asked_ms in enumerate(reads_ms):
         availability.record_read(AnsweredRead(read_id + 1, asked_ms, asked_ms), AWAY_MS)
@@ -49,10 +49,10 @@
 def test_what_peers_have_read_fills_a_break_or_moves_its_end(
     since_ms: float, outage: StoreOutage | None
 ) -> None:
-    """A node reads nothing from 0.4 s to 5 s; a peer tells of its own answers.
+    """A node reads nothing from 0.4 s to 5 s; a peer reports its own reads.
 
-    If they reach back to the break's begin the node was alone in being cut off; if only
-    a part of the way, the store came back before this node knew.
+    If these cover the gap, only the node was partitioned; if they cover its end, the
+    store returned before this node knew of it.
     """
     availability = build_availability(0.0, 400.0, 5_000.0)
     availability.record_read(AnsweredRead(77, 5_200.0, since_ms), AWAY_MS)
@@ -79,9 +79,9 @@
 
 @pytest.mark.parametrize("is_full_mesh", [True, False])
 def test_store_is_away_only_when_every_node_would_have_read(is_full_mesh: bool) -> None:
-    """The nodes that read first are cut off; the last in order reads as late as it may.
+    """Nodes of low rank are partitioned; the node of the highest rank reads last.
 
-    What it reads then must not look like the return of a store that nobody reached.
+    Its read must not look like the end of an outage for all nodes.
     """
     last_ms = compute_read_age(Topic.REPLICAS, MAX_RANK + 9, is_full_mesh=is_full_mesh)
     away_ms = compute_outage_threshold(Topic.REPLICAS, is_full_mesh=is_full_mesh)
--- a/tests/toucanyard/test_weights_rollout.py
+++ b/tests/toucanyard/test_weights_rollout.py
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """Replicas that load weights when ordered, and the roll-out that orders them."""
+    """Replicas that load weights when ordered, and the rollout that orders them."""
 
     def __init__(self, *names: str) -> None:
         self.rollout = WeightsRollout(NodeName("n1"), POLICY)
@@ -47,7 +47,7 @@
         self.dead: set[str] = set()
         self.mute: set[str] = set()
         self.crashing: set[int] = set()
-        """Versions that end each replica which loads them."""
+        """Versions that crash each replica which loads them."""
         self.crashes: list[tuple[float, str]] = []
         self.back_ms: dict[str, float] = {}
         self.orders: list[tuple[float, WeightsOrder]] = []
@@ -93,7 +93,7 @@
         self.back_ms[name] = self.now_ms + BACK_MS
 
     def start_again(self, name: str) -> None:
-        """Start another life; it has the weights that the one before had."""
+        """Start another incarnation, with the weights of the previous one."""
         del self.back_ms[name]
         incarnation = f"{name.partition('@')[0]}@{round(self.now_ms)}"
         number = [each.replica.name for each in self.known].index(EndpointName(name))
@@ -142,12 +142,13 @@
 
 
 def test_replica_is_announced_before_it_is_ordered() -> None:
-    """The order reaches the replica; from then on it turns new calls away.
+    """A replica that received the order rejects new calls.
 
-    Nodes that don't know yet go on sending, and calls that may be sent once fail.
+    Nodes that don't know of it continue to send calls, and those that may be sent only
+    once fail.
     """
     fleet = Fleet(*"abc")
-    # One step for the reports that show who is there.
+    # One step for the reports that show which replicas respond.
     fleet.run(2, 2 * STEP_MS)
     announced = [each for each in fleet.known if each.is_loading(fleet.now_ms)]
     assert len(announced) == POLICY.min_changing
@@ -171,9 +172,9 @@
 
 
 def test_order_without_an_answer_is_not_doubled() -> None:
-    """A replica takes an order and its answer is lost.
+    """A replica accepts an order and its answer is lost.
 
-    Given again at once, a second load would follow the first for nothing.
+    If the order were repeated at once, a second, needless load would follow.
     """
     fleet = Fleet("a")
     fleet.mute = {"a"}
@@ -233,10 +234,10 @@
 
 
 def test_share_is_of_the_replicas_that_calls_can_use() -> None:
-    """Two of six replicas are away when new weights are named.
+    """Two of six replicas are unavailable when new weights are set.
 
-    Taken two at a time, the other four would leave two for all calls, with cold memory;
-    first events then came after two seconds.
+    If the other four loaded two at a time, two with cold caches would be left for all
+    calls; first events then took two seconds.
     """
     fleet = Fleet(*"abcdef")
     for known in fleet.known[:2]:
@@ -255,9 +256,10 @@
 
 
 def test_late_rollout_takes_as_many_as_without_pacing() -> None:
-    """Four of six replicas are left, and the time for new weights is nearly over.
+    """Four of six replicas are left, and the deadline for new weights is near.
 
-    One at a time the last would be late, and calls may not begin on it any more.
+    One at a time, the last one would miss the deadline, after which calls may no longer
+    start on it.
     """
     fleet = Fleet(*"abcdef")
     for known in fleet.known[:2]:
@@ -270,7 +272,7 @@
 def test_many_replicas_are_not_all_asked_for_reports() -> None:
     """A pool of thousands gets new weights.
 
-    Two reports a second of each would cost the node that orders more than all else.
+    Two reports per second from each replica would be the holder's largest cost.
     """
     fleet = Fleet(*(f"r{number}" for number in range(MANY_REPLICAS + 1)))
     actions = fleet.rollout.plan(MODEL, 2, fleet.known, LEASE, {}, 0.0)
@@ -281,7 +283,7 @@
 
 
 def test_weights_that_crash_replicas_are_not_loaded_into_one_after_another() -> None:
-    """Guards against a roll-out that goes on with what ends each replica it reaches."""
+    """Guards against a rollout that continues although it crashes each replica."""
     fleet = Fleet(*"abcdef")
     fleet.crashing = {2}
     fleet.run(2, HALT_MS)
@@ -291,7 +293,7 @@
 
 
 def test_halted_weights_are_tried_again_by_one_replica_at_a_time() -> None:
-    """Guards against weights that are left out for good after replicas were mended."""
+    """Guards against weights that stay halted after the replicas were repaired."""
     fleet = Fleet(*"abcdef")
     fleet.crashing = {2}
     fleet.run(2, HALT_MS)
@@ -312,7 +314,7 @@
 
 
 def test_replicas_that_crash_by_themselves_do_not_halt_a_rollout() -> None:
-    """Guards against a roll-out that stops though the weights have been loaded."""
+    """Guards against a rollout that halts although the weights have been loaded."""
     fleet = Fleet(*"abcdef")
     fleet.run(2, 1_500.0)
     assert 2 in fleet.versions.values()
