--- a/packages/toucanyard/src/toucanyard/configuration_log.py
+++ b/packages/toucanyard/src/toucanyard/configuration_log.py
@@ -41,7 +41,7 @@
 _EMPTY: Final = Configuration()
 
 
-class Allowance(msgspec.Struct, frozen=True):
+class Permissions(msgspec.Struct, frozen=True):
     """What a node may do under the version that it knows.
 
     Serving continues under an outdated version, since its endpoints and customers
@@ -124,10 +124,10 @@
         """Return whether the log or a peer confirmed the version recently enough."""
         return self._freshness.is_fresh(now_ms) and not self.has_gap
 
-    def compute_allowance(self, now_ms: float) -> Allowance:
+    def compute_permissions(self, now_ms: float) -> Permissions:
         """Return what this node may do under the version in force."""
         is_current = self.is_current(now_ms)
-        return Allowance(is_current, may_order=is_current, may_patch=is_current)
+        return Permissions(is_current, may_order=is_current, may_patch=is_current)
 
     def check_patch(self, patch: Patch) -> PatchResult:
         """Return the result of a patch if it were the next record of the log."""
--- a/packages/toucanyard/src/toucanyard/configuration_records.py
+++ b/packages/toucanyard/src/toucanyard/configuration_records.py
@@ -26,7 +26,8 @@
 _CONFIGURATION_PREFIX: Final = "configuration"
 _KINDS: Final = ("patch", "checkpoint")
 FORMAT: Final = 1
-"""Incremented when nodes with older code would misread a record."""
+"""Incremented when nodes with older code would misread a record. A higher number is
+written only to records that contain the change."""
 
 
 class PatchRecord(
--- a/packages/toucanyard/src/toucanyard/configuration_sync.py
+++ b/packages/toucanyard/src/toucanyard/configuration_sync.py
@@ -125,7 +125,7 @@
         if known is not None and known.base == patch.base:
             yield _build_answer(known)
             return
-        if not self._log.compute_allowance(now_ms).may_patch:
+        if not self._log.compute_permissions(now_ms).may_patch:
             text = "this node can't tell which version is the newest"
             yield PatchAnswered(
                 patch.patch_id,
--- a/packages/toucanyard/src/toucanyard/keyed_view.py
+++ b/packages/toucanyard/src/toucanyard/keyed_view.py
@@ -67,7 +67,7 @@
     """The newest fact of each key of one topic.
 
     Invariants: every record below `end` is in the view, or a newer one of its key;
-    `end` never falls; a key's offset never falls.
+    `end` never decreases; a key's offset never decreases.
     """
 
     __slots__ = (
--- a/packages/toucanyard/src/toucanyard/node_core.py
+++ b/packages/toucanyard/src/toucanyard/node_core.py
@@ -368,7 +368,7 @@
         if self._is_draining:
             return
         nodes = [NodeName(vm.name) for vm in self.membership.find_nodes()]
-        may_order = self.log.compute_allowance(now_ms).may_order
+        may_order = self.log.compute_permissions(now_ms).may_order
         yield from self.order_runner.tick(
             self.configuration,
             nodes,
--- a/packages/toucanyard/src/toucanyard/orders.py
+++ b/packages/toucanyard/src/toucanyard/orders.py
@@ -56,7 +56,7 @@
 
 
 class _PoolCounts(msgspec.Struct, frozen=True):
-    """How many endpoints of a pool may be loading, are reachable, and are warm."""
+    """How many endpoints of a pool may be loading, are reachable, and serve warm."""
 
     loading: int
     reachable: int
--- a/packages/toucanyard/src/toucanyard/snapshot_exchange.py
+++ b/packages/toucanyard/src/toucanyard/snapshot_exchange.py
@@ -31,7 +31,7 @@
 )
 
 _FETCH_WITHIN_MS: Final = 10_000.0
-"""Time after the start in which a snapshot is useful: by then all is learned anyway."""
+"""Time after the start in which a snapshot is useful; later its contents are known."""
 
 
 class SnapshotExchange:
--- a/packages/toucanyard/src/toucanyard/weights_rollout.py
+++ b/packages/toucanyard/src/toucanyard/weights_rollout.py
@@ -278,7 +278,8 @@
         """Request reports from all replicas, to see which of them respond.
 
         A replica that has just failed stays listed for seconds. If it counted as
-        serving calls, or were chosen for a load, too few replicas would be left.
+        serving calls, or as loading although the load never begins, too few replicas
+        would be left.
         """
         is_due = now_ms - self._polled_ms >= POLL_INTERVAL_MS
         if not self._is_paced or not is_due:
--- a/tests/toucanyard/test_configuration_log.py
+++ b/tests/toucanyard/test_configuration_log.py
@@ -95,7 +95,7 @@
     log.append_patch(build_patch("late", 1))
     log.replay(node)
     assert node.configuration.version == 1 and node.has_gap
-    assert not node.compute_allowance(0.0).may_order
+    assert not node.compute_permissions(0.0).may_order
     assert node.unknown_kinds == {"configuration_swap": 1}
     swapped = msgspec.structs.replace(node.configuration, version=2)
     newer = CheckpointRecord(configuration=swapped, next_offset=len(log.texts))
@@ -182,9 +182,11 @@
     log.append_patch(build_patch("one", 0))
     log.replay(node, now_ms=0.0)
     bound_ms = TIMINGS.stale_after_ms
-    assert node.compute_allowance(bound_ms).may_order
-    allowance = node.compute_allowance(bound_ms + 1)
-    assert not (allowance.is_current or allowance.may_order or allowance.may_patch)
+    assert node.compute_permissions(bound_ms).may_order
+    permissions = node.compute_permissions(bound_ms + 1)
+    assert not (
+        permissions.is_current or permissions.may_order or permissions.may_patch
+    )
     assert node.apply_peer_confirmation(1, node.digest, bound_ms)
     assert node.is_current(bound_ms + 1)
     assert not node.apply_peer_confirmation(1, node.digest + 1, bound_ms)
