--- a/packages/toucanyard/src/toucanyard/call_placement.py
+++ b/packages/toucanyard/src/toucanyard/call_placement.py
@@ -29,7 +29,7 @@
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.requests import Repeatability
 from toucanyard.routes import EngineTraits, PromptStore, RouteIndex, RouteTable
-from toucanyard.weights_goals import WeightsGoals
+from toucanyard.target_weights import TargetWeightsTable
 
 MIN_PATIENCE_MS: Final = 400.0
 MAX_OLD_SHARE: Final = 0.8
@@ -48,7 +48,7 @@
         self,
         options: RelayOptions,
         directory: ReplicaDirectory,
-        goals: WeightsGoals,
+        weight_targets: TargetWeightsTable,
         sources: PromptBlockSources,
         credits: ReplicaCredits,
         rng: random.Random,
@@ -57,7 +57,7 @@
         self._sources = sources
         self._credits = credits
         self._directory = directory
-        self._goals = goals
+        self._weight_targets = weight_targets
         self.index = RouteIndex(RouteTable())
         self.view_confirmed_ms = float("-inf")
         """Time at which the store last confirmed the list of replicas."""
@@ -102,7 +102,7 @@
         request = pending.request
         prompt = request.prompt
         assert prompt is not None
-        goal = self._goals.find(prompt.model)
+        target = self._weight_targets.find(prompt.model)
         if pending.has_begun and pending.weights_version is not None:
             # Output of another weights version can't continue the same answer.
             version = pending.weights_version
@@ -113,7 +113,7 @@
             prompt,
             engine,
             usable,
-            goal,
+            target,
             stores,
             now_ms,
             # The caller of an interrupted stream should learn of a failure at once.
--- a/packages/toucanyard/src/toucanyard/known_facts.py
+++ b/packages/toucanyard/src/toucanyard/known_facts.py
@@ -1,6 +1,6 @@
-"""Apply what records say to the parts of the core that decide by it.
+"""Apply changes of records to the parts of the core that depend on them.
 
-Each change of what the node believes is a note for the log, with where it came from.
+Each change of the node's state is logged together with its source.
 """
 
 from __future__ import annotations
@@ -19,23 +19,24 @@
 from toucanyard.request_guard import RequestGuard
 from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex, RouteTable
-from toucanyard.weights_goals import WantedWeights, WeightsGoals
+from toucanyard.target_weights import TargetWeightsTable, WantedWeights
 
 MAX_AGE_MS: Final = 1e6
-"""Age that is logged for a list that the store has never confirmed."""
+"""Maximum age in the log, also used for a list that the store has never confirmed."""
 
 
 class KnownFacts:
-    """Routes, wanted weights, replicas and nodes as the records say.
+    """Routes, wanted weights, replicas and nodes according to the records.
 
-    Invariants: the version of the routes in force never falls; no record that can't be
-    read changes anything but the use of the replica in whose place it stands.
+    Invariants: the version of the routes in force never decreases; a record that can't
+    be decoded has no effect except that the replica whose record it replaced gets no
+    more calls.
     """
 
     __slots__ = (
         "_directory",
         "_flow",
-        "_goals",
+        "_weight_targets",
         "_guard",
         "_invalid",
         "_roster",
@@ -45,14 +46,14 @@
     def __init__(
         self,
         directory: ReplicaDirectory,
-        goals: WeightsGoals,
+        weight_targets: TargetWeightsTable,
         roster: Roster,
         flow: RelayFlow,
         guard: RequestGuard,
     ) -> None:
         self.index = RouteIndex(RouteTable())
         self._directory = directory
-        self._goals = goals
+        self._weight_targets = weight_targets
         self._roster = roster
         self._flow = flow
         self._guard = guard
@@ -67,11 +68,11 @@
         listed_ms: float,
         known_for_ms: float = 0.0,
     ) -> Iterator[Note]:
-        """Apply changes; `listed_ms` is when the store confirmed what was known before.
+        """Apply changes; `listed_ms` is when the store confirmed the previous state.
 
-        `known_for_ms` is how long wanted weights may have been named before.
+        `known_for_ms` is how long ago wanted weights may have been set by operators.
         """
-        gone: list[EndpointName] = []
+        removed: list[EndpointName] = []
         for change in changes:
             if isinstance(change.fact, InvalidRecord):
                 yield from self._apply_invalid(change.key, change.fact, source, now_ms)
@@ -81,18 +82,18 @@
                 continue
             match change.before:
                 case Replica(listed_as=listed_as):
-                    # The entry that went may be an earlier life's that came late.
+                    # The removed entry may be a late one of an earlier incarnation.
                     current = self._directory.find_current(listed_as)
                     if current is not None:
-                        gone.append(current.replica.name)
+                        removed.append(current.replica.name)
                 case NodeRecord(name=node):
                     self._roster.remove(node)
                     yield Note("node_gone", {"node": node, "source": source})
                 case QuarantinedRequest() as quarantined:
                     self._guard.on_record_removed(quarantined)
-        if gone:
-            self._directory.remove(gone, now_ms, listed_ms=listed_ms)
-        for replica in gone:
+        if removed:
+            self._directory.remove(removed, now_ms, listed_ms=listed_ms)
+        for replica in removed:
             known = self._directory.find(replica)
             counts_ms = 0.0 if known is None else known.grace_until_ms - now_ms
             yield Note(
@@ -127,7 +128,7 @@
             case RouteTable():
                 yield from self._apply_table(fact, source)
             case WantedWeights(model=model, version=version):
-                if self._goals.apply(fact, now_ms - known_for_ms):
+                if self._weight_targets.apply(fact, now_ms - known_for_ms):
                     fields = {"model": model, "version": version, "source": source}
                     yield Note("weights_wanted", fields)
             case Replica():
@@ -157,24 +158,25 @@
     ) -> Iterator[Note]:
         before = self._directory.find_current(replica.listed_as)
         was_usable = before is not None and before.is_listed(now_ms)
-        was_gone = before is not None and before.gone_ms is not None
-        had = {} if before is None else dict(before.weights)
+        was_removed = before is not None and before.gone_ms is not None
+        weights_before = {} if before is None else dict(before.weights)
         known = self._directory.apply(replica, now_ms)
         if known is None:
             yield Note("replica_outdated", _describe(replica, source))
             return
         if before is not None and before is not known:
-            # It remembers nothing of its life before.
+            # The new incarnation starts with an empty cache.
             self._flow.block_index.forget(before.replica.name)
             fields = _describe(replica, source) | {"before": before.replica.name}
             yield Note("replica_restarted", fields)
         elif any(
-            version > had.get(model, version) for model, version in replica.weights
+            version > weights_before.get(model, version)
+            for model, version in replica.weights
         ):
-            # Loading weights drops all that was read under the ones before.
+            # Loading weights clears what the replica cached under the previous ones.
             self._flow.block_index.forget(replica.name)
-        is_same = known is before and had == known.weights
-        if not is_same or was_gone or was_usable != known.is_listed(now_ms):
+        is_same = known is before and weights_before == known.weights
+        if not is_same or was_removed or was_usable != known.is_listed(now_ms):
             fields = _describe(replica, source)
             fields |= {"is_leaving": known.is_leaving, "weights": dict(known.weights)}
             yield Note("replica_known", fields)
--- a/packages/toucanyard/src/toucanyard/orders.py
+++ b/packages/toucanyard/src/toucanyard/orders.py
@@ -1,8 +1,8 @@
 """Plan the orders that bring the endpoints of one pool to their desired state.
 
-Nothing is trusted to have held: each order is followed by reading the endpoint's
-state, and what is still wrong is ordered anew. Orders are conditional on the weights
-that were read, so one that arrives late changes nothing that has moved on.
+No order is assumed to have succeeded: after each one the endpoint's state is read, and
+a new order is sent if it still differs. Orders are conditional on the weights that were
+read, so a late one has no effect on an endpoint that has changed since.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 
 MAX_LOADS: Final = 2
 _WARM_SHARE: Final = 0.6
-"""Share of the other replicas that stay warm while one loads."""
+"""Share of the other replicas that must be warm while one loads."""
 _WARM_MS: Final = 5_000.0
 """How long a replica counts as cold after its load."""
 _FRESH_MS: Final = 2_000.0
-"""How old a state may be for an order to be based on it."""
-_UNSURE_MS: Final = 15_000.0
-"""How long an endpoint that can't be read counts as one that may be loading."""
-_AGAIN_MS: Final = 1_000.0
-"""Least time between two orders to one endpoint."""
+"""Maximum age of a state on which an order is based."""
+_UNKNOWN_STATE_MS: Final = 15_000.0
+"""How long an endpoint whose state can't be read is assumed to be loading."""
+_MIN_ORDER_INTERVAL_MS: Final = 1_000.0
+"""Minimum time between two orders to one endpoint."""
 _LOST_MS: Final = 2_000.0
-"""How long an order without an answer may still be under way."""
+"""How long an order without an answer may still be in transit."""
 _STARTS_PER_S: Final = 2.0
-"""Loads that one holder starts in a second; the weight store takes few."""
+"""Maximum rate of loads started by one holder; the weight store supports few."""
 
 
 class _Replica(msgspec.Struct):
-    """What the holder knows of one endpoint."""
+    """What the lease holder knows of one endpoint."""
 
     state: EndpointState | None = None
     asked_ms: float = float("-inf")
@@ -49,39 +49,39 @@
     """The order whose answer is awaited."""
     ordered_ms: float = float("-inf")
     is_load_open: bool = False
-    """A load was ordered and no state read since shows how it ended."""
+    """A load was ordered, and no state read since then shows its result."""
     cold_until_ms: float = float("-inf")
     unanswered_ms: float | None = None
-    """When it was first asked after its last answer."""
+    """When it was first read after its last answer."""
 
 
-class _Counted(msgspec.Struct, frozen=True):
-    """How many endpoints of a pool may be loading, answer, and are warm as well."""
+class _PoolCounts(msgspec.Struct, frozen=True):
+    """How many endpoints of a pool may be loading, are reachable, and serve warm."""
 
     loading: int
     reachable: int
     warm: int
 
 
-class Need(enum.Enum):
+class ReadReason(enum.Enum):
     """Why the state of an endpoint is to be read."""
 
     NONE = enum.auto()
-    """As desired, or dead: seldom."""
+    """As desired, or dead: read seldom."""
     ORDERED = enum.auto()
-    """An order is under way, whose end only a state shows."""
-    UNSURE = enum.auto()
-    """Not known yet, or its number is to be raised; no load is ordered before."""
+    """An order is under way, and only a state shows its result."""
+    UNKNOWN = enum.auto()
+    """The state is unknown or its fence is too low; this blocks all loads."""
     CHANGING = enum.auto()
-    """To be ordered something, or suspected to be dead."""
+    """An order is to be sent, or the endpoint may be dead."""
 
 
 class PoolOrders:
     """Plan the orders of one pool under one fencing number.
 
-    Invariants: at most MAX_LOADS replicas load or may be loading when a load is
-    ordered; no load is ordered before each endpoint that checks fences has this
-    number, so that orders of an earlier holder can't add to them.
+    Invariants: at most MAX_LOADS replicas are or may be loading when a load is ordered;
+    no load is ordered until each endpoint that checks fences has this number, so that
+    orders of an earlier holder can't start further loads.
     """
 
     def __init__(self, pool: PoolName, fence: int, now_ms: float) -> None:
@@ -90,16 +90,16 @@
         self._started_ms = now_ms
         self._replicas: dict[EndpointName, _Replica] = {}
         self._number = 0
-        self._starts = _STARTS_PER_S
-        self._starts_ms = now_ms
+        self._load_tokens = _STARTS_PER_S
+        self._tokens_updated_ms = now_ms
         self._unusable: Set[EndpointName] = frozenset()
-        self._counted: _Counted | None = None
-        """Worked out once a plan, and again after an order of it."""
+        self._counts: _PoolCounts | None = None
+        """Computed once per plan, and again after each order of the plan."""
 
-    def note_state(
+    def record_state(
         self, endpoint: EndpointName, state: EndpointState, asked_ms: float
     ) -> None:
-        """Take in the state that an endpoint gave when asked at `asked_ms`."""
+        """Record the state that an endpoint returned to a request at `asked_ms`."""
         replica = self._replicas.setdefault(endpoint, _Replica())
         if asked_ms <= replica.asked_ms:
             return
@@ -112,73 +112,77 @@
         if replica.order_id is None and asked_ms > replica.ordered_ms:
             replica.is_load_open = False
 
-    def note_outcome(
+    def record_outcome(
         self,
         endpoint: EndpointName,
         order_id: str,
         outcome: OrderOutcome,
         now_ms: float,
     ) -> bool:
-        """Take in an answer; return whether the duty has gone to someone else."""
+        """Record the outcome of an order; return whether there is a newer holder."""
         replica = self._replicas.get(endpoint)
         if replica is None or replica.order_id != order_id:
             return outcome is OrderOutcome.STALE_FENCE
         replica.order_id = None
-        # Whatever the answer, only a state read from now on tells what is loaded.
+        # Whatever the outcome, only a state read from now on shows what is loaded.
         replica.ordered_ms = now_ms
         if outcome is OrderOutcome.LOST:
-            # It may still be under way and start a load after the next read.
+            # It may still be in transit and start a load after the next read.
             replica.ordered_ms = now_ms + _LOST_MS
         if outcome is OrderOutcome.NOT_SENT:
             replica.is_load_open = False
         return outcome is OrderOutcome.STALE_FENCE
 
-    def find_needs(self, pool: Pool, now_ms: float) -> dict[Need, list[Endpoint]]:
-        """Return the endpoints by why their state is to be read."""
-        found: dict[Need, list[Endpoint]] = {need: [] for need in Need}
+    def group_by_read_reason(
+        self, pool: Pool, now_ms: float
+    ) -> dict[ReadReason, list[Endpoint]]:
+        """Return the endpoints by the reason to read their states."""
+        found: dict[ReadReason, list[Endpoint]] = {need: [] for need in ReadReason}
         for each in pool.endpoints:
-            found[self._find_need(pool, each.name, now_ms)].append(each)
+            found[self._find_read_reason(pool, each.name, now_ms)].append(each)
         return found
 
-    def note_asked(self, endpoint: EndpointName, now_ms: float) -> None:
-        """Take in that an endpoint is asked for its state now."""
+    def record_read_sent(self, endpoint: EndpointName, now_ms: float) -> None:
+        """Record that a read of an endpoint's state is sent now."""
         replica = self._replicas.setdefault(endpoint, _Replica())
         if replica.unanswered_ms is None:
             replica.unanswered_ms = now_ms
 
-    def _find_need(self, pool: Pool, name: EndpointName, now_ms: float) -> Need:
+    def _find_read_reason(
+        self, pool: Pool, name: EndpointName, now_ms: float
+    ) -> ReadReason:
         replica = self._replicas.get(name, _Replica())
         if self._is_dead(replica, now_ms):
             # In a large pool some replica is always dead. It must not be read at the
-            # rate of a roll-out.
-            return Need.NONE
+            # rate used during a rollout.
+            return ReadReason.NONE
         state = replica.state
         if state is None:
-            return Need.UNSURE
+            return ReadReason.UNKNOWN
         if replica.order_id or replica.is_load_open or state.is_loading:
-            return Need.ORDERED
+            return ReadReason.ORDERED
         if state.checks_fence and state.fence < self.fence:
-            return Need.UNSURE
+            return ReadReason.UNKNOWN
         is_as_desired = _find_change(pool, state) is None
         return (
-            Need.NONE
+            ReadReason.NONE
             if is_as_desired and name not in self._unusable
-            else (Need.CHANGING)
+            else (ReadReason.CHANGING)
         )
 
-    def note_unusable(self, names: Set[EndpointName]) -> None:
-        """Take in which endpoints get no work; they are no capacity to count on."""
+    def set_unusable(self, names: Set[EndpointName]) -> None:
+        """Set which endpoints get no requests and so don't count as capacity."""
         self._unusable = names
 
     def plan(self, pool: Pool, until_ms: float, now_ms: float) -> list[SendOrder]:
-        """Return the orders to send now; none is to be sent after `until_ms`."""
+        """Return the orders to send now; none may be sent after `until_ms`."""
         if now_ms >= until_ms:
             return []
         kept = {endpoint.name for endpoint in pool.endpoints}
         for name in set(self._replicas) - kept:
             del self._replicas[name]
         orders: list[SendOrder] = []
-        self._counted = None
+        self._counts = None
         is_fenced = self._is_fenced(pool, now_ms)
         for endpoint in pool.endpoints:
             replica = self._replicas.setdefault(endpoint.name, _Replica())
@@ -188,7 +192,7 @@
             replica.order_id = order.order_id
             replica.ordered_ms = now_ms
             replica.is_load_open = order.kind is OrderKind.LOAD
-            self._counted = None
+            self._counts = None
             orders.append(
                 SendOrder(self.pool, endpoint.name, endpoint.address, order, until_ms)
             )
@@ -206,17 +210,17 @@
         if state is None or not self._may_order(replica, now_ms):
             return None
         if state.checks_fence and state.fence < self.fence:
-            # Changes nothing but the number: from now on a late order of an earlier
-            # holder is refused here.
+            # This order only raises the fence, so that the endpoint rejects late orders
+            # of an earlier holder.
             return self._build(OrderKind.ROLE, state, role=state.role)
         change = _find_change(pool, state)
         if change is None:
             return None
         if change is not OrderKind.LOAD:
-            return self._build_small(change, pool, state)
+            return self._build_role_or_adapter(change, pool, state)
         if not is_fenced or not self._may_load(pool, endpoint, now_ms):
             return None
-        self._starts -= 1
+        self._load_tokens -= 1
         return self._build(
             OrderKind.LOAD,
             state,
@@ -232,41 +236,43 @@
             and replica.order_id is None
             and replica.asked_ms > replica.ordered_ms
             and now_ms - replica.asked_ms <= _FRESH_MS
-            and now_ms - replica.ordered_ms >= _AGAIN_MS
+            and now_ms - replica.ordered_ms >= _MIN_ORDER_INTERVAL_MS
         )
 
     def _is_fenced(self, pool: Pool, now_ms: float) -> bool:
-        """Tell whether no earlier holder's order can start a load any more."""
+        """Return whether orders of earlier holders can no longer start a load."""
         for endpoint in pool.endpoints:
             replica = self._replicas.get(endpoint.name)
             if replica is None or replica.state is None:
-                if now_ms - self._started_ms < _UNSURE_MS:
+                if now_ms - self._started_ms < _UNKNOWN_STATE_MS:
                     return False
                 continue
             is_older = replica.state.checks_fence and replica.state.fence < self.fence
-            if is_older and now_ms - replica.asked_ms < _UNSURE_MS:
+            if is_older and now_ms - replica.asked_ms < _UNKNOWN_STATE_MS:
                 return False
         return True
 
     def _may_load(self, pool: Pool, endpoint: Endpoint, now_ms: float) -> bool:
-        passed_s = (now_ms - self._starts_ms) / 1000
-        self._starts = min(_STARTS_PER_S, self._starts + passed_s * _STARTS_PER_S)
-        self._starts_ms = now_ms
-        if self._starts < 1:
+        passed_s = (now_ms - self._tokens_updated_ms) / 1000
+        self._load_tokens = min(
+            _STARTS_PER_S, self._load_tokens + passed_s * _STARTS_PER_S
+        )
+        self._tokens_updated_ms = now_ms
+        if self._load_tokens < 1:
             return False
-        if self._counted is None:
-            self._counted = self._count(pool, now_ms)
-        counted = self._counted
+        if self._counts is None:
+            self._counts = self._count(pool, now_ms)
+        counts = self._counts
         name = endpoint.name
-        if counted.loading - self._may_be_loading(name, now_ms) >= MAX_LOADS:
+        if counts.loading - self._may_be_loading(name, now_ms) >= MAX_LOADS:
             return False
-        reachable = counted.reachable - self._is_reachable(name, now_ms)
-        warm = counted.warm - self._is_serving(name, now_ms)
+        reachable = counts.reachable - self._is_reachable(name, now_ms)
+        warm = counts.warm - self._is_serving(name, now_ms)
         return warm >= min(reachable, max(1, int(_WARM_SHARE * reachable)))
 
-    def _count(self, pool: Pool, now_ms: float) -> _Counted:
+    def _count(self, pool: Pool, now_ms: float) -> _PoolCounts:
         names = [each.name for each in pool.endpoints]
-        return _Counted(
+        return _PoolCounts(
             sum(self._may_be_loading(name, now_ms) for name in names),
             sum(self._is_reachable(name, now_ms) for name in names),
             sum(self._is_serving(name, now_ms) for name in names),
@@ -278,17 +284,19 @@
     def _may_be_loading(self, name: EndpointName, now_ms: float) -> bool:
         replica = self._replicas.get(name)
         if replica is None or replica.state is None:
-            return now_ms - self._started_ms < _UNSURE_MS
+            return now_ms - self._started_ms < _UNKNOWN_STATE_MS
         if replica.state.is_loading or replica.is_load_open:
-            # An endpoint that died while it loaded no longer says how it ended.
-            return now_ms - max(replica.asked_ms, replica.ordered_ms) < _UNSURE_MS
+            # An endpoint that died while loading never reports the result.
+            return (
+                now_ms - max(replica.asked_ms, replica.ordered_ms) < _UNKNOWN_STATE_MS
+            )
         return False
 
     def _is_reachable(self, name: EndpointName, now_ms: float) -> bool:
-        """Tell whether an endpoint counts for the capacity to be kept.
+        """Return whether an endpoint counts for the capacity to be kept.
 
-        Those that are dead don't, or a pool with many of them would never get new
-        weights.
+        Dead endpoints don't count; otherwise a pool with many of them would never get
+        new weights.
         """
         replica = self._replicas.get(name)
         if replica is None or replica.state is None:
@@ -297,7 +305,7 @@
 
     def _is_dead(self, replica: _Replica, now_ms: float) -> bool:
         since_ms = replica.unanswered_ms
-        return since_ms is not None and now_ms - since_ms >= _UNSURE_MS
+        return since_ms is not None and now_ms - since_ms >= _UNKNOWN_STATE_MS
 
     def _is_warm(self, name: EndpointName, now_ms: float) -> bool:
         replica = self._replicas.get(name)
@@ -311,7 +319,7 @@
             and (since_ms is None or now_ms - since_ms <= _FRESH_MS)
         )
 
-    def _build_small(
+    def _build_role_or_adapter(
         self, change: OrderKind, pool: Pool, state: EndpointState
     ) -> Order:
         if change is OrderKind.ROLE:
@@ -329,8 +337,8 @@
         adapter: str = "",
         role: str = "",
     ) -> Order:
-        # Each try has an id of its own. With one id for the same goal, an endpoint
-        # that was led astray since would answer that it had already been done.
+        # Each attempt has its own id. If attempts for one target shared an id, an
+        # endpoint whose weights changed since would report the order as already done.
         self._number += 1
         return Order(
             order_id=f"{self.pool}-{self.fence}-{self._number}",
--- a/packages/toucanyard/src/toucanyard/prompt_block_placement.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_placement.py
@@ -31,7 +31,7 @@
 from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica
 from toucanyard.routes import EngineTraits, PromptStore
-from toucanyard.weights_goals import Goal
+from toucanyard.target_weights import TargetWeights
 
 FULL_SHARE: Final = 0.92
 """Share of a replica's memory that calls may use together; beyond it the engine
@@ -87,7 +87,7 @@
     prompt: Prompt
     shared: tuple[PromptBlock, ...]
     engine: EngineTraits
-    goal: Goal | None
+    target: TargetWeights | None
     candidates: list[Candidate]
     sources: dict[str, FetchSources]
     """By scope."""
@@ -137,7 +137,7 @@
         prompt: Prompt,
         engine: EngineTraits,
         usable: Sequence[KnownReplica],
-        goal: Goal | None,
+        target: TargetWeights | None,
         stores: Sequence[PromptStore],
         now_ms: float,
         *,
@@ -148,7 +148,7 @@
         `may_wait_for_reader` allows it to wait for a block that another replica is
         reading.
         """
-        candidates = self._find_candidates(request, prompt, usable, goal, now_ms)
+        candidates = self._find_candidates(request, prompt, usable, target, now_ms)
         shared = prompt.find_shared()
         sources = self._find_sources(candidates, shared, engine, stores, now_ms)
         length_group = self._filter.find_length_group(candidates, prompt)
@@ -157,7 +157,7 @@
             prompt,
             shared,
             engine,
-            goal,
+            target,
             candidates,
             sources,
             stores,
@@ -226,14 +226,14 @@
         request: RelayRequest,
         prompt: Prompt,
         usable: Sequence[KnownReplica],
-        goal: Goal | None,
+        target: TargetWeights | None,
         now_ms: float,
     ) -> list[Candidate]:
         shared = prompt.find_shared()
         found = []
         for known in usable:
             version = known.weights.get(prompt.model)
-            if version is None or self._is_too_old(version, goal, now_ms):
+            if version is None or self._is_too_old(version, target, now_ms):
                 continue
             scope = compute_scope(request, prompt, version)
             name = known.replica.name
@@ -241,8 +241,13 @@
             found.append(Candidate(known, version, scope, held))
         return found
 
-    def _is_too_old(self, version: int, goal: Goal | None, now_ms: float) -> bool:
-        return goal is not None and goal.compute_age(version, now_ms) > self._max_old_ms
+    def _is_too_old(
+        self, version: int, target: TargetWeights | None, now_ms: float
+    ) -> bool:
+        return (
+            target is not None
+            and target.compute_age(version, now_ms) > self._max_old_ms
+        )
 
     def _find_sources(
         self,
@@ -299,7 +304,7 @@
         total_ms = wait_ms + read_ms * (
             1.0 + total_usage.running * self._policy.pause_share
         )
-        total_ms += self._price(candidate, context.goal, now_ms)
+        total_ms += self._price(candidate, context.target, now_ms)
         if name not in context.length_group_names:
             total_ms += OTHER_GROUP_PRICE_MS
         total_ms += sources.compute_price(fetched, candidate.known.replica, engine)
@@ -310,10 +315,12 @@
             )
         return _Scored(candidate, total_ms, wait_ms, unread, fetched, missing)
 
-    def _price(self, candidate: Candidate, goal: Goal | None, now_ms: float) -> float:
+    def _price(
+        self, candidate: Candidate, target: TargetWeights | None, now_ms: float
+    ) -> float:
         price_ms = self._policy.failure_ms * candidate.known.compute_failures(now_ms)
-        if goal is not None and candidate.version < goal.version:
-            is_late = goal.compute_age(candidate.version, now_ms) > LATE_AFTER_MS
+        if target is not None and candidate.version < target.version:
+            is_late = target.compute_age(candidate.version, now_ms) > LATE_AFTER_MS
             policy = self._policy
             price_ms += policy.late_weights_ms if is_late else policy.old_weights_ms
         return price_ms
--- a/packages/toucanyard/src/toucanyard/settings.py
+++ b/packages/toucanyard/src/toucanyard/settings.py
@@ -1,6 +1,6 @@
-"""Read settings and patches: JSON with comments, decoded strictly.
+"""Read settings and patches as JSON with comments, with strict decoding.
 
-An error names the file, the path of the field, what was found and what is expected.
+An error names the file, the path of the field, the value found and what is expected.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class SettingsError(Exception):
-    """Say which file and field is wrong; the command line exits with status 2."""
+    """An invalid file; names the field, and the command line exits with status 2."""
 
 
-class _RefusedJsonError(Exception):
-    """JSON that the library takes, and that leaves open what was meant."""
+class _RejectedJsonError(Exception):
+    """JSON that the library accepts although its meaning is ambiguous."""
 
 
 def load_document(file: Path, kind: type[T]) -> T:
@@ -53,7 +53,7 @@
 
 
 def check_ranges(file: Path, options: Options) -> None:
-    """Refuse settings that are each valid but contradict one another."""
+    """Reject settings that are individually valid but contradict each other."""
     callers = options.callers
     if callers.default_deadline_ms > callers.max_deadline_ms:
         raise SettingsError(
@@ -62,8 +62,8 @@
             " - at `$.callers.default_deadline_ms`"
         )
     window_ms = options.claims.window_ms
-    # A key counts from its first try: were it forgotten while a request under it is
-    # still waiting, a retry would run a second time.
+    # The window starts at a key's first attempt. If the key expired while a request
+    # under it was still waiting, a retry would run a second time.
     if callers.max_deadline_ms * 2 > window_ms:
         raise SettingsError(
             f"{file}: found max_deadline_ms {callers.max_deadline_ms}, expected"
@@ -77,7 +77,7 @@
             f" max_silence_ms {streams.max_silence_ms} - at `$.streams.min_silence_ms`"
         )
     for path, address in _list_addresses(options):
-        if not _is_possible(address):
+        if not _is_valid_address(address):
             raise SettingsError(
                 f"{file}: found {json.dumps(address)}, expected an IP number and a port"
                 f" up to {_MAX_PORT} - at `{path}`"
@@ -95,9 +95,9 @@
         ) from error
     try:
         return jsonc.loads(
-            _blank_comments(text),
+            _replace_comments(text),
             object_pairs_hook=_build_object,
-            parse_constant=_refuse_constant,
+            parse_constant=_reject_constant,
         )
     except json.JSONDecodeError as error:
         where = f"line {error.lineno} column {error.colno}"
@@ -105,15 +105,15 @@
         raise SettingsError(f"{file}: {where}: found {found!r}: {error.msg}") from error
     except RecursionError as error:
         raise SettingsError(f"{file}: found JSON nested too deeply") from error
-    except _RefusedJsonError as error:
+    except _RejectedJsonError as error:
         raise SettingsError(f"{file}: {error}") from error
 
 
-def _blank_comments(text: str) -> str:
-    """Put blanks in place of comments.
+def _replace_comments(text: str) -> str:
+    """Replace comments with blanks.
 
-    The library takes them out with their line ends, so that the lines of its errors
-    would not be those of the file.
+    The library removes them with their line ends, so the line numbers in its errors
+    would not match the file.
     """
     return _STRING_OR_COMMENT.sub(
         lambda match: match[0] if match[0][0] == '"' else _NO_BREAK.sub(" ", match[0]),
@@ -122,21 +122,21 @@
 
 
 def _build_object(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    """Return an object, and refuse a field that stands twice.
+    """Return an object; reject duplicate fields.
 
-    The library keeps the last one: an operator who mends the first would see no
-    effect and no error.
+    The library keeps the last one, so an operator who edits the first would see neither
+    an effect nor an error.
     """
     fields = dict(pairs)
     if len(fields) == len(pairs):
         return fields
     names = [name for name, _ in pairs]
     twice = next(name for name in names if names.count(name) > 1)
-    raise _RefusedJsonError(f"found field {twice!r} twice, expected it once")
+    raise _RejectedJsonError(f"found field {twice!r} twice, expected it once")
 
 
-def _refuse_constant(text: str) -> NoReturn:
-    raise _RefusedJsonError(f"found {text}, expected a number")
+def _reject_constant(text: str) -> NoReturn:
+    raise _RejectedJsonError(f"found {text}, expected a number")
 
 
 def _list_addresses(options: Options) -> Iterator[tuple[str, Address]]:
@@ -150,7 +150,7 @@
         yield "$.statsd.address", options.statsd.address
 
 
-def _is_possible(address: Address) -> bool:
+def _is_valid_address(address: Address) -> bool:
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/packages/toucanyard/src/toucanyard/snapshots.py
+++ b/packages/toucanyard/src/toucanyard/snapshots.py
@@ -1,7 +1,7 @@
-"""Give a starting node what a running one knows, in parts of bounded size and rate.
+"""Send a running node's state to a starting one, in parts of bounded size and rate.
 
-A snapshot has the configuration and, beside it, hints that make the first seconds
-better: incarnations, leaving addresses, weights, loads. A node needs only the
+A snapshot contains the configuration and hints that improve decisions in the first
+seconds: incarnations, leaving addresses, weights, loads. A node needs only the
 configuration to serve; everything else is learned again if it is missing.
 """
 
@@ -23,12 +23,12 @@
 _MAX_ENDPOINTS: Final = 20_000
 _SERVED_BYTES_PER_S: Final = 1_000_000
 _MAX_SERVED: Final = 2
-_GIVE_UP_MS: Final = 2_000.0
+_TIMEOUT_MS: Final = 2_000.0
 _RETRY_MS: Final = 200.0
 
 
 class EndpointHint(msgspec.Struct, frozen=True, array_like=True):
-    """What a node knows of one endpoint."""
+    """What a node knows about one endpoint."""
 
     endpoint: EndpointName
     incarnation: Incarnation
@@ -38,10 +38,10 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What one node gives another at its start.
+    """The state that one node sends to another at its start.
 
-    `next_offset` is where the log is to be read on from for everything but the
-    configuration, which carries its own.
+    `next_offset` is the offset from which to continue reading the log for everything
+    but the configuration, which contains its own.
     """
 
     configuration: CheckpointRecord | None
@@ -51,14 +51,14 @@
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, tag="snapshot_request"):
-    """Ask a peer for a part; part 0 makes the peer take a new snapshot."""
+    """Request a part from a peer; part 0 makes the peer create a new snapshot."""
 
     transfer: int
     part: int
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, tag="snapshot_part"):
-    """One part of an encoded snapshot; the digest is that of the whole."""
+    """One part of an encoded snapshot, with the digest of the complete snapshot."""
 
     transfer: int
     part: int
@@ -68,7 +68,7 @@
 
 
 class SnapshotBusy(msgspec.Struct, frozen=True, tag="snapshot_busy"):
-    """Say that this node serves enough others now, and when to ask again."""
+    """Refuse a request while others are served, with the time until a retry."""
 
     transfer: int
     retry_after_ms: float
@@ -78,25 +78,25 @@
 
 
 class SnapshotInvalidError(Exception):
-    """The bytes are no snapshot."""
+    """The bytes are not a valid snapshot."""
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the bytes of a snapshot, with hints cut to their bounds."""
+    """Return the bytes of a snapshot, with hints truncated to their bounds."""
     bounded = msgspec.structs.replace(
         snapshot,
         endpoints=snapshot.endpoints[:_MAX_ENDPOINTS],
     )
     data = msgspec.msgpack.encode(bounded)
     if len(data) > MAX_SNAPSHOT_BYTES:
-        # The hints are what can be done without.
+        # The hints are dispensable.
         bare = msgspec.structs.replace(bounded, endpoints=())
         data = msgspec.msgpack.encode(bare)
     return data
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Return the snapshot in some bytes, or raise SnapshotInvalidError."""
+    """Decode a snapshot; raise SnapshotInvalidError if the bytes are invalid."""
     try:
         return msgspec.msgpack.decode(data, type=Snapshot)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -110,20 +110,20 @@
 
 
 class SnapshotServer:
-    """Serve snapshots to few peers at once and at a limited rate.
+    """Serve snapshots to a few peers at once and at a limited rate.
 
-    Invariant: at most _MAX_SERVED encoded snapshots are held. In a herd restart the
-    few nodes that kept running would otherwise spend themselves on the others.
+    Invariant: at most _MAX_SERVED encoded snapshots are held. When most nodes restart
+    at once, the few that kept running would otherwise be overloaded by the others.
     """
 
     def __init__(self) -> None:
         self._serving: dict[tuple[NodeName, int], _Serving] = {}
-        self._free_ms = 0.0
+        self._next_send_ms = 0.0
 
     def needs_snapshot(
         self, peer: NodeName, request: SnapshotRequest, now_ms: float
     ) -> bool:
-        """Tell whether a new snapshot is to be taken for this request."""
+        """Return whether to create a new snapshot for this request."""
         self._drop_idle(now_ms)
         is_known = (peer, request.transfer) in self._serving
         return request.part == 0 and not is_known and len(self._serving) < _MAX_SERVED
@@ -138,79 +138,81 @@
     def answer(
         self, peer: NodeName, request: SnapshotRequest, now_ms: float
     ) -> SnapshotPart | SnapshotBusy:
-        """Return the part asked for, or when to ask again."""
+        """Return the requested part, or when to retry."""
         serving = self._serving.get((peer, request.transfer))
         if serving is None:
             return SnapshotBusy(request.transfer, _RETRY_MS)
-        if now_ms < self._free_ms:
+        if now_ms < self._next_send_ms:
             serving.asked_ms = now_ms
-            return SnapshotBusy(request.transfer, self._free_ms - now_ms)
+            return SnapshotBusy(request.transfer, self._next_send_ms - now_ms)
         serving.asked_ms = now_ms
         parts = max(1, -(-len(serving.data) // PART_BYTES))
         start = request.part * PART_BYTES
         data = serving.data[start : start + PART_BYTES]
-        self._free_ms = now_ms + len(data) * 1_000 / _SERVED_BYTES_PER_S
+        self._next_send_ms = now_ms + len(data) * 1_000 / _SERVED_BYTES_PER_S
         if request.part >= parts - 1:
             del self._serving[peer, request.transfer]
         return SnapshotPart(request.transfer, request.part, parts, serving.digest, data)
 
     def _drop_idle(self, now_ms: float) -> None:
         for key, serving in list(self._serving.items()):
-            if now_ms - serving.asked_ms > _GIVE_UP_MS:
+            if now_ms - serving.asked_ms > _TIMEOUT_MS:
                 del self._serving[key]
 
 
-class Ask(msgspec.Struct, frozen=True):
-    """Send a request to a peer."""
+class SendRequest(msgspec.Struct, frozen=True):
+    """Send a snapshot request to a peer."""
 
     peer: NodeName
     request: SnapshotRequest
 
 
 class SnapshotFetch:
-    """Fetch one snapshot at a node's start, from one peer after the other.
+    """Fetch one snapshot at a node's start, trying one peer after another.
 
-    Peers in another failure domain come last, unless none of the own answers; order
-    within each is random, so that a herd doesn't fall upon one node. It is over when
-    a snapshot is whole or every peer was tried.
+    Peers in other failure domains are tried after those in the node's own. The order
+    within each group is random, so that nodes starting together don't all choose the
+    same peer. The fetch ends when a snapshot is complete or every peer was tried.
     """
 
     def __init__(
         self, domain: DomainName, peers: Sequence[Vm], rng: random.Random
     ) -> None:
         shuffled = sorted(peers, key=lambda vm: (vm.domain != domain, rng.random()))
-        self._waiting = [NodeName(vm.name) for vm in shuffled]
+        self._untried_peers = [NodeName(vm.name) for vm in shuffled]
         self._rng = rng
         self._peer: NodeName | None = None
         self._transfer = 0
         self._received: list[bytes] = []
         self._size = 0
         self._asked_ms = 0.0
-        self._began_ms = 0.0
-        self._again_ms: float | None = None
+        self._peer_started_ms = 0.0
+        self._retry_at_ms: float | None = None
         self.snapshot: Snapshot | None = None
 
     def is_over(self) -> bool:
-        """Tell whether nothing more will come."""
-        return self.snapshot is not None or (self._peer is None and not self._waiting)
+        """Return whether the fetch has ended."""
+        return self.snapshot is not None or (
+            self._peer is None and not self._untried_peers
+        )
 
-    def tick(self, now_ms: float) -> Ask | None:
+    def tick(self, now_ms: float) -> SendRequest | None:
         """Return the next request, if one is due."""
         if self.is_over():
             return None
         if self._peer is None:
             return self._try_next(now_ms)
-        if self._again_ms is not None and now_ms >= self._again_ms:
-            self._again_ms = None
-            return self._ask(now_ms)
-        if now_ms - self._asked_ms > _GIVE_UP_MS:
+        if self._retry_at_ms is not None and now_ms >= self._retry_at_ms:
+            self._retry_at_ms = None
+            return self._request_part(now_ms)
+        if now_ms - self._asked_ms > _TIMEOUT_MS:
             return self._try_next(now_ms)
         return None
 
     def handle(
         self, peer: NodeName, message: SnapshotPart | SnapshotBusy, now_ms: float
-    ) -> Ask | None:
-        """Take in a peer's answer; return the next request, if any."""
+    ) -> SendRequest | None:
+        """Handle a peer's answer; return the next request, if any."""
         if peer != self._peer or message.transfer != self._transfer:
             return None
         if isinstance(message, SnapshotBusy):
@@ -222,10 +224,10 @@
         if self._size > MAX_SNAPSHOT_BYTES:
             return self._try_next(now_ms)
         if len(self._received) < message.parts:
-            return self._ask(now_ms)
+            return self._request_part(now_ms)
         return self._finish(message, now_ms)
 
-    def _finish(self, message: SnapshotPart, now_ms: float) -> Ask | None:
+    def _finish(self, message: SnapshotPart, now_ms: float) -> SendRequest | None:
         data = b"".join(self._received)
         if xxhash.xxh3_64_intdigest(data) != message.digest:
             return self._try_next(now_ms)
@@ -235,27 +237,27 @@
             return self._try_next(now_ms)
         return None
 
-    def _wait(self, message: SnapshotBusy, now_ms: float) -> Ask | None:
-        if not self._received and now_ms - self._began_ms > _GIVE_UP_MS:
+    def _wait(self, message: SnapshotBusy, now_ms: float) -> SendRequest | None:
+        if not self._received and now_ms - self._peer_started_ms > _TIMEOUT_MS:
             return self._try_next(now_ms)
-        wait_ms = min(max(message.retry_after_ms, 10.0), _GIVE_UP_MS / 2)
-        self._again_ms = now_ms + wait_ms * self._rng.uniform(1.0, 1.5)
+        wait_ms = min(max(message.retry_after_ms, 10.0), _TIMEOUT_MS / 2)
+        self._retry_at_ms = now_ms + wait_ms * self._rng.uniform(1.0, 1.5)
         self._asked_ms = now_ms
         return None
 
-    def _try_next(self, now_ms: float) -> Ask | None:
+    def _try_next(self, now_ms: float) -> SendRequest | None:
         self._received = []
         self._size = 0
-        self._again_ms = None
-        self._peer = self._waiting.pop(0) if self._waiting else None
+        self._retry_at_ms = None
+        self._peer = self._untried_peers.pop(0) if self._untried_peers else None
         if self._peer is None:
             return None
-        self._began_ms = now_ms
+        self._peer_started_ms = now_ms
         self._transfer = self._rng.getrandbits(48)
-        return self._ask(now_ms)
+        return self._request_part(now_ms)
 
-    def _ask(self, now_ms: float) -> Ask:
+    def _request_part(self, now_ms: float) -> SendRequest:
         assert self._peer is not None
         self._asked_ms = now_ms
         request = SnapshotRequest(self._transfer, len(self._received))
-        return Ask(self._peer, request)
+        return SendRequest(self._peer, request)
--- a/packages/toucanyard/src/toucanyard/weights_rollout.py
+++ b/packages/toucanyard/src/toucanyard/weights_rollout.py
@@ -1,9 +1,9 @@
-"""Plan the orders that bring replicas to the wanted weights, a few at a time.
+"""Plan the orders that bring replicas to the target weights, a few at a time.
 
-Nothing is trusted to have held: each order is conditional on the replica's count of
-orders, so one that arrives late changes nothing, and a report shows what came of it.
-A replica is announced to all nodes as loading a moment before it is ordered, so that
-they send their calls elsewhere instead of having them refused.
+No order is assumed to have succeeded: each is conditional on the replica's order count,
+so a late order has no effect, and a report of the replica shows the result. A replica
+is announced to all nodes as loading shortly before it is ordered to load, so that they
+send their calls to other replicas instead of having them rejected.
 """
 
 from __future__ import annotations
@@ -15,6 +15,7 @@
 import msgspec
 
 from toucanyard.failed_loads import FailedLoads
+from toucanyard.leases import Lease
 from toucanyard.names import EndpointName, NodeName
 from toucanyard.relay_events import (
     OrderAnswered,
@@ -25,42 +26,43 @@
 from toucanyard.relay_notes import Note
 from toucanyard.relay_policy import RolloutPolicy
 from toucanyard.replicas import KnownReplica
-from toucanyard.turns import Turn
 
 MANY_REPLICAS: Final = 16
 MANY_CHANGING_SHARE: Final = 0.25
-"""The same share among more replicas than that. With 0.4 of 70 changing and a quarter
-dead, calls found 9 to 24 replicas, and queues of seconds stood long after the load."""
+"""Share that may change at once if there are more replicas than MANY_REPLICAS. With 0.4
+of 70 changing and a quarter dead, 9 to 24 replicas were left for calls, and queues of
+seconds remained long after the load."""
 ANNOUNCE_MS: Final = 60.0
-"""Time from the announcement to the order; it takes one way between two nodes."""
-FAR_ANNOUNCE_MS: Final = 250.0
-"""The same where it takes three ways, by two hubs that send each 75 ms at most."""
-READ_MS: Final = 120.0
-"""Time between two reports of a replica under an order."""
+"""Time from the announcement to the order; it is sent over one link between nodes."""
+HUB_ANNOUNCE_MS: Final = 250.0
+"""The same for a path of three links over two hubs, each of which adds up to 75 ms."""
+REPORT_INTERVAL_MS: Final = 120.0
+"""Time between two requests for the report of a replica that is being changed."""
 FRESH_MS: Final = 1_000.0
-"""How old a report may be for an order to be based on it."""
+"""Maximum age of a report on which an order is based."""
 LOST_MS: Final = 1_200.0
-"""After this time an order whose effect doesn't show is given again."""
+"""Time after which an order without a visible effect is sent again."""
 LOADING_MS: Final = 1_500.0
-"""How long an announcement counts unless it is renewed."""
+"""How long an announcement is valid unless it is renewed."""
 SILENT_MS: Final = 800.0
-"""After this time without a report a replica is left alone; it is dead or cut off."""
-SURVEY_MS: Final = 500.0
-"""Time between two looks at which replicas report."""
-HEARD_MS: Final = 1_200.0
-"""How long a report shows that a replica is there: two looks and what reports take."""
+"""Time without a report after which a replica, dead or unreachable, is skipped."""
+POLL_INTERVAL_MS: Final = 500.0
+"""Time between two polls of all replicas for reports."""
+REPORT_VALID_MS: Final = 1_200.0
+"""How long a replica counts as responding after a report: two polls and the time that
+reports take."""
 SKIP_MS: Final = 2_000.0
-"""How long a replica without a report is left alone."""
+"""How long a replica without a report is skipped."""
 MAX_LOADING_MS: Final = 6_000.0
-"""After this time a replica under an order no longer counts as loading."""
+"""Time after which a replica that was ordered to load no longer counts as loading."""
 
-FIRST_TOOK_MS: Final = 2_000.0
-"""How long a replica is taken to be out of use until loads have shown it."""
-TOOK_STEP: Final = 0.3
-"""Weight of one load in the mean of how long they take."""
+INITIAL_LOAD_MS: Final = 2_000.0
+"""Assumed duration of a load until loads have been measured."""
+LOAD_MEAN_WEIGHT: Final = 0.3
+"""Weight of one load in the moving average of their durations."""
 
 _ACCEPTED: Final = 202
-_HOLDS_ALREADY: Final = 200
+_ALREADY_LOADED: Final = 200
 _STALE_FENCE: Final = 412
 
 
@@ -74,37 +76,38 @@
     report: ReplicaStateRead | None = None
 
 
-class Pressure(msgspec.Struct, frozen=True):
-    """What a rollout has to be paced by."""
+class RolloutBudget(msgspec.Struct, frozen=True):
+    """The time that is left for a rollout."""
 
     left_ms: float
     """Time until new weights have to be in place."""
 
 
-CALM: Final = Pressure(float("inf"))
-"""There is all the time."""
+UNLIMITED: Final = RolloutBudget(float("inf"))
+"""A budget without a deadline."""
 
 RolloutAction = ReadReplicaState | WeightsOrder | Note
 
 
 class WeightsRollout:
-    """The changes under way; what it knows is this node's alone.
+    """The changes of replicas under way, known to this node only.
 
-    Invariant: no order without a turn, and none on a report from before the last one.
+    Invariant: no order is sent without a lease, nor based on a report from before the
+    previous order.
     """
 
     __slots__ = (
         "_announce_ms",
         "_changes",
         "_failures",
-        "_heard_ms",
+        "_reported_ms",
         "_is_paced",
         "_node",
-        "_notes",
+        "_log_entries",
         "_policy",
         "_skipped_ms",
-        "_surveyed_ms",
-        "_took_ms",
+        "_polled_ms",
+        "_mean_load_ms",
     )
 
     def __init__(self, node: NodeName, policy: RolloutPolicy) -> None:
@@ -113,56 +116,56 @@
         self._announce_ms = ANNOUNCE_MS
         self._changes: dict[EndpointName, _Change] = {}
         self._failures = FailedLoads()
-        self._notes: list[Note] = []
+        self._log_entries: list[Note] = []
         self._skipped_ms: dict[EndpointName, float] = {}
-        self._heard_ms: dict[EndpointName, float] = {}
-        """When replicas were asked for the reports that came last."""
-        self._surveyed_ms = float("-inf")
+        self._reported_ms: dict[EndpointName, float] = {}
+        """When the last report received from each replica was requested."""
+        self._polled_ms = float("-inf")
         self._is_paced = False
-        self._took_ms = FIRST_TOOK_MS
-        """How long a replica is out of use for new weights, as seen lately."""
+        self._mean_load_ms = INITIAL_LOAD_MS
+        """Moving average of how long a replica is out of use for new weights."""
 
     def list_changing(self) -> list[EndpointName]:
         """Return the replicas that are being changed."""
         return list(self._changes)
 
-    def note_state(self, read: ReplicaStateRead) -> None:
-        """Take in a report."""
+    def record_state(self, read: ReplicaStateRead) -> None:
+        """Record a replica's report, or its absence."""
         change = self._changes.get(read.replica)
         if read.state is None:
             if change is not None and change.ordered_ms is not None:
                 self._record_lost_load(read, change)
             return
-        self._heard_ms[read.replica] = read.asked_ms
+        self._reported_ms[read.replica] = read.asked_ms
         if change is not None:
             change.report = read
 
     def is_halted(self, version: int, now_ms: float) -> bool:
-        """Tell whether a version is left alone, since replicas ended under it."""
+        """Return whether a version is halted, since replicas crashed loading it."""
         return self._failures.is_halted(version, now_ms)
 
     def _record_lost_load(self, read: ReplicaStateRead, change: _Change) -> None:
-        """Record that a replica under an order did not report."""
+        """Record that a replica that was ordered to load did not report."""
         version = change.version
         if self._failures.record_read(read.replica, version, read.reach, read.asked_ms):
             count = self._failures.count(version)
             fields = {"version": version, "replica": read.replica, "count": count}
-            self._notes.append(Note("rollout_halted", fields))
+            self._log_entries.append(Note("rollout_halted", fields))
 
-    def note_answer(self, answered: OrderAnswered, now_ms: float) -> bool:
-        """Take in an answer to an order; return whether a higher fence is known."""
+    def record_answer(self, answered: OrderAnswered, now_ms: float) -> bool:
+        """Record the answer to an order; return whether there is a higher fence."""
         change = self._changes.get(answered.order.replica)
         if change is not None:
-            is_taken = answered.status in (_ACCEPTED, _HOLDS_ALREADY)
+            is_taken = answered.status in (_ACCEPTED, _ALREADY_LOADED)
             if not is_taken and answered.status is not None:
-                # Refused, so a new report is needed and the order may be given again.
+                # Rejected: a new report is needed before the order is sent again.
                 change.ordered_ms = None
                 change.report = None
                 change.announced_ms = now_ms
         return answered.status == _STALE_FENCE
 
     def stop(self, known: Iterable[KnownReplica]) -> None:
-        """Forget what is under way: the turn is over."""
+        """Discard all changes under way, since the lease has ended."""
         for each in known:
             if each.replica.name in self._changes:
                 each.loading_until_ms = float("-inf")
@@ -173,23 +176,26 @@
         model: str,
         version: int,
         replicas: Sequence[KnownReplica],
-        turn: Turn,
+        lease: Lease,
         load_of: dict[EndpointName, int],
         now_ms: float,
         announce_ms: float = ANNOUNCE_MS,
         *,
-        pressure: Pressure = CALM,
+        budget: RolloutBudget = UNLIMITED,
     ) -> list[RolloutAction]:
-        """Return what to read and to order now."""
+        """Return the reports to request and the orders to send now."""
         self._announce_ms = announce_ms
-        # Asked of thousands of replicas, reports would cost their node more than all
-        # else; a share of many leaves enough, though some are away.
+        # Polling thousands of replicas would be the node's largest cost. A share of
+        # many replicas leaves enough of them, even if some are unavailable.
         is_small = len(replicas) <= MANY_REPLICAS
         self._is_paced = self._policy.is_paced and is_small
-        self._settle(model, version, replicas, now_ms)
-        self._announce(model, version, replicas, load_of, pressure, now_ms)
-        actions: list[RolloutAction] = [*self._notes, *self._survey(replicas, now_ms)]
-        self._notes.clear()
+        self._remove_finished(model, version, replicas, now_ms)
+        self._announce(model, version, replicas, load_of, budget, now_ms)
+        actions: list[RolloutAction] = [
+            *self._log_entries,
+            *self._poll_replicas(replicas, now_ms),
+        ]
+        self._log_entries.clear()
         by_name = {each.replica.name: each for each in replicas}
         for name, change in self._changes.items():
             known = by_name.get(name)
@@ -197,17 +203,17 @@
                 continue
             known.loading_until_ms = now_ms + LOADING_MS
             running = load_of.get(name, 0)
-            actions += self._plan_one(model, known, change, turn, running, now_ms)
+            actions += self._plan_one(model, known, change, lease, running, now_ms)
         return actions
 
-    def _settle(
+    def _remove_finished(
         self,
         model: str,
         version: int,
         replicas: Sequence[KnownReplica],
         now_ms: float,
     ) -> None:
-        """Take out the replicas that are done, gone, or take too long."""
+        """Remove changes that are complete, whose replica is gone, or that time out."""
         by_name = {each.replica.name: each for each in replicas}
         for name, change in list(self._changes.items()):
             known = by_name.get(name)
@@ -225,8 +231,8 @@
             if is_silent:
                 self._skipped_ms[name] = now_ms
             if is_done and change.ordered_ms is not None:
-                took_ms = now_ms - change.announced_ms
-                self._took_ms += TOOK_STEP * (took_ms - self._took_ms)
+                load_ms = now_ms - change.announced_ms
+                self._mean_load_ms += LOAD_MEAN_WEIGHT * (load_ms - self._mean_load_ms)
             if is_done or is_silent or now_ms - since_ms > MAX_LOADING_MS:
                 known.loading_until_ms = float("-inf")
                 del self._changes[name]
@@ -239,7 +245,7 @@
         version: int,
         replicas: Sequence[KnownReplica],
         load_of: dict[EndpointName, int],
-        pressure: Pressure,
+        budget: RolloutBudget,
         now_ms: float,
     ) -> None:
         if any(each.weights.get(model, 0) >= version for each in replicas):
@@ -252,70 +258,71 @@
             if each.replica.name not in self._changes
             and model in each.weights
             and each.weights[model] < version
-            and self._is_there(each, now_ms)
+            and self._is_responding(each, now_ms)
         ]
-        # The idlest first: its calls end soonest.
+        # The replica with the fewest calls first, since its calls end soonest.
         behind.sort(key=lambda each: load_of.get(each.replica.name, 0))
         if self._is_paced:
-            most = self._find_paced_most(replicas, behind, pressure, now_ms)
+            most = self._compute_paced_limit(replicas, behind, budget, now_ms)
         else:
-            most = self._find_most(len(replicas))
+            most = self._compute_limit(len(replicas))
         if self._failures.is_on_trial(version):
             most = 1
         room = most - len(self._changes)
         for each in behind[: max(room, 0)]:
             self._changes[each.replica.name] = _Change(version, now_ms)
 
-    def _survey(
+    def _poll_replicas(
         self, replicas: Sequence[KnownReplica], now_ms: float
     ) -> Iterator[RolloutAction]:
-        """Ask all replicas for a report, to see which of them are there.
+        """Request reports from all replicas, to see which of them respond.
 
-        A replica that has just fallen silent is listed for seconds. Counted as one
-        that carries calls, or taken for a load that never begins, it leaves too few.
+        A replica that has just failed stays listed for seconds. If it counted as
+        serving calls, or as loading although the load never begins, too few replicas
+        would be left.
         """
-        is_due = now_ms - self._surveyed_ms >= SURVEY_MS
+        is_due = now_ms - self._polled_ms >= POLL_INTERVAL_MS
         if not self._is_paced or not is_due:
             return
-        self._surveyed_ms = now_ms
+        self._polled_ms = now_ms
         for known in replicas:
             replica = known.replica
             if replica.name not in self._changes:
                 yield ReadReplicaState(replica.name, replica.listed_as, replica.address)
 
-    def _find_most(self, count: int) -> int:
-        """Return how many of so many replicas may change at once."""
+    def _compute_limit(self, count: int) -> int:
+        """Return how many of `count` replicas may change at once."""
         share = MANY_CHANGING_SHARE if count > MANY_REPLICAS else self._policy.share
         most = max(self._policy.min_changing, int(share * count))
         return min(most, max(count - 1, 1))
 
-    def _find_paced_most(
+    def _compute_paced_limit(
         self,
         replicas: Sequence[KnownReplica],
         behind: Sequence[KnownReplica],
-        pressure: Pressure,
+        budget: RolloutBudget,
         now_ms: float,
     ) -> int:
-        """Return how many may change at once, by what calls can use and by the time.
+        """Return how many may change at once, by usable replicas and remaining time.
 
-        Replicas that are silent or fail carry nothing; a share of all would take half
-        of those that are left.
+        Replicas that don't respond or fail serve no calls; a share of all replicas
+        could take half of the usable ones.
         """
-        usable = sum(self._is_there(each, now_ms) for each in replicas)
-        usual = self._find_most(len(replicas))
+        usable = sum(self._is_responding(each, now_ms) for each in replicas)
+        usual = self._compute_limit(len(replicas))
         if usable == len(replicas):
             return usual
         paced = max(int(self._policy.share * usable), 1)
-        left_ms = max(pressure.left_ms, self._took_ms / 2)
+        left_ms = max(budget.left_ms, self._mean_load_ms / 2)
         to_load = len(behind) + len(self._changes)
-        needed = math.ceil(to_load * self._took_ms / left_ms)
+        needed = math.ceil(to_load * self._mean_load_ms / left_ms)
         return min(max(paced, needed), usual, max(usable - 1, 1))
 
-    def _is_there(self, known: KnownReplica, now_ms: float) -> bool:
-        """Tell whether a replica has reported lately."""
+    def _is_responding(self, known: KnownReplica, now_ms: float) -> bool:
+        """Return whether a replica has reported recently and is not skipped."""
         name = known.replica.name
-        heard_ms = self._heard_ms.get(name, float("-inf"))
-        if self._is_paced and now_ms - heard_ms > HEARD_MS:
+        reported_ms = self._reported_ms.get(name, float("-inf"))
+        if self._is_paced and now_ms - reported_ms > REPORT_VALID_MS:
             return False
         return now_ms - self._find_skipped(known) > SKIP_MS
 
@@ -327,18 +334,18 @@
         model: str,
         known: KnownReplica,
         change: _Change,
-        turn: Turn,
+        lease: Lease,
         running: int,
         now_ms: float,
     ) -> list[RolloutAction]:
         replica = known.replica
         if change.ordered_ms is not None:
-            self._check_lost(change, now_ms)
-        order = self._build_order(model, known, change, turn, running, now_ms)
+            self._check_lost_order(change, now_ms)
+        order = self._build_order(model, known, change, lease, running, now_ms)
         if order is not None:
             change.ordered_ms = now_ms
             return [order]
-        if now_ms - change.asked_ms >= READ_MS:
+        if now_ms - change.asked_ms >= REPORT_INTERVAL_MS:
             change.asked_ms = now_ms
             return [ReadReplicaState(replica.name, replica.listed_as, replica.address)]
         return []
@@ -348,7 +355,7 @@
         model: str,
         known: KnownReplica,
         change: _Change,
-        turn: Turn,
+        lease: Lease,
         running: int,
         now_ms: float,
     ) -> WeightsOrder | None:
@@ -369,13 +376,13 @@
             model=model,
             version=change.version,
             holder=self._node,
-            fence=turn.fence,
+            fence=lease.fence,
             expected_order_count=report.state.order_count,
             is_under_calls=running > 0,
         )
 
-    def _check_lost(self, change: _Change, now_ms: float) -> None:
-        """Let an order be given again that shows no effect."""
+    def _check_lost_order(self, change: _Change, now_ms: float) -> None:
+        """Allow an order that shows no effect to be sent again."""
         ordered_ms = change.ordered_ms
         report = change.report
         if ordered_ms is None or report is None or report.state is None:
--- a/tests/toucanyard/order_fakes.py
+++ b/tests/toucanyard/order_fakes.py
@@ -1,4 +1,4 @@
-"""Give tests of duties and orders a log, engines and nodes that can be paused."""
+"""Provide a log, engines and pausable nodes to tests of pool leases and orders."""
 
 from __future__ import annotations
 
@@ -18,7 +18,6 @@
     NodeName,
     PoolName,
 )
-from toucanyard.order_duties import OrderDuties
 from toucanyard.order_messages import (
     EndpointState,
     Order,
@@ -27,6 +26,7 @@
     ReadState,
     SendOrder,
 )
+from toucanyard.pool_order_runner import PoolOrderRunner
 
 STEP_MS = 100.0
 LOAD_MS = 600.0
@@ -34,13 +34,13 @@
 
 
 class Clock(Protocol):
-    """Whatever tells the time of a test."""
+    """The current time of a test."""
 
     now_ms: float
 
 
 class FakeEngine:
-    """Carry orders out as an endpoint does, and note how many load at once."""
+    """Execute orders as an endpoint does, and record their fences."""
 
     def __init__(self, world: Clock, checks_fence: bool) -> None:
         self.world = world
@@ -94,13 +94,13 @@
 
 
 class FakeNode:
-    """Drive one node's duties; while paused, neither reads nor acts."""
+    """Run one node's leases and orders; while paused, it neither reads nor acts."""
 
     def __init__(self, world: OrderWorld, name: str, incarnation: str) -> None:
         self.world = world
         self.identity = NodeId(NodeName(name), Incarnation(incarnation))
-        self.duties = OrderDuties(self.identity, random.Random(name))
-        self.duties.duties.note_start(0, len(world.records))
+        self.order_runner = PoolOrderRunner(self.identity, random.Random(name))
+        self.order_runner.leases.set_read_start(0, len(world.records))
         self.read = len(world.records)
         self.paused_until_ms = 0.0
         self.configuration = world.configuration
@@ -113,12 +113,14 @@
             return
         for offset in range(self.read, len(world.records)):
             at_ms, text = world.records[offset]
-            self.duties.duties.apply_record(offset, at_ms, text, world.now_ms)
+            self.order_runner.leases.apply_record(offset, at_ms, text, world.now_ms)
         self.read = len(world.records)
-        self.duties.duties.note_head(world.now_ms)
+        self.order_runner.leases.update_log_end(world.now_ms)
         nodes = [node.identity.node for node in world.nodes]
-        actions = self.duties.tick(self.configuration, nodes, True, world.now_ms)
-        self.held = {duty.fence for duty in self.duties.duties.find_held(world.now_ms)}
+        actions = self.order_runner.tick(self.configuration, nodes, True, world.now_ms)
+        self.held = {
+            lease.fence for lease in self.order_runner.leases.find_held(world.now_ms)
+        }
         for action in actions:
             self.carry_out(action)
 
@@ -131,21 +133,23 @@
             case ReadState(endpoint=endpoint):
                 world.reads += 1
                 state = world.engines[endpoint].state
-                self.duties.note_state(endpoint, state, world.now_ms)
+                self.order_runner.record_state(endpoint, state, world.now_ms)
             case SendOrder():
-                fate = world.find_fate()
+                fate = world.choose_order_fate()
                 if fate == "delayed":
                     world.delayed.append((world.now_ms + 4_000, action))
-                    self.duties.note_outcome(action, OrderOutcome.LOST, world.now_ms)
+                    self.order_runner.record_outcome(
+                        action, OrderOutcome.LOST, world.now_ms
+                    )
                     return
                 outcome = world.engines[action.endpoint].take(action.order)
                 if fate == "answer_lost":
                     outcome = OrderOutcome.LOST
-                self.duties.note_outcome(action, outcome, world.now_ms)
+                self.order_runner.record_outcome(action, outcome, world.now_ms)
 
 
 class OrderWorld:
-    """Hold engines, nodes and the log under one clock."""
+    """Engines, nodes and the log on one clock."""
 
     def __init__(self, engines: int, checks_fence: bool, seed: int = 0) -> None:
         self.now_ms = 0.0
@@ -167,13 +171,13 @@
         self.most_holders = 0
         self.reads = 0
 
-    def find_fate(self) -> str:
+    def choose_order_fate(self) -> str:
         if self.rng.random() >= self.bad_share:
             return "answered"
         return self.rng.choice(["delayed", "answer_lost"])
 
     def want(self, version: str, nodes: int = 3) -> None:
-        """Bring new weights into force on the first nodes."""
+        """Set new weights in the configuration of the first nodes."""
         old = self.configuration
         pool = msgspec.structs.replace(old.pools[0], weights_version=version)
         self.configuration = Configuration(old.version + 1, pools=(pool,))
@@ -181,7 +185,7 @@
             node.configuration = self.configuration
 
     def restart(self, number: int) -> None:
-        """Replace a node by an empty one of the same name."""
+        """Replace a node by a new one of the same name, without state."""
         old = self.nodes[number].identity
         incarnation = old.incarnation + "a"
         self.nodes[number] = FakeNode(self, old.node, incarnation)
@@ -205,7 +209,7 @@
         self.most_loading = max(self.most_loading, loading)
         self.least_serving = min(self.least_serving, len(self.engines) - loading)
         holders = sum(
-            bool(node.duties.duties.find_held(self.now_ms)) for node in self.nodes
+            bool(node.order_runner.leases.find_held(self.now_ms)) for node in self.nodes
         )
         self.most_holders = max(self.most_holders, holders)
 
--- a/tests/toucanyard/store_fleet.py
+++ b/tests/toucanyard/store_fleet.py
@@ -1,8 +1,8 @@
 """Run a fleet that reads its list of replicas from a store, as real nodes do.
 
-The store may be away for some nodes or for all of them, and entries lapse meanwhile.
-Messages between nodes take a while; those of a node that is cut off wait until it is
-back, as bytes on a connection do.
+The store may be unavailable to some or all nodes, while entries expire. Messages
+between nodes have a latency; those of a partitioned node are delivered once it is
+reconnected, like bytes on a connection.
 """
 
 from __future__ import annotations
@@ -57,21 +57,21 @@
         way_ms: float = 0.0,
     ) -> None:
         self._drain_ms = drain_ms
-        self._way_ms = way_ms
-        self._on_the_way: list[tuple[float, NodeName, NodeName, RelayEvent]] = []
+        self._latency_ms = way_ms
+        self._in_transit: list[tuple[float, NodeName, NodeName, RelayEvent]] = []
         self._failing: dict[NodeName, list[float]] = {}
-        """When the reads that get no answer end."""
+        """When the pending reads that get no answer time out."""
         self._log: list[KeyedRecord] = []
         self._calls = 0
         self.store_away: set[NodeName] = set()
-        """Nodes that the store does not answer."""
+        """Nodes to which the store does not answer."""
         self.cut_off: set[NodeName] = set()
-        """Nodes that reach neither the store nor each other."""
+        """Nodes that can reach neither the store nor each other."""
         self.asked = 0
-        """Reads of the list that were asked of the store, answered or not."""
+        """Number of reads of the list sent to the store, answered or not."""
         self.sent: list[Sent] = []
         self.unsent: list[tuple[NodeName, float]] = []
-        """Calls for which no replica was found at once."""
+        """Calls for which no replica was found immediately."""
         super().__init__(domains, nodes_each)
         self._send_calls = False
 
@@ -103,12 +103,12 @@
             match action:
                 case SendToPeer(node=other, message=message):
                     read = LinkMessageRead(core.identity, message)
-                    due_ms = self.now_ms + self._way_ms
-                    self._on_the_way.append((due_ms, name, other, read))
+                    due_ms = self.now_ms + self._latency_ms
+                    self._in_transit.append((due_ms, name, other, read))
                 case RelayReply(verdict=verdict):
-                    self._note_verdict(name, verdict)
+                    self._record_verdict(name, verdict)
 
-    def _note_verdict(self, name: NodeName, verdict: object) -> None:
+    def _record_verdict(self, name: NodeName, verdict: object) -> None:
         if not isinstance(verdict, RelayDispatch):
             return
         self.sent.append(Sent(name, verdict.replica, self.now_ms))
@@ -131,11 +131,11 @@
                 self._call_all()
 
     def _deliver(self) -> None:
-        waiting, self._on_the_way = self._on_the_way, []
+        waiting, self._in_transit = self._in_transit, []
         for due_ms, sender, receiver, event in waiting:
             is_held = not self.cut_off.isdisjoint((sender, receiver))
             if due_ms > self.now_ms or is_held:
-                self._on_the_way.append((due_ms, sender, receiver, event))
+                self._in_transit.append((due_ms, sender, receiver, event))
             else:
                 self.handle(receiver, event)
 
@@ -147,9 +147,9 @@
             self.handle(name, StoreFailed("replicas", "no answer", asked_ms))
         if not core.reads.is_due(Topic.REPLICAS, self.now_ms):
             return
-        if failing and not core.reads.may_ask_again(Topic.REPLICAS, self.now_ms):
+        if failing and not core.reads.may_retry_read(Topic.REPLICAS, self.now_ms):
             return
-        core.reads.note_begun(Topic.REPLICAS, self.now_ms)
+        core.reads.record_read_started(Topic.REPLICAS, self.now_ms)
         self.asked += 1
         if name in self.store_away or name in self.cut_off:
             failing.append(self.now_ms + STORE_TIMEOUT_MS)
--- a/tests/toucanyard/test_snapshots.py
+++ b/tests/toucanyard/test_snapshots.py
@@ -11,8 +11,8 @@
 from toucanyard.names import DomainName, EndpointName, Incarnation, NodeName
 from toucanyard.snapshots import (
     PART_BYTES,
-    Ask,
     EndpointHint,
+    SendRequest,
     Snapshot,
     SnapshotBusy,
     SnapshotFetch,
@@ -35,7 +35,7 @@
 
 
 class Transfers:
-    """Carry requests between fetching nodes and serving ones, 10 ms a step."""
+    """Transfer requests between fetching and serving nodes in steps of 10 ms."""
 
     def __init__(self, fetchers: int, dead: tuple[str, ...] = ()) -> None:
         names = [("near", HERE), ("far1", THERE), ("far2", THERE)]
@@ -59,7 +59,9 @@
                 while ask is not None:
                     ask = self.carry(number, fetch, ask)
 
-    def carry(self, number: int, fetch: SnapshotFetch, ask: Ask) -> Ask | None:
+    def carry(
+        self, number: int, fetch: SnapshotFetch, ask: SendRequest
+    ) -> SendRequest | None:
         self.asked.append(ask.peer)
         if ask.peer in self.dead:
             return None
@@ -94,8 +96,8 @@
 
 
 def test_herd_is_served_at_a_bounded_rate() -> None:
-    """All nodes but three restart at once. Those three must serve callers, so they
-    give snapshots to few at a time and so many bytes a second, and no more."""
+    """All nodes but three restart at once. Those three must also serve callers, so the
+    number of peers and the bytes per second for snapshots are limited."""
     transfers = Transfers(40)
     transfers.run(1_000)
     assert transfers.sent_bytes <= 3 * (1_000_000 + PART_BYTES)
