--- a/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
@@ -24,7 +24,7 @@
 from toucanyard.relay_events import (
     AppendTurn,
     LinkMessageRead,
-    Note,
+    LogEntry,
     OrderAnswered,
     PartsChanged,
     PeersLinked,
@@ -77,7 +77,7 @@
         self.identity = NodeId(options.name, Incarnation(f"i{incarnation}"))
         rng = random.Random(f"{world.seed} node {number} {incarnation}")
         self.core = RelayCore(options, self.identity, world.store.decode, rng)
-        self.notes: list[tuple[float, Note]] = []
+        self.notes: list[tuple[float, LogEntry]] = []
         self._rng = rng
         self._calls: dict[RequestId, RelayedCall] = {}
         self._next = dict.fromkeys(Topic, 0)
@@ -152,7 +152,7 @@
                 self._send_order(action)
             case WriteQuarantine() | EraseQuarantine():
                 self._put_quarantine(action)
-            case Note():
+            case LogEntry():
                 self.notes.append((self.now_ms, action))
 
     def _tick(self) -> None:
--- a/packages/toucanyard-node/src/toucanyard_node/relay_metrics.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_metrics.py
@@ -158,8 +158,8 @@
 def _render_limits(core: RelayCore) -> Iterator[str]:
     """Render the limits of which this node is the home, the most denied first."""
     yield _format("limit_rejections_total", core.limits.rejected)
-    yield _format("limit_questions_total", core.limits.accounts.asked)
-    uses = core.shares.list_uses()
+    yield _format("limit_questions_total", core.limits.accounts.request_count)
+    uses = core.shares.list_usage()
     uses.sort(key=lambda each: (-each.denied_total, each.subject))
     for use in uses[:MAX_LIMITED]:
         labels = {"customer": use.subject}
@@ -174,8 +174,8 @@
     """Render the limits that replicas name, and what this node gives out of them."""
     for name, rate_per_s in core.replica_limits.list_limited()[:MAX_LIMITED]:
         yield _format("replica_limit_per_s", rate_per_s, replica=name)
-    yield _format("replica_limit_questions_total", core.credits.accounts.asked)
-    for use in core.shares.list_uses(LimitKind.REPLICA)[:MAX_LIMITED]:
+    yield _format("replica_limit_questions_total", core.credits.accounts.request_count)
+    for use in core.shares.list_usage(LimitKind.REPLICA)[:MAX_LIMITED]:
         labels = {"replica": use.subject}
         yield _format("replica_limit_share", round(use.share, 3), **labels)
         yield _format("replica_limit_granted_total", use.granted_total, **labels)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_task.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_task.py
@@ -21,7 +21,7 @@
     CallerLeft,
     DispatchEnded,
     FirstEventSeen,
-    Note,
+    LogEntry,
     ReadReplicaState,
     ReadTurns,
     RelayAction,
@@ -163,7 +163,7 @@
                 self._errands.send_nowait(action)
             case WriteQuarantine() | EraseQuarantine():
                 self._errands.send_nowait(action)
-            case Note(event=name, fields=fields):
+            case LogEntry(event=name, fields=fields):
                 _LOG.info(name, **fields)
 
     def _send_or_drop(self, message: SendToPeer) -> None:
--- a/packages/toucanyard/src/toucanyard/admission.py
+++ b/packages/toucanyard/src/toucanyard/admission.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from toucanyard.backends import Admitted, Backend
+from toucanyard.backends import AdmittedRequest, Backend
 from toucanyard.configuration import Configuration, Customer
 from toucanyard.errorcodes import Ending, ErrorKind
 from toucanyard.fair_queue import PRIORITY_RANKS
@@ -26,9 +26,9 @@
 MIN_RETRY_AFTER_MS: Final = 250
 MAX_RETRY_AFTER_MS: Final = 30_000
 DEFAULT_MAX_RUNNING: Final = 16
-FLOOD_SHARE: Final = 0.4
+LOW_PRIORITY_SHARE: Final = 0.4
 """Share of a pool's places on this node from which a customer goes last."""
-LATE_WAITS: Final = 2.0
+OVERDUE_TARGET_WAITS: Final = 2.0
 """Target waits after which a missing first token counts as a long wait."""
 
 
@@ -65,7 +65,7 @@
         self._backends: dict[str, Backend] = {}
         self._customers: dict[CustomerName, Customer] = {}
         self._waiting: dict[RequestId, Request] = {}
-        self._admitted: dict[RequestId, Admitted] = {}
+        self._admitted: dict[RequestId, AdmittedRequest] = {}
         self.retries = RetryBudget(limits.retry_budget_share)
 
     def apply_configuration(self, configuration: Configuration) -> None:
@@ -93,7 +93,7 @@
     def offer(self, request: Request, now_ms: float) -> list[AdmissionAction]:
         """Admit, queue or refuse a new request; may refuse another in its place."""
         if request.deadline_ms <= now_ms:
-            return [self._refuse_late(request, now_ms)]
+            return [self._refuse_expired(request, now_ms)]
         backend = self._find_backend(compute_backend_name(request))
         if not backend.has_usable():
             return [self._refuse(request, ErrorKind.NO_ENDPOINT, "no endpoint", now_ms)]
@@ -132,12 +132,12 @@
 
     def tick(self, now_ms: float) -> list[AdmissionAction]:
         """Refuse what has waited past its deadline and let in what fits."""
-        self._note_late(now_ms)
+        self._reduce_overdue(now_ms)
         actions: list[AdmissionAction] = []
         for backend in self._backends.values():
-            for request in backend.queue.find_late(now_ms):
+            for request in backend.queue.find_expired(now_ms):
                 self._remove_waiting(backend, request)
-                actions.append(self._refuse_late(request, now_ms))
+                actions.append(self._refuse_expired(request, now_ms))
             actions += self._drain(backend, now_ms)
         return actions
 
@@ -168,9 +168,11 @@
             return
         backend = self._find_backend(compute_backend_name(admitted.request))
         if admitted.endpoint is None:
-            self.retries.note_first_try()
+            self.retries.record_first_try()
         backend.move(admitted, endpoint)
-        admitted.late_ms = now_ms + work_ms + LATE_WAITS * self._limits.target_wait_ms
+        admitted.overdue_ms = (
+            now_ms + work_ms + OVERDUE_TARGET_WAITS * self._limits.target_wait_ms
+        )
 
     def note_first_token(
         self, request_id: RequestId, wait_ms: float, now_ms: float
@@ -178,10 +180,10 @@
         """Follow how long a request waited at its endpoint, computation left out."""
         admitted = self._admitted.get(request_id)
         if admitted is not None:
-            admitted.late_ms = float("inf")
+            admitted.overdue_ms = float("inf")
             if admitted.endpoint is not None:
                 backend = self._find_backend(compute_backend_name(admitted.request))
-                backend.note_wait(admitted.endpoint, wait_ms, now_ms)
+                backend.record_wait(admitted.endpoint, wait_ms, now_ms)
 
     def note_failure(self, request_id: RequestId, now_ms: float) -> None:
         """Lower the limit of an endpoint at which a dispatch failed."""
@@ -210,12 +212,12 @@
         """Return how many admitted requests are not over."""
         return len(self._admitted)
 
-    def _note_late(self, now_ms: float) -> None:
+    def _reduce_overdue(self, now_ms: float) -> None:
         # First tokens that come late tell of an overload only once they come; those
         # that are overdue tell it while more would still be sent.
         for request_id, admitted in self._admitted.items():
-            if admitted.late_ms <= now_ms:
-                admitted.late_ms = float("inf")
+            if admitted.overdue_ms <= now_ms:
+                admitted.overdue_ms = float("inf")
                 self.note_failure(request_id, now_ms)
 
     def _check_queue(
@@ -259,7 +261,7 @@
                 break
             del self._waiting[request.request_id]
             if request.deadline_ms <= now_ms:
-                actions.append(self._refuse_late(request, now_ms))
+                actions.append(self._refuse_expired(request, now_ms))
                 continue
             actions.append(self._admit(backend, request))
         return actions
@@ -277,7 +279,7 @@
         return running < max(self._limits.max_customer_share * capacity, 1.0)
 
     def _admit(self, backend: Backend, request: Request) -> Admit:
-        self._admitted[request.request_id] = Admitted(request)
+        self._admitted[request.request_id] = AdmittedRequest(request)
         backend.begin(request.customer)
         return Admit(request, self._compute_priority(backend, request))
 
@@ -286,14 +288,14 @@
         # be ahead of everyone. A customer that holds much of the node goes last there;
         # one that is merely large in calm doesn't, or its tail would suffer for it.
         running = backend.running[request.customer]
-        is_over = running > max(FLOOD_SHARE * backend.capacity, 1.0)
+        is_over = running > max(LOW_PRIORITY_SHARE * backend.capacity, 1.0)
         return PRIORITY_RANKS[request.priority] + is_over * len(PRIORITY_RANKS)
 
     def _remove_waiting(self, backend: Backend, request: Request) -> None:
         backend.queue.remove(request)
         del self._waiting[request.request_id]
 
-    def _refuse_late(self, request: Request, now_ms: float) -> Refuse:
+    def _refuse_expired(self, request: Request, now_ms: float) -> Refuse:
         text = "the deadline passed before the request could be sent"
         return self._refuse(request, ErrorKind.DEADLINE_EXCEEDED, text, now_ms)
 
--- a/packages/toucanyard/src/toucanyard/backends.py
+++ b/packages/toucanyard/src/toucanyard/backends.py
@@ -13,15 +13,15 @@
 from toucanyard.names import CustomerName, EndpointName
 from toucanyard.requests import Request
 
-START_SHARES: Final = 2.0
+INITIAL_SHARE_FACTOR: Final = 2.0
 
 
-class Admitted(msgspec.Struct):
+class AdmittedRequest(msgspec.Struct):
     """A request that was let in and is not over."""
 
     request: Request
     endpoint: EndpointName | None = None
-    late_ms: float = float("inf")
+    overdue_ms: float = float("inf")
     """When a first token that hasn't come tells that the endpoint is too full."""
 
 
@@ -60,7 +60,7 @@
         self._max_running = max_running
         # Each node starts with twice its even share: were it to start with the
         # whole, all nodes together would fill an engine's queue many times over.
-        start = START_SHARES * max_running / node_count
+        start = INITIAL_SHARE_FACTOR * max_running / node_count
         # Limits that started before the VM list was read are far too high; those of
         # a fleet that changes by a few nodes have been learned and stay.
         is_much_lower = start < self._start / 2
@@ -101,11 +101,11 @@
         limit = self._limits.get(name)
         return limit is None or limit.has_room()
 
-    def note_wait(self, name: EndpointName, wait_ms: float, now_ms: float) -> None:
+    def record_wait(self, name: EndpointName, wait_ms: float, now_ms: float) -> None:
         """Let an endpoint's limit follow the wait before a first token."""
         limit = self.find_limit(name)
         before = limit.limit
-        limit.note_wait(wait_ms, now_ms)
+        limit.record_wait(wait_ms, now_ms)
         self._shift_capacity(name, limit.limit - before)
 
     def note_failure(self, name: EndpointName, now_ms: float) -> None:
@@ -128,9 +128,9 @@
         self.running[customer] -= 1
         if not self.running[customer]:
             del self.running[customer]
-        self.drain.note(now_ms)
+        self.drain.record_event(now_ms)
 
-    def move(self, admitted: Admitted, endpoint: EndpointName | None) -> None:
+    def move(self, admitted: AdmittedRequest, endpoint: EndpointName | None) -> None:
         """Count a request at another endpoint, or at none any more."""
         if admitted.endpoint is not None:
             self.find_limit(admitted.endpoint).in_flight -= 1
--- a/packages/toucanyard/src/toucanyard/call_limits.py
+++ b/packages/toucanyard/src/toucanyard/call_limits.py
@@ -15,22 +15,22 @@
 from toucanyard.names import CustomerName, Incarnation
 from toucanyard.pending_call import PendingCall
 from toucanyard.rate_limits import LimitBounds, RateLimit
-from toucanyard.relay_policy import LimitPolicy, LimitWay
+from toucanyard.relay_policy import LimitPolicy, LimitStrategy
 from toucanyard.routes import RouteIndex, RouteTable
 
-MAX_FIRST_NUMBER: Final = 2**48
+MAX_FIRST_REQUEST_NUMBER: Final = 2**48
 """Bound of the figure that an incarnation numbers its questions from."""
-NEVER_RETRY_MS: Final = 60_000.0
+OVERSIZED_RETRY_MS: Final = 60_000.0
 """When to come back with a request that the limit never allows; it may be raised."""
 BRIEF_GRACE_MS: Final = 300.0
 """Time beside the home's estimate that a call waits for its turn."""
-UNKNOWN_RETRY_MS: Final = 250.0
+NO_ANSWER_RETRY_MS: Final = 250.0
 """When to come back to a node that got no credit from any home."""
 
 
-def compute_first_number(incarnation: Incarnation) -> int:
+def compute_first_request_number(incarnation: Incarnation) -> int:
     """Return the figure that an incarnation numbers its questions from."""
-    return xxhash.xxh3_64_intdigest(incarnation.encode()) % MAX_FIRST_NUMBER
+    return xxhash.xxh3_64_intdigest(incarnation.encode()) % MAX_FIRST_REQUEST_NUMBER
 
 
 class LimitRejection(msgspec.Struct, frozen=True):
@@ -50,7 +50,7 @@
     ) -> None:
         self._bounds = bounds
         self._policy = policy
-        self.accounts = CreditAccounts(compute_first_number(incarnation))
+        self.accounts = CreditAccounts(compute_first_request_number(incarnation))
         self.index = RouteIndex(RouteTable())
         self.rejected = 0
 
@@ -74,78 +74,80 @@
         """
         request = pending.request
         limit = self.index.find_limit(request.customer)
-        if limit is None or self._policy.way is LimitWay.OFF:
-            pending.is_unpaid = False
+        if limit is None or self._policy.strategy is LimitStrategy.OFF:
+            pending.is_awaiting_credit = False
             return None
-        if pending.charge and now_ms < pending.charged_until_ms:
+        if pending.held_credit and now_ms < pending.held_credit_until_ms:
             return None
-        self._give_back(pending, now_ms)
+        self._return_unused(pending, now_ms)
         cost = limit.compute_cost(request.tokens)
         if cost > limit.compute_capacity() + self._bounds.compute_max_debt(limit):
             return self._reject(
                 f"it costs {cost:.0f}, more than the limit ever allows at once",
-                NEVER_RETRY_MS,
+                OVERSIZED_RETRY_MS,
             )
         ttl_ms = self._bounds.compute_credit_ms(limit)
         until_ms = self.accounts.take(
             request.request_id, request.customer, cost, ttl_ms, now_ms
         )
         if until_ms is not None:
-            pending.charge = cost
-            pending.charged_until_ms = until_ms
-            pending.is_unpaid = False
+            pending.held_credit = cost
+            pending.held_credit_until_ms = until_ms
+            pending.is_awaiting_credit = False
             return None
         return self._wait(pending, limit, cost, now_ms)
 
     def on_sent(self, pending: PendingCall) -> None:
         """Use up the credit of a try that is being sent."""
-        pending.charge = 0.0
+        pending.held_credit = 0.0
 
     def on_not_run(self, pending: PendingCall, now_ms: float) -> None:
         """Let the next try have the credit of one that surely did not run."""
         limit = self.index.find_limit(pending.request.customer)
-        if limit is not None and self._policy.way is not LimitWay.OFF:
-            pending.charge = limit.compute_cost(pending.request.tokens)
-            pending.charged_until_ms = now_ms + self._bounds.compute_credit_ms(limit)
+        if limit is not None and self._policy.strategy is not LimitStrategy.OFF:
+            pending.held_credit = limit.compute_cost(pending.request.tokens)
+            pending.held_credit_until_ms = now_ms + self._bounds.compute_credit_ms(
+                limit
+            )
 
     def release(self, pending: PendingCall, now_ms: float) -> None:
         """Give back what a call has not used."""
-        self._give_back(pending, now_ms)
-        if pending.is_unpaid:
+        self._return_unused(pending, now_ms)
+        if pending.is_awaiting_credit:
             request = pending.request
             self.accounts.withdraw(request.request_id, request.customer)
-            pending.is_unpaid = False
+            pending.is_awaiting_credit = False
 
-    def _give_back(self, pending: PendingCall, now_ms: float) -> None:
-        if pending.charge:
+    def _return_unused(self, pending: PendingCall, now_ms: float) -> None:
+        if pending.held_credit:
             customer = pending.request.customer
-            self.accounts.give_back(customer, pending.charge, now_ms)
-            pending.charge = 0.0
+            self.accounts.return_unused(customer, pending.held_credit, now_ms)
+            pending.held_credit = 0.0
 
     def _wait(
         self, pending: PendingCall, limit: RateLimit, cost: float, now_ms: float
     ) -> LimitRejection | None:
         customer = pending.request.customer
-        if not pending.is_unpaid:
-            pending.is_unpaid = True
-            pending.is_denied = False
-            pending.unpaid_since_ms = now_ms
-            pending.unpaid_until_ms = now_ms + self._policy.max_wait_ms
+        if not pending.is_awaiting_credit:
+            pending.is_awaiting_credit = True
+            pending.is_briefly_denied = False
+            pending.credit_wait_since_ms = now_ms
+            pending.credit_wait_until_ms = now_ms + self._policy.max_wait_ms
         denial = self.accounts.find_denial(customer, now_ms)
-        if denial is not None and not pending.is_denied:
+        if denial is not None and not pending.is_briefly_denied:
             if denial.retry_ms > self._policy.brief_wait_ms:
                 return self._reject_denied(limit, cost, customer, denial)
-            pending.is_denied = True
-            pending.unpaid_until_ms = now_ms + denial.retry_ms + BRIEF_GRACE_MS
-        if now_ms <= pending.unpaid_until_ms:
+            pending.is_briefly_denied = True
+            pending.credit_wait_until_ms = now_ms + denial.retry_ms + BRIEF_GRACE_MS
+        if now_ms <= pending.credit_wait_until_ms:
             return None
         if denial is not None:
             return self._reject_denied(limit, cost, customer, denial)
         text = (
             f"no credit came for {cost:.0f} {limit.unit.value} of customer {customer} "
-            f"since {now_ms - pending.unpaid_since_ms:.0f} ms"
+            f"since {now_ms - pending.credit_wait_since_ms:.0f} ms"
         )
-        return self._reject(text, UNKNOWN_RETRY_MS)
+        return self._reject(text, NO_ANSWER_RETRY_MS)
 
     def _reject_denied(
         self, limit: RateLimit, cost: float, customer: str, denial: Denial
--- a/packages/toucanyard/src/toucanyard/call_placement.py
+++ b/packages/toucanyard/src/toucanyard/call_placement.py
@@ -66,7 +66,7 @@
 
     def place(self, pending: PendingCall, now_ms: float) -> RelayDispatch | None:
         """Choose a replica and count the call there; None if it has to wait."""
-        if self._credits.is_asking(pending, now_ms):
+        if self._credits.is_awaiting_replica_credit(pending, now_ms):
             return None
         request = pending.request
         service = self.index.find_service(request.service)
--- a/packages/toucanyard/src/toucanyard/call_refusals.py
+++ b/packages/toucanyard/src/toucanyard/call_refusals.py
@@ -25,22 +25,24 @@
         self._queued: dict[tuple[ServiceName, int], DrainRate] = {}
         """Calls that began to wait, by service and rank."""
 
-    def note_ended(self, service: ServiceName, now_ms: float) -> None:
+    def record_freed_slot(self, service: ServiceName, now_ms: float) -> None:
         """Count a call that has freed its place."""
-        self._find_drain(service).note(now_ms)
+        self._find_drain(service).record_event(now_ms)
 
     def compute_wait(
         self, pending: PendingCall, queue: Iterable[PendingCall], now_ms: float
     ) -> float:
         """Return how long a call would wait for a replica, in ms."""
         rank = pending.rank()
-        ahead = sum(each.rank() <= rank for each in queue if not each.is_unpaid)
+        ahead = sum(
+            each.rank() <= rank for each in queue if not each.is_awaiting_credit
+        )
         return self._find_drain(pending.request.service).compute_wait(ahead, now_ms)
 
-    def note_queued(self, request: RelayRequest, now_ms: float) -> None:
+    def record_queued(self, request: RelayRequest, now_ms: float) -> None:
         """Count a call that waits for a place."""
         key = (request.service, request.rank)
-        self._queued.setdefault(key, DrainRate()).note(now_ms)
+        self._queued.setdefault(key, DrainRate()).record_event(now_ms)
 
     def compute_limited_wait(
         self, pending: PendingCall, queue: Iterable[PendingCall], now_ms: float
@@ -51,7 +53,7 @@
         call waits at least, as only that shows when there is a place.
         """
         rank = pending.rank()
-        waiting = [each for each in queue if not each.is_unpaid]
+        waiting = [each for each in queue if not each.is_awaiting_credit]
         if not waiting:
             return 0.0
         ahead = sum(each.rank() <= rank for each in waiting)
--- a/packages/toucanyard/src/toucanyard/call_retries.py
+++ b/packages/toucanyard/src/toucanyard/call_retries.py
@@ -22,9 +22,9 @@
         self._budgets: dict[ServiceName, SharedRetryBudget] = {}
         self.node_count = 1
 
-    def note_first_try(self, service: ServiceName, now_ms: float) -> None:
+    def record_first_try(self, service: ServiceName, now_ms: float) -> None:
         """Count a call that has arrived; it earns a share of a retry."""
-        self._find_budget(service).note_first_try(now_ms)
+        self._find_budget(service).record_first_try(now_ms)
 
     def may_try_again(
         self, pending: PendingCall, outcome: RelayOutcome, now_ms: float
--- a/packages/toucanyard/src/toucanyard/concurrency_limit.py
+++ b/packages/toucanyard/src/toucanyard/concurrency_limit.py
@@ -10,8 +10,8 @@
 from typing import Final
 
 MIN_LIMIT: Final = 1.0
-DECREASE: Final = 0.8
-USED_SHARE: Final = 0.75
+DECREASE_FACTOR: Final = 0.8
+GROWTH_MIN_USAGE: Final = 0.75
 """Grow only while this share of the limit is used, or an idle limit would run off."""
 
 
@@ -40,10 +40,10 @@
         """Begin again from a lower start; nothing changes below it."""
         self._limit = min(self._limit, max(start, MIN_LIMIT))
 
-    def note_wait(self, wait_ms: float, now_ms: float) -> None:
+    def record_wait(self, wait_ms: float, now_ms: float) -> None:
         """Follow the wait before a first token, without its own computation."""
         if wait_ms <= self.target_wait_ms:
-            if self.in_flight >= USED_SHARE * self._limit:
+            if self.in_flight >= GROWTH_MIN_USAGE * self._limit:
                 self._limit = min(
                     self._limit + 1.0 / self._limit, float(self.max_limit)
                 )
@@ -60,4 +60,4 @@
         if now_ms - self._reduced_ms < self.target_wait_ms:
             return
         self._reduced_ms = now_ms
-        self._limit = max(self._limit * DECREASE, MIN_LIMIT)
+        self._limit = max(self._limit * DECREASE_FACTOR, MIN_LIMIT)
--- a/packages/toucanyard/src/toucanyard/drain_rate.py
+++ b/packages/toucanyard/src/toucanyard/drain_rate.py
@@ -20,7 +20,7 @@
         self._counted_ms = 0.0
         self._since_ms: float | None = None
 
-    def note(self, now_ms: float) -> None:
+    def record_event(self, now_ms: float) -> None:
         """Count one request that has ended."""
         if self._since_ms is None:
             self._since_ms = now_ms
--- a/packages/toucanyard/src/toucanyard/fair_queue.py
+++ b/packages/toucanyard/src/toucanyard/fair_queue.py
@@ -136,7 +136,7 @@
         """Return customers that wait."""
         return [name for name, queue in self._customers.items() if queue.waiting]
 
-    def find_late(self, now_ms: float) -> list[Request]:
+    def find_expired(self, now_ms: float) -> list[Request]:
         """Return waiting requests whose deadline has passed."""
         return [
             request
--- a/packages/toucanyard/src/toucanyard/known_facts.py
+++ b/packages/toucanyard/src/toucanyard/known_facts.py
@@ -9,11 +9,11 @@
 from typing import Final
 
 from toucanyard.keyed_view import Change, InvalidRecord, Topic
+from toucanyard.log_rate_limit import LogRateLimit
 from toucanyard.names import EndpointName, ReplicaId
 from toucanyard.node_records import NodeRecord
-from toucanyard.note_limit import NoteLimit
 from toucanyard.quarantine import QuarantinedRequest, Release
-from toucanyard.relay_events import Note
+from toucanyard.relay_events import LogEntry
 from toucanyard.relay_flow import RelayFlow
 from toucanyard.replicas import Replica, ReplicaDirectory
 from toucanyard.request_guard import RequestGuard
@@ -56,7 +56,7 @@
         self._roster = roster
         self._flow = flow
         self._guard = guard
-        self._invalid = NoteLimit("record_invalid")
+        self._invalid = LogRateLimit("record_invalid")
 
     def apply(
         self,
@@ -66,7 +66,7 @@
         *,
         listed_ms: float,
         known_for_ms: float = 0.0,
-    ) -> Iterator[Note]:
+    ) -> Iterator[LogEntry]:
         """Apply changes; `listed_ms` is when the store confirmed what was known before.
 
         `known_for_ms` is how long wanted weights may have been named before.
@@ -87,7 +87,7 @@
                         gone.append(current.replica.name)
                 case NodeRecord(name=node):
                     self._roster.remove(node)
-                    yield Note("node_gone", {"node": node, "source": source})
+                    yield LogEntry("node_gone", {"node": node, "source": source})
                 case QuarantinedRequest() as quarantined:
                     self._guard.on_record_removed(quarantined)
         if gone:
@@ -95,7 +95,7 @@
         for replica in gone:
             known = self._directory.find(replica)
             counts_ms = 0.0 if known is None else known.grace_until_ms - now_ms
-            yield Note(
+            yield LogEntry(
                 "replica_gone",
                 {
                     "replica": replica,
@@ -107,7 +107,7 @@
 
     def _apply_invalid(
         self, key: str, record: InvalidRecord, source: str, now_ms: float
-    ) -> Iterator[Note]:
+    ) -> Iterator[LogEntry]:
         if record.topic is Topic.REPLICAS:
             known = self._directory.find_current(ReplicaId(key))
             if known is not None:
@@ -118,56 +118,56 @@
             "reason": record.reason,
             "source": source,
         }
-        yield from self._invalid.note(fields, now_ms)
+        yield from self._invalid.log(fields, now_ms)
 
     def _apply_fact(
         self, fact: object, source: str, now_ms: float, known_for_ms: float
-    ) -> Iterator[Note]:
+    ) -> Iterator[LogEntry]:
         match fact:
             case RouteTable():
                 yield from self._apply_table(fact, source)
             case WantedWeights(model=model, version=version):
                 if self._goals.apply(fact, now_ms - known_for_ms):
                     fields = {"model": model, "version": version, "source": source}
-                    yield Note("weights_wanted", fields)
+                    yield LogEntry("weights_wanted", fields)
             case Replica():
                 yield from self._apply_replica(fact, source, now_ms)
             case NodeRecord(name=node):
                 self._roster.apply(fact)
-                yield Note("node_known", {"node": node, "source": source})
+                yield LogEntry("node_known", {"node": node, "source": source})
             case QuarantinedRequest():
                 self._guard.apply_record(fact, source, now_ms)
             case Release():
                 self._guard.release(fact, now_ms)
 
-    def _apply_table(self, table: RouteTable, source: str) -> Iterator[Note]:
+    def _apply_table(self, table: RouteTable, source: str) -> Iterator[LogEntry]:
         before = self.index.table.version
         if table.version <= before:
             return
         self.index = RouteIndex(table)
         self._flow.apply_index(self.index)
         self._directory.apply_services(each.name for each in table.services)
-        yield Note(
+        yield LogEntry(
             "routes_in_force",
             {"version": table.version, "before": before, "source": source},
         )
 
     def _apply_replica(
         self, replica: Replica, source: str, now_ms: float
-    ) -> Iterator[Note]:
+    ) -> Iterator[LogEntry]:
         before = self._directory.find_current(replica.listed_as)
         was_usable = before is not None and before.is_listed(now_ms)
         was_gone = before is not None and before.gone_ms is not None
         had = {} if before is None else dict(before.weights)
         known = self._directory.apply(replica, now_ms)
         if known is None:
-            yield Note("replica_outdated", _describe(replica, source))
+            yield LogEntry("replica_outdated", _describe(replica, source))
             return
         if before is not None and before is not known:
             # It remembers nothing of its life before.
             self._flow.book.forget(before.replica.name)
             fields = _describe(replica, source) | {"before": before.replica.name}
-            yield Note("replica_restarted", fields)
+            yield LogEntry("replica_restarted", fields)
         elif any(
             version > had.get(model, version) for model, version in replica.weights
         ):
@@ -177,7 +177,7 @@
         if not is_same or was_gone or was_usable != known.is_listed(now_ms):
             fields = _describe(replica, source)
             fields |= {"is_leaving": known.is_leaving, "weights": dict(known.weights)}
-            yield Note("replica_known", fields)
+            yield LogEntry("replica_known", fields)
 
 
 def _describe(replica: Replica, source: str) -> dict[str, object]:
--- a/packages/toucanyard/src/toucanyard/limit_pool.py
+++ b/packages/toucanyard/src/toucanyard/limit_buckets.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from toucanyard.limit_pledges import PledgeBook, find_slice
+from toucanyard.limit_delegations import DelegationTable, find_partition
 from toucanyard.rate_limits import LimitBounds, RateLimit
 
 MAJORITY: Final = 0.5
@@ -32,7 +32,7 @@
     """The same behind all requests that were denied lately."""
 
 
-class PoolUse(msgspec.Struct, frozen=True):
+class BucketUsage(msgspec.Struct, frozen=True):
     """What a home knows of one subject, for operators."""
 
     subject: str
@@ -44,7 +44,7 @@
     denied_total: float
 
 
-class _Level:
+class _Bucket:
     """One subject's level. Invariant: it never exceeds what may be saved up."""
 
     __slots__ = (
@@ -75,17 +75,17 @@
         self.value = min(self.value + earned, capacity)
 
 
-class LimitPool:
+class LimitBuckets:
     """The levels of all subjects of which this node is the home."""
 
-    __slots__ = ("_bounds", "_levels", "_pledges")
+    __slots__ = ("_bounds", "_levels", "_delegations")
 
-    def __init__(self, bounds: LimitBounds, pledges: PledgeBook) -> None:
+    def __init__(self, bounds: LimitBounds, delegations: DelegationTable) -> None:
         self._bounds = bounds
-        self._pledges = pledges
-        self._levels: dict[str, _Level] = {}
+        self._delegations = delegations
+        self._levels: dict[str, _Bucket] = {}
 
-    def forget_slices(self, numbers: list[int]) -> None:
+    def drop_partitions(self, numbers: list[int]) -> None:
         """Drop the levels of slices that are no longer pledged to this node."""
         if not self._levels:
             return
@@ -93,7 +93,7 @@
         self._levels = {
             name: level
             for name, level in self._levels.items()
-            if find_slice(name) not in lost
+            if find_partition(name) not in lost
         }
 
     def apply_limits(
@@ -107,8 +107,8 @@
             if limit is None or limit.unit is not level.limit.unit:
                 del self._levels[subject]
                 continue
-            number = find_slice(subject)
-            accrued_s = self._pledges.find_accrued(number)
+            number = find_partition(subject)
+            accrued_s = self._delegations.find_accrued_s(number)
             saved = self._bounds.compute_capacity(level.limit, shares[number])
             level.settle(accrued_s, saved)
             level.limit = limit
@@ -149,7 +149,7 @@
         closed_ms = max(-level.value, 0.0) / rate_per_s * 1_000
         return CreditGrant(granted, closed_ms, closed_ms)
 
-    def take_back(
+    def return_credit(
         self, subject: str, limit: RateLimit, credit: float, share: float
     ) -> None:
         """Take back credit that was granted and not used."""
@@ -158,26 +158,26 @@
         level.value = min(level.value + credit, max(capacity, level.value))
         level.granted_total -= credit
 
-    def list_uses(self, shares: Sequence[float]) -> list[PoolUse]:
+    def list_usage(self, shares: Sequence[float]) -> list[BucketUsage]:
         """Return what is known of each subject."""
         return [
-            PoolUse(
+            BucketUsage(
                 name,
                 level.limit.rate_per_s,
                 level.value,
-                shares[find_slice(name)],
+                shares[find_partition(name)],
                 level.granted_total,
                 level.denied_total,
             )
             for name, level in self._levels.items()
         ]
 
-    def _find_level(self, subject: str, limit: RateLimit, share: float) -> _Level:
+    def _find_level(self, subject: str, limit: RateLimit, share: float) -> _Bucket:
         level = self._levels.get(subject)
         if level is None:
-            level = self._levels[subject] = _Level(
+            level = self._levels[subject] = _Bucket(
                 limit, self._bounds.compute_rate(limit)
             )
-        accrued_s = self._pledges.find_accrued(find_slice(subject))
+        accrued_s = self._delegations.find_accrued_s(find_partition(subject))
         level.settle(accrued_s, self._bounds.compute_capacity(level.limit, share))
         return level
--- a/packages/toucanyard/src/toucanyard/limit_homes.py
+++ b/packages/toucanyard/src/toucanyard/limit_coordinators.py
@@ -9,16 +9,16 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import Final
 
-from toucanyard.limit_pledges import (
-    SLICES,
-    Pledge,
-    PledgeBook,
-    choose_homes,
-    find_slice,
+from toucanyard.limit_buckets import LimitBuckets
+from toucanyard.limit_delegations import (
+    PARTITION_COUNT,
+    DelegationTable,
+    ShareDelegation,
+    choose_coordinators,
+    find_partition,
 )
-from toucanyard.limit_pool import LimitPool
 from toucanyard.names import NodeName
-from toucanyard.relay_policy import LimitWay
+from toucanyard.relay_policy import LimitStrategy
 from toucanyard.roster import Roster
 
 UPDATE_MS: Final = 100.0
@@ -28,7 +28,7 @@
 it and pledges it to nobody."""
 
 
-class LimitHomes:
+class LimitCoordinators:
     """The homes as one node sees them, for limits of all kinds.
 
     Invariant: this node's share counts in one group at a time, and its group names one
@@ -40,35 +40,35 @@
         roster: Roster,
         count_group: Callable[[], int],
         knows_nodes: Callable[[], bool],
-        way: LimitWay,
+        strategy: LimitStrategy,
     ) -> None:
         self._roster = roster
         self.own = roster.own_name
         self._count_group = count_group
         self._knows_nodes = knows_nodes
-        self._way = way
-        self.pledges = PledgeBook(self.own)
-        self._pools: list[LimitPool] = []
+        self._strategy = strategy
+        self.delegations = DelegationTable(self.own)
+        self._all_buckets: list[LimitBuckets] = []
         self.linked: frozenset[NodeName] = frozenset()
         self._candidates: frozenset[NodeName] = frozenset()
-        self.homes: tuple[NodeName, ...] = ()
+        self.coordinators: tuple[NodeName, ...] = ()
         """By slice of what is limited; empty while this node pledges to nobody."""
         self._reached_ms: float | None = None
         """When this node last had a hub; None before its first tick."""
         self._updated_ms = float("-inf")
         self.total = 1
         """Nodes that stand for a share of each limit."""
-        self.pledge: Pledge | None = None
+        self.delegation: ShareDelegation | None = None
         """What peers are told of this node's group."""
 
-    def add_pool(self, pool: LimitPool) -> None:
+    def add_buckets(self, buckets: LimitBuckets) -> None:
         """Let a pool drop what it held of slices whose pledges end."""
-        self._pools.append(pool)
+        self._all_buckets.append(buckets)
 
-    def note_links(self, names: Collection[NodeName], now_ms: float) -> None:
+    def update_links(self, names: Collection[NodeName], now_ms: float) -> None:
         """Take in which peers are linked now."""
         self.linked = frozenset(names)
-        self.pledges.retain(names)
+        self.delegations.retain(names)
         self._update(now_ms)
 
     def tick(self, now_ms: float) -> bool:
@@ -80,41 +80,44 @@
 
     def withdraw(self) -> None:
         """Pledge nothing, as there is no limit."""
-        self.pledge = None
+        self.delegation = None
 
-    def read_pledge(self, sender: NodeName, pledge: Pledge, now_ms: float) -> None:
+    def receive_delegation(
+        self, sender: NodeName, delegation: ShareDelegation, now_ms: float
+    ) -> None:
         """Take in to whom a peer's group gives its shares."""
         if sender not in self.linked:
             # Read after its link was lost: the end of it would go unnoticed.
             return
-        if not self.pledges.is_known(sender, pledge):
+        if not self.delegations.is_known(sender, delegation):
             self.settle(now_ms)
-        self.pledges.record(sender, pledge, now_ms)
+        self.delegations.record(sender, delegation, now_ms)
 
     def settle(self, now_ms: float) -> None:
         """Add up what has been pledged to this node until now."""
-        lost = self.pledges.settle(self.total, now_ms)
+        lost = self.delegations.settle(self.total, now_ms)
         if lost:
-            for pool in self._pools:
-                pool.forget_slices(lost)
+            for buckets in self._all_buckets:
+                buckets.drop_partitions(lost)
 
-    def find_home(self, subject: str) -> NodeName | None:
+    def find_coordinator(self, subject: str) -> NodeName | None:
         """Return the home of a limit; None while this node pledges to nobody."""
-        return self.homes[find_slice(subject)] if self.homes else None
+        return self.coordinators[find_partition(subject)] if self.coordinators else None
 
-    def find_next(self, subject: str) -> NodeName | None:
+    def find_next_hop(self, subject: str) -> NodeName | None:
         """Return whom to ask: the home, or the hub that knows it."""
-        home = self.find_home(subject)
-        return self._roster.find_primary() if home is None else home
+        coordinator = self.find_coordinator(subject)
+        return self._roster.find_primary() if coordinator is None else coordinator
 
     def compute_share(self, subject: str) -> float:
         """Return the share of a limit that is pledged to this node."""
-        return self.pledges.compute_share(find_slice(subject), self.total)
+        return self.delegations.compute_share(find_partition(subject), self.total)
 
     def compute_shares(self) -> list[float]:
         """Return the same for each slice."""
         return [
-            self.pledges.compute_share(number, self.total) for number in range(SLICES)
+            self.delegations.compute_share(number, self.total)
+            for number in range(PARTITION_COUNT)
         ]
 
     def _update(self, now_ms: float) -> None:
@@ -124,12 +127,12 @@
         candidates = self._find_candidates(now_ms)
         if candidates != self._candidates:
             self._candidates = candidates
-            self.homes = choose_homes(candidates) if candidates else ()
-        self.pledge = None
-        if self.homes:
+            self.coordinators = choose_coordinators(candidates) if candidates else ()
+        self.delegation = None
+        if self.coordinators:
             nodes = 1 if self._is_apart() else self._count_group()
-            self.pledge = Pledge(nodes, self.homes)
-            self.pledges.record(self.own, self.pledge, now_ms)
+            self.delegation = ShareDelegation(nodes, self.coordinators)
+            self.delegations.record(self.own, self.delegation, now_ms)
 
     def _find_candidates(self, now_ms: float) -> frozenset[NodeName]:
         """Return the nodes that may be a home; none while this node pledges nothing."""
@@ -137,7 +140,7 @@
             # It would take itself for the whole fleet.
             return frozenset()
         own = frozenset((self.own,))
-        if self._way is LimitWay.EQUAL_SHARES:
+        if self._strategy is LimitStrategy.EQUAL_SHARES:
             return own
         ready = self._roster.list_ready_linked()
         if self._roster.is_full_mesh():
@@ -157,5 +160,5 @@
 
     def _is_apart(self) -> bool:
         """Tell whether this node stands for itself only."""
-        is_equal = self._way is LimitWay.EQUAL_SHARES
+        is_equal = self._strategy is LimitStrategy.EQUAL_SHARES
         return is_equal or self._roster.is_full_mesh()
--- a/packages/toucanyard/src/toucanyard/limit_credits.py
+++ b/packages/toucanyard/src/toucanyard/limit_credits.py
@@ -14,20 +14,20 @@
 
 import msgspec
 
-from toucanyard.limit_pool import CreditGrant
+from toucanyard.limit_buckets import CreditGrant
 from toucanyard.names import RequestId
 from toucanyard.rate_limits import MIN_CREDIT_MS
 
-ASK_TIMEOUT_MS: Final = 200.0
+REQUEST_TIMEOUT_MS: Final = 200.0
 """Time without an answer after which a question is sent again."""
-MIN_CLOSED_MS: Final = 25.0
+MIN_DENIAL_MS: Final = 25.0
 """Least time between a denial and the next question, which a flood would else ask for
 each of its requests."""
-MAX_CLOSED_MS: Final = 500.0
+MAX_DENIAL_MS: Final = 500.0
 """Longest time for which a denial is believed: another node may be the home by then."""
 
 
-class CreditQuestion(msgspec.Struct, frozen=True):
+class CreditRequest(msgspec.Struct, frozen=True):
     """What a node asks the home of a limit for."""
 
     number: int
@@ -51,11 +51,11 @@
 
 class _Account:
     __slots__ = (
-        "asked_ms",
-        "closed_until_ms",
+        "requested_ms",
+        "denied_until_ms",
         "credit",
         "denied_ms",
-        "question",
+        "credit_request",
         "retry_at_ms",
         "returned",
         "sent_ms",
@@ -69,15 +69,15 @@
         self.ttl_ms = MIN_CREDIT_MS
         """Time from asking for credit until it may no longer be used."""
         self.until_ms = float("-inf")
-        self.question: CreditQuestion | None = None
+        self.credit_request: CreditRequest | None = None
         """The question that has no answer yet."""
-        self.asked_ms = float("-inf")
+        self.requested_ms = float("-inf")
         self.sent_ms = float("-inf")
         """When the question was sent last."""
         self.waiting: dict[RequestId, float] = {}
         """Cost of requests that wait for credit, in order of arrival."""
         self.returned = 0.0
-        self.closed_until_ms = float("-inf")
+        self.denied_until_ms = float("-inf")
         self.denied_ms = float("-inf")
         self.retry_at_ms = float("-inf")
 
@@ -85,7 +85,7 @@
 class CreditAccounts:
     """Credit by subject. Invariant: what is taken was granted before, and once."""
 
-    __slots__ = ("_accounts", "_first", "_open", "asked")
+    __slots__ = ("_accounts", "_first", "_open", "request_count")
 
     def __init__(self, first_number: int = 0) -> None:
         self._first = first_number
@@ -93,7 +93,7 @@
         self._accounts: dict[str, _Account] = {}
         self._open: dict[str, None] = {}
         """Customers with requests that wait for credit."""
-        self.asked = 0
+        self.request_count = 0
         """Questions so far."""
 
     def take(
@@ -125,9 +125,9 @@
     def find_denial(self, subject: str, now_ms: float) -> Denial | None:
         """Return the denial that still holds; None if the home may grant now."""
         account = self._accounts.get(subject)
-        if account is None or account.closed_until_ms <= now_ms:
+        if account is None or account.denied_until_ms <= now_ms:
             return None
-        closed_ms = account.closed_until_ms - now_ms
+        closed_ms = account.denied_until_ms - now_ms
         retry_ms = max(account.retry_at_ms - now_ms, closed_ms)
         return Denial(closed_ms, retry_ms, now_ms - account.denied_ms)
 
@@ -137,11 +137,11 @@
         if account is not None:
             account.waiting.pop(request_id, None)
 
-    def give_back(self, subject: str, credit: float, now_ms: float) -> None:
+    def return_unused(self, subject: str, credit: float, now_ms: float) -> None:
         """Return credit that a request took and did not use."""
         self._find(subject, now_ms).returned += credit
 
-    def has_questions(self) -> bool:
+    def has_requests(self) -> bool:
         """Tell whether requests may be waiting for credit."""
         return bool(self._open)
 
@@ -155,9 +155,9 @@
         """Drop the denials of a limit that has changed."""
         account = self._accounts.get(subject)
         if account is not None:
-            account.closed_until_ms = float("-inf")
+            account.denied_until_ms = float("-inf")
 
-    def list_questions(self, now_ms: float) -> Iterator[CreditQuestion]:
+    def list_requests(self, now_ms: float) -> Iterator[CreditRequest]:
         """Return what has to be asked now."""
         for subject in list(self._open):
             account = self._find(subject, now_ms)
@@ -165,14 +165,17 @@
                 del self._open[subject]
                 continue
             is_covered = account.credit >= sum(account.waiting.values())
-            if is_covered or account.closed_until_ms > now_ms:
+            if is_covered or account.denied_until_ms > now_ms:
                 continue
-            question = account.question
-            if question is None or now_ms - account.asked_ms >= account.ttl_ms:
-                yield self._ask(subject, account, now_ms)
-            elif now_ms - account.sent_ms >= ASK_TIMEOUT_MS:
+            credit_request = account.credit_request
+            if (
+                credit_request is None
+                or now_ms - account.requested_ms >= account.ttl_ms
+            ):
+                yield self._issue_request(subject, account, now_ms)
+            elif now_ms - account.sent_ms >= REQUEST_TIMEOUT_MS:
                 account.sent_ms = now_ms
-                yield question
+                yield credit_request
 
     def apply_grant(
         self, subject: str, number: int, grant: CreditGrant, now_ms: float
@@ -181,38 +184,40 @@
         account = self._accounts.get(subject)
         if account is None:
             return
-        question = account.question
-        if question is None or question.number != number:
+        credit_request = account.credit_request
+        if credit_request is None or credit_request.number != number:
             account.returned += grant.granted
             return
-        account.question = None
+        account.credit_request = None
         self._expire(account, now_ms)
-        until_ms = account.asked_ms + account.ttl_ms
+        until_ms = account.requested_ms + account.ttl_ms
         if until_ms > now_ms:
             account.credit += grant.granted
             account.until_ms = until_ms
         else:
             account.returned += grant.granted
         if not grant.granted:
-            closed_ms = min(max(grant.closed_ms, MIN_CLOSED_MS), MAX_CLOSED_MS)
+            closed_ms = min(max(grant.closed_ms, MIN_DENIAL_MS), MAX_DENIAL_MS)
             account.denied_ms = now_ms
-            account.closed_until_ms = now_ms + closed_ms
+            account.denied_until_ms = now_ms + closed_ms
             account.retry_at_ms = now_ms + max(grant.retry_ms, closed_ms)
 
-    def _ask(self, subject: str, account: _Account, now_ms: float) -> CreditQuestion:
-        self.asked += 1
-        account.asked_ms = account.sent_ms = now_ms
+    def _issue_request(
+        self, subject: str, account: _Account, now_ms: float
+    ) -> CreditRequest:
+        self.request_count += 1
+        account.requested_ms = account.sent_ms = now_ms
         # What is left would lapse before the answer does.
         returned, account.returned = account.returned + account.credit, 0.0
         account.credit = 0.0
-        account.question = CreditQuestion(
-            self._first + self.asked,
+        account.credit_request = CreditRequest(
+            self._first + self.request_count,
             subject,
             sum(account.waiting.values()),
             next(iter(account.waiting.values())),
             returned,
         )
-        return account.question
+        return account.credit_request
 
     def _find(self, subject: str, now_ms: float) -> _Account:
         account = self._accounts.get(subject)
--- a/packages/toucanyard/src/toucanyard/limit_events.py
+++ b/packages/toucanyard/src/toucanyard/limit_events.py
@@ -30,18 +30,18 @@
 
     def tick(self, now_ms: float) -> Iterator[RelayAction]:
         """Bring limits and their homes up to date."""
-        homes = self._shares.list_homes()
+        coordinators = self._shares.list_coordinators()
         yield from self._shares.tick(now_ms)
-        if self._shares.list_homes() != homes:
+        if self._shares.list_coordinators() != coordinators:
             # A home gives out nothing before it is told what is pledged to it.
             self._statuses.note_due()
 
     def settle(self, now_ms: float) -> Iterator[RelayAction]:
         """Use the credit that has come, and ask homes for what is missing."""
-        if not self._shares.has_questions():
+        if not self._shares.has_requests():
             return
         yield from self._use_credit(now_ms)
-        yield from self._shares.ask(now_ms)
+        yield from self._shares.request_credit(now_ms)
         # This node may have answered itself.
         yield from self._use_credit(now_ms)
 
@@ -53,17 +53,17 @@
             return
         before = limits.change_count
         yield from limits.on_answer(seen.replica, seen.limit_per_s, now_ms)
-        self._tell_changes(before)
+        self._announce_changes(before)
 
     def read_status(
         self, sender: NodeName, status: NodeStatus, now_ms: float
     ) -> Iterator[RelayAction]:
         """Take in a peer's pledge, and the limits that it knows."""
         if status.pledge is not None:
-            self._shares.read_pledge(sender, status.pledge, now_ms)
+            self._shares.receive_delegation(sender, status.pledge, now_ms)
         before = self._replica_limits.change_count
         yield from self._replica_limits.apply(status.replica_limits, sender, now_ms)
-        self._tell_changes(before)
+        self._announce_changes(before)
 
     def read_message(
         self, sender: NodeName, message: CreditAsk | CreditAnswer, now_ms: float
@@ -71,14 +71,14 @@
         """Take in a question for credit, or an answer."""
         match message:
             case CreditAsk():
-                yield from self._shares.read_ask(sender, message, now_ms)
+                yield from self._shares.receive_request(sender, message, now_ms)
             case CreditAnswer():
-                yield from self._shares.read_answer(message, now_ms)
+                yield from self._shares.receive_answer(message, now_ms)
 
     def _use_credit(self, now_ms: float) -> Iterator[RelayAction]:
-        if self._shares.take_answered():
+        if self._shares.consume_answered_flag():
             yield from self._flow.retry_waiting(now_ms)
 
-    def _tell_changes(self, before: int) -> None:
+    def _announce_changes(self, before: int) -> None:
         if self._replica_limits.change_count != before:
             self._statuses.note_due()
--- a/packages/toucanyard/src/toucanyard/limit_exchange.py
+++ b/packages/toucanyard/src/toucanyard/limit_exchange.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
+from toucanyard.limit_buckets import BucketUsage, CreditGrant, LimitBuckets
+from toucanyard.limit_coordinators import LimitCoordinators
 from toucanyard.limit_credits import CreditAccounts
-from toucanyard.limit_homes import LimitHomes
-from toucanyard.limit_pool import CreditGrant, LimitPool, PoolUse
 from toucanyard.link_messages import CreditAnswer, CreditAsk, LimitKind
 from toucanyard.names import NodeName
 from toucanyard.rate_limits import MAX_CREDIT_MS, LimitBounds, RateLimit
@@ -32,7 +32,7 @@
         ...
 
 
-class _Given(msgspec.Struct, frozen=True):
+class _SentAnswer(msgspec.Struct, frozen=True):
     """What a home answered to one node about one limit."""
 
     at_ms: float
@@ -47,80 +47,87 @@
     def __init__(
         self,
         kind: LimitKind,
-        homes: LimitHomes,
+        coordinators: LimitCoordinators,
         source: LimitSource,
         bounds: LimitBounds,
     ) -> None:
         self._kind = kind
-        self._homes = homes
+        self._coordinators = coordinators
         self._source = source
-        self._pool = LimitPool(bounds, homes.pledges)
-        homes.add_pool(self._pool)
+        self._buckets = LimitBuckets(bounds, coordinators.delegations)
+        coordinators.add_buckets(self._buckets)
         self._is_answered = False
-        self._given: dict[tuple[NodeName, str], _Given] = {}
+        self._sent_answers: dict[tuple[NodeName, str], _SentAnswer] = {}
         """The last answer to each node about each limit."""
 
     def apply_limits(self, now_ms: float) -> None:
         """Let changed limits be in force."""
-        self._homes.settle(now_ms)
-        self._pool.apply_limits(self._source.find_limit, self._homes.compute_shares())
+        self._coordinators.settle(now_ms)
+        self._buckets.apply_limits(
+            self._source.find_limit, self._coordinators.compute_shares()
+        )
 
-    def ask(self, now_ms: float) -> Iterator[SendToPeer]:
+    def request_credit(self, now_ms: float) -> Iterator[SendToPeer]:
         """Ask for the credit that calls wait for; this node may be its own home."""
-        for question in self._source.accounts.list_questions(now_ms):
+        for credit_request in self._source.accounts.list_requests(now_ms):
             ask = CreditAsk(
-                self._homes.own,
-                question.number,
-                question.subject,
-                question.wanted,
-                question.least,
-                question.returned,
+                self._coordinators.own,
+                credit_request.number,
+                credit_request.subject,
+                credit_request.wanted,
+                credit_request.least,
+                credit_request.returned,
                 self._kind,
             )
-            if self._homes.find_home(question.subject) == self._homes.own:
+            if (
+                self._coordinators.find_coordinator(credit_request.subject)
+                == self._coordinators.own
+            ):
                 answer = self._answer(ask, now_ms)
                 if answer is not None:
                     self._apply(answer, now_ms)
                 continue
-            target = self._homes.find_next(question.subject)
+            target = self._coordinators.find_next_hop(credit_request.subject)
             if target is not None:
                 yield SendToPeer(target, ask)
 
-    def read_ask(
+    def receive_request(
         self, sender: NodeName, ask: CreditAsk, now_ms: float
     ) -> Iterator[SendToPeer]:
         """Answer a node's question, or pass it on to the home."""
-        home = self._homes.find_home(ask.subject)
-        if home == self._homes.own:
+        coordinator = self._coordinators.find_coordinator(ask.subject)
+        if coordinator == self._coordinators.own:
             answer = self._answer(ask, now_ms)
             if answer is not None:
                 yield SendToPeer(sender, answer)
-        elif home in self._homes.linked and ask.origin == sender:
+        elif coordinator in self._coordinators.linked and ask.origin == sender:
             # Passed on once only: nodes that differ on the home would pass it for ever.
-            yield SendToPeer(home, ask)
+            yield SendToPeer(coordinator, ask)
 
-    def read_answer(self, answer: CreditAnswer, now_ms: float) -> Iterator[SendToPeer]:
+    def receive_answer(
+        self, answer: CreditAnswer, now_ms: float
+    ) -> Iterator[SendToPeer]:
         """Take in a home's answer, or pass it on to the node that asked."""
-        if answer.origin == self._homes.own:
+        if answer.origin == self._coordinators.own:
             self._apply(answer, now_ms)
-        elif answer.origin in self._homes.linked:
+        elif answer.origin in self._coordinators.linked:
             yield SendToPeer(answer.origin, answer)
 
-    def list_uses(self) -> list[PoolUse]:
+    def list_usage(self) -> list[BucketUsage]:
         """Return what this node knows of the limits of which it is the home."""
-        return self._pool.list_uses(self._homes.compute_shares())
+        return self._buckets.list_usage(self._coordinators.compute_shares())
 
-    def take_answered(self) -> bool:
+    def consume_answered_flag(self) -> bool:
         """Tell whether an answer has come since this was asked last."""
         is_answered, self._is_answered = self._is_answered, False
         return is_answered
 
-    def forget_given(self, now_ms: float) -> None:
+    def prune_answers(self, now_ms: float) -> None:
         """Drop answers whose credit has lapsed."""
-        self._given = {
-            key: given
-            for key, given in self._given.items()
-            if now_ms - given.at_ms <= MAX_CREDIT_MS
+        self._sent_answers = {
+            key: sent
+            for key, sent in self._sent_answers.items()
+            if now_ms - sent.at_ms <= MAX_CREDIT_MS
         }
 
     def _answer(self, ask: CreditAsk, now_ms: float) -> CreditAnswer | None:
@@ -129,24 +136,26 @@
         A question that comes again gets its answer again: granted anew each time that
         an answer is slow, a limit would be used up without anything being sent.
         """
-        given = self._given.get((ask.origin, ask.subject))
-        if given is not None and given.answer.number == ask.number:
-            return given.answer
+        sent = self._sent_answers.get((ask.origin, ask.subject))
+        if sent is not None and sent.answer.number == ask.number:
+            return sent.answer
         limit = self._source.find_limit(ask.subject)
         if limit is None:
             return self._answer_unlimited(ask)
-        self._homes.settle(now_ms)
-        share = self._homes.compute_share(ask.subject)
+        self._coordinators.settle(now_ms)
+        share = self._coordinators.compute_share(ask.subject)
         if not share:
             return None
-        self._pool.take_back(ask.subject, limit, ask.returned, share)
-        denied = 0.0 if given is None else given.denied
-        grant = self._pool.grant(
+        self._buckets.return_credit(ask.subject, limit, ask.returned, share)
+        denied = 0.0 if sent is None else sent.denied
+        grant = self._buckets.grant(
             ask.subject, limit, ask.wanted, ask.least, share, denied
         )
         answer = _build_answer(ask, grant)
         denied = 0.0 if grant.granted else ask.wanted
-        self._given[ask.origin, ask.subject] = _Given(now_ms, answer, denied)
+        self._sent_answers[ask.origin, ask.subject] = _SentAnswer(
+            now_ms, answer, denied
+        )
         return answer
 
     def _answer_unlimited(self, ask: CreditAsk) -> CreditAnswer | None:
--- a/packages/toucanyard/src/toucanyard/link_messages.py
+++ b/packages/toucanyard/src/toucanyard/link_messages.py
@@ -14,7 +14,7 @@
 
 from toucanyard.cbor_messages import decode_cbor
 from toucanyard.keyed_view import KeyedRecord, Topic
-from toucanyard.limit_pledges import Pledge
+from toucanyard.limit_delegations import ShareDelegation
 from toucanyard.names import (
     EndpointName,
     Fingerprint,
@@ -173,7 +173,7 @@
     """The newest lives of replicas that have started again lately."""
     crashes: tuple[ReplicaCrash, ...] = ()
     survivals: tuple[RequestSurvival, ...] = ()
-    pledge: Pledge | None = None
+    pledge: ShareDelegation | None = None
     """To whom the sender's group gives its shares of limits; None if it doesn't say."""
     replica_limits: tuple[ReplicaLimitNews, ...] = ()
     """Limits of replicas that have changed lately."""
--- a/packages/toucanyard/src/toucanyard/relay_notes.py
+++ b/packages/toucanyard/src/toucanyard/log_entries.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Note(msgspec.Struct, frozen=True):
+class LogEntry(msgspec.Struct, frozen=True):
     """Write a log line about a change of what this node believes."""
 
     event: str
--- a/packages/toucanyard/src/toucanyard/note_limit.py
+++ b/packages/toucanyard/src/toucanyard/log_rate_limit.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterator
 from typing import Final
 
-from toucanyard.relay_notes import Note
+from toucanyard.log_entries import LogEntry
 
-MAX_NOTES: Final = 20
+MAX_ENTRIES: Final = 20
 """Lines of one matter within a window; enough to see which keys are concerned."""
 WINDOW_MS: Final = 10_000.0
 
 
-class NoteLimit:
+class LogRateLimit:
     """Notes of one event. Invariant: at most MAX_NOTES begin in one window."""
 
     __slots__ = ("_count", "_event", "_since_ms", "_suppressed")
@@ -23,14 +23,14 @@
         self._count = 0
         self._suppressed = 0
 
-    def note(self, fields: dict[str, object], now_ms: float) -> Iterator[Note]:
+    def log(self, fields: dict[str, object], now_ms: float) -> Iterator[LogEntry]:
         """Yield a note unless there were many; it tells how many were left out."""
         if now_ms - self._since_ms >= WINDOW_MS:
             self._since_ms = now_ms
             self._count = 0
-        if self._count >= MAX_NOTES:
+        if self._count >= MAX_ENTRIES:
             self._suppressed += 1
             return
         self._count += 1
         suppressed, self._suppressed = self._suppressed, 0
-        yield Note(self._event, fields | {"suppressed": suppressed})
+        yield LogEntry(self._event, fields | {"suppressed": suppressed})
--- a/packages/toucanyard/src/toucanyard/pending_call.py
+++ b/packages/toucanyard/src/toucanyard/pending_call.py
@@ -30,20 +30,20 @@
     """Never goes back to false: a later refusal must not say "not run"."""
     is_suspect: bool = False
     """Several replicas have crashed under its request."""
-    charge: float = 0.0
+    held_credit: float = 0.0
     """Credit of its customer that was taken for the next try."""
-    charged_until_ms: float = 0.0
+    held_credit_until_ms: float = 0.0
     """When that credit may no longer be used."""
-    is_unpaid: bool = False
+    is_awaiting_credit: bool = False
     """It waits for credit of its customer, not for a replica."""
-    is_denied: bool = False
+    is_briefly_denied: bool = False
     """Its customer is over its limit, but not for long."""
-    unpaid_since_ms: float = 0.0
-    unpaid_until_ms: float = 0.0
+    credit_wait_since_ms: float = 0.0
+    credit_wait_until_ms: float = 0.0
     """When it no longer waits for credit."""
-    asked_replica: EndpointName | None = None
+    requested_replica: EndpointName | None = None
     """The limited replica whose home was asked whether it may be sent there."""
-    ask_until_ms: float = 0.0
+    replica_credit_wait_until_ms: float = 0.0
     """When it no longer waits for the answer."""
     has_failed: bool = False
     """The last try that may have run ended with an answer that says that it failed."""
--- a/packages/toucanyard/src/toucanyard/rate_limits.py
+++ b/packages/toucanyard/src/toucanyard/rate_limits.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-MARGIN_PART: Final = 1 / 5
+MARGIN_FRACTION: Final = 1 / 5
 """Part of a limit's margin that each of these may take: a request that goes below zero,
 credit that was granted before a window began, a second home that takes over in it."""
 MIN_CREDIT_MS: Final = 300.0
@@ -63,13 +63,13 @@
     spends_margin: bool = True
     """Whether what is left of the margin is granted on top of the rate."""
 
-    least_saved: float = 0.0
+    min_capacity: float = 0.0
     """What a home may save up however small its share is. Where single requests are
     granted, less than one would never do."""
 
     def compute_capacity(self, limit: RateLimit, share: float) -> float:
         """Return what a home with a share of a limit may save up."""
-        return max(limit.compute_capacity() * share, self.least_saved)
+        return max(limit.compute_capacity() * share, self.min_capacity)
 
     def compute_bound(self, limit: RateLimit) -> float:
         """Return the most that may run of a customer in one window."""
@@ -84,17 +84,17 @@
         if not self.spends_margin:
             return limit.rate_per_s
         window_s = self.window_ms / 1_000
-        spare = self._compute_margin(limit) * (1 - 2 * MARGIN_PART)
+        spare = self._compute_margin(limit) * (1 - 2 * MARGIN_FRACTION)
         late_s = self.compute_credit_ms(limit) / 1_000
         return (limit.rate_per_s * window_s + spare) / (window_s + late_s)
 
     def compute_max_debt(self, limit: RateLimit) -> float:
         """Return how far below zero one request may take a customer."""
-        return self._compute_margin(limit) * MARGIN_PART
+        return self._compute_margin(limit) * MARGIN_FRACTION
 
     def compute_credit_ms(self, limit: RateLimit) -> float:
         """Return for how long credit may be used once it was asked for, in ms."""
-        life_s = self._compute_margin(limit) * MARGIN_PART / limit.rate_per_s
+        life_s = self._compute_margin(limit) * MARGIN_FRACTION / limit.rate_per_s
         return min(max(life_s * 1_000, MIN_CREDIT_MS), self.max_credit_ms)
 
     def _compute_allowed(self, limit: RateLimit) -> float:
--- a/packages/toucanyard/src/toucanyard/relay_core.py
+++ b/packages/toucanyard/src/toucanyard/relay_core.py
@@ -10,12 +10,12 @@
 from collections.abc import Iterator
 from typing import Final
 
-from toucanyard.call_limits import CallLimits, compute_first_number
+from toucanyard.call_limits import CallLimits, compute_first_request_number
 from toucanyard.call_placement import CallPlacement
 from toucanyard.keyed_view import Decode, Topic
 from toucanyard.known_facts import KnownFacts
+from toucanyard.limit_coordinators import LimitCoordinators
 from toucanyard.limit_events import LimitEvents
-from toucanyard.limit_homes import LimitHomes
 from toucanyard.link_messages import (
     CreditAnswer,
     CreditAsk,
@@ -34,7 +34,7 @@
     FirstEventSeen,
     HolderLost,
     LinkMessageRead,
-    Note,
+    LogEntry,
     OrderAnswered,
     PartsChanged,
     PeersLinked,
@@ -73,16 +73,16 @@
 PRUNE_MS: Final = 5_000.0
 TICK_MS: Final = 25.0
 """Time between two ticks in a mesh."""
-FAR_TICK_MS: Final = 50.0
+LARGE_FLEET_TICK_MS: Final = 50.0
 """The same in a larger fleet, whose nodes are many and small."""
-REST_TICK_MS: Final = 125.0
+IDLE_TICK_MS: Final = 125.0
 """The same for a node that has no call, no weights to order and no group. All that it
 does by itself is a status each third tick, and most nodes of a large fleet rest."""
-MISDIRECTED: Final = 421
+MISDIRECTED_STATUS: Final = 421
 """Status with which a replica says that it is not the one that was meant."""
 
 CallEvent = CallArrived | CallerLeft | FirstEventSeen | DispatchEnded | ReplicaLimitSeen
-QuietEvent = PartsChanged | HolderLost | QuarantineWritten | QuarantineErased
+PassiveEvent = PartsChanged | HolderLost | QuarantineWritten | QuarantineErased
 RolloutEvent = TurnRead | TurnAppended | ReplicaStateRead | OrderAnswered
 
 
@@ -118,7 +118,7 @@
         self.sources = PartSources(self.directory, self.roster)
         self.replica_limits = ReplicaLimits(rng)
         self.credits = ReplicaCredits(
-            self.replica_limits, compute_first_number(identity.incarnation)
+            self.replica_limits, compute_first_request_number(identity.incarnation)
         )
         calls = CallPlacement(
             options,
@@ -176,15 +176,17 @@
             self.goals,
             lambda now_ms: self.sources.list_stores(self.index, now_ms),
             options.link_mbps,
-            lambda: self.shares.pledge,
+            lambda: self.shares.delegation,
         )
-        homes = LimitHomes(
+        coordinators = LimitCoordinators(
             self.roster,
             self.statuses.count_group,
             lambda: self.exchange.views[Topic.NODES].end > 0,
-            options.policy.limits.way,
+            options.policy.limits.strategy,
+        )
+        self.shares = SharedLimits(
+            coordinators, self.limits, self.credits, options.limits
         )
-        self.shares = SharedLimits(homes, self.limits, self.credits, options.limits)
         self._limit_events = LimitEvents(
             self.shares, self.replica_limits, self.flow, self.statuses
         )
@@ -220,11 +222,15 @@
         if self.roster.is_full_mesh():
             return TICK_MS
         is_busy = self.flow.count_pending() > 0 or self.rollout.is_busy()
-        return FAR_TICK_MS if is_busy or self.statuses.has_group() else REST_TICK_MS
+        return (
+            LARGE_FLEET_TICK_MS
+            if is_busy or self.statuses.has_group()
+            else IDLE_TICK_MS
+        )
 
     def handle(self, event: RelayEvent, now_ms: float) -> list[RelayAction]:
         """Take one event in and return what must be done now, in this order."""
-        self.flow.note_view(self.exchange.views[Topic.REPLICAS].confirmed_ms)
+        self.flow.set_view_confirmed(self.exchange.views[Topic.REPLICAS].confirmed_ms)
         actions = list(self._handle(event, now_ms))
         if self.guard.has_news():
             actions += self._settle_guard(now_ms)
@@ -246,7 +252,7 @@
             case TopicRead():
                 yield from self.topics.take_read(event, now_ms)
             case StoreFailed():
-                yield _note_failed(event, now_ms)
+                yield _build_failure_entry(event, now_ms)
             case PeersLinked(peers=peers):
                 yield from self._link([peer.node for peer in peers], now_ms)
             case LinkMessageRead(sender=sender, message=message):
@@ -254,7 +260,7 @@
             case (
                 PartsChanged() | HolderLost() | QuarantineWritten() | QuarantineErased()
             ):
-                self._handle_quiet(event, now_ms)
+                self._handle_passive(event, now_ms)
             case StopBegun():
                 self.is_stopping = True
                 yield from self.statuses.send(self.is_ready(), now_ms)
@@ -268,7 +274,7 @@
             case CallerLeft(request_id=request_id):
                 yield from self.flow.leave(request_id, now_ms)
             case FirstEventSeen(request_id=request_id):
-                yield from self.flow.note_first(request_id, now_ms)
+                yield from self.flow.record_first_event(request_id, now_ms)
             case ReplicaLimitSeen():
                 yield from self._limit_events.on_seen(event, now_ms)
             case DispatchEnded(outcome=outcome):
@@ -278,12 +284,12 @@
                     # Each node would else find out by calls of its own, and have some
                     # of them refused that may be sent only once.
                     self.gossip.note(outcome.replica, now_ms)
-                    yield from self._tell_soon(now_ms)
+                    yield from self._send_status_now(now_ms)
 
     def _handle_rollout(
         self, event: RolloutEvent, now_ms: float
     ) -> Iterator[RelayAction]:
-        if isinstance(event, OrderAnswered) and event.status == MISDIRECTED:
+        if isinstance(event, OrderAnswered) and event.status == MISDIRECTED_STATUS:
             self.directory.note_replaced(event.order.replica, now_ms)
         if isinstance(event, ReplicaStateRead):
             yield from self.probes.on_read(event, now_ms)
@@ -297,7 +303,7 @@
         yield from self.flow.tick(now_ms)
         yield from self._tick_rollout(now_ms)
         yield from self.statuses.tick(self.is_ready(), now_ms)
-        yield from self._note_hub()
+        yield from self._log_hub_change()
         if now_ms - self._pruned_ms >= PRUNE_MS:
             self._pruned_ms = now_ms
             self.guard.ledger.prune(now_ms)
@@ -308,11 +314,11 @@
 
     def _settle_guard(self, now_ms: float) -> Iterator[RelayAction]:
         """Log what the guard has learned, and let peers know at once."""
-        yield from self.guard.take_notes()
+        yield from self.guard.take_log_entries()
         if self.guard.take_urgent():
-            yield from self._tell_soon(now_ms)
+            yield from self._send_status_now(now_ms)
 
-    def _handle_quiet(self, event: QuietEvent, now_ms: float) -> None:
+    def _handle_passive(self, event: PassiveEvent, now_ms: float) -> None:
         """Handle an event that asks for nothing to be done now."""
         match event:
             case PartsChanged() | HolderLost():
@@ -336,13 +342,13 @@
         yield from self.probes.ask_lost(now_ms)
         yield from self.guard.quarantine.tick(now_ms)
 
-    def _note_hub(self) -> Iterator[RelayAction]:
+    def _log_hub_change(self) -> Iterator[RelayAction]:
         """Say to whom this node reports, each time that this changes."""
         is_hub = not self.roster.is_full_mesh() and self.roster.plan.is_hub()
         hub = self.identity.node if is_hub else self.roster.find_primary()
         if hub != self._hub:
             before, self._hub = self._hub, hub
-            yield Note(
+            yield LogEntry(
                 "hub_changed",
                 {"hub": hub or "", "before": before or "", "is_own": is_hub},
             )
@@ -352,9 +358,9 @@
         if not self.options.policy.rollout.announces:
             return
         if self.gossip.note_changing(set(self.rollout.list_changing()), now_ms):
-            yield from self._tell_soon(now_ms)
+            yield from self._send_status_now(now_ms)
 
-    def _tell_soon(self, now_ms: float) -> Iterator[RelayAction]:
+    def _send_status_now(self, now_ms: float) -> Iterator[RelayAction]:
         self.statuses.note_due()
         yield from self.statuses.tick(self.is_ready(), now_ms)
 
@@ -387,20 +393,20 @@
         self.exchange.linked = tuple(names)
         self.roster.retain_linked(names)
         self.statuses.note_links(names)
-        self.shares.note_links(names, now_ms)
+        self.shares.update_links(names, now_ms)
         for name in before - set(names):
-            yield Note("peer_lost", {"peer": name})
+            yield LogEntry("peer_lost", {"peer": name})
         for name in set(names) - before:
-            yield Note("peer_linked", {"peer": name})
+            yield LogEntry("peer_linked", {"peer": name})
         if set(names) - before:
             self.guard.ledger.share_all(now_ms)
             self.replica_limits.share_all(now_ms)
 
 
-def _note_failed(failed: StoreFailed, now_ms: float) -> Note:
+def _build_failure_entry(failed: StoreFailed, now_ms: float) -> LogEntry:
     fields = {
         "purpose": failed.purpose,
         "reason": failed.reason,
         "after_ms": round(now_ms - failed.asked_ms),
     }
-    return Note("store_failed", fields)
+    return LogEntry("store_failed", fields)
--- a/packages/toucanyard/src/toucanyard/relay_events.py
+++ b/packages/toucanyard/src/toucanyard/relay_events.py
@@ -7,6 +7,7 @@
 from toucanyard.crash_watch import Reach
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.link_messages import LinkMessage
+from toucanyard.log_entries import LogEntry as LogEntry
 from toucanyard.names import (
     Address,
     EndpointName,
@@ -17,7 +18,6 @@
     RequestId,
 )
 from toucanyard.quarantine import EraseQuarantine, WriteQuarantine
-from toucanyard.relay_notes import Note as Note
 from toucanyard.relay_requests import RelayOutcome, RelayReply, RelayRequest
 
 
@@ -251,5 +251,5 @@
     | WeightsOrder
     | WriteQuarantine
     | EraseQuarantine
-    | Note
+    | LogEntry
 )
--- a/packages/toucanyard/src/toucanyard/relay_flow.py
+++ b/packages/toucanyard/src/toucanyard/relay_flow.py
@@ -79,7 +79,7 @@
         self._calls.index = index
         self._limits.apply_index(index)
 
-    def note_view(self, confirmed_ms: float) -> None:
+    def set_view_confirmed(self, confirmed_ms: float) -> None:
         """Take in when the store last confirmed the list of replicas."""
         self._calls.view_confirmed_ms = confirmed_ms
 
@@ -99,7 +99,7 @@
         """Take in a new call."""
         pending = PendingCall(request, queued_ms=now_ms)
         self._pending[request.request_id] = pending
-        self._retries.note_first_try(request.service, now_ms)
+        self._retries.record_first_try(request.service, now_ms)
         if request.deadline_ms <= now_ms:
             yield self._refuse(
                 pending, ErrorKind.OVERLOADED, "the deadline passed", now_ms
@@ -113,7 +113,7 @@
         if over is not None:
             yield self._reject_over(pending, over, now_ms)
             return
-        if not pending.is_unpaid and not self._queues.get(request.service):
+        if not pending.is_awaiting_credit and not self._queues.get(request.service):
             dispatch = self._place(pending, now_ms)
             if dispatch is not None:
                 yield RelayReply(request.request_id, dispatch)
@@ -131,7 +131,9 @@
         if pending is not None:
             yield from self._finish(pending, now_ms)
 
-    def note_first(self, request_id: RequestId, now_ms: float) -> Iterator[RelayReply]:
+    def record_first_event(
+        self, request_id: RequestId, now_ms: float
+    ) -> Iterator[RelayReply]:
         """Take in that an answer's first event came: its prompt has been read."""
         pending = self._pending.get(request_id)
         if pending is None or pending.replica is None:
@@ -148,7 +150,7 @@
         if pending is None:
             yield RelayReply(outcome.request_id, None)
             return
-        self._learn(pending, outcome, now_ms)
+        self._apply_outcome(pending, outcome, now_ms)
         if outcome.ending in (EndingSeen.COMPLETED, EndingSeen.CANCELLED):
             yield RelayReply(outcome.request_id, None)
             yield from self._finish(pending, now_ms)
@@ -167,11 +169,11 @@
             yield self._reject_over(pending, over, now_ms)
             yield from self._finish(pending, now_ms)
             return
-        dispatch = None if pending.is_unpaid else self._place(pending, now_ms)
+        dispatch = None if pending.is_awaiting_credit else self._place(pending, now_ms)
         if dispatch is not None:
             yield RelayReply(outcome.request_id, dispatch)
             return
-        if pending.has_begun and not pending.is_unpaid:
+        if pending.has_begun and not pending.is_awaiting_credit:
             # Its caller may resume it elsewhere, which a silent wait would put off.
             yield from self._give_up(pending, outcome, now_ms)
             return
@@ -180,7 +182,7 @@
 
     def _enqueue(self, pending: PendingCall) -> None:
         pending.is_waiting = True
-        self._refusals.note_queued(pending.request, pending.queued_ms)
+        self._refusals.record_queued(pending.request, pending.queued_ms)
         queue = self._queues.setdefault(pending.request.service, [])
         queue.append(pending)
         if self._policy.queue.is_ranked:
@@ -191,7 +193,9 @@
         for service, queue in self._queues.items():
             if not queue:
                 continue
-            for pending in [each for each in queue if self._is_hopeless(each, now_ms)]:
+            for pending in [
+                each for each in queue if self._should_refuse_early(each, now_ms)
+            ]:
                 queue.remove(pending)
                 pending.is_waiting = False
                 text = "no replica had room in time"
@@ -214,7 +218,7 @@
                 queue.remove(pending)
                 pending.is_waiting = False
                 yield reply
-            elif not pending.is_unpaid:
+            elif not pending.is_awaiting_credit:
                 blocked += 1
                 if blocked >= MAX_BLOCKED:
                     return
@@ -227,10 +231,10 @@
         over = self._limits.check(pending, now_ms)
         if over is not None:
             return self._reject_over(pending, over, now_ms)
-        dispatch = None if pending.is_unpaid else self._place(pending, now_ms)
+        dispatch = None if pending.is_awaiting_credit else self._place(pending, now_ms)
         if dispatch is not None:
             return RelayReply(pending.request.request_id, dispatch)
-        if pending.has_begun and not pending.is_unpaid:
+        if pending.has_begun and not pending.is_awaiting_credit:
             text = "no replica has room for the rest of the answer"
             return self._refuse(pending, ErrorKind.NO_ENDPOINT, text, now_ms)
         return None
@@ -295,7 +299,7 @@
             return self._refusals.compute_limited_wait(pending, queue, now_ms)
         return self._refusals.compute_wait(pending, queue, now_ms)
 
-    def _is_hopeless(self, pending: PendingCall, now_ms: float) -> bool:
+    def _should_refuse_early(self, pending: PendingCall, now_ms: float) -> bool:
         """Tell whether a waiting call is better told now than later.
 
         What is left of its time when it is refused is what its caller can retry in.
@@ -307,7 +311,7 @@
             return False
         return not self._directory.find_usable(request.service, now_ms)
 
-    def _learn(
+    def _apply_outcome(
         self, pending: PendingCall, outcome: RelayOutcome, now_ms: float
     ) -> None:
         self.uses.end(outcome.replica, outcome.request_id)
@@ -315,12 +319,12 @@
         prompt = pending.request.prompt
         if prompt is not None and not outcome.has_begun:
             self.book.note_unread(outcome.replica, pending.scope, prompt.parts, now_ms)
-        self._note_sends(pending, outcome, now_ms)
+        self._record_sends(pending, outcome, now_ms)
         self._guard.on_dispatch_ended(pending.request, outcome, pending.sent_ms, now_ms)
         if known is None:
             return
         if prompt is not None and outcome.weights_version is not None:
-            self._note_weights(known, prompt.model, outcome.weights_version)
+            self._record_weights(known, prompt.model, outcome.weights_version)
         match outcome.ending:
             case EndingSeen.COMPLETED:
                 known.note_success()
@@ -332,11 +336,11 @@
             case EndingSeen.REFUSED if outcome.is_replaced:
                 self._directory.note_replaced(outcome.replica, now_ms)
             case EndingSeen.REFUSED if outcome.has_other_weights:
-                self._guess_weights(known, pending)
+                self._assume_target_weights(known, pending)
             case EndingSeen.REFUSED:
                 known.note_refusal(now_ms)
 
-    def _note_sends(
+    def _record_sends(
         self, pending: PendingCall, outcome: RelayOutcome, now_ms: float
     ) -> None:
         if outcome.ending not in PROVED_NOT_RUN:
@@ -348,14 +352,14 @@
             # It reached nobody, so it is none of the attempts that a route allows.
             pending.sends -= 1
 
-    def _guess_weights(self, known: KnownReplica, pending: PendingCall) -> None:
+    def _assume_target_weights(self, known: KnownReplica, pending: PendingCall) -> None:
         """Believe a replica that refused for its weights to have the wanted ones."""
         prompt = pending.request.prompt
         goal = None if prompt is None else self._goals.find(prompt.model)
         if prompt is not None and goal is not None:
-            self._note_weights(known, prompt.model, goal.version)
+            self._record_weights(known, prompt.model, goal.version)
 
-    def _note_weights(self, known: KnownReplica, model: str, version: int) -> None:
+    def _record_weights(self, known: KnownReplica, model: str, version: int) -> None:
         if known.note_weights(model, version):
             # Loading weights drops all that was read under the ones before.
             self.book.forget(known.replica.name)
@@ -396,5 +400,5 @@
             pending.is_waiting = False
         if pending.replica is not None:
             self.uses.end(pending.replica, request.request_id)
-            self._refusals.note_ended(request.service, now_ms)
+            self._refusals.record_freed_slot(request.service, now_ms)
         yield from self._drain(request.service, now_ms)
--- a/packages/toucanyard/src/toucanyard/relay_policy.py
+++ b/packages/toucanyard/src/toucanyard/relay_policy.py
@@ -103,7 +103,7 @@
     """Whether nodes tell each other of crashes and of what was under way there."""
 
 
-class LimitWay(enum.StrEnum):
+class LimitStrategy(enum.StrEnum):
     """How nodes keep a customer's limit together."""
 
     POOLS = "pools"
@@ -116,7 +116,7 @@
 class LimitPolicy(msgspec.Struct, frozen=True, kw_only=True):
     """How customers' limits are kept."""
 
-    way: LimitWay = LimitWay.POOLS
+    strategy: LimitStrategy = msgspec.field(default=LimitStrategy.POOLS, name="way")
     max_wait_ms: float = 1_500.0
     """How long a call may wait for credit that no home answers for. A link to a home
     that is cut off is given up after 1.1 s."""
--- a/packages/toucanyard/src/toucanyard/replica_credits.py
+++ b/packages/toucanyard/src/toucanyard/replica_credits.py
@@ -26,13 +26,13 @@
     slack=5.0,
     max_credit_ms=CREDIT_MS,
     spends_margin=False,
-    least_saved=1.0,
+    min_capacity=1.0,
 )
 """The margin is for homes that change and requests on the way: a replica in need gets
 no more than it says, over time."""
-ASK_WAIT_MS: Final = 80.0
+ANSWER_WAIT_MS: Final = 80.0
 """How long a call waits for a home's answer before it goes elsewhere."""
-MAX_DENIED: Final = 12.0
+MAX_DENIED_PER_S: Final = 12.0
 """Questions that may be denied in a second; calls go or wait elsewhere meanwhile. Each
 costs links between nodes some 200 bytes."""
 
@@ -44,12 +44,12 @@
     one replica at a time.
     """
 
-    __slots__ = ("_asks_left", "_changed", "_limits", "_settled_ms", "accounts")
+    __slots__ = ("_requests_left", "_changed", "_limits", "_settled_ms", "accounts")
 
     def __init__(self, limits: ReplicaLimits, first_number: int = 0) -> None:
         self._limits = limits
         self._changed = 0
-        self._asks_left = MAX_DENIED
+        self._requests_left = MAX_DENIED_PER_S
         """Questions that may be asked now, as far as they are denied."""
         self._settled_ms = 0.0
         self.accounts = CreditAccounts(first_number)
@@ -65,7 +65,7 @@
             return None
         return RateLimit(max(rate_per_s, MIN_RATE_PER_S), 1.0)
 
-    def take_changed(self) -> bool:
+    def consume_changed_flag(self) -> bool:
         """Tell whether limits have changed since this was asked last."""
         if self._changed == self._limits.change_count:
             return False
@@ -76,10 +76,10 @@
             self.accounts.forget_denials(name)
         return True
 
-    def is_asking(self, pending: PendingCall, now_ms: float) -> bool:
+    def is_awaiting_replica_credit(self, pending: PendingCall, now_ms: float) -> bool:
         """Tell whether a call waits for the answer of a replica's home."""
-        replica = pending.asked_replica
-        if replica is None or now_ms > pending.ask_until_ms:
+        replica = pending.requested_replica
+        if replica is None or now_ms > pending.replica_credit_wait_until_ms:
             return False
         if self._limits.find_rate(replica) is None or self._has_credit(replica, now_ms):
             return False
@@ -91,7 +91,7 @@
         """Return the replicas among which a call may be placed."""
         if not self._limits.has_limits():
             return usable
-        asked = pending.asked_replica
+        asked = pending.requested_replica
         if asked is not None and self._has_credit(asked, now_ms):
             granted = [each for each in usable if each.replica.name == asked]
             if granted:
@@ -105,40 +105,42 @@
         if self._limits.find_rate(replica) is None:
             self.release(pending)
             return True
-        if pending.asked_replica != replica:
+        if pending.requested_replica != replica:
             self.release(pending)
-            self._asks_left -= 1.0
-            pending.asked_replica = replica
-            pending.ask_until_ms = now_ms + ASK_WAIT_MS
+            self._requests_left -= 1.0
+            pending.requested_replica = replica
+            pending.replica_credit_wait_until_ms = now_ms + ANSWER_WAIT_MS
         request_id = pending.request.request_id
         if self.accounts.take(request_id, replica, 1.0, CREDIT_MS, now_ms) is None:
             return False
-        self._asks_left = min(self._asks_left + 1.0, MAX_DENIED)
-        pending.asked_replica = None
+        self._requests_left = min(self._requests_left + 1.0, MAX_DENIED_PER_S)
+        pending.requested_replica = None
         return True
 
     def release(self, pending: PendingCall) -> None:
         """Let a call no longer ask for a replica."""
-        if pending.asked_replica is not None:
+        if pending.requested_replica is not None:
             request_id = pending.request.request_id
-            self.accounts.withdraw(request_id, pending.asked_replica)
-            pending.asked_replica = None
+            self.accounts.withdraw(request_id, pending.requested_replica)
+            pending.requested_replica = None
 
     def _may_choose(
         self, pending: PendingCall, replica: EndpointName, now_ms: float
     ) -> bool:
         if self._limits.find_rate(replica) is None or self._has_credit(replica, now_ms):
             return True
-        is_unanswered = pending.asked_replica == replica
+        is_unanswered = pending.requested_replica == replica
         # What has begun goes on at once or not at all.
-        if pending.has_begun or is_unanswered or self._asks_left < 1.0:
+        if pending.has_begun or is_unanswered or self._requests_left < 1.0:
             return False
         return self.accounts.find_denial(replica, now_ms) is None
 
     def _settle(self, now_ms: float) -> None:
         passed_s = max(now_ms - self._settled_ms, 0.0) / 1_000
         self._settled_ms = now_ms
-        self._asks_left = min(self._asks_left + passed_s * MAX_DENIED, MAX_DENIED)
+        self._requests_left = min(
+            self._requests_left + passed_s * MAX_DENIED_PER_S, MAX_DENIED_PER_S
+        )
 
     def _has_credit(self, replica: EndpointName, now_ms: float) -> bool:
         return self.accounts.find_credit(replica, now_ms) >= 1.0
--- a/packages/toucanyard/src/toucanyard/replica_probes.py
+++ b/packages/toucanyard/src/toucanyard/replica_probes.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 
 from toucanyard.crash_watch import Reach
-from toucanyard.relay_events import Note, ReadReplicaState, ReplicaStateRead
+from toucanyard.relay_events import LogEntry, ReadReplicaState, ReplicaStateRead
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.request_guard import RequestGuard
 
@@ -43,7 +43,7 @@
                 known.note_probed(now_ms)
                 yield _ask(known)
 
-    def on_read(self, read: ReplicaStateRead, now_ms: float) -> Iterator[Note]:
+    def on_read(self, read: ReplicaStateRead, now_ms: float) -> Iterator[LogEntry]:
         """Learn whether a replica answers; end its rest if it has reported."""
         reach = read.reach if read.state is None else Reach.ANSWERED
         self._guard.on_probe(read.replica, reach, read.asked_ms, now_ms)
@@ -53,7 +53,7 @@
         if known is not None and known.is_resting(now_ms):
             known.note_success()
             fields = {"replica": read.replica, "asked_ms_ago": now_ms - read.asked_ms}
-            yield Note("replica_reached", fields)
+            yield LogEntry("replica_reached", fields)
 
 
 def _ask(known: KnownReplica) -> ReadReplicaState:
--- a/packages/toucanyard/src/toucanyard/request_guard.py
+++ b/packages/toucanyard/src/toucanyard/request_guard.py
@@ -16,6 +16,7 @@
 from toucanyard.crash_ledger import CrashLedger, Suspicion
 from toucanyard.crash_watch import CrashWatch, Reach
 from toucanyard.link_messages import LostRun, ReplicaCrash, RequestSurvival
+from toucanyard.log_entries import LogEntry
 from toucanyard.names import EndpointName, Fingerprint
 from toucanyard.quarantine import (
     Entry,
@@ -24,7 +25,6 @@
     QuarantinedRequest,
     Release,
 )
-from toucanyard.relay_notes import Note
 from toucanyard.relay_policy import GuardPolicy
 from toucanyard.relay_requests import RelayOutcome, RelayRequest
 from toucanyard.replicas import ReplicaDirectory
@@ -76,7 +76,7 @@
         self.ledger = CrashLedger()
         self.watch = CrashWatch(directory)
         self.quarantine = Quarantine(find_rank, rng)
-        self._notes: list[Note] = []
+        self._notes: list[LogEntry] = []
         self._is_urgent = False
 
     def check(
@@ -200,7 +200,7 @@
         is_urgent, self._is_urgent = self._is_urgent, False
         return is_urgent
 
-    def take_notes(self) -> Iterator[Note]:
+    def take_log_entries(self) -> Iterator[LogEntry]:
         """Return the log lines of what has changed."""
         notes, self._notes = self._notes, []
         yield from notes
@@ -277,7 +277,7 @@
                 "requests": ",".join(added[:MAX_NOTED]),
                 "source": source,
             }
-            self._notes.append(Note("replica_crashed", fields))
+            self._notes.append(LogEntry("replica_crashed", fields))
             known = self._directory.find(replica)
             if known is not None:
                 known.record_crash(at_ms)
@@ -303,7 +303,7 @@
             "age_ms": round(now_ms - at_ms),
             "source": source,
         }
-        self._notes.append(Note("suspect_survived", fields))
+        self._notes.append(LogEntry("suspect_survived", fields))
         entry = self.quarantine.find(fingerprint)
         is_cleared = self.ledger.judge(fingerprint, now_ms) is not Suspicion.GUILTY
         if entry is not None and is_cleared:
@@ -319,4 +319,4 @@
             "route": request.route,
             "replicas": ",".join(request.replicas[-MAX_NOTED:]),
         }
-        self._notes.append(Note(event, known | fields))
+        self._notes.append(LogEntry(event, known | fields))
--- a/packages/toucanyard/src/toucanyard/retry_budget.py
+++ b/packages/toucanyard/src/toucanyard/retry_budget.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import Final
 
-MAX_SAVED: Final = 20.0
+MAX_SAVED_RETRIES: Final = 20.0
 """Retries that a quiet time may save up; a failing endpoint's requests need some."""
 SAFE_SHARE: Final = 0.8
 """Share of a budget that nodes use together: each counts peers a moment late."""
@@ -23,9 +23,9 @@
         self._share = share
         self._balance = 1.0
 
-    def note_first_try(self) -> None:
+    def record_first_try(self) -> None:
         """Earn a share of a retry."""
-        self._balance = min(self._balance + self._share, MAX_SAVED)
+        self._balance = min(self._balance + self._share, MAX_SAVED_RETRIES)
 
     def take(self) -> bool:
         """Spend one retry; return False when there is none left."""
@@ -51,7 +51,7 @@
         self._first_ms: deque[float] = deque()
         self._retry_ms: deque[float] = deque()
 
-    def note_first_try(self, now_ms: float) -> None:
+    def record_first_try(self, now_ms: float) -> None:
         """Count a first try."""
         self._first_ms.append(now_ms)
         self._expire(now_ms)
--- a/packages/toucanyard/src/toucanyard/rollout_leader.py
+++ b/packages/toucanyard/src/toucanyard/rollout_leader.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from toucanyard.log_entries import LogEntry
 from toucanyard.names import EndpointName, NodeId
 from toucanyard.relay_events import (
     AppendTurn,
@@ -18,7 +19,6 @@
     TurnRead,
     WeightsOrder,
 )
-from toucanyard.relay_notes import Note
 from toucanyard.relay_options import WeightsTimings
 from toucanyard.relay_policy import RolloutPolicy
 from toucanyard.replica_uses import ReplicaUses
@@ -43,7 +43,7 @@
 """Time between two looks for replicas that are behind; at each tick, those of 70 took a
 fifth of all that a node decides."""
 
-RolloutAction = AppendTurn | ReadTurns | ReadReplicaState | WeightsOrder | Note
+RolloutAction = AppendTurn | ReadTurns | ReadReplicaState | WeightsOrder | LogEntry
 
 
 class _Work(msgspec.Struct):
--- a/packages/toucanyard/src/toucanyard/shared_limits.py
+++ b/packages/toucanyard/src/toucanyard/shared_limits.py
@@ -9,15 +9,15 @@
 from collections.abc import Collection, Iterator
 
 from toucanyard.call_limits import CallLimits
+from toucanyard.limit_buckets import BucketUsage
+from toucanyard.limit_coordinators import LimitCoordinators
+from toucanyard.limit_delegations import ShareDelegation
 from toucanyard.limit_exchange import LimitExchange
-from toucanyard.limit_homes import LimitHomes
-from toucanyard.limit_pledges import Pledge
-from toucanyard.limit_pool import PoolUse
 from toucanyard.link_messages import CreditAnswer, CreditAsk, LimitKind
+from toucanyard.log_rate_limit import LogRateLimit
 from toucanyard.names import CustomerName, NodeName
-from toucanyard.note_limit import NoteLimit
 from toucanyard.rate_limits import LimitBounds, RateLimit
-from toucanyard.relay_events import Note, SendToPeer
+from toucanyard.relay_events import LogEntry, SendToPeer
 from toucanyard.replica_credits import REPLICA_BOUNDS, ReplicaCredits
 
 
@@ -26,93 +26,100 @@
 
     def __init__(
         self,
-        homes: LimitHomes,
+        coordinators: LimitCoordinators,
         customers: CallLimits,
         replicas: ReplicaCredits,
         bounds: LimitBounds,
     ) -> None:
-        self._homes = homes
+        self._coordinators = coordinators
         self._customers = customers
         self._replicas = replicas
         self._exchanges = {
             LimitKind.CUSTOMER: LimitExchange(
-                LimitKind.CUSTOMER, homes, customers, bounds
+                LimitKind.CUSTOMER, coordinators, customers, bounds
             ),
             LimitKind.REPLICA: LimitExchange(
-                LimitKind.REPLICA, homes, replicas, REPLICA_BOUNDS
+                LimitKind.REPLICA, coordinators, replicas, REPLICA_BOUNDS
             ),
         }
         self._version = 0
         """Of the routes whose limits are in force here."""
         self._limits: dict[CustomerName, RateLimit] = {}
-        self._changes = NoteLimit("limit_changed")
+        self._changes = LogRateLimit("limit_changed")
 
     @property
-    def pledge(self) -> Pledge | None:
+    def delegation(self) -> ShareDelegation | None:
         """Return what peers are told of this node's group."""
-        return self._homes.pledge
+        return self._coordinators.delegation
 
-    def list_homes(self) -> tuple[NodeName, ...]:
+    def list_coordinators(self) -> tuple[NodeName, ...]:
         """Return the home of each slice, as this node pledges its group's shares."""
-        return self._homes.homes
+        return self._coordinators.coordinators
 
-    def list_uses(self, kind: LimitKind = LimitKind.CUSTOMER) -> list[PoolUse]:
+    def list_usage(self, kind: LimitKind = LimitKind.CUSTOMER) -> list[BucketUsage]:
         """Return what this node knows of the limits of which it is the home."""
-        return self._exchanges[kind].list_uses()
+        return self._exchanges[kind].list_usage()
 
-    def note_links(self, names: Collection[NodeName], now_ms: float) -> None:
+    def update_links(self, names: Collection[NodeName], now_ms: float) -> None:
         """Take in which peers are linked now."""
-        self._homes.note_links(names, now_ms)
+        self._coordinators.update_links(names, now_ms)
 
-    def read_pledge(self, sender: NodeName, pledge: Pledge, now_ms: float) -> None:
+    def receive_delegation(
+        self, sender: NodeName, delegation: ShareDelegation, now_ms: float
+    ) -> None:
         """Take in to whom a peer's group gives its shares."""
-        self._homes.read_pledge(sender, pledge, now_ms)
+        self._coordinators.receive_delegation(sender, delegation, now_ms)
 
-    def tick(self, now_ms: float) -> Iterator[Note]:
+    def tick(self, now_ms: float) -> Iterator[LogEntry]:
         """Bring limits and pledges up to date; return what has changed."""
         index = self._customers.index
         if index.table.version != self._version:
             self._version = index.table.version
             yield from self._apply_customers(now_ms)
-        if self._replicas.take_changed():
+        if self._replicas.consume_changed_flag():
             self._exchanges[LimitKind.REPLICA].apply_limits(now_ms)
         if not self._limits and not self._replicas.has_limits():
-            self._homes.withdraw()
+            self._coordinators.withdraw()
             return
-        before = self._homes.homes
-        if self._homes.tick(now_ms):
+        before = self._coordinators.coordinators
+        if self._coordinators.tick(now_ms):
             for exchange in self._exchanges.values():
-                exchange.forget_given(now_ms)
-        if self._homes.homes != before:
-            fields = {"homes": ",".join(self._homes.homes), "nodes": self._homes.total}
-            yield Note("limit_homes_changed", fields)
+                exchange.prune_answers(now_ms)
+        if self._coordinators.coordinators != before:
+            fields = {
+                "homes": ",".join(self._coordinators.coordinators),
+                "nodes": self._coordinators.total,
+            }
+            yield LogEntry("limit_homes_changed", fields)
 
-    def has_questions(self) -> bool:
+    def has_requests(self) -> bool:
         """Tell whether calls may be waiting for credit."""
-        is_customer = self._customers.accounts.has_questions()
-        return is_customer or self._replicas.accounts.has_questions()
+        is_customer = self._customers.accounts.has_requests()
+        return is_customer or self._replicas.accounts.has_requests()
 
-    def ask(self, now_ms: float) -> Iterator[SendToPeer]:
+    def request_credit(self, now_ms: float) -> Iterator[SendToPeer]:
         """Ask for the credit that calls need; this node may be its own home."""
         for exchange in self._exchanges.values():
-            yield from exchange.ask(now_ms)
+            yield from exchange.request_credit(now_ms)
 
-    def read_ask(
+    def receive_request(
         self, sender: NodeName, ask: CreditAsk, now_ms: float
     ) -> Iterator[SendToPeer]:
         """Answer a node's question, or pass it on to the home."""
-        yield from self._exchanges[ask.kind].read_ask(sender, ask, now_ms)
+        yield from self._exchanges[ask.kind].receive_request(sender, ask, now_ms)
 
-    def read_answer(self, answer: CreditAnswer, now_ms: float) -> Iterator[SendToPeer]:
+    def receive_answer(
+        self, answer: CreditAnswer, now_ms: float
+    ) -> Iterator[SendToPeer]:
         """Take in a home's answer, or pass it on to the node that asked."""
-        yield from self._exchanges[answer.kind].read_answer(answer, now_ms)
+        yield from self._exchanges[answer.kind].receive_answer(answer, now_ms)
 
-    def take_answered(self) -> bool:
+    def consume_answered_flag(self) -> bool:
         """Tell whether an answer has come since this was asked last."""
-        taken = [each.take_answered() for each in self._exchanges.values()]
+        taken = [each.consume_answered_flag() for each in self._exchanges.values()]
         return any(taken)
 
-    def _apply_customers(self, now_ms: float) -> Iterator[Note]:
+    def _apply_customers(self, now_ms: float) -> Iterator[LogEntry]:
         index = self._customers.index
         self._exchanges[LimitKind.CUSTOMER].apply_limits(now_ms)
         before, self._limits = self._limits, index.list_limits()
@@ -128,4 +135,4 @@
                 "before_per_s": 0.0 if old is None else old.rate_per_s,
                 "version": self._version,
             }
-            yield from self._changes.note(fields, now_ms)
+            yield from self._changes.log(fields, now_ms)
--- a/packages/toucanyard/src/toucanyard/status_exchange.py
+++ b/packages/toucanyard/src/toucanyard/status_exchange.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from toucanyard.keyed_view import Topic
-from toucanyard.limit_pledges import Pledge
+from toucanyard.limit_delegations import ShareDelegation
 from toucanyard.link_messages import (
     Coverage,
     GoalAge,
@@ -67,7 +67,7 @@
         goals: WeightsGoals,
         list_stores: Callable[[float], Iterable[StoreNews]],
         link_mbps: float,
-        find_pledge: Callable[[], Pledge | None] = lambda: None,
+        find_pledge: Callable[[], ShareDelegation | None] = lambda: None,
     ) -> None:
         self._find_pledge = find_pledge
         self._roster = roster
--- a/packages/toucanyard/src/toucanyard/topic_intake.py
+++ b/packages/toucanyard/src/toucanyard/topic_intake.py
@@ -13,7 +13,7 @@
 from toucanyard.known_facts import KnownFacts
 from toucanyard.link_messages import ViewRecords, ViewStatus
 from toucanyard.names import NodeName
-from toucanyard.relay_events import Note, RelayAction, TopicRead
+from toucanyard.relay_events import LogEntry, RelayAction, TopicRead
 from toucanyard.replicas import ReplicaDirectory
 from toucanyard.roster import Roster
 from toucanyard.status_exchange import StatusExchange
@@ -116,13 +116,13 @@
         if not self._directory.note_absence(absence):
             return
         if absence is None:
-            yield Note("store_was_there", {})
+            yield LogEntry("store_was_there", {})
         else:
             away_ms = round(absence.returned_ms - absence.before_ms)
-            yield Note("store_returned", {"away_ms": away_ms})
+            yield LogEntry("store_returned", {"away_ms": away_ms})
 
 
-def _note_read(read: TopicRead, before: int, now_ms: float) -> Note:
+def _note_read(read: TopicRead, before: int, now_ms: float) -> LogEntry:
     fields = {
         "source": "store",
         "records": len(read.records),
@@ -130,12 +130,12 @@
         "end_before": before,
         "after_ms": round(now_ms - read.asked_ms),
     }
-    return Note("operators_records_read", fields)
+    return LogEntry("operators_records_read", fields)
 
 
 def _note_records(
     sender: NodeName, message: ViewRecords, before: int, end: int
-) -> Note:
+) -> LogEntry:
     fields = {
         "source": sender,
         "records": len(message.records),
@@ -144,4 +144,4 @@
         "end_before": before,
         "age_ms": None if message.answer is None else round(message.answer.age_ms),
     }
-    return Note("operators_records_read", fields)
+    return LogEntry("operators_records_read", fields)
--- a/packages/toucanyard/src/toucanyard/weights_rollout.py
+++ b/packages/toucanyard/src/toucanyard/weights_rollout.py
@@ -15,6 +15,7 @@
 import msgspec
 
 from toucanyard.failed_loads import FailedLoads
+from toucanyard.log_entries import LogEntry
 from toucanyard.names import EndpointName, NodeName
 from toucanyard.relay_events import (
     OrderAnswered,
@@ -22,7 +23,6 @@
     ReplicaStateRead,
     WeightsOrder,
 )
-from toucanyard.relay_notes import Note
 from toucanyard.relay_policy import RolloutPolicy
 from toucanyard.replicas import KnownReplica
 from toucanyard.turns import Turn
@@ -84,7 +84,7 @@
 CALM: Final = Pressure(float("inf"))
 """There is all the time."""
 
-RolloutAction = ReadReplicaState | WeightsOrder | Note
+RolloutAction = ReadReplicaState | WeightsOrder | LogEntry
 
 
 class WeightsRollout:
@@ -113,7 +113,7 @@
         self._announce_ms = ANNOUNCE_MS
         self._changes: dict[EndpointName, _Change] = {}
         self._failures = FailedLoads()
-        self._notes: list[Note] = []
+        self._notes: list[LogEntry] = []
         self._skipped_ms: dict[EndpointName, float] = {}
         self._heard_ms: dict[EndpointName, float] = {}
         """When replicas were asked for the reports that came last."""
@@ -147,7 +147,7 @@
         if self._failures.record_read(read.replica, version, read.reach, read.asked_ms):
             count = self._failures.count(version)
             fields = {"version": version, "replica": read.replica, "count": count}
-            self._notes.append(Note("rollout_halted", fields))
+            self._notes.append(LogEntry("rollout_halted", fields))
 
     def note_answer(self, answered: OrderAnswered, now_ms: float) -> bool:
         """Take in an answer to an order; return whether a higher fence is known."""
--- a/tests/toucanyard/limit_fleet.py
+++ b/tests/toucanyard/limit_fleet.py
@@ -18,13 +18,13 @@
 from toucanyard.rate_limits import LimitBounds, LimitUnit, RateLimit
 from toucanyard.relay_events import (
     CallArrived,
-    Note,
+    LogEntry,
     RelayAction,
     RelayEvent,
     TickPassed,
 )
 from toucanyard.relay_options import RelayOptions
-from toucanyard.relay_policy import LimitPolicy, LimitWay, RelayPolicy
+from toucanyard.relay_policy import LimitPolicy, LimitStrategy, RelayPolicy
 from toucanyard.relay_requests import Prompt, RelayRequest
 from toucanyard.requests import Repeatability
 from toucanyard.routes import RoutedCustomer
@@ -53,19 +53,19 @@
         domains: int,
         nodes_each: int,
         limit: RateLimit = LIMIT,
-        way: LimitWay = LimitWay.POOLS,
+        strategy: LimitStrategy = LimitStrategy.POOLS,
         bounds: LimitBounds = BOUNDS,
     ) -> None:
         self._bounds = bounds
-        self._policy = RelayPolicy(limits=LimitPolicy(way=way))
+        self._policy = RelayPolicy(limits=LimitPolicy(strategy=strategy))
         self._cut_ms: float | None = None
         self._far_side: frozenset[NodeName] = frozenset()
-        self.frozen: set[NodeName] = set()
+        self.suspended: set[NodeName] = set()
         """Nodes that stand still; what is sent to them waits."""
         self.muted: set[NodeName] = set()
         """Nodes from which no message arrives, though they get all."""
         self._held: list[tuple[NodeName, RelayEvent]] = []
-        self._frozen_ms: dict[NodeName, float] = {}
+        self._suspended_ms: dict[NodeName, float] = {}
         self._version = 1
         super().__init__(domains, nodes_each, replicas=8)
         self.rng = random.Random(1)
@@ -107,28 +107,28 @@
         self._far_side = frozenset()
         self._cut_ms = None
 
-    def freeze(self, name: NodeName) -> None:
+    def suspend(self, name: NodeName) -> None:
         """Let a node stand still, as one whose VM is suspended."""
-        self.frozen.add(name)
-        self._frozen_ms[name] = self.now_ms
+        self.suspended.add(name)
+        self._suspended_ms[name] = self.now_ms
 
-    def thaw(self, name: NodeName) -> None:
+    def resume(self, name: NodeName) -> None:
         """Let a node go on; what came meanwhile is read now."""
-        self.frozen.discard(name)
+        self.suspended.discard(name)
         held, self._held = self._held, []
         for receiver, event in held:
             self.handle(receiver, event)
 
     def _carry_out(self, name: NodeName, action: RelayAction) -> None:
-        if isinstance(action, Note):
-            self.notes.append((name, action))
+        if isinstance(action, LogEntry):
+            self.log_entries.append((name, action))
         else:
             super()._carry_out(name, action)
 
     def handle(self, name: NodeName, event: RelayEvent) -> None:
         if name in self.dead:
             return
-        if name not in self.frozen:
+        if name not in self.suspended:
             super().handle(name, event)
         elif not isinstance(event, TickPassed):
             self._held.append((name, event))
@@ -141,7 +141,7 @@
                 for engine in self.engines.values():
                     engine.calls.pop(call.request.request_id, None)
         self.dead.update(names)
-        self.frozen.difference_update(names)
+        self.suspended.difference_update(names)
         self._on_the_way = [m for m in self._on_the_way if self.dead.isdisjoint(m[1:3])]
         self.link()
 
@@ -157,8 +157,8 @@
         is_cut = self._cut_ms is not None and self.now_ms - self._cut_ms >= SILENCE_MS
         silent = {
             name
-            for name in self.frozen
-            if self.now_ms - self._frozen_ms[name] >= SILENCE_MS
+            for name in self.suspended
+            if self.now_ms - self._suspended_ms[name] >= SILENCE_MS
         }
         for name, others in found.items():
             if is_cut:
@@ -176,13 +176,13 @@
         ]
         super()._deliver()
 
-    def find_homes(self) -> set[NodeName]:
+    def find_coordinators(self) -> set[NodeName]:
         """Return the nodes that give out credit of the large customer."""
         return {
             name
             for name, core in self.cores.items()
             if name not in self.dead
-            and any(use.share for use in core.shares.list_uses())
+            and any(use.share for use in core.shares.list_usage())
         }
 
     # Callers.
@@ -241,7 +241,7 @@
         """Return the sends of a customer that reached a replica."""
         return [s for s in self.reached if s.call.request.customer == customer]
 
-    def find_worst_use(
+    def find_max_usage(
         self, customer: CustomerName = LARGE, since_ms: float = 0.0
     ) -> float:
         """Return the most tokens that ran of a customer in any one window."""
@@ -264,10 +264,10 @@
     return sum(call.ending == "refused" for call in calls)
 
 
-def list_owed(calls: Collection[Call], limit: RateLimit) -> list[Call]:
+def list_admissible(calls: Collection[Call], limit: RateLimit) -> list[Call]:
     """Return the calls that one bucket with this rate and burst lets in."""
     level, before_ms = limit.burst, float("inf")
-    owed = []
+    admissible = []
     for call in calls:
         now_ms = call.request.arrived_ms
         earned = max(now_ms - before_ms, 0.0) / 1_000 * limit.rate_per_s
@@ -275,5 +275,5 @@
         cost = limit.compute_cost(call.request.tokens)
         if cost <= level:
             level -= cost
-            owed.append(call)
-    return owed
+            admissible.append(call)
+    return admissible
--- a/tests/toucanyard/relay_fleet.py
+++ b/tests/toucanyard/relay_fleet.py
@@ -14,7 +14,7 @@
 from toucanyard.relay_core import RelayCore
 from toucanyard.relay_events import (
     LinkMessageRead,
-    Note,
+    LogEntry,
     PeersLinked,
     RelayEvent,
     SendToPeer,
@@ -124,7 +124,7 @@
             domain = DomainName(f"d{number % domains}")
             self.add(NodeName(f"n{number}"), number, domain)
         self.dead: set[NodeName] = set()
-        self.notes: list[tuple[NodeName, Note]] = []
+        self.log_entries: list[tuple[NodeName, LogEntry]] = []
         self.sent_bytes: dict[NodeName, int] = {}
         self.sent_statuses = 0
         self._linked: dict[NodeName, set[NodeName]] = {}
@@ -165,8 +165,8 @@
             return
         core = self.cores[name]
         for action in core.handle(event, self.now_ms):
-            if isinstance(action, Note):
-                self.notes.append((name, action))
+            if isinstance(action, LogEntry):
+                self.log_entries.append((name, action))
             if isinstance(action, SendToPeer):
                 data = encode_link_message(action.message)
                 self.sent_statuses += isinstance(action.message, NodeStatus)
--- a/tests/toucanyard/replica_limit_fleet.py
+++ b/tests/toucanyard/replica_limit_fleet.py
@@ -7,7 +7,7 @@
 
 from toucanyard.names import Address, EndpointName, Fingerprint, NodeName, RequestId
 from toucanyard.relay_events import ReplicaLimitSeen
-from toucanyard.relay_policy import LimitWay
+from toucanyard.relay_policy import LimitStrategy
 from toucanyard.relay_requests import RelayDispatch, RelayRequest
 from toucanyard.requests import Repeatability
 
@@ -29,14 +29,17 @@
     """Nodes and replicas, some of which take only so many requests a second."""
 
     def __init__(
-        self, domains: int, nodes_each: int, way: LimitWay = LimitWay.POOLS
+        self,
+        domains: int,
+        nodes_each: int,
+        strategy: LimitStrategy = LimitStrategy.POOLS,
     ) -> None:
         self.named: dict[Address, float] = {}
         """Requests a second that replicas name now."""
-        self.first_told_ms: dict[EndpointName, float] = {}
+        self.first_limit_seen_ms: dict[EndpointName, float] = {}
         """When a node first passed on an answer that names a replica's limit."""
         self._limited_calls: set[RequestId] = set()
-        super().__init__(domains, nodes_each, way=way)
+        super().__init__(domains, nodes_each, strategy=strategy)
         self.set_limit(None)
         self.run_for(100.0)
 
@@ -55,7 +58,7 @@
         rate_per_s = self.named.get(engine.address)
         is_asked = call.request.request_id in self._limited_calls
         if rate_per_s is not None:
-            self.first_told_ms.setdefault(engine.name, self.now_ms)
+            self.first_limit_seen_ms.setdefault(engine.name, self.now_ms)
         if rate_per_s is not None or is_asked:
             self.handle(call.node, ReplicaLimitSeen(engine.name, rate_per_s))
         super()._begin(call, engine)
@@ -109,11 +112,11 @@
 
         Counted from when a node first passed on its limit, if nothing else is said.
         """
-        told_ms = self.first_told_ms.get(engine.name, float("inf"))
+        seen_ms = self.first_limit_seen_ms.get(engine.name, float("inf"))
         window: deque[float] = deque()
         worst = 0
         for at_ms in self.list_arrivals(
-            engine, told_ms if since_ms is None else since_ms
+            engine, seen_ms if since_ms is None else since_ms
         ):
             window.append(at_ms)
             while window[0] <= at_ms - WINDOW_MS:
--- a/tests/toucanyard/test_backends.py
+++ b/tests/toucanyard/test_backends.py
@@ -25,7 +25,7 @@
         now_ms = number * 150.0
         match step:
             case ("wait", str(name), float(wait_ms)):
-                backend.note_wait(EndpointName(name), wait_ms, now_ms)
+                backend.record_wait(EndpointName(name), wait_ms, now_ms)
             case ("fail", str(name), _):
                 backend.note_failure(EndpointName(name), now_ms)
             case ("use", list(chosen)):
--- a/tests/toucanyard/test_call_limits.py
+++ b/tests/toucanyard/test_call_limits.py
@@ -3,11 +3,11 @@
 import pytest
 
 from toucanyard.call_limits import BRIEF_GRACE_MS, CallLimits, LimitRejection
-from toucanyard.limit_pool import CreditGrant
+from toucanyard.limit_buckets import CreditGrant
 from toucanyard.names import CustomerName, Incarnation
 from toucanyard.pending_call import PendingCall
 from toucanyard.rate_limits import LimitBounds, LimitUnit, RateLimit
-from toucanyard.relay_policy import LimitPolicy, LimitWay
+from toucanyard.relay_policy import LimitPolicy, LimitStrategy
 from toucanyard.routes import RoutedCustomer, RouteIndex
 
 from .relay_examples import build_request, build_table
@@ -33,16 +33,16 @@
 
 def answer(limits: CallLimits, grant: CreditGrant, now_ms: float) -> float:
     """Answer the one question that is open, and return what was wanted."""
-    (question,) = limits.accounts.list_questions(now_ms)
-    limits.accounts.apply_grant(CUSTOMER, question.number, grant, now_ms)
-    return question.wanted
+    (credit_request,) = limits.accounts.list_requests(now_ms)
+    limits.accounts.apply_grant(CUSTOMER, credit_request.number, grant, now_ms)
+    return credit_request.wanted
 
 
 def pay(limits: CallLimits, call: PendingCall, now_ms: float = 0.0) -> None:
     assert limits.check(call, now_ms) is None
     answer(limits, CreditGrant(900.0, 0.0, 0.0), now_ms)
     assert limits.check(call, now_ms) is None
-    assert not call.is_unpaid
+    assert not call.is_awaiting_credit
 
 
 def deny(limits: CallLimits, retry_ms: float, now_ms: float = 0.0) -> None:
@@ -52,14 +52,14 @@
 def test_customer_without_a_limit_asks_nobody() -> None:
     limits, call = build_limits(None), build_call()
     assert limits.check(call, 0.0) is None
-    assert not call.is_unpaid
-    assert not limits.accounts.has_questions()
+    assert not call.is_awaiting_credit
+    assert not limits.accounts.has_requests()
 
 
 def test_call_waits_for_credit_before_it_is_sent() -> None:
     limits, call = build_limits(), build_call()
     assert limits.check(call, 0.0) is None
-    assert call.is_unpaid
+    assert call.is_awaiting_credit
     pay(limits, call)
 
 
@@ -75,7 +75,7 @@
     pay(limits, call)
     limits.on_sent(call)
     assert limits.check(call, 10.0) is None
-    assert call.is_unpaid
+    assert call.is_awaiting_credit
 
 
 def test_try_that_did_not_run_costs_nothing() -> None:
@@ -85,7 +85,7 @@
     limits.on_sent(call)
     limits.on_not_run(call, 10.0)
     assert limits.check(call, 10.0) is None
-    assert not call.is_unpaid
+    assert not call.is_awaiting_credit
 
 
 def test_credit_of_a_call_that_ends_unsent_goes_back() -> None:
@@ -93,8 +93,8 @@
     pay(limits, call)
     limits.release(call, 10.0)
     limits.check(next_call, 10.0)
-    (question,) = limits.accounts.list_questions(10.0)
-    assert question.returned == 900.0
+    (credit_request,) = limits.accounts.list_requests(10.0)
+    assert credit_request.returned == 900.0
 
 
 def test_call_that_waits_long_for_a_replica_pays_anew() -> None:
@@ -102,7 +102,7 @@
     limits, call = build_limits(), build_call()
     pay(limits, call)
     assert limits.check(call, BOUNDS.compute_credit_ms(LIMIT)) is None
-    assert call.is_unpaid
+    assert call.is_awaiting_credit
 
 
 def test_call_far_over_the_limit_is_rejected_at_once() -> None:
@@ -134,10 +134,10 @@
 
 
 def test_limits_that_are_switched_off_stop_nothing() -> None:
-    limits = build_limits(policy=LimitPolicy(way=LimitWay.OFF))
+    limits = build_limits(policy=LimitPolicy(strategy=LimitStrategy.OFF))
     call = build_call(1_000_000)
     assert limits.check(call, 0.0) is None
-    assert not call.is_unpaid
+    assert not call.is_awaiting_credit
 
 
 @pytest.mark.parametrize("tokens", [50_000, 10**9])
@@ -156,4 +156,4 @@
     customers = (RoutedCustomer(CUSTOMER, ("key",), limit=raised),)
     limits.apply_index(RouteIndex(build_table(2, customers=customers)))
     assert limits.check(call, 1.0) is None
-    assert call.is_unpaid
+    assert call.is_awaiting_credit
--- a/tests/toucanyard/test_concurrency_limit.py
+++ b/tests/toucanyard/test_concurrency_limit.py
@@ -10,11 +10,11 @@
 def test_limit_grows_only_while_it_is_used() -> None:
     limit = ConcurrencyLimit(16, 4.0, TARGET_MS)
     for at in range(100):
-        limit.note_wait(0.0, float(at))
+        limit.record_wait(0.0, float(at))
     assert limit.limit == 4
     limit.in_flight = 16
     for at in range(1_000):
-        limit.note_wait(0.0, float(at))
+        limit.record_wait(0.0, float(at))
     assert limit.limit == 16
 
 
@@ -25,7 +25,7 @@
     """
     limit = ConcurrencyLimit(16, 10.0, TARGET_MS)
     for number in range(16):
-        limit.note_wait(2 * TARGET_MS, float(number))
+        limit.record_wait(2 * TARGET_MS, float(number))
     assert limit.limit == 8
     limit.note_failure(TARGET_MS)
     assert limit.limit == 6
@@ -52,5 +52,5 @@
     for is_late, in_flight, step_ms in steps:
         now_ms += step_ms
         limit.in_flight = in_flight
-        limit.note_wait(2 * TARGET_MS * is_late, now_ms)
+        limit.record_wait(2 * TARGET_MS * is_late, now_ms)
         assert 1 <= limit.limit <= most
--- a/tests/toucanyard/test_customer_limits_machine.py
+++ b/tests/toucanyard/test_customer_limits_machine.py
@@ -45,22 +45,22 @@
 
     @rule(marks=MARKS)
     def kill(self, marks: int) -> None:
-        self.fleet.kill([n for n in self.find(marks) if n not in self.fleet.frozen])
+        self.fleet.kill([n for n in self.find(marks) if n not in self.fleet.suspended])
 
     @rule()
     def start_again(self) -> None:
         self.fleet.start_again(list(self.fleet.dead))
 
     @rule(marks=MARKS)
-    def freeze(self, marks: int) -> None:
+    def suspend(self, marks: int) -> None:
         for name in self.find(marks)[:1]:
-            if name not in self.fleet.dead | self.fleet.frozen:
-                self.fleet.freeze(name)
+            if name not in self.fleet.dead | self.fleet.suspended:
+                self.fleet.suspend(name)
 
     @rule()
-    def thaw(self) -> None:
-        for name in list(self.fleet.frozen):
-            self.fleet.thaw(name)
+    def resume(self) -> None:
+        for name in list(self.fleet.suspended):
+            self.fleet.resume(name)
 
     @rule(marks=MARKS)
     def mute(self, marks: int) -> None:
@@ -73,7 +73,7 @@
     @invariant()
     def check_use(self) -> None:
         if hasattr(self, "fleet"):
-            assert self.fleet.find_worst_use() <= TIGHT.compute_bound(LIMIT)
+            assert self.fleet.find_max_usage() <= TIGHT.compute_bound(LIMIT)
 
 
 LimitMachine.TestCase.settings = settings(max_examples=12, stateful_step_count=14)
--- a/tests/toucanyard/test_customer_limits_over_nodes.py
+++ b/tests/toucanyard/test_customer_limits_over_nodes.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from toucanyard.call_limits import NEVER_RETRY_MS
+from toucanyard.call_limits import OVERSIZED_RETRY_MS
 from toucanyard.errorcodes import Ending, ErrorKind
-from toucanyard.relay_policy import LimitWay
+from toucanyard.relay_policy import LimitStrategy
 
 from .limit_fleet import (
     BOUNDS,
@@ -17,7 +17,7 @@
     USUAL_TOKENS_PER_S,
     LimitFleet,
     count_refused,
-    list_owed,
+    list_admissible,
 )
 
 FLOOD_TOKENS_PER_S = 10 * USUAL_TOKENS_PER_S
@@ -33,7 +33,7 @@
     """Guards against nodes that each let in what only their sum exceeds."""
     fleet = LimitFleet(3, nodes_each)
     fleet.play(10_000.0, FLOOD_TOKENS_PER_S)
-    assert fleet.find_worst_use() <= BOUND
+    assert fleet.find_max_usage() <= BOUND
 
 
 @FEW
@@ -48,7 +48,7 @@
     fleet.play(10_000.0, FLOOD_TOKENS_PER_S)
     fleet.heal()
     fleet.play(4_000.0, FLOOD_TOKENS_PER_S)
-    assert fleet.find_worst_use() <= BOUND
+    assert fleet.find_max_usage() <= BOUND
 
 
 @FEW
@@ -64,7 +64,7 @@
     fleet.play(500.0, FLOOD_TOKENS_PER_S)
     fleet.start_again(killed)
     fleet.play(6_000.0, FLOOD_TOKENS_PER_S)
-    assert fleet.find_worst_use() <= BOUND
+    assert fleet.find_max_usage() <= BOUND
 
 
 @FEW
@@ -78,7 +78,7 @@
     fleet.set_limit(lower)
     lowered_ms = fleet.now_ms
     fleet.play(17_000.0, FLOOD_TOKENS_PER_S)
-    worst = fleet.find_worst_use(since_ms=lowered_ms + BOUNDS.window_ms)
+    worst = fleet.find_max_usage(since_ms=lowered_ms + BOUNDS.window_ms)
     assert worst <= BOUNDS.compute_bound(lower)
 
 
@@ -110,12 +110,12 @@
     fleet = LimitFleet(3, nodes_each)
     fleet.play(2_000.0, FLOOD_TOKENS_PER_S)
     for _ in range(4):
-        homes = fleet.find_homes()
-        fleet.kill(homes)
+        coordinators = fleet.find_coordinators()
+        fleet.kill(coordinators)
         fleet.play(1_000.0, FLOOD_TOKENS_PER_S)
-        fleet.start_again(homes)
+        fleet.start_again(coordinators)
         fleet.play(1_000.0, FLOOD_TOKENS_PER_S)
-    assert fleet.find_worst_use() <= BOUND
+    assert fleet.find_max_usage() <= BOUND
 
 
 @FEW
@@ -123,12 +123,12 @@
     """Guards against a home that wakes up and lends what others have lent since."""
     fleet = LimitFleet(3, nodes_each)
     fleet.play(2_000.0, FLOOD_TOKENS_PER_S)
-    (home, *_) = sorted(fleet.find_homes())
-    fleet.freeze(home)
+    (coordinator, *_) = sorted(fleet.find_coordinators())
+    fleet.suspend(coordinator)
     fleet.play(4_000.0, FLOOD_TOKENS_PER_S)
-    fleet.thaw(home)
+    fleet.resume(coordinator)
     fleet.play(4_000.0, FLOOD_TOKENS_PER_S)
-    assert fleet.find_worst_use() <= BOUND
+    assert fleet.find_max_usage() <= BOUND
 
 
 @FEW
@@ -136,11 +136,11 @@
     """Guards against counting pledges of groups that have gone on to another home."""
     fleet = LimitFleet(3, nodes_each)
     fleet.play(2_000.0, FLOOD_TOKENS_PER_S)
-    fleet.muted.update(fleet.find_homes())
+    fleet.muted.update(fleet.find_coordinators())
     fleet.play(6_000.0, FLOOD_TOKENS_PER_S)
     fleet.muted.clear()
     fleet.play(4_000.0, FLOOD_TOKENS_PER_S)
-    assert fleet.find_worst_use() <= BOUND
+    assert fleet.find_max_usage() <= BOUND
 
 
 @FEW
@@ -169,7 +169,7 @@
     fleet.run_for(1_500.0)
     calls = fleet.play(2_000.0, USUAL_TOKENS_PER_S)
     fleet.run_for(1_500.0)
-    assert count_refused(list_owed(calls, LIMIT)) == 0
+    assert count_refused(list_admissible(calls, LIMIT)) == 0
 
 
 def test_limit_that_is_taken_away_stops_nobody() -> None:
@@ -189,7 +189,7 @@
     assert call.refusal is not None
     assert call.refusal.kind is ErrorKind.CUSTOMER_LIMIT
     assert call.refusal.ending is Ending.NOT_RUN
-    assert call.refusal.retry_after_ms >= NEVER_RETRY_MS
+    assert call.refusal.retry_after_ms >= OVERSIZED_RETRY_MS
 
 
 @FEW
@@ -211,9 +211,9 @@
     """Guards against limits that nobody can tell to be in force."""
     fleet = LimitFleet(3, 3)
     fleet.set_limit(msgspec.structs.replace(LIMIT, rate_per_s=5_000.0))
-    fleet.notes.clear()
+    fleet.log_entries.clear()
     fleet.run_for(500.0)
-    changed = [n for _, n in fleet.notes if n.event == "limit_changed"]
+    changed = [n for _, n in fleet.log_entries if n.event == "limit_changed"]
     assert {note.fields["before_per_s"] for note in changed} == {18_000.0}
     assert {note.fields["rate_per_s"] for note in changed} == {5_000.0}
     assert len(changed) == 2 * len(fleet.cores)
@@ -225,7 +225,7 @@
     uses = [
         use
         for core in fleet.cores.values()
-        for use in core.shares.list_uses()
+        for use in core.shares.list_usage()
         if use.subject == LARGE
     ]
     assert len(uses) == 1
@@ -240,18 +240,18 @@
     fleet._way_ms = 150.0
     calls = fleet.play(6_000.0, USUAL_TOKENS_PER_S)
     fleet.run_for(2_000.0)
-    assert count_refused(list_owed(calls, LIMIT)) == 0
+    assert count_refused(list_admissible(calls, LIMIT)) == 0
 
 
 @FEW
 def test_pools_refuse_less_of_what_is_owed_than_equal_shares(nodes_each: int) -> None:
     """Guards the gain of pools: prompts are larger than a share of one node."""
     refused = {}
-    for way in (LimitWay.POOLS, LimitWay.EQUAL_SHARES):
-        fleet = LimitFleet(3, nodes_each, way=way)
+    for strategy in (LimitStrategy.POOLS, LimitStrategy.EQUAL_SHARES):
+        fleet = LimitFleet(3, nodes_each, strategy=strategy)
         calls = fleet.play(6_000.0, USUAL_TOKENS_PER_S)
         fleet.run_for(2_000.0)
-        assert fleet.find_worst_use() <= BOUND
-        refused[way] = count_refused(list_owed(calls, LIMIT))
-    assert refused[LimitWay.POOLS] == 0
-    assert refused[LimitWay.EQUAL_SHARES] > 0
+        assert fleet.find_max_usage() <= BOUND
+        refused[strategy] = count_refused(list_admissible(calls, LIMIT))
+    assert refused[LimitStrategy.POOLS] == 0
+    assert refused[LimitStrategy.EQUAL_SHARES] > 0
--- a/tests/toucanyard/test_drain_rate.py
+++ b/tests/toucanyard/test_drain_rate.py
@@ -14,7 +14,7 @@
 def test_steady_rate_is_found_early_and_late(ends: int) -> None:
     drain = DrainRate()
     for number in range(ends):
-        drain.note(number * 20.0)
+        drain.record_event(number * 20.0)
     assert drain.compute_wait(10, ends * 20.0) == pytest.approx(200.0, rel=0.1)
 
 
@@ -25,7 +25,7 @@
     """
     drain = DrainRate()
     for number in range(1_000):
-        drain.note(number * 20.0)
+        drain.record_event(number * 20.0)
     before_ms = drain.compute_wait(10, 20_000.0)
     stalled_ms = drain.compute_wait(10, 20_000.0 + 2 * HALF_LIFE_MS)
     assert stalled_ms == pytest.approx(4 * before_ms, rel=0.1)
@@ -39,7 +39,7 @@
 ) -> None:
     drain = DrainRate()
     for end_ms in sorted(ends_ms):
-        drain.note(end_ms)
+        drain.record_event(end_ms)
     now_ms = max(ends_ms, default=0.0) + later_ms
     wait_ms = drain.compute_wait(ahead, now_ms)
     assert 0.0 <= wait_ms <= drain.compute_wait(ahead + 1, now_ms)
--- a/tests/toucanyard/test_hostile_messages.py
+++ b/tests/toucanyard/test_hostile_messages.py
@@ -11,7 +11,7 @@
 
 from toucanyard.cbor_messages import MessageInvalidError
 from toucanyard.keyed_view import KeyedRecord, Topic
-from toucanyard.limit_pledges import Pledge
+from toucanyard.limit_delegations import ShareDelegation
 from toucanyard.link_messages import (
     CreditAnswer,
     CreditAsk,
@@ -89,7 +89,8 @@
     lives=many(build(LifeNews)),
     crashes=many(build(ReplicaCrash, runs=many(build(LostRun)))),
     survivals=many(build(RequestSurvival)),
-    pledge=st.none() | build(Pledge, homes=st.lists(NAMES, max_size=5).map(tuple)),
+    pledge=st.none()
+    | build(ShareDelegation, coordinators=st.lists(NAMES, max_size=5).map(tuple)),
 )
 CREDITS = build(CreditAsk, customer=st.just("c")) | build(
     CreditAnswer, customer=st.just("c")
--- a/tests/toucanyard/test_limit_credits.py
+++ b/tests/toucanyard/test_limit_credits.py
@@ -1,14 +1,14 @@
 from __future__ import annotations
 
+from toucanyard.limit_buckets import CreditGrant
 from toucanyard.limit_credits import (
-    ASK_TIMEOUT_MS,
-    MAX_CLOSED_MS,
-    MIN_CLOSED_MS,
+    MAX_DENIAL_MS,
+    MIN_DENIAL_MS,
+    REQUEST_TIMEOUT_MS,
     CreditAccounts,
-    CreditQuestion,
+    CreditRequest,
     Denial,
 )
-from toucanyard.limit_pool import CreditGrant
 from toucanyard.names import CustomerName, RequestId
 
 CUSTOMER = CustomerName("c")
@@ -16,25 +16,28 @@
 FIRST, SECOND = RequestId("r1"), RequestId("r2")
 
 
-def ask(accounts: CreditAccounts, now_ms: float) -> CreditQuestion:
-    (question,) = accounts.list_questions(now_ms)
-    return question
+def ask(accounts: CreditAccounts, now_ms: float) -> CreditRequest:
+    (credit_request,) = accounts.list_requests(now_ms)
+    return credit_request
 
 
 def grant(
-    accounts: CreditAccounts, question: CreditQuestion, credit: float, now_ms: float
+    accounts: CreditAccounts,
+    credit_request: CreditRequest,
+    credit: float,
+    now_ms: float,
 ) -> None:
     answer = CreditGrant(credit, 0.0, 0.0)
-    accounts.apply_grant(CUSTOMER, question.number, answer, now_ms)
+    accounts.apply_grant(CUSTOMER, credit_request.number, answer, now_ms)
 
 
 def test_one_question_asks_for_all_that_wait() -> None:
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     accounts.take(SECOND, CUSTOMER, 200.0, TTL_MS, 0.0)
-    question = ask(accounts, 0.0)
-    assert (question.wanted, question.least) == (1_100.0, 900.0)
-    assert not list(accounts.list_questions(1.0))
+    credit_request = ask(accounts, 0.0)
+    assert (credit_request.wanted, credit_request.least) == (1_100.0, 900.0)
+    assert not list(accounts.list_requests(1.0))
 
 
 def test_granted_credit_is_used_once() -> None:
@@ -59,18 +62,18 @@
     """Guards against never being served by a home that answers after the timeout."""
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
-    question = ask(accounts, 0.0)
-    assert ask(accounts, ASK_TIMEOUT_MS) == question
-    grant(accounts, question, 900.0, TTL_MS - 1.0)
+    credit_request = ask(accounts, 0.0)
+    assert ask(accounts, REQUEST_TIMEOUT_MS) == credit_request
+    grant(accounts, credit_request, 900.0, TTL_MS - 1.0)
     assert accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, TTL_MS - 1.0) is not None
 
 
 def test_answer_after_its_time_goes_back() -> None:
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
-    question = ask(accounts, 0.0)
-    assert ask(accounts, TTL_MS).number != question.number
-    grant(accounts, question, 900.0, TTL_MS + 1.0)
+    credit_request = ask(accounts, 0.0)
+    assert ask(accounts, TTL_MS).number != credit_request.number
+    grant(accounts, credit_request, 900.0, TTL_MS + 1.0)
     assert accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, TTL_MS + 1.0) is None
     assert ask(accounts, 2 * TTL_MS).returned == 900.0
 
@@ -78,9 +81,9 @@
 def test_answer_that_comes_twice_grants_once() -> None:
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
-    question = ask(accounts, 0.0)
-    grant(accounts, question, 900.0, 5.0)
-    grant(accounts, question, 900.0, 6.0)
+    credit_request = ask(accounts, 0.0)
+    grant(accounts, credit_request, 900.0, 5.0)
+    grant(accounts, credit_request, 900.0, 6.0)
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 6.0)
     assert accounts.take(SECOND, CUSTOMER, 900.0, TTL_MS, 6.0) is None
 
@@ -91,9 +94,9 @@
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     denial = CreditGrant(0.0, 1.0, 3_000.0)
     accounts.apply_grant(CUSTOMER, ask(accounts, 0.0).number, denial, 5.0)
-    assert accounts.find_denial(CUSTOMER, 5.0) == Denial(MIN_CLOSED_MS, 3_000.0, 0.0)
-    assert not list(accounts.list_questions(5.0 + MIN_CLOSED_MS - 1.0))
-    assert list(accounts.list_questions(5.0 + MIN_CLOSED_MS))
+    assert accounts.find_denial(CUSTOMER, 5.0) == Denial(MIN_DENIAL_MS, 3_000.0, 0.0)
+    assert not list(accounts.list_requests(5.0 + MIN_DENIAL_MS - 1.0))
+    assert list(accounts.list_requests(5.0 + MIN_DENIAL_MS))
 
 
 def test_denial_is_not_believed_for_long() -> None:
@@ -102,11 +105,11 @@
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     denial = CreditGrant(0.0, 60_000.0, 60_000.0)
     accounts.apply_grant(CUSTOMER, ask(accounts, 0.0).number, denial, 5.0)
-    assert accounts.find_denial(CUSTOMER, 5.0 + MAX_CLOSED_MS) is None
+    assert accounts.find_denial(CUSTOMER, 5.0 + MAX_DENIAL_MS) is None
 
 
 def test_nothing_is_kept_of_a_customer_without_a_limit() -> None:
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     accounts.retain(())
-    assert not accounts.has_questions()
+    assert not accounts.has_requests()
--- a/tests/toucanyard/test_limit_exchange.py
+++ b/tests/toucanyard/test_limit_exchange.py
@@ -14,33 +14,35 @@
 from .relay_fleet import Fleet, put
 
 
-def find_home(fleet: LimitFleet) -> RelayCore:
+def find_coordinator(fleet: LimitFleet) -> RelayCore:
     """Return the home of the large customer, after a call of it."""
     fleet.ask(next(iter(fleet.cores)), LARGE, 200)
     fleet.run_for(100.0)
-    (home,) = [
+    (coordinator,) = [
         core
         for core in fleet.cores.values()
-        if any(use.subject == LARGE for use in core.shares.list_uses())
+        if any(use.subject == LARGE for use in core.shares.list_usage())
     ]
-    return home
+    return coordinator
 
 
-def find_level(home: RelayCore) -> float:
-    (level,) = [u.level for u in home.shares.list_uses() if u.subject == LARGE]
+def find_level(coordinator: RelayCore) -> float:
+    (level,) = [u.level for u in coordinator.shares.list_usage() if u.subject == LARGE]
     return level
 
 
-def find_granted(home: RelayCore) -> float:
-    uses = home.shares.list_uses()
+def find_granted(coordinator: RelayCore) -> float:
+    uses = coordinator.shares.list_usage()
     return sum(each.granted_total for each in uses if each.subject == LARGE)
 
 
-def ask(home: RelayCore, fleet: LimitFleet, number: int) -> CreditAnswer:
+def ask(coordinator: RelayCore, fleet: LimitFleet, number: int) -> CreditAnswer:
     """Let another node ask a home, and return the answer."""
-    sender = next(c.identity for c in fleet.cores.values() if c is not home)
-    question = CreditAsk(sender.node, number, LARGE, 5_000.0, 5_000.0, 0.0)
-    (action,) = home.handle(LinkMessageRead(sender, question), fleet.now_ms)
+    sender = next(c.identity for c in fleet.cores.values() if c is not coordinator)
+    credit_request = CreditAsk(sender.node, number, LARGE, 5_000.0, 5_000.0, 0.0)
+    (action,) = coordinator.handle(
+        LinkMessageRead(sender, credit_request), fleet.now_ms
+    )
     assert isinstance(action, SendToPeer)
     assert isinstance(action.message, CreditAnswer)
     return action.message
@@ -49,22 +51,22 @@
 def test_question_that_comes_again_is_granted_once() -> None:
     """Guards against slow answers that use up a limit without a call."""
     fleet = LimitFleet(3, 3)
-    home = find_home(fleet)
-    ask(home, fleet, 69)
-    before = find_level(home)
-    assert ask(home, fleet, 70) == ask(home, fleet, 70)
-    assert find_level(home) == before - 5_000.0
-    ask(home, fleet, 71)
-    assert find_level(home) == before - 10_000.0
+    coordinator = find_coordinator(fleet)
+    ask(coordinator, fleet, 69)
+    before = find_level(coordinator)
+    assert ask(coordinator, fleet, 70) == ask(coordinator, fleet, 70)
+    assert find_level(coordinator) == before - 5_000.0
+    ask(coordinator, fleet, 71)
+    assert find_level(coordinator) == before - 10_000.0
 
 
 def test_shares_of_a_dead_node_are_not_given_out() -> None:
     """Guards against shares that count at their home until they lapse."""
     fleet = LimitFleet(3, 3)
-    home = find_home(fleet)
-    fleet.kill([name for name in fleet.cores if name != home.identity.node][:3])
+    coordinator = find_coordinator(fleet)
+    fleet.kill([name for name in fleet.cores if name != coordinator.identity.node][:3])
     fleet.run_for(300.0)
-    (share,) = [u.share for u in home.shares.list_uses() if u.subject == LARGE]
+    (share,) = [u.share for u in coordinator.shares.list_usage() if u.subject == LARGE]
     assert round(share, 3) == round(6 / 9, 3)
 
 
@@ -77,11 +79,11 @@
     fleet.cut_apart([leaf])
     fleet.run_for(SILENCE_MS + 500.0)
     assert core.roster.find_primary() is None
-    assert core.shares.pledge is None
+    assert core.shares.delegation is None
     fleet.run_for(2_000.0)
-    assert core.shares.pledge is not None
-    assert core.shares.pledge.nodes == 1
-    assert set(core.shares.pledge.homes) == {leaf}
+    assert core.shares.delegation is not None
+    assert core.shares.delegation.nodes == 1
+    assert set(core.shares.delegation.coordinators) == {leaf}
 
 
 def test_node_that_knows_no_other_pledges_nothing() -> None:
@@ -92,20 +94,22 @@
     fleet.read("n0", Topic.OPERATOR, record)
     fleet.run(300.0)
     core = fleet.core("n0")
-    assert core.shares.pledge is None
+    assert core.shares.delegation is None
     fleet.read("n0", Topic.NODES, KeyedRecord("n0", 0, put(core.own_record)))
     fleet.run(300.0)
-    assert core.shares.pledge is not None
+    assert core.shares.delegation is not None
 
 
 def test_home_that_stops_is_a_home_no_more() -> None:
     """Guards against a planned stop that takes customers' credit with it."""
     fleet = LimitFleet(3, 3)
-    home = find_home(fleet)
-    home.is_stopping = True
+    coordinator = find_coordinator(fleet)
+    coordinator.is_stopping = True
     fleet.run_for(1_500.0)
-    others = [core for core in fleet.cores.values() if core is not home]
-    assert all(home.identity.node not in c.shares.list_homes() for c in others)
+    others = [core for core in fleet.cores.values() if core is not coordinator]
+    assert all(
+        coordinator.identity.node not in c.shares.list_coordinators() for c in others
+    )
 
 
 def test_limits_cost_nothing_where_there_are_none() -> None:
@@ -114,12 +118,12 @@
     fleet.set_limit(None)
     fleet.run_for(500.0)
     core = fleet.cores[NodeName("n0")]
-    assert core.shares.pledge is None
-    assert not core.limits.accounts.has_questions()
-    asked = core.limits.accounts.asked
+    assert core.shares.delegation is None
+    assert not core.limits.accounts.has_requests()
+    request_count = core.limits.accounts.request_count
     fleet.ask(NodeName("n0"), LARGE, 9_200)
     core.handle(TickPassed(), fleet.now_ms)
-    assert core.limits.accounts.asked == asked
+    assert core.limits.accounts.request_count == request_count
 
 
 def test_tries_that_reach_no_replica_use_up_nothing() -> None:
@@ -128,31 +132,31 @@
     fleet = LimitFleet(3, 3, low)
     fleet.set_limit(LIMIT)
     fleet.run_for(1_500.0)
-    home = find_home(fleet)
+    coordinator = find_coordinator(fleet)
     fleet.set_limit(low)
     fleet.run_for(300.0)
-    before = find_level(home)
+    before = find_level(coordinator)
     for engine in list(fleet.engines.values()):
         engine.is_up = False
-    fleet.ask(home.identity.node, LARGE, 9_200)
+    fleet.ask(coordinator.identity.node, LARGE, 9_200)
     fleet.run_for(1_500.0)
     assert not [s for s in fleet.list_runs() if s.call.request.tokens == 9_200]
-    fleet.ask(home.identity.node, LARGE, 200)
+    fleet.ask(coordinator.identity.node, LARGE, 200)
     fleet.run_for(200.0)
-    assert find_level(home) > before - 9_200.0
+    assert find_level(coordinator) > before - 9_200.0
 
 
 def test_restarted_node_is_not_given_the_answers_of_before() -> None:
     """Guards against credit that one incarnation used and the next gets again."""
     fleet = LimitFleet(3, 3)
-    home = find_home(fleet)
-    node = next(n for n in fleet.cores if n != home.identity.node)
+    coordinator = find_coordinator(fleet)
+    node = next(n for n in fleet.cores if n != coordinator.identity.node)
     fleet.ask(node, LARGE, 200)
     fleet.run_for(50.0)
     fleet.kill([node])
     fleet.start_again([node])
     fleet.run_for(500.0)
-    before = find_granted(home)
+    before = find_granted(coordinator)
     fleet.ask(node, LARGE, 200)
     fleet.run_for(50.0)
-    assert find_granted(home) == before + 200
+    assert find_granted(coordinator) == before + 200
--- a/tests/toucanyard/test_replica_credits.py
+++ b/tests/toucanyard/test_replica_credits.py
@@ -2,13 +2,13 @@
 
 import random
 
-from toucanyard.limit_pool import CreditGrant
+from toucanyard.limit_buckets import CreditGrant
 from toucanyard.names import EndpointName
 from toucanyard.pending_call import PendingCall
 from toucanyard.replica_credits import (
-    ASK_WAIT_MS,
+    ANSWER_WAIT_MS,
     CREDIT_MS,
-    MAX_DENIED,
+    MAX_DENIED_PER_S,
     MIN_RATE_PER_S,
     ReplicaCredits,
 )
@@ -40,10 +40,10 @@
         return [each.replica.name for each in usable]
 
     def answer(self, granted: float, now_ms: float, closed_ms: float = 0.0) -> None:
-        for question in list(self.credits.accounts.list_questions(now_ms)):
+        for credit_request in list(self.credits.accounts.list_requests(now_ms)):
             grant = CreditGrant(granted, closed_ms, closed_ms)
             self.credits.accounts.apply_grant(
-                question.subject, question.number, grant, now_ms
+                credit_request.subject, credit_request.number, grant, now_ms
             )
 
 
@@ -52,9 +52,9 @@
     call = node.build_call()
     assert node.select(call, 0.0) == [NAME, OPEN.replica.name]
     assert not node.credits.claim(call, NAME, 0.0)
-    assert node.credits.is_asking(call, 1.0)
+    assert node.credits.is_awaiting_replica_credit(call, 1.0)
     node.answer(1.0, 5.0)
-    assert not node.credits.is_asking(call, 5.0)
+    assert not node.credits.is_awaiting_replica_credit(call, 5.0)
     assert node.select(call, 5.0) == [NAME]
     assert node.credits.claim(call, NAME, 5.0)
     other = node.build_call()
@@ -75,7 +75,7 @@
     call = node.build_call()
     node.credits.claim(call, NAME, 0.0)
     node.answer(0.0, 5.0, closed_ms=400.0)
-    assert not node.credits.is_asking(call, 5.0)
+    assert not node.credits.is_awaiting_replica_credit(call, 5.0)
     assert node.select(call, 5.0) == [OPEN.replica.name]
     assert NAME in node.select(node.build_call(), 406.0)
 
@@ -84,8 +84,8 @@
     node = Node()
     call = node.build_call()
     node.credits.claim(call, NAME, 0.0)
-    late_ms = ASK_WAIT_MS + 1.0
-    assert not node.credits.is_asking(call, late_ms)
+    late_ms = ANSWER_WAIT_MS + 1.0
+    assert not node.credits.is_awaiting_replica_credit(call, late_ms)
     assert node.select(call, late_ms) == [OPEN.replica.name]
 
 
@@ -107,7 +107,7 @@
             node.credits.claim(call, NAME, now_ms)
             node.answer(0.0, now_ms, closed_ms=0.0)
         node.credits.release(call)
-    assert asked <= 2 * MAX_DENIED
+    assert asked <= 2 * MAX_DENIED_PER_S
 
 
 def test_ended_limit_frees_the_replica() -> None:
@@ -115,11 +115,11 @@
     call = node.build_call()
     node.credits.claim(call, NAME, 0.0)
     list(node.limits.on_answer(NAME, None, 10.0))
-    assert node.credits.take_changed()
-    assert not node.credits.is_asking(call, 11.0)
+    assert node.credits.consume_changed_flag()
+    assert not node.credits.is_awaiting_replica_credit(call, 11.0)
     assert node.credits.claim(call, NAME, 11.0)
-    assert not node.credits.accounts.has_questions() or not list(
-        node.credits.accounts.list_questions(12.0)
+    assert not node.credits.accounts.has_requests() or not list(
+        node.credits.accounts.list_requests(12.0)
     )
 
 
--- a/tests/toucanyard/test_replica_lives.py
+++ b/tests/toucanyard/test_replica_lives.py
@@ -9,7 +9,7 @@
 from toucanyard.part_book import Part
 from toucanyard.relay_events import (
     LinkMessageRead,
-    Note,
+    LogEntry,
     PartChange,
     PartsChanged,
     ReplicaState,
@@ -266,4 +266,4 @@
         changes = view.apply([record(offset, fact)], offset + 1, is_whole=False)
         notes += list(core.facts.apply(changes, "store", 0.0, listed_ms=0.0))
     assert 0 < len(notes) <= 20
-    assert all(isinstance(each, Note) for each in notes)
+    assert all(isinstance(each, LogEntry) for each in notes)
--- a/tests/toucanyard/test_retry_budget.py
+++ b/tests/toucanyard/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given, strategies as st
 
-from toucanyard.retry_budget import MAX_SAVED, RetryBudget
+from toucanyard.retry_budget import MAX_SAVED_RETRIES, RetryBudget
 
 
 def test_retries_saved_up_are_bounded() -> None:
@@ -12,11 +12,11 @@
     """
     budget = RetryBudget(0.1)
     for _ in range(100_000):
-        budget.note_first_try()
+        budget.record_first_try()
     taken = 0
     while budget.take():
         taken += 1
-    assert taken == MAX_SAVED
+    assert taken == MAX_SAVED_RETRIES
 
 
 @given(st.floats(0.0, 1.0), st.lists(st.booleans(), max_size=400))
@@ -25,7 +25,7 @@
     tries = retries = 0
     for is_first_try in steps:
         if is_first_try:
-            budget.note_first_try()
+            budget.record_first_try()
             tries += 1
         else:
             retries += budget.take()
--- a/tests/toucanyard/test_status_exchange.py
+++ b/tests/toucanyard/test_status_exchange.py
@@ -5,7 +5,7 @@
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.names import EndpointName, NodeName, RequestId
 from toucanyard.part_sources import HEARD_MS, STORE_FOLLOWERS, name_store
-from toucanyard.relay_core import FAR_TICK_MS, REST_TICK_MS
+from toucanyard.relay_core import IDLE_TICK_MS, LARGE_FLEET_TICK_MS
 from toucanyard.relay_events import CallArrived, PartsChanged, StopBegun
 from toucanyard.roster import MAX_ADDRESSES
 from toucanyard.status_schedule import URGENT_MS
@@ -98,12 +98,12 @@
     leaf = next(name for name in fleet.cores if name not in fleet.find_hubs())
     primary = fleet.cores[leaf].roster.find_primary()
     assert primary is not None
-    fleet.notes.clear()
+    fleet.log_entries.clear()
     fleet.dead = {primary}
     fleet.run(500.0)
     told = [
         note.fields
-        for name, note in fleet.notes
+        for name, note in fleet.log_entries
         if name == leaf and note.event == "hub_changed"
     ]
     assert [(each["before"], bool(each["hub"])) for each in told] == [(primary, True)]
@@ -344,4 +344,4 @@
     send_calls(fleet, [busy])
     for name, core in fleet.cores.items():
         is_busy = name == busy or name in hubs
-        assert core.compute_tick() == (FAR_TICK_MS if is_busy else REST_TICK_MS)
+        assert core.compute_tick() == (LARGE_FLEET_TICK_MS if is_busy else IDLE_TICK_MS)
