--- a/packages/toucanyard/src/toucanyard/admission.py
+++ b/packages/toucanyard/src/toucanyard/admission.py
@@ -1,9 +1,9 @@
-"""Let in what the endpoints can take; queue the rest fairly and refuse early.
+"""Admit requests up to the endpoints' capacity; queue fairly and reject early.
 
-A request is admitted, waits, or is refused before any dispatch, so that "not run" is
-true. How many may run follows each endpoint's latency. What can't be reached before
-its deadline is refused on arrival, with a time to come back taken from the rate at
-which the queue drains.
+A request is admitted, queued or rejected before any dispatch, so that the ending
+"not run" is true. Concurrency limits follow each endpoint's latency. A request that
+can't be dispatched before its deadline is rejected on arrival, with a retry delay
+derived from the rate at which the queue drains.
 """
 
 from __future__ import annotations
@@ -27,25 +27,25 @@
 MAX_RETRY_AFTER_MS: Final = 30_000
 DEFAULT_MAX_RUNNING: Final = 16
 LOW_PRIORITY_SHARE: Final = 0.4
-"""Share of a pool's places on this node from which a customer goes last."""
+"""Share of this node's capacity above which a customer's requests get low priority."""
 OVERDUE_TARGET_WAITS: Final = 2.0
-"""Target waits after which a missing first token counts as a long wait."""
+"""Multiple of the target wait after which a missing first token counts as overdue."""
 
 
 class Admit(msgspec.Struct, frozen=True):
-    """Place and dispatch this request now."""
+    """Decision to place and dispatch a request now."""
 
     request: Request
     priority: int
-    """For the endpoint's own queue, 0 most urgent: by class, and after all of these
-    the customers that hold much of this node's places, by class again."""
+    """Priority in the endpoint's own queue, 0 most urgent: ordered by class, then the
+    customers that use a large share of this node's capacity, again by class."""
 
 
 AdmissionAction = Admit | Refuse
 
 
 class Admission:
-    """What one node lets in, for every pool and service; owned by one task."""
+    """Admission control of one node, for every pool and service; owned by one task."""
 
     __slots__ = (
         "_admitted",
@@ -69,7 +69,7 @@
         self.retries = RetryBudget(limits.retry_budget_share)
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Take over customers' weights and limits, and the endpoints of pools."""
+        """Apply customers' weights and limits, and the endpoints of pools."""
         self._customers = {each.name: each for each in configuration.customers}
         for pool in configuration.pools:
             names = [each.name for each in pool.endpoints]
@@ -83,15 +83,15 @@
             backend.set_usable(names)
 
     def apply_node_count(self, count: int) -> None:
-        """Take over how many nodes share the endpoints; call it before the others."""
+        """Set how many nodes share the endpoints; call it before the other methods."""
         self._node_count = max(count, 1)
 
     def apply_usable(self, target: Request, names: Iterable[EndpointName]) -> None:
-        """Take over which endpoints may get requests like this one."""
+        """Set which endpoints may receive requests with this target."""
         self._find_backend(compute_backend_name(target)).set_usable(list(names))
 
     def offer(self, request: Request, now_ms: float) -> list[AdmissionAction]:
-        """Admit, queue or refuse a new request; may refuse another in its place."""
+        """Admit, queue or reject a new request; may reject another one instead."""
         if request.deadline_ms <= now_ms:
             return [self._refuse_expired(request, now_ms)]
         backend = self._find_backend(compute_backend_name(request))
@@ -109,7 +109,7 @@
         return self._drop_surplus(backend, now_ms) + self._drain(backend, now_ms)
 
     def release(self, request_id: RequestId, now_ms: float) -> list[AdmissionAction]:
-        """End an admitted request and let in who is next."""
+        """Release the slot of an admitted request and admit the next ones."""
         admitted = self._admitted.pop(request_id, None)
         if admitted is None:
             return []
@@ -120,18 +120,18 @@
         return self._drain(backend, now_ms)
 
     def abandon(self, request_id: RequestId, now_ms: float) -> list[AdmissionAction]:
-        """Drop a request that its caller has given up on, waiting or admitted."""
+        """Drop a queued or admitted request that its caller has abandoned."""
         request = self._waiting.pop(request_id, None)
         if request is None:
             return self.release(request_id, now_ms)
         backend = self._find_backend(compute_backend_name(request))
         backend.queue.remove(request)
-        text = "the caller went away while the request waited"
+        text = "the caller disconnected while the request was queued"
         refusal = self._refuse(request, ErrorKind.CALLER_GONE, text, now_ms)
         return [msgspec.structs.replace(refusal, ending=Ending.NOT_RUN)]
 
     def tick(self, now_ms: float) -> list[AdmissionAction]:
-        """Refuse what has waited past its deadline and let in what fits."""
+        """Reject queued requests past their deadline and admit those that fit."""
         self._reduce_overdue(now_ms)
         actions: list[AdmissionAction] = []
         for backend in self._backends.values():
@@ -144,10 +144,11 @@
     def find_open(
         self, request: Request, names: Sequence[EndpointName]
     ) -> list[EndpointName]:
-        """Return those of the endpoints that are below their declared limit.
+        """Return the endpoints that are below their declared limit.
 
-        The limits that follow latency bound only their sum: turned away from a warm
-        endpoint one by one, requests would recompute elsewhere and add to the load.
+        The latency-based limits bound only their sum. If each of them were enforced,
+        requests rejected by an endpoint with a warm cache would be recomputed elsewhere
+        and add to the load.
         """
         backend = self._find_backend(compute_backend_name(request))
         return [name for name in names if backend.has_room(name)]
@@ -159,9 +160,9 @@
         work_ms: float,
         now_ms: float,
     ) -> None:
-        """Count an admitted request at the endpoint it goes to, first try or retry.
+        """Count an admitted request at its endpoint, for a first try or a retry.
 
-        `work_ms` is the computation expected before its first token.
+        `work_ms` is the computation time expected before its first token.
         """
         admitted = self._admitted.get(request_id)
         if admitted is None:
@@ -177,7 +178,7 @@
     def note_first_token(
         self, request_id: RequestId, wait_ms: float, now_ms: float
     ) -> None:
-        """Follow how long a request waited at its endpoint, computation left out."""
+        """Adjust an endpoint's limit to a request's wait, without its computation."""
         admitted = self._admitted.get(request_id)
         if admitted is not None:
             admitted.overdue_ms = float("inf")
@@ -186,35 +187,35 @@
                 backend.record_wait(admitted.endpoint, wait_ms, now_ms)
 
     def note_failure(self, request_id: RequestId, now_ms: float) -> None:
-        """Lower the limit of an endpoint at which a dispatch failed."""
+        """Lower the limit of an endpoint after a failed dispatch."""
         admitted = self._admitted.get(request_id)
         if admitted is not None and admitted.endpoint is not None:
             backend = self._find_backend(compute_backend_name(admitted.request))
             backend.note_failure(admitted.endpoint, now_ms)
 
     def may_retry(self, attempt: int) -> bool:
-        """Take one retry from the budget; False when attempts or budget are spent."""
+        """Take one retry from the budget; False if attempts or budget are exhausted."""
         return attempt < self._limits.max_attempts and self.retries.take()
 
     def compute_retry_after(self, request: Request, now_ms: float) -> int:
-        """Return when to come back: the time the queue takes to drain, spread."""
+        """Return the retry delay in ms: the queue's drain time, with jitter."""
         backend = self._find_backend(compute_backend_name(request))
         wait_ms = backend.drain.compute_wait(len(backend.queue) + 1, now_ms)
         wait_ms = min(max(wait_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
-        # Callers refused in one instant must not come back in one instant.
+        # Jitter keeps callers that were rejected together from retrying together.
         return int(wait_ms * self._rng.uniform(1.0, 2.0))
 
     def count_queued(self) -> int:
-        """Return how many requests wait."""
+        """Return how many requests are queued."""
         return len(self._waiting)
 
     def count_running(self) -> int:
-        """Return how many admitted requests are not over."""
+        """Return how many admitted requests have not ended."""
         return len(self._admitted)
 
     def _reduce_overdue(self, now_ms: float) -> None:
-        # First tokens that come late tell of an overload only once they come; those
-        # that are overdue tell it while more would still be sent.
+        # A late first token reveals an overload only when it arrives; an overdue one
+        # reveals it earlier, before more requests are sent.
         for request_id, admitted in self._admitted.items():
             if admitted.overdue_ms <= now_ms:
                 admitted.overdue_ms = float("inf")
@@ -225,7 +226,7 @@
     ) -> Refuse | None:
         customer = request.customer
         if backend.queue.count(customer) >= self._limits.max_queued_per_customer:
-            text = "too many requests of this customer wait"
+            text = "too many requests of this customer are queued"
             return self._refuse(request, ErrorKind.CUSTOMER_LIMIT, text, now_ms)
         ahead = backend.queue.count(customer) * max(
             len(backend.queue.find_customers()), 1
@@ -233,7 +234,7 @@
         wait_ms = backend.drain.compute_wait(min(ahead, len(backend.queue)), now_ms)
         room_ms = min(request.deadline_ms - now_ms, self._limits.max_wait_ms)
         if wait_ms > room_ms:
-            text = f"the wait would be about {wait_ms:.0f} ms"
+            text = f"the estimated wait is about {wait_ms:.0f} ms"
             return self._refuse(request, ErrorKind.OVERLOADED, text, now_ms)
         return None
 
@@ -244,7 +245,7 @@
             if surplus is None:
                 break
             self._remove_waiting(backend, surplus)
-            text = "too many requests wait"
+            text = "too many requests are queued"
             actions.append(self._refuse(surplus, ErrorKind.OVERLOADED, text, now_ms))
         return actions
 
@@ -274,8 +275,8 @@
         declared = self._customers.get(customer)
         if declared is not None and 0 < declared.max_running <= running:
             return False
-        # A customer that floods leaves some places free: one that sends little would
-        # else always wait for an answer of the flood to end.
+        # One customer may not use all slots. Otherwise a customer with few requests
+        # would always wait for one of a flood's responses to end.
         return running < max(self._limits.max_customer_share * capacity, 1.0)
 
     def _admit(self, backend: Backend, request: Request) -> Admit:
@@ -284,9 +285,10 @@
         return Admit(request, self._compute_priority(backend, request))
 
     def _compute_priority(self, backend: Backend, request: Request) -> int:
-        # What has been dispatched waits in the endpoint's queue, where a flood would
-        # be ahead of everyone. A customer that holds much of the node goes last there;
-        # one that is merely large in calm doesn't, or its tail would suffer for it.
+        # Dispatched requests wait in the endpoint's queue, where a flood would be ahead
+        # of everyone. A customer that uses a large share of the node gets low priority
+        # there; one that is merely large under normal load doesn't, as that would
+        # raise its tail latency.
         running = backend.running[request.customer]
         is_over = running > max(LOW_PRIORITY_SHARE * backend.capacity, 1.0)
         return PRIORITY_RANKS[request.priority] + is_over * len(PRIORITY_RANKS)
@@ -318,7 +320,7 @@
 
 
 def compute_backend_name(request: Request) -> str:
-    """Return the name under which a request's pool or service is kept."""
+    """Return the key under which a request's pool or service is stored."""
     match request.target:
         case ModelTarget(pool=pool):
             return f"pool {pool}"
--- a/packages/toucanyard/src/toucanyard/backends.py
+++ b/packages/toucanyard/src/toucanyard/backends.py
@@ -1,4 +1,4 @@
-"""Keep the queue and the limits of one pool or service on one node."""
+"""Hold the queue and the concurrency limits of one pool or service on one node."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 
 
 class AdmittedRequest(msgspec.Struct):
-    """A request that was let in and is not over."""
+    """A request that was admitted and has not ended."""
 
     request: Request
     endpoint: EndpointName | None = None
     overdue_ms: float = float("inf")
-    """When a first token that hasn't come tells that the endpoint is too full."""
+    """When a missing first token counts as a sign that the endpoint is overloaded."""
 
 
 class Backend:
-    """One pool or service: its queue, what runs there and its endpoints' limits.
+    """One pool or service: its queue, running requests and endpoints' limits.
 
-    Invariant: `capacity` is the sum of the usable endpoints' limits; it is kept, not
-    worked out, since each arrival asks for it and a pool may have thousands.
+    Invariant: `capacity` is the sum of the usable endpoints' limits. It is maintained
+    incrementally, since each arrival reads it and a pool may have thousands of
+    endpoints.
     """
 
     __slots__ = (
@@ -56,13 +57,13 @@
         self._limits: dict[EndpointName, ConcurrencyLimit] = {}
 
     def set_max_running(self, max_running: int, node_count: int) -> None:
-        """Take over how many requests one endpoint runs, over all nodes."""
+        """Set how many requests one endpoint runs, over all nodes."""
         self._max_running = max_running
-        # Each node starts with twice its even share: were it to start with the
-        # whole, all nodes together would fill an engine's queue many times over.
+        # Each node starts with twice its even share. If each started with the whole
+        # limit, the nodes together would fill an engine's queue many times over.
         start = INITIAL_SHARE_FACTOR * max_running / node_count
-        # Limits that started before the VM list was read are far too high; those of
-        # a fleet that changes by a few nodes have been learned and stay.
+        # Limits that were initialized before the VM list was read are far too high.
+        # When a fleet changes by a few nodes, the learned limits are kept.
         is_much_lower = start < self._start / 2
         self._start = start
         if is_much_lower:
@@ -70,7 +71,7 @@
                 limit.lower_to(start)
 
     def set_usable(self, names: Sequence[EndpointName]) -> None:
-        """Take over which endpoints may get requests; keep limits in use."""
+        """Set which endpoints may receive requests; keep limits that are in use."""
         self._usable = frozenset(names)
         for name in names:
             self.find_limit(name).max_limit = self._max_running
@@ -84,11 +85,11 @@
         self.capacity = sum(self._limits[name].limit for name in self._usable)
 
     def has_usable(self) -> bool:
-        """Tell whether any endpoint may get requests."""
+        """Return whether any endpoint may receive requests."""
         return bool(self._usable)
 
     def find_limit(self, name: EndpointName) -> ConcurrencyLimit:
-        """Return the limit of an endpoint, a new one if it has none."""
+        """Return the limit of an endpoint, creating it if necessary."""
         limit = self._limits.get(name)
         if limit is None:
             target_ms = self._target_wait_ms
@@ -97,41 +98,41 @@
         return limit
 
     def has_room(self, name: EndpointName) -> bool:
-        """Return whether an endpoint may get one more request."""
+        """Return whether an endpoint may receive one more request."""
         limit = self._limits.get(name)
         return limit is None or limit.has_room()
 
     def record_wait(self, name: EndpointName, wait_ms: float, now_ms: float) -> None:
-        """Let an endpoint's limit follow the wait before a first token."""
+        """Adjust an endpoint's limit to the wait before a first token."""
         limit = self.find_limit(name)
         before = limit.limit
         limit.record_wait(wait_ms, now_ms)
         self._shift_capacity(name, limit.limit - before)
 
     def note_failure(self, name: EndpointName, now_ms: float) -> None:
-        """Lower the limit of an endpoint at which a dispatch failed or is overdue."""
+        """Lower the limit of an endpoint after a failed or overdue dispatch."""
         limit = self.find_limit(name)
         before = limit.limit
         limit.note_failure(now_ms)
         self._shift_capacity(name, limit.limit - before)
 
     def count_running(self) -> int:
-        """Return how many admitted requests are not over."""
+        """Return how many admitted requests have not ended."""
         return sum(self.running.values())
 
     def begin(self, customer: CustomerName) -> None:
-        """Count a request that was let in."""
+        """Count a request that was admitted."""
         self.running[customer] = self.running.get(customer, 0) + 1
 
     def end(self, customer: CustomerName, now_ms: float) -> None:
-        """Count a request that is over."""
+        """Count a request that has ended."""
         self.running[customer] -= 1
         if not self.running[customer]:
             del self.running[customer]
         self.drain.record_event(now_ms)
 
     def move(self, admitted: AdmittedRequest, endpoint: EndpointName | None) -> None:
-        """Count a request at another endpoint, or at none any more."""
+        """Count a request at another endpoint, or at none."""
         if admitted.endpoint is not None:
             self.find_limit(admitted.endpoint).in_flight -= 1
         if endpoint is not None:
--- a/packages/toucanyard/src/toucanyard/concurrency_limit.py
+++ b/packages/toucanyard/src/toucanyard/concurrency_limit.py
@@ -1,8 +1,9 @@
-"""Limit how many requests a node has at one endpoint, following observed latency.
+"""Limit the requests a node has in flight at one endpoint, by observed latency.
 
-The limit grows by one over a limit's worth of good answers, and shrinks by a share
-when first tokens come later than their own computation explains: what is left then
-waits at the node, where it can be ordered, refused and given up, not in the engine.
+Additive increase, multiplicative decrease: the limit grows by one per limit's worth of
+timely first tokens and shrinks by a factor when first tokens are later than their own
+computation explains. The excess then waits at the node, where it can be prioritized,
+rejected and abandoned, rather than in the engine.
 """
 
 from __future__ import annotations
@@ -12,11 +13,12 @@
 MIN_LIMIT: Final = 1.0
 DECREASE_FACTOR: Final = 0.8
 GROWTH_MIN_USAGE: Final = 0.75
-"""Grow only while this share of the limit is used, or an idle limit would run off."""
+"""Share of the limit that must be in use for it to grow; otherwise the limit of an
+idle endpoint would grow without bound."""
 
 
 class ConcurrencyLimit:
-    """The limit of one endpoint, between 1 and `max_limit`, and what uses it."""
+    """The limit of one endpoint, between 1 and `max_limit`, and its usage."""
 
     __slots__ = ("_limit", "_reduced_ms", "in_flight", "max_limit", "target_wait_ms")
 
@@ -29,19 +31,19 @@
 
     @property
     def limit(self) -> int:
-        """Return how many requests may be there at once."""
+        """Return how many requests may be in flight."""
         return min(int(self._limit), self.max_limit)
 
     def has_room(self) -> bool:
-        """Return whether one more may be sent within the declared limit."""
+        """Return whether the declared limit allows one more request."""
         return self.in_flight < self.max_limit
 
     def lower_to(self, start: float) -> None:
-        """Begin again from a lower start; nothing changes below it."""
+        """Lower the limit to `start`; a limit below it is unchanged."""
         self._limit = min(self._limit, max(start, MIN_LIMIT))
 
     def record_wait(self, wait_ms: float, now_ms: float) -> None:
-        """Follow the wait before a first token, without its own computation."""
+        """Adjust the limit to a first token's wait, without its computation."""
         if wait_ms <= self.target_wait_ms:
             if self.in_flight >= GROWTH_MIN_USAGE * self._limit:
                 self._limit = min(
@@ -51,12 +53,12 @@
         self._reduce(now_ms)
 
     def note_failure(self, now_ms: float) -> None:
-        """Take a failed dispatch as a sign of overload."""
+        """Treat a failed dispatch as a sign of overload."""
         self._reduce(now_ms)
 
     def _reduce(self, now_ms: float) -> None:
-        # One step for each target wait: the answers under way were sent before the
-        # reduction and would otherwise each reduce it again, down to the least.
+        # At most one reduction per target wait: requests in flight were sent before
+        # the reduction, and each would lower the limit again, down to its minimum.
         if now_ms - self._reduced_ms < self.target_wait_ms:
             return
         self._reduced_ms = now_ms
--- a/packages/toucanyard/src/toucanyard/fair_queue.py
+++ b/packages/toucanyard/src/toucanyard/fair_queue.py
@@ -1,9 +1,9 @@
-"""Queue requests fairly over customers, and by class within one customer.
+"""Queue requests fairly across customers, and by class within one customer.
 
-Start-time fair queueing: each customer has a virtual time that advances by the cost
-of what it got over its weight, and the customer with the least goes next. Between two
-customers that both wait, the difference in cost got over weight stays below one
-largest request of each, however many requests either has sent.
+Start-time fair queueing: each customer has a virtual time that advances by the cost of
+its served requests divided by its weight, and the customer with the lowest goes next.
+For two customers that both have queued requests, the difference in weighted cost stays
+below one largest request of each, however many requests either has sent.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def compute_cost(request: Request) -> float:
-    """Return the share of an endpoint that a request is charged for."""
+    """Return the cost that a request is charged to its customer."""
     match request.target:
         case ModelTarget(prompt_bytes=prompt_bytes, max_tokens=max_tokens):
             by_prompt = min(prompt_bytes / PROMPT_BYTES_PER_UNIT, 4.0)
@@ -33,7 +33,7 @@
 
 
 class CustomerQueue:
-    """Requests of one customer, most urgent class and earliest deadline first."""
+    """Queued requests of one customer, most urgent class, then earliest deadline."""
 
     __slots__ = ("_heap", "_order", "finish", "waiting", "weight")
 
@@ -53,20 +53,20 @@
         self.waiting[request.request_id] = request
 
     def find_first(self) -> Request | None:
-        """Return the request that goes next."""
+        """Return the request that is next in order."""
         heap = self._heap
         while heap and heap[0][3].request_id not in self.waiting:
             heapq.heappop(heap)
         return heap[0][3] if heap else None
 
     def find_last(self) -> Request | None:
-        """Return the request that would go last."""
+        """Return the request that is last in order."""
         entries = (each for each in self._heap if each[3].request_id in self.waiting)
         last = max(entries, default=None, key=lambda entry: entry[:3])
         return None if last is None else last[3]
 
     def remove(self, request_id: RequestId) -> Request | None:
-        """Take out one request, in whichever place it is."""
+        """Remove one request, wherever it is in the queue."""
         removed = self.waiting.pop(request_id, None)
         if len(self._heap) > 2 * len(self.waiting) + 16:
             self._heap = [
@@ -77,7 +77,7 @@
 
 
 class FairQueue:
-    """Requests waiting for one pool or service, over all customers."""
+    """Requests queued for one pool or service, across all customers."""
 
     __slots__ = ("_customers", "_length", "_virtual")
 
@@ -87,26 +87,26 @@
         self._length = 0
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return how many requests are queued."""
         return self._length
 
     def count(self, customer: CustomerName) -> int:
-        """Return how many requests of a customer wait."""
+        """Return how many requests of a customer are queued."""
         queue = self._customers.get(customer)
         return 0 if queue is None else len(queue.waiting)
 
     def push(self, request: Request, weight: float) -> None:
-        """Add one request at its customer's present weight."""
+        """Add one request with its customer's current weight."""
         queue = self._find_queue(request.customer, weight)
         queue.push(request)
         self._length += 1
 
     def charge(self, request: Request, weight: float) -> None:
-        """Charge a customer for a request that didn't have to wait."""
+        """Charge a customer for a request that bypassed the queue."""
         self._charge(self._find_queue(request.customer, weight), request)
 
     def pop(self, may_run: set[CustomerName] | None = None) -> Request | None:
-        """Take out the next request, of these customers only if given."""
+        """Remove and return the next request, optionally of these customers only."""
         best: CustomerQueue | None = None
         best_start = 0.0
         for name, queue in self._customers.items():
@@ -125,7 +125,7 @@
         return request
 
     def remove(self, request: Request) -> bool:
-        """Take out one request; return False if it doesn't wait here."""
+        """Remove one request; return False if it is not queued here."""
         queue = self._customers.get(request.customer)
         if queue is None or queue.remove(request.request_id) is None:
             return False
@@ -133,11 +133,11 @@
         return True
 
     def find_customers(self) -> list[CustomerName]:
-        """Return customers that wait."""
+        """Return the customers that have queued requests."""
         return [name for name, queue in self._customers.items() if queue.waiting]
 
     def find_expired(self, now_ms: float) -> list[Request]:
-        """Return waiting requests whose deadline has passed."""
+        """Return queued requests whose deadline has passed."""
         return [
             request
             for queue in self._customers.values()
@@ -146,7 +146,7 @@
         ]
 
     def find_surplus(self) -> Request | None:
-        """Return the last request of the customer that waits most for its weight."""
+        """Return the last request of the customer with most queued for its weight."""
         queues = [queue for queue in self._customers.values() if queue.waiting]
         if not queues:
             return None
@@ -160,8 +160,8 @@
             self._customers[customer] = queue
         queue.weight = weight
         if not queue.waiting:
-            # A customer that was idle starts level with the others: what it didn't
-            # use is not saved up, or it could shut them out later.
+            # A customer that was idle starts at the current virtual time. If unused
+            # capacity were saved up, the customer could starve the others later.
             queue.finish = max(queue.finish, self._virtual)
         return queue
 
