--- a/packages/toucanyard/src/toucanyard/call_limits.py
+++ b/packages/toucanyard/src/toucanyard/call_limits.py
@@ -1,7 +1,7 @@
-"""Decide whether a call may be sent, by what its customer may send over all nodes.
+"""Check calls against their customer's rate limit over all nodes.
 
-Asked of a call before it waits for a replica and again before each try: a try that may
-run costs credit, also a second one, and one that surely did not run costs nothing.
+A call is checked before it waits for a replica and again before each try. Every try
+that may have run costs credit, retries included; one that provably did not run is free.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 from toucanyard.routes import RouteIndex, RouteTable
 
 MAX_FIRST_REQUEST_NUMBER: Final = 2**48
-"""Bound of the figure that an incarnation numbers its questions from."""
+"""Upper bound of an incarnation's first credit request number."""
 OVERSIZED_RETRY_MS: Final = 60_000.0
-"""When to come back with a request that the limit never allows; it may be raised."""
+"""Retry delay for a request that the limit never allows; the limit may be raised."""
 BRIEF_GRACE_MS: Final = 300.0
-"""Time beside the home's estimate that a call waits for its turn."""
+"""Time that a call waits for credit beyond the coordinator's estimate."""
 NO_ANSWER_RETRY_MS: Final = 250.0
-"""When to come back to a node that got no credit from any home."""
+"""Retry delay when no coordinator has answered a credit request."""
 
 
 def compute_first_request_number(incarnation: Incarnation) -> int:
-    """Return the figure that an incarnation numbers its questions from."""
+    """Return the number from which an incarnation numbers its credit requests."""
     return xxhash.xxh3_64_intdigest(incarnation.encode()) % MAX_FIRST_REQUEST_NUMBER
 
 
 class LimitRejection(msgspec.Struct, frozen=True):
-    """Why a call is over its customer's limit, and when it may not be any more."""
+    """Why a call exceeds its customer's limit, and when to retry it."""
 
     text: str
     retry_ms: float
 
 
 class CallLimits:
-    """The limits of all customers as the calls of one node meet them."""
+    """The limits of all customers, as applied to the calls of one node."""
 
     __slots__ = ("_bounds", "_policy", "accounts", "index", "rejected")
 
@@ -55,7 +55,7 @@
         self.rejected = 0
 
     def apply_index(self, index: RouteIndex) -> None:
-        """Decide by this table from now on."""
+        """Use this route table from now on."""
         before, self.index = self.index, index
         limits = index.list_limits()
         self.accounts.retain(limits)
@@ -68,9 +68,9 @@
         return self.index.find_limit(CustomerName(subject))
 
     def check(self, pending: PendingCall, now_ms: float) -> LimitRejection | None:
-        """Take credit for a call's next try; return why it may not have any.
+        """Take credit for a call's next try; return the rejection if there is none.
 
-        A call that has to wait for credit is marked as unpaid.
+        A call that has to wait for credit gets `is_awaiting_credit` set.
         """
         request = pending.request
         limit = self.index.find_limit(request.customer)
@@ -98,11 +98,11 @@
         return self._wait(pending, limit, cost, now_ms)
 
     def on_sent(self, pending: PendingCall) -> None:
-        """Use up the credit of a try that is being sent."""
+        """Consume the credit of a try that is being sent."""
         pending.held_credit = 0.0
 
     def on_not_run(self, pending: PendingCall, now_ms: float) -> None:
-        """Let the next try have the credit of one that surely did not run."""
+        """Reuse the credit of a try that provably did not run for the next one."""
         limit = self.index.find_limit(pending.request.customer)
         if limit is not None and self._policy.strategy is not LimitStrategy.OFF:
             pending.held_credit = limit.compute_cost(pending.request.tokens)
@@ -111,7 +111,7 @@
             )
 
     def release(self, pending: PendingCall, now_ms: float) -> None:
-        """Give back what a call has not used."""
+        """Return the credit that a call has not used."""
         self._return_unused(pending, now_ms)
         if pending.is_awaiting_credit:
             request = pending.request
--- a/packages/toucanyard/src/toucanyard/limit_buckets.py
+++ b/packages/toucanyard/src/toucanyard/limit_buckets.py
@@ -1,9 +1,9 @@
-"""Give out credit for limits: what a home does.
+"""Grant credit for limits from token buckets, as their coordinator.
 
-The level of a limit's subject, a customer or a replica, rises with its rate as far as
-its shares are pledged to this home, up to its burst. A request is granted while the
-level is not negative, and may take it below zero: long prompts get their turn beside
-short ones, and what is owed is paid off before the next request.
+Each subject of a limit, a customer or a replica, has a bucket. It refills at the
+limit's rate, scaled by the share delegated to this coordinator, up to the burst. A
+request is granted while the level is not negative, and may take it below zero. So long
+prompts are served beside short ones, and the debt is refilled before the next grant.
 """
 
 from __future__ import annotations
@@ -17,104 +17,104 @@
 from toucanyard.rate_limits import LimitBounds, RateLimit
 
 MAJORITY: Final = 0.5
-"""Share above which no other home can have as much of the same limit."""
+"""Share above which no other coordinator can have as much of the same limit."""
 MAX_BACKLOG_S: Final = 2.0
-"""Longest backlog of denied requests that callers are told to wait for."""
+"""Maximum backlog of denied requests that retry delays account for."""
 
 
 class CreditGrant(msgspec.Struct, frozen=True):
-    """What a home answers to a node that asks for credit."""
+    """A coordinator's answer to a node's credit request."""
 
     granted: float
     closed_ms: float
-    """Time until the home grants anything again; 0 if it does now."""
+    """Time until the coordinator grants credit again; 0 if it does now."""
     retry_ms: float
-    """The same behind all requests that were denied lately."""
+    """The same, after all requests that were recently denied."""
 
 
 class BucketUsage(msgspec.Struct, frozen=True):
-    """What a home knows of one subject, for operators."""
+    """A coordinator's statistics of one subject, for operators."""
 
     subject: str
     rate_per_s: float
     level: float
-    """What may run now; negative while something is owed."""
+    """Credit available now; negative while in debt."""
     share: float
     granted_total: float
     denied_total: float
 
 
 class _Bucket:
-    """One subject's level. Invariant: it never exceeds what may be saved up."""
+    """One subject's bucket. Invariant: its level never exceeds its capacity."""
 
     __slots__ = (
         "backlog",
         "denied_total",
         "granted_total",
+        "level",
         "limit",
         "rate_per_s",
         "settled_s",
-        "value",
     )
 
     def __init__(self, limit: RateLimit, rate_per_s: float) -> None:
         self.limit = limit
         self.rate_per_s = rate_per_s
-        self.value = 0.0
+        self.level = 0.0
         self.settled_s = 0.0
         self.backlog = 0.0
-        """What was denied lately, as far as the rate has not made up for it."""
+        """Recently denied credit that the rate has not yet made up for."""
         self.granted_total = 0.0
         self.denied_total = 0.0
 
     def settle(self, accrued_s: float, capacity: float) -> None:
-        """Add what has accrued since the last time, up to what may be saved up."""
+        """Refill by what has accrued since the last call, up to the capacity."""
         earned = (accrued_s - self.settled_s) * self.rate_per_s
         self.settled_s = accrued_s
         self.backlog = max(self.backlog - earned, 0.0)
-        self.value = min(self.value + earned, capacity)
+        self.level = min(self.level + earned, capacity)
 
 
 class LimitBuckets:
-    """The levels of all subjects of which this node is the home."""
+    """The buckets of all subjects that this node coordinates."""
 
-    __slots__ = ("_bounds", "_levels", "_delegations")
+    __slots__ = ("_bounds", "_buckets", "_delegations")
 
     def __init__(self, bounds: LimitBounds, delegations: DelegationTable) -> None:
         self._bounds = bounds
         self._delegations = delegations
-        self._levels: dict[str, _Bucket] = {}
+        self._buckets: dict[str, _Bucket] = {}
 
     def drop_partitions(self, numbers: list[int]) -> None:
-        """Drop the levels of slices that are no longer pledged to this node."""
-        if not self._levels:
+        """Drop the buckets of partitions that are no longer delegated to this node."""
+        if not self._buckets:
             return
         lost = set(numbers)
-        self._levels = {
-            name: level
-            for name, level in self._levels.items()
+        self._buckets = {
+            name: bucket
+            for name, bucket in self._buckets.items()
             if find_partition(name) not in lost
         }
 
     def apply_limits(
         self, find_limit: Callable[[str], RateLimit | None], shares: Sequence[float]
     ) -> None:
-        """Let changed limits be in force; what was earned before is kept."""
-        for subject, level in list(self._levels.items()):
+        """Apply changed limits; credit accrued so far is kept."""
+        for subject, bucket in list(self._buckets.items()):
             limit = find_limit(subject)
-            if limit == level.limit:
+            if limit == bucket.limit:
                 continue
-            if limit is None or limit.unit is not level.limit.unit:
-                del self._levels[subject]
+            if limit is None or limit.unit is not bucket.limit.unit:
+                del self._buckets[subject]
                 continue
             number = find_partition(subject)
             accrued_s = self._delegations.find_accrued_s(number)
-            saved = self._bounds.compute_capacity(level.limit, shares[number])
-            level.settle(accrued_s, saved)
-            level.limit = limit
-            level.rate_per_s = self._bounds.compute_rate(limit)
+            saved = self._bounds.compute_capacity(bucket.limit, shares[number])
+            bucket.settle(accrued_s, saved)
+            bucket.limit = limit
+            bucket.rate_per_s = self._bounds.compute_rate(limit)
             capacity = self._bounds.compute_capacity(limit, shares[number])
-            level.value = min(level.value, capacity)
+            bucket.level = min(bucket.level, capacity)
 
     def grant(
         self,
@@ -125,59 +125,59 @@
         share: float,
         denied: float = 0.0,
     ) -> CreditGrant:
-        """Grant what fits of some requests, at least the first of them or nothing.
+        """Grant as much as fits of `wanted`, either at least `least` or nothing.
 
-        `denied` is what the same node was denied last, which it asks for again.
+        `denied` is what the same node was last denied and now requests again.
         """
-        level = self._find_level(subject, limit, share)
+        bucket = self._find_bucket(subject, limit, share)
         debt = self._bounds.compute_max_debt(limit)
         if share <= MAJORITY:
             debt *= share
         needed = max(least - debt, 0.0)
-        rate_per_s = level.rate_per_s * share
-        if level.value < needed:
-            closed_ms = (needed - level.value) / rate_per_s * 1_000
-            retry_ms = closed_ms + level.backlog / rate_per_s * 1_000
-            most = level.rate_per_s * MAX_BACKLOG_S
+        rate_per_s = bucket.rate_per_s * share
+        if bucket.level < needed:
+            closed_ms = (needed - bucket.level) / rate_per_s * 1_000
+            retry_ms = closed_ms + bucket.backlog / rate_per_s * 1_000
+            most = bucket.rate_per_s * MAX_BACKLOG_S
             added = max(wanted - denied, 0.0)
-            level.backlog = min(level.backlog + added, most)
-            level.denied_total += added
+            bucket.backlog = min(bucket.backlog + added, most)
+            bucket.denied_total += added
             return CreditGrant(0.0, closed_ms, retry_ms)
-        granted = min(wanted, level.value + debt)
-        level.value -= granted
-        level.granted_total += granted
-        closed_ms = max(-level.value, 0.0) / rate_per_s * 1_000
+        granted = min(wanted, bucket.level + debt)
+        bucket.level -= granted
+        bucket.granted_total += granted
+        closed_ms = max(-bucket.level, 0.0) / rate_per_s * 1_000
         return CreditGrant(granted, closed_ms, closed_ms)
 
     def return_credit(
         self, subject: str, limit: RateLimit, credit: float, share: float
     ) -> None:
-        """Take back credit that was granted and not used."""
-        level = self._find_level(subject, limit, share)
+        """Return unused credit to a bucket."""
+        bucket = self._find_bucket(subject, limit, share)
         capacity = self._bounds.compute_capacity(limit, share)
-        level.value = min(level.value + credit, max(capacity, level.value))
-        level.granted_total -= credit
+        bucket.level = min(bucket.level + credit, max(capacity, bucket.level))
+        bucket.granted_total -= credit
 
     def list_usage(self, shares: Sequence[float]) -> list[BucketUsage]:
-        """Return what is known of each subject."""
+        """Return the statistics of each subject."""
         return [
             BucketUsage(
                 name,
-                level.limit.rate_per_s,
-                level.value,
+                bucket.limit.rate_per_s,
+                bucket.level,
                 shares[find_partition(name)],
-                level.granted_total,
-                level.denied_total,
+                bucket.granted_total,
+                bucket.denied_total,
             )
-            for name, level in self._levels.items()
+            for name, bucket in self._buckets.items()
         ]
 
-    def _find_level(self, subject: str, limit: RateLimit, share: float) -> _Bucket:
-        level = self._levels.get(subject)
-        if level is None:
-            level = self._levels[subject] = _Bucket(
+    def _find_bucket(self, subject: str, limit: RateLimit, share: float) -> _Bucket:
+        bucket = self._buckets.get(subject)
+        if bucket is None:
+            bucket = self._buckets[subject] = _Bucket(
                 limit, self._bounds.compute_rate(limit)
             )
         accrued_s = self._delegations.find_accrued_s(find_partition(subject))
-        level.settle(accrued_s, self._bounds.compute_capacity(level.limit, share))
-        return level
+        bucket.settle(accrued_s, self._bounds.compute_capacity(bucket.limit, share))
+        return bucket
--- a/packages/toucanyard/src/toucanyard/limit_coordinators.py
+++ b/packages/toucanyard/src/toucanyard/limit_coordinators.py
@@ -1,7 +1,8 @@
-"""Choose the homes of limits, and know which shares are pledged to this node.
+"""Choose the coordinators of limits, and track the shares delegated to this node.
 
-In a mesh each node pledges its own share to a home, in a larger fleet each hub those of
-its group. One that reaches no hub is its own home after a while, with its own share.
+In a full mesh each node delegates its own share to a coordinator; in a larger fleet
+each hub delegates those of its group. A node that reaches no hub becomes its own
+coordinator after a timeout, with its own share only.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 from toucanyard.roster import Roster
 
 UPDATE_MS: Final = 100.0
-"""Time between two looks at who may be a home."""
+"""Interval between updates of the candidates for coordinator."""
 ALONE_MS: Final = 1_500.0
-"""Time without a hub after which a node uses its own share. By then its hub has missed
-it and pledges it to nobody."""
+"""Time without a hub after which a node uses its own share. By then its hub has
+detected the lost link and no longer delegates that share."""
 
 
 class LimitCoordinators:
-    """The homes as one node sees them, for limits of all kinds.
+    """The coordinators as one node sees them, for limits of all kinds.
 
     Invariant: this node's share counts in one group at a time, and its group names one
-    home a slice.
+    coordinator per partition.
     """
 
     def __init__(
@@ -52,69 +53,69 @@
         self.linked: frozenset[NodeName] = frozenset()
         self._candidates: frozenset[NodeName] = frozenset()
         self.coordinators: tuple[NodeName, ...] = ()
-        """By slice of what is limited; empty while this node pledges to nobody."""
+        """By partition; empty while this node delegates to nobody."""
         self._reached_ms: float | None = None
         """When this node last had a hub; None before its first tick."""
         self._updated_ms = float("-inf")
         self.total = 1
-        """Nodes that stand for a share of each limit."""
+        """Number of nodes that hold a share of each limit."""
         self.delegation: ShareDelegation | None = None
-        """What peers are told of this node's group."""
+        """The delegation of this node's group, as sent to peers."""
 
     def add_buckets(self, buckets: LimitBuckets) -> None:
-        """Let a pool drop what it held of slices whose pledges end."""
+        """Register buckets whose partitions are dropped when their delegations end."""
         self._all_buckets.append(buckets)
 
     def update_links(self, names: Collection[NodeName], now_ms: float) -> None:
-        """Take in which peers are linked now."""
+        """Apply which peers are linked now."""
         self.linked = frozenset(names)
         self.delegations.retain(names)
         self._update(now_ms)
 
     def tick(self, now_ms: float) -> bool:
-        """Bring homes and pledges up to date; return whether that was due."""
+        """Update coordinators and delegations; return whether an update was due."""
         is_due = now_ms - self._updated_ms >= UPDATE_MS
         if is_due:
             self._update(now_ms)
         return is_due
 
     def withdraw(self) -> None:
-        """Pledge nothing, as there is no limit."""
+        """Delegate nothing, as there is no limit."""
         self.delegation = None
 
     def receive_delegation(
         self, sender: NodeName, delegation: ShareDelegation, now_ms: float
     ) -> None:
-        """Take in to whom a peer's group gives its shares."""
+        """Apply a peer's delegation of its group's shares."""
         if sender not in self.linked:
-            # Read after its link was lost: the end of it would go unnoticed.
+            # Received after the link was lost, so its end would not be detected.
             return
         if not self.delegations.is_known(sender, delegation):
             self.settle(now_ms)
         self.delegations.record(sender, delegation, now_ms)
 
     def settle(self, now_ms: float) -> None:
-        """Add up what has been pledged to this node until now."""
+        """Accrue what has been delegated to this node until now."""
         lost = self.delegations.settle(self.total, now_ms)
         if lost:
             for buckets in self._all_buckets:
                 buckets.drop_partitions(lost)
 
     def find_coordinator(self, subject: str) -> NodeName | None:
-        """Return the home of a limit; None while this node pledges to nobody."""
+        """Return a limit's coordinator; None while this node delegates to nobody."""
         return self.coordinators[find_partition(subject)] if self.coordinators else None
 
     def find_next_hop(self, subject: str) -> NodeName | None:
-        """Return whom to ask: the home, or the hub that knows it."""
+        """Return a credit request's next hop: the coordinator or this node's hub."""
         coordinator = self.find_coordinator(subject)
         return self._roster.find_primary() if coordinator is None else coordinator
 
     def compute_share(self, subject: str) -> float:
-        """Return the share of a limit that is pledged to this node."""
+        """Return the share of a limit that is delegated to this node."""
         return self.delegations.compute_share(find_partition(subject), self.total)
 
     def compute_shares(self) -> list[float]:
-        """Return the same for each slice."""
+        """Return the shares that are delegated to this node, by partition."""
         return [
             self.delegations.compute_share(number, self.total)
             for number in range(PARTITION_COUNT)
@@ -135,9 +136,9 @@
             self.delegations.record(self.own, self.delegation, now_ms)
 
     def _find_candidates(self, now_ms: float) -> frozenset[NodeName]:
-        """Return the nodes that may be a home; none while this node pledges nothing."""
+        """Return the possible coordinators; none while this node delegates nothing."""
         if not self._knows_nodes():
-            # It would take itself for the whole fleet.
+            # This node would regard itself as the whole fleet.
             return frozenset()
         own = frozenset((self.own,))
         if self._strategy is LimitStrategy.EQUAL_SHARES:
@@ -159,6 +160,6 @@
         return frozenset(found)
 
     def _is_apart(self) -> bool:
-        """Tell whether this node stands for itself only."""
+        """Return whether this node represents only itself."""
         is_equal = self._strategy is LimitStrategy.EQUAL_SHARES
         return is_equal or self._roster.is_full_mesh()
--- a/packages/toucanyard/src/toucanyard/limit_credits.py
+++ b/packages/toucanyard/src/toucanyard/limit_credits.py
@@ -1,10 +1,10 @@
-"""Hold the credit that one node was granted for what limits count.
+"""Hold the credit that rate limits have granted to one node.
 
-What a limit is of, a customer or a replica, is its subject here.
+The subject of a limit is the customer or the replica that it applies to.
 
-Credit is asked for when requests need it and used within a moment: what a node holds
-that nobody uses would be missing elsewhere, and could run in a later window than the
-one that it was granted in.
+Credit is requested when model requests need it and expires soon after: credit held
+without use would be missing at other nodes, and could be spent in a later window than
+the one in which it was granted.
 """
 
 from __future__ import annotations
@@ -19,43 +19,44 @@
 from toucanyard.rate_limits import MIN_CREDIT_MS
 
 REQUEST_TIMEOUT_MS: Final = 200.0
-"""Time without an answer after which a question is sent again."""
+"""Time without an answer after which a credit request is sent again."""
 MIN_DENIAL_MS: Final = 25.0
-"""Least time between a denial and the next question, which a flood would else ask for
-each of its requests."""
+"""Minimum time between a denial and the next credit request; otherwise a flood would
+send one for each of its requests."""
 MAX_DENIAL_MS: Final = 500.0
-"""Longest time for which a denial is believed: another node may be the home by then."""
+"""Maximum time for which a denial is valid: by then another node may be the limit's
+coordinator."""
 
 
 class CreditRequest(msgspec.Struct, frozen=True):
-    """What a node asks the home of a limit for."""
+    """A node's request for credit to the coordinator of a limit."""
 
     number: int
     subject: str
     wanted: float
     least: float
-    """Cost of the first request; less is of no use."""
+    """Cost of the first waiting request; a smaller grant can't be used."""
     returned: float
-    """Credit of before that was not used."""
+    """Previously granted credit that was not used."""
 
 
 class Denial(msgspec.Struct, frozen=True):
-    """What the home of a limit said when it granted nothing."""
+    """Answer of a limit's coordinator that granted nothing."""
 
     closed_ms: float
-    """Time until it is asked again."""
+    """Time until the next credit request."""
     retry_ms: float
-    """Time until it may grant something, behind all that it denied before."""
+    """Estimated time until a grant, after all requests that were denied earlier."""
     age_ms: float
 
 
 class _Account:
     __slots__ = (
-        "requested_ms",
-        "denied_until_ms",
         "credit",
-        "denied_ms",
         "credit_request",
+        "denied_ms",
+        "denied_until_ms",
+        "requested_ms",
         "retry_at_ms",
         "returned",
         "sent_ms",
@@ -67,15 +68,15 @@
     def __init__(self) -> None:
         self.credit = 0.0
         self.ttl_ms = MIN_CREDIT_MS
-        """Time from asking for credit until it may no longer be used."""
+        """Time from the credit request until the credit expires."""
         self.until_ms = float("-inf")
         self.credit_request: CreditRequest | None = None
-        """The question that has no answer yet."""
+        """The outstanding credit request, if any."""
         self.requested_ms = float("-inf")
         self.sent_ms = float("-inf")
-        """When the question was sent last."""
+        """When the credit request was last sent."""
         self.waiting: dict[RequestId, float] = {}
-        """Cost of requests that wait for credit, in order of arrival."""
+        """Costs of the model requests that wait for credit, in order of arrival."""
         self.returned = 0.0
         self.denied_until_ms = float("-inf")
         self.denied_ms = float("-inf")
@@ -83,18 +84,19 @@
 
 
 class CreditAccounts:
-    """Credit by subject. Invariant: what is taken was granted before, and once."""
+    """Credit by subject. Invariant: what is taken was granted before, and only once."""
 
     __slots__ = ("_accounts", "_first", "_open", "request_count")
 
     def __init__(self, first_number: int = 0) -> None:
         self._first = first_number
-        """Other than that of the incarnation before, whose answers homes still know."""
+        """Differs from that of the previous incarnation, whose answers may still be
+        stored at coordinators."""
         self._accounts: dict[str, _Account] = {}
         self._open: dict[str, None] = {}
-        """Customers with requests that wait for credit."""
+        """Subjects with model requests that wait for credit."""
         self.request_count = 0
-        """Questions so far."""
+        """Credit requests so far."""
 
     def take(
         self,
@@ -104,7 +106,7 @@
         ttl_ms: float,
         now_ms: float,
     ) -> float | None:
-        """Use credit for a request; return until when, or let the request wait."""
+        """Take credit for a request and return its expiry; None if it has to wait."""
         account = self._find(subject, now_ms)
         account.ttl_ms = ttl_ms
         if account.credit >= cost:
@@ -116,14 +118,14 @@
         return None
 
     def find_credit(self, subject: str, now_ms: float) -> float:
-        """Return the credit that may be used now."""
+        """Return the credit that may be spent now."""
         account = self._accounts.get(subject)
         if account is None or now_ms >= account.until_ms:
             return 0.0
         return account.credit
 
     def find_denial(self, subject: str, now_ms: float) -> Denial | None:
-        """Return the denial that still holds; None if the home may grant now."""
+        """Return the denial in force; None if the coordinator may grant now."""
         account = self._accounts.get(subject)
         if account is None or account.denied_until_ms <= now_ms:
             return None
@@ -132,33 +134,33 @@
         return Denial(closed_ms, retry_ms, now_ms - account.denied_ms)
 
     def withdraw(self, request_id: RequestId, subject: str) -> None:
-        """Let a request no longer wait for credit."""
+        """Remove a request from those that wait for credit."""
         account = self._accounts.get(subject)
         if account is not None:
             account.waiting.pop(request_id, None)
 
     def return_unused(self, subject: str, credit: float, now_ms: float) -> None:
-        """Return credit that a request took and did not use."""
+        """Record credit that a request took and did not use, to be returned."""
         self._find(subject, now_ms).returned += credit
 
     def has_requests(self) -> bool:
-        """Tell whether requests may be waiting for credit."""
+        """Return whether model requests may be waiting for credit."""
         return bool(self._open)
 
     def retain(self, subjects: Collection[str]) -> None:
-        """Drop what is known of those that have no limit any more."""
+        """Drop the accounts of subjects that no longer have a limit."""
         for subject in set(self._accounts).difference(subjects):
             del self._accounts[subject]
             self._open.pop(subject, None)
 
     def forget_denials(self, subject: str) -> None:
-        """Drop the denials of a limit that has changed."""
+        """Drop the denial in force for a limit that has changed."""
         account = self._accounts.get(subject)
         if account is not None:
             account.denied_until_ms = float("-inf")
 
     def list_requests(self, now_ms: float) -> Iterator[CreditRequest]:
-        """Return what has to be asked now."""
+        """Return the credit requests that have to be sent now."""
         for subject in list(self._open):
             account = self._find(subject, now_ms)
             if not account.waiting:
@@ -180,7 +182,7 @@
     def apply_grant(
         self, subject: str, number: int, grant: CreditGrant, now_ms: float
     ) -> None:
-        """Take in the answer to a question; one that came too late grants nothing."""
+        """Apply the answer to a credit request; a late answer grants nothing."""
         account = self._accounts.get(subject)
         if account is None:
             return
@@ -207,7 +209,7 @@
     ) -> CreditRequest:
         self.request_count += 1
         account.requested_ms = account.sent_ms = now_ms
-        # What is left would lapse before the answer does.
+        # The remaining credit would expire before the new grant does, so return it.
         returned, account.returned = account.returned + account.credit, 0.0
         account.credit = 0.0
         account.credit_request = CreditRequest(
--- a/packages/toucanyard/src/toucanyard/limit_delegations.py
+++ b/packages/toucanyard/src/toucanyard/limit_delegations.py
@@ -1,10 +1,11 @@
-"""Know which share of limits this node may give out.
-
-Each node stands for an equal share of every limit. A group of nodes, those that report
-to one hub or a single node of a mesh, pledges its shares to one home for each slice of
-what is limited, and says so in every status. A home gives out what was pledged to it
-and nothing else: as a group names one home at a time, the shares of all homes never
-exceed the limit, whoever is cut from whom.
+"""Track the share of each limit that this node may grant.
+
+Each node holds an equal share of every limit. Limits are hashed into partitions. A
+group of nodes, which is those that report to one hub or a single node of a full mesh,
+delegates its shares to one coordinator per partition and repeats this in every status
+message. A coordinator grants only what is delegated to it. As a group names one
+coordinator at a time, the shares of all coordinators never exceed the limit, whatever
+the network partition.
 """
 
 from __future__ import annotations
@@ -19,46 +20,46 @@
 from toucanyard.vm_view import compute_rank
 
 PARTITION_COUNT: Final = 4
-"""Slices of what is limited, with a home each, so that no hub answers for all."""
+"""Number of partitions, with a coordinator each, so that no hub serves all limits."""
 DELEGATION_TTL_MS: Final = 900.0
-"""Time after which a pledge that was not renewed has ended. Shorter than the silence
-after which its sender takes the link for dead and names another home."""
+"""Time after which a delegation that was not renewed expires. Shorter than the silence
+after which its sender considers the link dead and names another coordinator."""
 
 
 class ShareDelegation(msgspec.Struct, frozen=True, array_like=True):
-    """The homes to which a group gives its shares."""
+    """The coordinators to which a group delegates its shares."""
 
     nodes: int
-    """Nodes of the group."""
+    """Number of nodes in the group."""
     coordinators: tuple[NodeName, ...]
-    """By slice of the customers."""
+    """By partition."""
 
 
 class DelegationTable:
-    """Pledges that this node has heard, its own group's among them.
+    """Delegations that this node has received, including its own group's.
 
-    Invariant: what has accrued grows by no more than the time that passes.
+    Invariant: the accrued time grows by no more than the time that passes.
     """
 
-    __slots__ = ("_accrued_s", "_nodes", "_own", "_delegations", "_settled_ms")
+    __slots__ = ("_accrued_s", "_delegations", "_nodes", "_own", "_settled_ms")
 
     def __init__(self, own: NodeName) -> None:
         self._own = own
         self._delegations: dict[NodeName, tuple[float, ShareDelegation]] = {}
         self._nodes = [0] * PARTITION_COUNT
-        """Nodes whose shares are pledged to this one, by slice."""
+        """Number of nodes whose shares are delegated to this one, by partition."""
         self._accrued_s = [0.0] * PARTITION_COUNT
         self._settled_ms = float("-inf")
 
     def is_known(self, group: NodeName, delegation: ShareDelegation) -> bool:
-        """Tell whether a group has pledged the same before."""
+        """Return whether a group's current delegation is the same."""
         known = self._delegations.get(group)
         return known is not None and known[1] == delegation
 
     def record(
         self, group: NodeName, delegation: ShareDelegation, now_ms: float
     ) -> None:
-        """Take in what a group pledges; it counts from now on."""
+        """Store or renew a group's delegation, which counts from now on."""
         if not self.is_known(group, delegation):
             self._drop(group)
             if len(delegation.coordinators) != PARTITION_COUNT or delegation.nodes <= 0:
@@ -67,15 +68,15 @@
         self._delegations[group] = (now_ms, delegation)
 
     def retain(self, groups: Iterable[NodeName]) -> None:
-        """Drop the pledges of groups without a link."""
+        """Drop the delegations of groups without a link."""
         for group in self._delegations.keys() - {*groups, self._own}:
             self._drop(group)
 
     def settle(self, total_nodes: int, now_ms: float) -> list[int]:
-        """Add up the time since the last call; return the slices that were lost.
+        """Accrue the time since the last call; return the partitions that were lost.
 
-        After a long pause, as of a VM that was suspended, nothing that was pledged
-        before counts.
+        After a long pause, as when the VM was suspended, earlier delegations no longer
+        count.
         """
         passed_ms = now_ms - self._settled_ms
         self._settled_ms = now_ms
@@ -91,11 +92,11 @@
         return lost
 
     def compute_share(self, number: int, total_nodes: int) -> float:
-        """Return the share of a slice's limits that was pledged here when settled."""
+        """Return the share of a partition's limits that is delegated to this node."""
         return min(self._nodes[number] / max(total_nodes, 1), 1.0)
 
     def find_accrued_s(self, number: int) -> float:
-        """Return the time, in s, for which a whole limit was pledged to this node."""
+        """Return the accrued time in s, weighted by the share delegated here."""
         return self._accrued_s[number]
 
     def _expire(self, now_ms: float) -> None:
@@ -119,12 +120,12 @@
 
 
 def find_partition(subject: str) -> int:
-    """Return the slice that a limit belongs to, the same on all nodes."""
+    """Return the partition that a limit belongs to, the same on all nodes."""
     return xxhash.xxh3_64_intdigest(subject.encode()) % PARTITION_COUNT
 
 
 def choose_coordinators(candidates: Iterable[NodeName]) -> tuple[NodeName, ...]:
-    """Return the home of each slice among the nodes that may be one."""
+    """Return the coordinator of each partition, chosen among the candidates."""
     names = sorted(candidates)
     return tuple(
         max(names, key=lambda name: compute_rank(f"limits {number}", name))
--- a/packages/toucanyard/src/toucanyard/limit_events.py
+++ b/packages/toucanyard/src/toucanyard/limit_events.py
@@ -1,4 +1,4 @@
-"""Take in what concerns limits, and let calls and peers know what follows from it."""
+"""Handle events about limits, and notify calls and peers of their effects."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LimitEvents:
-    """The events of one node that limits depend on."""
+    """Handler of one node's events that concern limits."""
 
     def __init__(
         self,
@@ -29,24 +29,24 @@
         self._statuses = statuses
 
     def tick(self, now_ms: float) -> Iterator[RelayAction]:
-        """Bring limits and their homes up to date."""
+        """Update limits and their coordinators."""
         coordinators = self._shares.list_coordinators()
         yield from self._shares.tick(now_ms)
         if self._shares.list_coordinators() != coordinators:
-            # A home gives out nothing before it is told what is pledged to it.
+            # A coordinator grants nothing until it knows what is delegated to it.
             self._statuses.note_due()
 
     def settle(self, now_ms: float) -> Iterator[RelayAction]:
-        """Use the credit that has come, and ask homes for what is missing."""
+        """Use newly granted credit, and request what is missing from coordinators."""
         if not self._shares.has_requests():
             return
         yield from self._use_credit(now_ms)
         yield from self._shares.request_credit(now_ms)
-        # This node may have answered itself.
+        # This node may be the coordinator and have answered itself.
         yield from self._use_credit(now_ms)
 
     def on_seen(self, seen: ReplicaLimitSeen, now_ms: float) -> Iterator[RelayAction]:
-        """Take in what an answer says of its replica's limit."""
+        """Apply the limit that a replica's response names."""
         limits = self._replica_limits
         if seen.invalid_text:
             yield from limits.on_invalid(seen.replica, seen.invalid_text, now_ms)
@@ -58,7 +58,7 @@
     def read_status(
         self, sender: NodeName, status: NodeStatus, now_ms: float
     ) -> Iterator[RelayAction]:
-        """Take in a peer's pledge, and the limits that it knows."""
+        """Apply a peer's delegation and the replica limits that it knows."""
         if status.pledge is not None:
             self._shares.receive_delegation(sender, status.pledge, now_ms)
         before = self._replica_limits.change_count
@@ -68,7 +68,7 @@
     def read_message(
         self, sender: NodeName, message: CreditAsk | CreditAnswer, now_ms: float
     ) -> Iterator[RelayAction]:
-        """Take in a question for credit, or an answer."""
+        """Handle a credit request or an answer to one."""
         match message:
             case CreditAsk():
                 yield from self._shares.receive_request(sender, message, now_ms)
--- a/packages/toucanyard/src/toucanyard/limit_exchange.py
+++ b/packages/toucanyard/src/toucanyard/limit_exchange.py
@@ -1,6 +1,7 @@
-"""Keep limits together over all nodes: questions for credit, and their answers.
+"""Enforce limits across all nodes: credit requests and their answers.
 
-A node asks its hub, which asks the limit's home; in a mesh it asks the home itself.
+A node sends its requests to its hub, which forwards them to the limit's coordinator; in
+a full mesh it sends them to the coordinator directly.
 """
 
 from __future__ import annotations
@@ -20,29 +21,29 @@
 
 
 class LimitSource(Protocol):
-    """Knows the limits of one kind, and what this node's calls need of them."""
+    """Provides the limits of one kind and this node's credit accounts for them."""
 
     @property
     def accounts(self) -> CreditAccounts:
-        """Return the credit that this node was granted."""
+        """Return the accounts of credit granted to this node."""
         ...
 
     def find_limit(self, subject: str) -> RateLimit | None:
-        """Return a limit; None if there is none that this node knows of."""
+        """Return a limit; None if this node knows of none."""
         ...
 
 
 class _SentAnswer(msgspec.Struct, frozen=True):
-    """What a home answered to one node about one limit."""
+    """A coordinator's last answer to one node about one limit."""
 
     at_ms: float
     answer: CreditAnswer
     denied: float
-    """What was asked for, if nothing was granted."""
+    """The amount requested, if nothing was granted."""
 
 
 class LimitExchange:
-    """The part of one node in all limits of one kind."""
+    """One node's participation in all limits of one kind."""
 
     def __init__(
         self,
@@ -58,19 +59,19 @@
         coordinators.add_buckets(self._buckets)
         self._is_answered = False
         self._sent_answers: dict[tuple[NodeName, str], _SentAnswer] = {}
-        """The last answer to each node about each limit."""
+        """The last answer to each node, by limit."""
 
     def apply_limits(self, now_ms: float) -> None:
-        """Let changed limits be in force."""
+        """Apply changed limits."""
         self._coordinators.settle(now_ms)
         self._buckets.apply_limits(
             self._source.find_limit, self._coordinators.compute_shares()
         )
 
     def request_credit(self, now_ms: float) -> Iterator[SendToPeer]:
-        """Ask for the credit that calls wait for; this node may be its own home."""
+        """Request the credit that calls wait for; this node may be the coordinator."""
         for credit_request in self._source.accounts.list_requests(now_ms):
-            ask = CreditAsk(
+            request = CreditAsk(
                 self._coordinators.own,
                 credit_request.number,
                 credit_request.subject,
@@ -83,88 +84,89 @@
                 self._coordinators.find_coordinator(credit_request.subject)
                 == self._coordinators.own
             ):
-                answer = self._answer(ask, now_ms)
+                answer = self._answer(request, now_ms)
                 if answer is not None:
                     self._apply(answer, now_ms)
                 continue
             target = self._coordinators.find_next_hop(credit_request.subject)
             if target is not None:
-                yield SendToPeer(target, ask)
+                yield SendToPeer(target, request)
 
     def receive_request(
-        self, sender: NodeName, ask: CreditAsk, now_ms: float
+        self, sender: NodeName, request: CreditAsk, now_ms: float
     ) -> Iterator[SendToPeer]:
-        """Answer a node's question, or pass it on to the home."""
-        coordinator = self._coordinators.find_coordinator(ask.subject)
+        """Answer a node's credit request, or forward it to the coordinator."""
+        coordinator = self._coordinators.find_coordinator(request.subject)
         if coordinator == self._coordinators.own:
-            answer = self._answer(ask, now_ms)
+            answer = self._answer(request, now_ms)
             if answer is not None:
                 yield SendToPeer(sender, answer)
-        elif coordinator in self._coordinators.linked and ask.origin == sender:
-            # Passed on once only: nodes that differ on the home would pass it for ever.
-            yield SendToPeer(coordinator, ask)
+        elif coordinator in self._coordinators.linked and request.origin == sender:
+            # Forwarded only once: nodes that disagree about the coordinator would
+            # otherwise forward it forever.
+            yield SendToPeer(coordinator, request)
 
     def receive_answer(
         self, answer: CreditAnswer, now_ms: float
     ) -> Iterator[SendToPeer]:
-        """Take in a home's answer, or pass it on to the node that asked."""
+        """Apply a coordinator's answer, or forward it to the node that asked."""
         if answer.origin == self._coordinators.own:
             self._apply(answer, now_ms)
         elif answer.origin in self._coordinators.linked:
             yield SendToPeer(answer.origin, answer)
 
     def list_usage(self) -> list[BucketUsage]:
-        """Return what this node knows of the limits of which it is the home."""
+        """Return the usage of the limits that this node coordinates."""
         return self._buckets.list_usage(self._coordinators.compute_shares())
 
     def consume_answered_flag(self) -> bool:
-        """Tell whether an answer has come since this was asked last."""
+        """Return whether an answer has arrived since the last call of this method."""
         is_answered, self._is_answered = self._is_answered, False
         return is_answered
 
     def prune_answers(self, now_ms: float) -> None:
-        """Drop answers whose credit has lapsed."""
+        """Drop stored answers whose credit has expired."""
         self._sent_answers = {
             key: sent
             for key, sent in self._sent_answers.items()
             if now_ms - sent.at_ms <= MAX_CREDIT_MS
         }
 
-    def _answer(self, ask: CreditAsk, now_ms: float) -> CreditAnswer | None:
-        """Return what a question is granted; None if nothing is pledged here.
+    def _answer(self, request: CreditAsk, now_ms: float) -> CreditAnswer | None:
+        """Return the answer to a credit request; None if no share is delegated here.
 
-        A question that comes again gets its answer again: granted anew each time that
-        an answer is slow, a limit would be used up without anything being sent.
+        A repeated request gets the stored answer. If it were granted again whenever an
+        answer is slow, a limit would be exhausted without anything being sent.
         """
-        sent = self._sent_answers.get((ask.origin, ask.subject))
-        if sent is not None and sent.answer.number == ask.number:
+        sent = self._sent_answers.get((request.origin, request.subject))
+        if sent is not None and sent.answer.number == request.number:
             return sent.answer
-        limit = self._source.find_limit(ask.subject)
+        limit = self._source.find_limit(request.subject)
         if limit is None:
-            return self._answer_unlimited(ask)
+            return self._answer_unlimited(request)
         self._coordinators.settle(now_ms)
-        share = self._coordinators.compute_share(ask.subject)
+        share = self._coordinators.compute_share(request.subject)
         if not share:
             return None
-        self._buckets.return_credit(ask.subject, limit, ask.returned, share)
+        self._buckets.return_credit(request.subject, limit, request.returned, share)
         denied = 0.0 if sent is None else sent.denied
         grant = self._buckets.grant(
-            ask.subject, limit, ask.wanted, ask.least, share, denied
+            request.subject, limit, request.wanted, request.least, share, denied
         )
-        answer = _build_answer(ask, grant)
-        denied = 0.0 if grant.granted else ask.wanted
-        self._sent_answers[ask.origin, ask.subject] = _SentAnswer(
+        answer = _build_answer(request, grant)
+        denied = 0.0 if grant.granted else request.wanted
+        self._sent_answers[request.origin, request.subject] = _SentAnswer(
             now_ms, answer, denied
         )
         return answer
 
-    def _answer_unlimited(self, ask: CreditAsk) -> CreditAnswer | None:
+    def _answer_unlimited(self, request: CreditAsk) -> CreditAnswer | None:
         match self._kind:
             case LimitKind.CUSTOMER:
-                # The asker has read another version of the configuration.
-                return _build_answer(ask, CreditGrant(ask.wanted, 0.0, 0.0))
+                # The requesting node has read another version of the configuration.
+                return _build_answer(request, CreditGrant(request.wanted, 0.0, 0.0))
             case LimitKind.REPLICA:
-                # This node has not heard of the limit yet; the asker asks again.
+                # This node has not learned of the limit yet; the request is repeated.
                 return None
 
     def _apply(self, answer: CreditAnswer, now_ms: float) -> None:
@@ -173,13 +175,13 @@
         self._source.accounts.apply_grant(answer.subject, answer.number, grant, now_ms)
 
 
-def _build_answer(ask: CreditAsk, grant: CreditGrant) -> CreditAnswer:
+def _build_answer(request: CreditAsk, grant: CreditGrant) -> CreditAnswer:
     return CreditAnswer(
-        ask.origin,
-        ask.number,
-        ask.subject,
+        request.origin,
+        request.number,
+        request.subject,
         grant.granted,
         grant.closed_ms,
         grant.retry_ms,
-        ask.kind,
+        request.kind,
     )
--- a/packages/toucanyard/src/toucanyard/rate_limits.py
+++ b/packages/toucanyard/src/toucanyard/rate_limits.py
@@ -1,9 +1,8 @@
-"""Know what a limit over all nodes allows, and what one request costs.
+"""Compute what a limit over all nodes allows, and what one request costs.
 
-A limit is a rate and a burst, counted in requests or in tokens: of what a customer may
-send, or of what a replica takes. Whoever sets it also says by how much the sum over all
-nodes may pass it within a window; what nodes do that can't see each other has to fit in
-there.
+A limit is a rate and a burst, counted in requests or tokens, of what a customer may
+send or what a replica accepts. Its bounds say by how much the sum over all nodes may
+exceed it within a window; the effects of network partitions have to fit in that margin.
 """
 
 from __future__ import annotations
@@ -14,11 +13,12 @@
 import msgspec
 
 MARGIN_FRACTION: Final = 1 / 5
-"""Part of a limit's margin that each of these may take: a request that goes below zero,
-credit that was granted before a window began, a second home that takes over in it."""
+"""Fraction of a limit's margin that each of these may use: a request that takes the
+bucket below zero, credit that was granted before a window began, and a second
+coordinator that takes over within it."""
 MIN_CREDIT_MS: Final = 300.0
 MAX_CREDIT_MS: Final = 1_500.0
-"""Least and longest life of credit."""
+"""Minimum and maximum time to live of credit."""
 
 
 class LimitUnit(enum.StrEnum):
@@ -26,20 +26,20 @@
 
     REQUESTS = "requests"
     TOKENS = "tokens"
-    """Prompt tokens and the most output tokens that a request asks for."""
+    """Prompt tokens plus the maximum output tokens that a request asks for."""
 
 
 class RateLimit(msgspec.Struct, frozen=True):
-    """The limit of one customer or replica, in its unit."""
+    """The rate limit of one customer or replica."""
 
     rate_per_s: float
     burst: float
     unit: LimitUnit = LimitUnit.REQUESTS
     plain_cost: float = 1.0
-    """Cost of a request that says nothing of tokens, where tokens are counted."""
+    """Cost of a request without a token count, where the unit is tokens."""
 
     def compute_cost(self, tokens: int | None) -> float:
-        """Return what a request costs; `tokens` is None if it doesn't say."""
+        """Return a request's cost; `tokens` is None if it doesn't give a count."""
         match self.unit:
             case LimitUnit.REQUESTS:
                 return 1.0
@@ -47,39 +47,39 @@
                 return self.plain_cost if tokens is None else float(tokens)
 
     def compute_capacity(self) -> float:
-        """Return what may be saved up; one request at least."""
+        """Return the bucket's capacity, at least the cost of one request."""
         return max(self.burst, self.compute_cost(None))
 
 
 class LimitBounds(msgspec.Struct, frozen=True):
-    """By how much the sum over all nodes may pass a limit within a window."""
+    """By how much the sum over all nodes may exceed a limit within a window."""
 
     window_ms: float = 10_000.0
     overshoot: float = 0.1
-    """Share of what the limit allows in a window."""
+    """Margin as a share of what the limit allows in a window."""
     slack: float = 0.0
-    """The same as an absolute figure, in the unit of the limit."""
+    """Additional margin as an absolute amount, in the limit's unit."""
     max_credit_ms: float = MAX_CREDIT_MS
     spends_margin: bool = True
-    """Whether what is left of the margin is granted on top of the rate."""
+    """Whether the unused margin is granted in addition to the rate."""
 
     min_capacity: float = 0.0
-    """What a home may save up however small its share is. Where single requests are
-    granted, less than one would never do."""
+    """Minimum capacity of a coordinator's bucket, however small its share. Where
+    single requests are granted, a capacity below one would never allow any."""
 
     def compute_capacity(self, limit: RateLimit, share: float) -> float:
-        """Return what a home with a share of a limit may save up."""
+        """Return the bucket capacity of a coordinator with a share of a limit."""
         return max(limit.compute_capacity() * share, self.min_capacity)
 
     def compute_bound(self, limit: RateLimit) -> float:
-        """Return the most that may run of a customer in one window."""
+        """Return the maximum that a customer may use in one window."""
         return self._compute_allowed(limit) + self._compute_margin(limit)
 
     def compute_rate(self, limit: RateLimit) -> float:
-        """Return what a home grants each second, over time.
+        """Return what a coordinator grants per second in the long term.
 
-        It may be the rate and what is left of the margin: a customer at its limit would
-        else be refused what the bound allows.
+        It may add the unused margin to the rate. Otherwise a customer at its limit
+        would be denied what the bound allows.
         """
         if not self.spends_margin:
             return limit.rate_per_s
@@ -89,11 +89,11 @@
         return (limit.rate_per_s * window_s + spare) / (window_s + late_s)
 
     def compute_max_debt(self, limit: RateLimit) -> float:
-        """Return how far below zero one request may take a customer."""
+        """Return how far below zero one request may take a bucket."""
         return self._compute_margin(limit) * MARGIN_FRACTION
 
     def compute_credit_ms(self, limit: RateLimit) -> float:
-        """Return for how long credit may be used once it was asked for, in ms."""
+        """Return the time to live of credit from its request on, in ms."""
         life_s = self._compute_margin(limit) * MARGIN_FRACTION / limit.rate_per_s
         return min(max(life_s * 1_000, MIN_CREDIT_MS), self.max_credit_ms)
 
--- a/packages/toucanyard/src/toucanyard/shared_limits.py
+++ b/packages/toucanyard/src/toucanyard/shared_limits.py
@@ -1,7 +1,7 @@
-"""Put together what one node does for the limits that all nodes keep together.
+"""Combine one node's part in the limits that all nodes enforce together.
 
-Customers' limits bound what is let in, replicas' limits where it is sent. Both are
-given out by the same homes.
+Customers' limits bound which calls are admitted, replicas' limits where calls are sent.
+Both are granted by the same coordinators.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class SharedLimits:
-    """The limits of customers and of replicas, as one node keeps them with others."""
+    """The limits of customers and replicas that this node enforces with others."""
 
     def __init__(
         self,
@@ -43,35 +43,35 @@
             ),
         }
         self._version = 0
-        """Of the routes whose limits are in force here."""
+        """Version of the routes whose limits are in force here."""
         self._limits: dict[CustomerName, RateLimit] = {}
         self._changes = LogRateLimit("limit_changed")
 
     @property
     def delegation(self) -> ShareDelegation | None:
-        """Return what peers are told of this node's group."""
+        """Return the delegation of this node's group, as sent to peers."""
         return self._coordinators.delegation
 
     def list_coordinators(self) -> tuple[NodeName, ...]:
-        """Return the home of each slice, as this node pledges its group's shares."""
+        """Return the coordinator of each partition for this node's group."""
         return self._coordinators.coordinators
 
     def list_usage(self, kind: LimitKind = LimitKind.CUSTOMER) -> list[BucketUsage]:
-        """Return what this node knows of the limits of which it is the home."""
+        """Return the usage of the limits that this node coordinates."""
         return self._exchanges[kind].list_usage()
 
     def update_links(self, names: Collection[NodeName], now_ms: float) -> None:
-        """Take in which peers are linked now."""
+        """Apply which peers are linked now."""
         self._coordinators.update_links(names, now_ms)
 
     def receive_delegation(
         self, sender: NodeName, delegation: ShareDelegation, now_ms: float
     ) -> None:
-        """Take in to whom a peer's group gives its shares."""
+        """Apply a peer's delegation of its group's shares."""
         self._coordinators.receive_delegation(sender, delegation, now_ms)
 
     def tick(self, now_ms: float) -> Iterator[LogEntry]:
-        """Bring limits and pledges up to date; return what has changed."""
+        """Update limits and delegations; return log entries about changes."""
         index = self._customers.index
         if index.table.version != self._version:
             self._version = index.table.version
@@ -93,29 +93,31 @@
             yield LogEntry("limit_homes_changed", fields)
 
     def has_requests(self) -> bool:
-        """Tell whether calls may be waiting for credit."""
+        """Return whether calls may be waiting for credit."""
         is_customer = self._customers.accounts.has_requests()
         return is_customer or self._replicas.accounts.has_requests()
 
     def request_credit(self, now_ms: float) -> Iterator[SendToPeer]:
-        """Ask for the credit that calls need; this node may be its own home."""
+        """Request the credit that calls need; this node may be the coordinator."""
         for exchange in self._exchanges.values():
             yield from exchange.request_credit(now_ms)
 
     def receive_request(
-        self, sender: NodeName, ask: CreditAsk, now_ms: float
+        self, sender: NodeName, request: CreditAsk, now_ms: float
     ) -> Iterator[SendToPeer]:
-        """Answer a node's question, or pass it on to the home."""
-        yield from self._exchanges[ask.kind].receive_request(sender, ask, now_ms)
+        """Answer a node's credit request, or forward it to the coordinator."""
+        yield from self._exchanges[request.kind].receive_request(
+            sender, request, now_ms
+        )
 
     def receive_answer(
         self, answer: CreditAnswer, now_ms: float
     ) -> Iterator[SendToPeer]:
-        """Take in a home's answer, or pass it on to the node that asked."""
+        """Apply a coordinator's answer, or forward it to the node that asked."""
         yield from self._exchanges[answer.kind].receive_answer(answer, now_ms)
 
     def consume_answered_flag(self) -> bool:
-        """Tell whether an answer has come since this was asked last."""
+        """Return whether an answer has arrived since the last call of this method."""
         taken = [each.consume_answered_flag() for each in self._exchanges.values()]
         return any(taken)
 
