--- a/packages/toucanyard/src/toucanyard/call_refusals.py
+++ b/packages/toucanyard/src/toucanyard/call_refusals.py
@@ -1,4 +1,4 @@
-"""Say how a call ends that is given up, and when its caller is to come back."""
+"""Build the final reply to a call that is given up, with its retry delay."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CallRefusals:
-    """The refusals of one node, and how fast its queues drain."""
+    """Builds the refusals of one node and tracks how fast its queues drain."""
 
     __slots__ = ("_drains", "_queued", "_rng")
 
@@ -23,16 +23,16 @@
         self._rng = rng
         self._drains: dict[ServiceName, DrainRate] = {}
         self._queued: dict[tuple[ServiceName, int], DrainRate] = {}
-        """Calls that began to wait, by service and rank."""
+        """Rate of calls that were queued, by service and rank."""
 
     def record_freed_slot(self, service: ServiceName, now_ms: float) -> None:
-        """Count a call that has freed its place."""
+        """Count a call that has freed its slot."""
         self._find_drain(service).record_event(now_ms)
 
     def compute_wait(
         self, pending: PendingCall, queue: Iterable[PendingCall], now_ms: float
     ) -> float:
-        """Return how long a call would wait for a replica, in ms."""
+        """Return the estimated wait of a call for a replica, in ms."""
         rank = pending.rank()
         ahead = sum(
             each.rank() <= rank for each in queue if not each.is_awaiting_credit
@@ -40,17 +40,18 @@
         return self._find_drain(pending.request.service).compute_wait(ahead, now_ms)
 
     def record_queued(self, request: RelayRequest, now_ms: float) -> None:
-        """Count a call that waits for a place."""
+        """Count a call that was queued."""
         key = (request.service, request.rank)
         self._queued.setdefault(key, DrainRate()).record_event(now_ms)
 
     def compute_limited_wait(
         self, pending: PendingCall, queue: Iterable[PendingCall], now_ms: float
     ) -> float:
-        """Return the same where replicas take only so many calls a second.
+        """Return the estimated wait where all replicas are rate-limited, in ms.
 
-        More urgent calls that are still to come go first, and may leave nothing. One
-        call waits at least, as only that shows when there is a place.
+        More urgent calls that arrive later go first and may leave no capacity. The
+        wait is zero while the queue is empty: at least one call has to wait, as only
+        that shows when capacity is free.
         """
         rank = pending.rank()
         waiting = [each for each in queue if not each.is_awaiting_credit]
@@ -69,14 +70,14 @@
     def build(
         self, pending: PendingCall, kind: ErrorKind, text: str, wait_ms: float
     ) -> RelayReply:
-        """Return the end of a call, with no more than is proved.
+        """Return the final reply to a call, claiming no more than is proved.
 
-        The kind says why it is given up now. An earlier try may have run all the same;
-        told "not run", a caller would repeat what was done.
+        `kind` is the reason for giving up now. An earlier try may still have run; told
+        "not run", the caller would repeat a completed operation.
         """
         request = pending.request
         if pending.has_failed:
-            # The replica's own answer is passed on; there is nothing to add.
+            # The replica's own error response is relayed unchanged.
             return RelayReply(request.request_id, None)
         ending = Ending.NOT_RUN
         if pending.may_have_run:
@@ -85,7 +86,7 @@
             kind = (
                 ErrorKind.ENDPOINT_LOST if is_repeatable else ErrorKind.OUTCOME_UNKNOWN
             )
-        # Callers refused in one instant must not come back in one instant.
+        # Jitter keeps callers that were refused together from retrying together.
         retry_after_ms = int(wait_ms * self._rng.uniform(1.0, 2.0))
         refusal = Refuse(request.request_id, kind, ending, text, retry_after_ms)
         return RelayReply(request.request_id, refusal)
--- a/packages/toucanyard/src/toucanyard/call_retries.py
+++ b/packages/toucanyard/src/toucanyard/call_retries.py
@@ -1,4 +1,4 @@
-"""Decide whether a call that failed is tried again, within what all nodes may retry."""
+"""Decide whether a failed call is retried, within the budget of all nodes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CallRetries:
-    """The budgets for retries of one node, by service."""
+    """The retry budgets of one node, by service."""
 
     __slots__ = ("_budgets", "_limits", "_policy", "node_count")
 
@@ -23,13 +23,13 @@
         self.node_count = 1
 
     def record_first_try(self, service: ServiceName, now_ms: float) -> None:
-        """Count a call that has arrived; it earns a share of a retry."""
+        """Count a new call; it adds a fraction of a retry to the budget."""
         self._find_budget(service).record_first_try(now_ms)
 
     def may_try_again(
         self, pending: PendingCall, outcome: RelayOutcome, now_ms: float
     ) -> bool:
-        """Return whether a call is tried elsewhere, and spend a retry if so."""
+        """Return whether to retry a call elsewhere, consuming a retry if so."""
         request = pending.request
         is_safe = (
             outcome.ending in PROVED_NOT_RUN
--- a/packages/toucanyard/src/toucanyard/pending_call.py
+++ b/packages/toucanyard/src/toucanyard/pending_call.py
@@ -1,4 +1,4 @@
-"""Know how far one relayed call has come."""
+"""State of one relayed call."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 
 
 class PendingCall(msgspec.Struct):
-    """One relayed call that is not over."""
+    """One relayed call that has not ended."""
 
     request: RelayRequest
     sends: int = 0
-    """Sends that may have reached a replica."""
+    """Dispatches that may have reached a replica."""
     dispatches: int = 0
     tried: tuple[EndpointName, ...] = ()
     replica: EndpointName | None = None
     scope: str = ""
     weights_version: int | None = None
-    """Weights of the last dispatch."""
+    """Weights version of the last dispatch."""
     has_begun: bool = False
-    """Its answer has begun, and goes on under no other weights."""
+    """The response has begun and can be resumed only with the same weights."""
     is_waiting: bool = False
     queued_ms: float = 0.0
     sent_ms: float = 0.0
-    """When the last dispatch was decided."""
+    """When the last dispatch was decided on."""
     may_have_run: bool = False
-    """Never goes back to false: a later refusal must not say "not run"."""
+    """Never reset to False: a later refusal must not claim "not run"."""
     is_suspect: bool = False
-    """Several replicas have crashed under its request."""
+    """Several replicas have crashed while running the same request."""
     held_credit: float = 0.0
-    """Credit of its customer that was taken for the next try."""
+    """Credit of its customer's limit that was taken for the next try."""
     held_credit_until_ms: float = 0.0
-    """When that credit may no longer be used."""
+    """When that credit expires."""
     is_awaiting_credit: bool = False
-    """It waits for credit of its customer, not for a replica."""
+    """The call waits for credit of its customer's limit, not for a replica."""
     is_briefly_denied: bool = False
-    """Its customer is over its limit, but not for long."""
+    """Credit was denied, but is expected within the brief wait."""
     credit_wait_since_ms: float = 0.0
     credit_wait_until_ms: float = 0.0
-    """When it no longer waits for credit."""
+    """When the call stops waiting for that credit."""
     requested_replica: EndpointName | None = None
-    """The limited replica whose home was asked whether it may be sent there."""
+    """The limited replica for which credit was requested."""
     replica_credit_wait_until_ms: float = 0.0
-    """When it no longer waits for the answer."""
+    """When the call stops waiting for that credit."""
     has_failed: bool = False
-    """The last try that may have run ended with an answer that says that it failed."""
+    """The last try that may have run ended with an error response."""
 
     def rank(self) -> tuple[int, float]:
-        """Return its place in a queue: the most urgent first, then by deadline."""
+        """Return the queue's sort key: most urgent first, then earliest deadline."""
         return self.request.rank, self.request.deadline_ms
--- a/packages/toucanyard/src/toucanyard/replica_credits.py
+++ b/packages/toucanyard/src/toucanyard/replica_credits.py
@@ -1,7 +1,7 @@
-"""Hold what this node may send to replicas that name limits.
+"""Hold this node's credit for sending to replicas that announce rate limits.
 
-A replica in need is no place for a call until its home has granted one: what all nodes
-send together then stays within the limit, and goes to the nodes that have calls.
+A call is sent to a limited replica only once the limit's coordinator has granted it. So
+the sum over all nodes stays within the limit, and credit goes to nodes that have calls.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 from toucanyard.replicas import KnownReplica
 
 MIN_RATE_PER_S: Final = 0.5
-"""What is sent to a replica that takes nothing: only an answer shows that it does."""
+"""Rate at which a replica with a limit of zero is still sent requests: only a response
+shows that it accepts requests again."""
 CREDIT_MS: Final = 300.0
-"""How long a request may be sent once it was asked for."""
+"""Time to live of a replica's credit, from the credit request on."""
 REPLICA_BOUNDS: Final = LimitBounds(
     window_ms=4_000.0,
     overshoot=0.5,
@@ -28,45 +29,45 @@
     spends_margin=False,
     min_capacity=1.0,
 )
-"""The margin is for homes that change and requests on the way: a replica in need gets
-no more than it says, over time."""
+"""The margin covers changes of coordinator and requests in flight. In the long term a
+limited replica gets no more than it announces."""
 ANSWER_WAIT_MS: Final = 80.0
-"""How long a call waits for a home's answer before it goes elsewhere."""
+"""Time that a call waits for a coordinator's answer before it goes elsewhere."""
 MAX_DENIED_PER_S: Final = 12.0
-"""Questions that may be denied in a second; calls go or wait elsewhere meanwhile. Each
-costs links between nodes some 200 bytes."""
+"""Maximum denied credit requests per second; beyond it, calls go or wait elsewhere.
+Each request costs about 200 bytes on the links between nodes."""
 
 
 class ReplicaCredits:
-    """The requests that this node may send to limited replicas.
+    """The credit of this node for limited replicas.
 
-    Invariants: each request was granted before it is sent, and once; a call asks for
-    one replica at a time.
+    Invariants: each request is granted before it is sent, and only once; a call
+    requests credit for one replica at a time.
     """
 
-    __slots__ = ("_requests_left", "_changed", "_limits", "_settled_ms", "accounts")
+    __slots__ = ("_changed", "_limits", "_requests_left", "_settled_ms", "accounts")
 
     def __init__(self, limits: ReplicaLimits, first_number: int = 0) -> None:
         self._limits = limits
         self._changed = 0
         self._requests_left = MAX_DENIED_PER_S
-        """Questions that may be asked now, as far as they are denied."""
+        """Remaining credit requests that may be denied; granted ones don't count."""
         self._settled_ms = 0.0
         self.accounts = CreditAccounts(first_number)
 
     def has_limits(self) -> bool:
-        """Tell whether any replica names a limit."""
+        """Return whether any replica announces a limit."""
         return self._limits.has_limits()
 
     def find_limit(self, subject: str) -> RateLimit | None:
-        """Return the limit of a replica; None if it names none."""
+        """Return the limit of a replica; None if it announces none."""
         rate_per_s = self._limits.find_rate(EndpointName(subject))
         if rate_per_s is None:
             return None
         return RateLimit(max(rate_per_s, MIN_RATE_PER_S), 1.0)
 
     def consume_changed_flag(self) -> bool:
-        """Tell whether limits have changed since this was asked last."""
+        """Return whether limits have changed since the last call; apply changes."""
         if self._changed == self._limits.change_count:
             return False
         self._changed = self._limits.change_count
@@ -77,7 +78,7 @@
         return True
 
     def is_awaiting_replica_credit(self, pending: PendingCall, now_ms: float) -> bool:
-        """Tell whether a call waits for the answer of a replica's home."""
+        """Return whether a call waits for a replica's credit."""
         replica = pending.requested_replica
         if replica is None or now_ms > pending.replica_credit_wait_until_ms:
             return False
@@ -88,20 +89,20 @@
     def select(
         self, pending: PendingCall, usable: Sequence[KnownReplica], now_ms: float
     ) -> Sequence[KnownReplica]:
-        """Return the replicas among which a call may be placed."""
+        """Return the replicas on which a call may be placed."""
         if not self._limits.has_limits():
             return usable
-        asked = pending.requested_replica
-        if asked is not None and self._has_credit(asked, now_ms):
-            granted = [each for each in usable if each.replica.name == asked]
+        requested = pending.requested_replica
+        if requested is not None and self._has_credit(requested, now_ms):
+            granted = [each for each in usable if each.replica.name == requested]
             if granted:
-                # It was granted for this call, and lapses unless it is used.
+                # The credit was granted for this call and expires if it is not used.
                 return granted
         self._settle(now_ms)
         return [e for e in usable if self._may_choose(pending, e.replica.name, now_ms)]
 
     def claim(self, pending: PendingCall, replica: EndpointName, now_ms: float) -> bool:
-        """Tell whether a call may be sent to a replica now; ask its home if not."""
+        """Return whether a call may be sent to a replica now; request credit if not."""
         if self._limits.find_rate(replica) is None:
             self.release(pending)
             return True
@@ -118,7 +119,7 @@
         return True
 
     def release(self, pending: PendingCall) -> None:
-        """Let a call no longer ask for a replica."""
+        """Withdraw a call's credit request for a replica."""
         if pending.requested_replica is not None:
             request_id = pending.request.request_id
             self.accounts.withdraw(request_id, pending.requested_replica)
@@ -130,7 +131,7 @@
         if self._limits.find_rate(replica) is None or self._has_credit(replica, now_ms):
             return True
         is_unanswered = pending.requested_replica == replica
-        # What has begun goes on at once or not at all.
+        # A call whose response has begun must be resumed at once or not at all.
         if pending.has_begun or is_unanswered or self._requests_left < 1.0:
             return False
         return self.accounts.find_denial(replica, now_ms) is None
--- a/packages/toucanyard/src/toucanyard/replica_limits.py
+++ b/packages/toucanyard/src/toucanyard/replica_limits.py
@@ -1,7 +1,7 @@
-"""Know which replicas in need have named a limit: the requests a second that they take.
+"""Track the rate limits that overloaded replicas announce, in requests per second.
 
-A limit holds for all nodes together and for as long as the replica's answers name it.
-Whichever answer came last decides, at whatever node it was seen.
+A limit applies to all nodes together, for as long as the replica's responses announce
+it. The latest response decides, whichever node received it.
 """
 
 from __future__ import annotations
@@ -17,54 +17,54 @@
 from toucanyard.seen_updates import SeenUpdates, new_update_id
 
 UPDATE_TTL_MS: Final = 2_000.0
-"""How long peers are told of a change: several statuses and hops."""
+"""Time for which a change is sent to peers: several status messages and hops."""
 MAX_SEEN: Final = 10_000
-"""Updates that are remembered: a change of each replica of a large fleet."""
+"""Number of update ids remembered: one change of each replica of a large fleet."""
 
 
 class _KnownLimit:
-    """What is believed of one replica."""
+    """The known limit of one replica."""
 
     __slots__ = ("changed_ms", "rate_per_s", "seen_ms", "update_id")
 
     def __init__(self, rate_per_s: float | None, seen_ms: float) -> None:
         self.rate_per_s = rate_per_s
-        """None once its answers name no limit any more."""
+        """None once its responses no longer announce a limit."""
         self.seen_ms = seen_ms
-        """When the newest answer was seen that says so, in this node's time."""
+        """When the newest response with this limit arrived, in this node's time."""
         self.changed_ms = seen_ms
-        """When this node learned of it; peers are told for a while after."""
+        """When this node learned of the limit; it is sent to peers for a while."""
         self.update_id = 0
 
 
 class ReplicaLimits:
     """The limits of replicas as this node knows them.
 
-    Invariant: an answer never changes what a later answer of the same replica said.
+    Invariant: a response never overrides a later response of the same replica.
     """
 
-    __slots__ = ("_known", "_changes", "_invalid", "_rng", "_seen", "change_count")
+    __slots__ = ("_changes", "_invalid", "_known", "_rng", "_seen", "change_count")
 
     def __init__(self, rng: random.Random) -> None:
         self._known: dict[EndpointName, _KnownLimit] = {}
         self.change_count = 0
-        """Changes of limits so far."""
+        """Number of changes of limits so far."""
         self._rng = rng
         self._seen = SeenUpdates(MAX_SEEN)
         self._changes = LogRateLimit("replica_limit_changed")
         self._invalid = LogRateLimit("replica_limit_invalid")
 
     def find_rate(self, replica: EndpointName) -> float | None:
-        """Return the requests a second that a replica takes; None without a limit."""
+        """Return a replica's limit in requests per second; None if it has none."""
         known = self._known.get(replica)
         return None if known is None else known.rate_per_s
 
     def has_limits(self) -> bool:
-        """Tell whether any replica may have named a limit."""
+        """Return whether any replica may have announced a limit."""
         return bool(self._known)
 
     def list_limited(self) -> list[tuple[EndpointName, float]]:
-        """Return the replicas that name a limit, with their rates."""
+        """Return the replicas that announce a limit, with their rates."""
         return [
             (name, each.rate_per_s)
             for name, each in self._known.items()
@@ -74,7 +74,7 @@
     def on_answer(
         self, replica: EndpointName, rate_per_s: float | None, now_ms: float
     ) -> Iterator[LogEntry]:
-        """Take in what an answer names; None if it names no limit."""
+        """Apply the limit that a response announces; None if it announces none."""
         known = self._known.get(replica)
         before = None if known is None else known.rate_per_s
         if known is not None:
@@ -89,11 +89,11 @@
     def on_invalid(
         self, replica: EndpointName, text: str, now_ms: float
     ) -> Iterator[LogEntry]:
-        """Log a limit that can't be read; what is believed stays."""
+        """Log a limit that can't be parsed; the known limit is kept."""
         yield from self._invalid.log({"replica": replica, "value": text}, now_ms)
 
     def list_news(self, now_ms: float) -> Iterator[ReplicaLimitNews]:
-        """Return what to tell peers, and drop limits that ended a while ago."""
+        """Return the updates for peers, and drop limits that ended a while ago."""
         for name, known in list(self._known.items()):
             if now_ms - known.changed_ms <= UPDATE_TTL_MS:
                 age_ms = now_ms - known.seen_ms
@@ -102,34 +102,36 @@
                 del self._known[name]
 
     def apply(
-        self, all_news: Iterable[ReplicaLimitNews], source: str, now_ms: float
+        self, updates: Iterable[ReplicaLimitNews], source: str, now_ms: float
     ) -> Iterator[LogEntry]:
-        """Take in what a peer knows."""
-        for news in all_news:
-            if news.update_id in self._seen:
+        """Apply a peer's updates."""
+        for update in updates:
+            if update.update_id in self._seen:
                 continue
-            self._seen.add(news.update_id)
-            seen_ms = now_ms - news.age_ms
-            known = self._known.get(news.replica)
+            self._seen.add(update.update_id)
+            seen_ms = now_ms - update.age_ms
+            known = self._known.get(update.replica)
             if known is not None and known.seen_ms >= seen_ms:
                 continue
             before = None if known is None else known.rate_per_s
-            known = self._known[news.replica] = _KnownLimit(news.rate_per_s, seen_ms)
+            known = self._known[update.replica] = _KnownLimit(
+                update.rate_per_s, seen_ms
+            )
             known.changed_ms = now_ms
-            known.update_id = news.update_id
-            if news.rate_per_s != before:
-                rate_per_s = news.rate_per_s
+            known.update_id = update.update_id
+            if update.rate_per_s != before:
+                rate_per_s = update.rate_per_s
                 yield from self._build_change_entry(
-                    news.replica, before, rate_per_s, source, now_ms
+                    update.replica, before, rate_per_s, source, now_ms
                 )
 
     def share_all(self, now_ms: float) -> None:
-        """Tell peers of all limits again: one of them may know none."""
+        """Send all limits to peers again, as a new peer may know none."""
         for known in self._known.values():
             known.changed_ms = now_ms
 
     def retain(self, replicas: Iterable[EndpointName]) -> None:
-        """Forget the limits of replicas that are gone."""
+        """Drop the limits of replicas that have been removed."""
         for name in self._known.keys() - set(replicas):
             del self._known[name]
             self.change_count += 1
--- a/packages/toucanyard/src/toucanyard/retry_budget.py
+++ b/packages/toucanyard/src/toucanyard/retry_budget.py
@@ -1,4 +1,4 @@
-"""Bound retries to a share of first tries, so that retries can't multiply a load."""
+"""Bound retries to a share of first tries, so that they can't multiply the load."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 from typing import Final
 
 MAX_SAVED_RETRIES: Final = 20.0
-"""Retries that a quiet time may save up; a failing endpoint's requests need some."""
+"""Maximum retries that may be saved up; the requests of a failing endpoint need
+some."""
 SAFE_SHARE: Final = 0.8
-"""Share of a budget that nodes use together: each counts peers a moment late."""
+"""Share of the joint budget that is used, as each node's count of peers lags."""
 
 
 class RetryBudget:
-    """Retries that may be sent; each first try earns a share of one.
+    """Retry budget to which each first try adds a share of a retry.
 
-    At no time have more retries been allowed than 1 + share x first tries.
+    Invariant: no more than 1 + share x first tries retries have ever been allowed.
     """
 
     __slots__ = ("_balance", "_share")
@@ -24,11 +25,11 @@
         self._balance = 1.0
 
     def record_first_try(self) -> None:
-        """Earn a share of a retry."""
+        """Add a share of a retry to the budget."""
         self._balance = min(self._balance + self._share, MAX_SAVED_RETRIES)
 
     def take(self) -> bool:
-        """Spend one retry; return False when there is none left."""
+        """Take one retry; return False if there is none left."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
@@ -36,10 +37,10 @@
 
 
 class SharedRetryBudget:
-    """A node's part of a budget that all nodes share, over a sliding window.
+    """A node's part of the retry budget of all nodes, over a sliding window.
 
     Invariant: in any window, this node's retries stay below its share of the slack plus
-    the ratio of its own first tries in that window.
+    `ratio` times its own first tries in that window.
     """
 
     __slots__ = ("_first_ms", "_ratio", "_retry_ms", "_slack", "_window_ms")
@@ -57,7 +58,7 @@
         self._expire(now_ms)
 
     def take(self, node_count: int, now_ms: float) -> bool:
-        """Spend one retry; return False when this node's part is used up."""
+        """Take one retry; return False if this node's part is exhausted."""
         self._expire(now_ms)
         allowed = self._slack / max(node_count, 1) + self._ratio * len(self._first_ms)
         if len(self._retry_ms) + 1 > SAFE_SHARE * allowed:
