--- a/packages/toucanyard/src/toucanyard/errorcodes.py
+++ b/packages/toucanyard/src/toucanyard/errorcodes.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the table from kind to answer.
+"""The closed set of error kinds and the HTTP response of each kind.
 
-Every refusal and failure that a caller, an operator or a peer can see has one kind
-here. The table says which HTTP status it gets and which of the three endings it
-proves: not run, answered, or outcome unknown.
+Every refusal and failure that a caller, an operator or a peer can see has one of these
+kinds. The table maps it to its HTTP status and to the ending that it proves: not run,
+answered, or outcome unknown.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Ending(enum.StrEnum):
-    """What is known about the execution of a request that has ended."""
+    """What is known about whether a request that has ended was executed."""
 
     NOT_RUN = "not_run"
     ANSWERED = "answered"
@@ -58,7 +58,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """How one kind is answered; `ending` is None where the request tells it."""
+    """The response to one kind; `ending` is None if it depends on the request."""
 
     status: int
     ending: Ending | None
@@ -104,7 +104,7 @@
 
 
 class RouterError(Exception):
-    """Carry one error kind, its text and when to come back."""
+    """Error with its kind, message and retry delay."""
 
     def __init__(
         self, kind: ErrorKind, text: str, retry_after_ms: int | None = None
--- a/packages/toucanyard/src/toucanyard/log_entries.py
+++ b/packages/toucanyard/src/toucanyard/log_entries.py
@@ -1,4 +1,4 @@
-"""Log lines that decisions about relayed calls ask for."""
+"""Log entries requested by decisions about relayed calls."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """Write a log line about a change of what this node believes."""
+    """Action that writes a log line about a change of this node's state."""
 
     event: str
     fields: dict[str, object]
--- a/packages/toucanyard/src/toucanyard/log_rate_limit.py
+++ b/packages/toucanyard/src/toucanyard/log_rate_limit.py
@@ -1,4 +1,4 @@
-"""Bound the log lines about one matter that may repeat without end."""
+"""Limit the rate of log lines about an event that may repeat indefinitely."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from toucanyard.log_entries import LogEntry
 
 MAX_ENTRIES: Final = 20
-"""Lines of one matter within a window; enough to see which keys are concerned."""
+"""Maximum lines per event and window; enough to see which keys are affected."""
 WINDOW_MS: Final = 10_000.0
 
 
 class LogRateLimit:
-    """Notes of one event. Invariant: at most MAX_NOTES begin in one window."""
+    """Log entries of one event. Invariant: at most MAX_ENTRIES per window."""
 
     __slots__ = ("_count", "_event", "_since_ms", "_suppressed")
 
@@ -24,7 +24,7 @@
         self._suppressed = 0
 
     def log(self, fields: dict[str, object], now_ms: float) -> Iterator[LogEntry]:
-        """Yield a note unless there were many; it tells how many were left out."""
+        """Yield an entry unless there were too many; it counts the suppressed ones."""
         if now_ms - self._since_ms >= WINDOW_MS:
             self._since_ms = now_ms
             self._count = 0
--- a/packages/toucanyard/src/toucanyard/relay_core.py
+++ b/packages/toucanyard/src/toucanyard/relay_core.py
@@ -1,7 +1,7 @@
-"""All decisions of one node that relays calls: events in, actions out.
+"""Decision logic of one node that relays calls: events in, actions out.
 
-Owns one instance of each decision module and routes events between them. It has no
-sockets, clock or tasks, so that any number of nodes can be driven in one process.
+Owns one instance of each decision module and dispatches events to them. It has no
+sockets, clock or tasks, so any number of nodes can be run in one process.
 """
 
 from __future__ import annotations
@@ -72,14 +72,15 @@
 
 PRUNE_MS: Final = 5_000.0
 TICK_MS: Final = 25.0
-"""Time between two ticks in a mesh."""
+"""Tick interval in a full mesh."""
 LARGE_FLEET_TICK_MS: Final = 50.0
-"""The same in a larger fleet, whose nodes are many and small."""
+"""Tick interval in a larger fleet, whose nodes are many and small."""
 IDLE_TICK_MS: Final = 125.0
-"""The same for a node that has no call, no weights to order and no group. All that it
-does by itself is a status each third tick, and most nodes of a large fleet rest."""
+"""Tick interval of a node of a large fleet that has no calls, weights to order or
+group. Without events it only sends a status every third tick, and most nodes of a large
+fleet are idle."""
 MISDIRECTED_STATUS: Final = 421
-"""Status with which a replica says that it is not the one that was meant."""
+"""Status of a replica's response to an order that names another replica."""
 
 CallEvent = CallArrived | CallerLeft | FirstEventSeen | DispatchEnded | ReplicaLimitSeen
 PassiveEvent = PartsChanged | HolderLost | QuarantineWritten | QuarantineErased
@@ -87,10 +88,10 @@
 
 
 class RelayCore:
-    """The decisions of one node incarnation.
+    """The decision logic of one node incarnation.
 
-    Invariant: state changes only inside `handle`, so the actions of one event are
-    complete before the next event is taken.
+    Invariant: state changes only inside `handle`, so all actions of one event are known
+    before the next event is handled.
     """
 
     def __init__(
@@ -209,11 +210,11 @@
         return self.facts.index
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether callers may be directed to this node."""
         return self.index.table.version > 0 and not self.is_stopping
 
     def find_addresses(self, now_ms: float) -> list[Address]:
-        """Return where callers may connect."""
+        """Return the addresses that callers may connect to."""
         self.roster.is_ready = self.is_ready()
         return self.roster.find_addresses(now_ms)
 
@@ -229,7 +230,7 @@
         )
 
     def handle(self, event: RelayEvent, now_ms: float) -> list[RelayAction]:
-        """Take one event in and return what must be done now, in this order."""
+        """Handle one event and return the actions to carry out now, in order."""
         self.flow.set_view_confirmed(self.exchange.views[Topic.REPLICAS].confirmed_ms)
         actions = list(self._handle(event, now_ms))
         if self.guard.has_news():
@@ -281,8 +282,8 @@
                 yield from self.flow.end_dispatch(outcome, now_ms)
                 yield from self.probes.ask_lost(now_ms)
                 if outcome.ending is EndingSeen.REFUSED:
-                    # Each node would else find out by calls of its own, and have some
-                    # of them refused that may be sent only once.
+                    # Otherwise each node would learn of it from refusals of its own
+                    # calls, some of which may be sent only once.
                     self.gossip.note(outcome.replica, now_ms)
                     yield from self._send_status_now(now_ms)
 
@@ -313,13 +314,13 @@
             self.replica_limits.retain(known)
 
     def _settle_guard(self, now_ms: float) -> Iterator[RelayAction]:
-        """Log what the guard has learned, and let peers know at once."""
+        """Emit the guard's log entries, and inform peers at once if it is urgent."""
         yield from self.guard.take_log_entries()
         if self.guard.take_urgent():
             yield from self._send_status_now(now_ms)
 
     def _handle_passive(self, event: PassiveEvent, now_ms: float) -> None:
-        """Handle an event that asks for nothing to be done now."""
+        """Handle an event that needs no action now."""
         match event:
             case PartsChanged() | HolderLost():
                 self.parts.on_change(event, now_ms)
@@ -334,7 +335,7 @@
                 self.guard.quarantine.on_written(fingerprint, now_ms)
             case QuarantineErased(fingerprint=fingerprint):
                 self.guard.quarantine.on_erased(fingerprint)
-        # Peers get the record from whoever reads it first.
+        # Peers receive the record from the node that reads it first.
         self.reads.mark_outdated(Topic.NODES)
 
     def _tick_guard(self, now_ms: float) -> Iterator[RelayAction]:
@@ -343,7 +344,7 @@
         yield from self.guard.quarantine.tick(now_ms)
 
     def _log_hub_change(self) -> Iterator[RelayAction]:
-        """Say to whom this node reports, each time that this changes."""
+        """Log the hub that this node reports to whenever it changes."""
         is_hub = not self.roster.is_full_mesh() and self.roster.plan.is_hub()
         hub = self.identity.node if is_hub else self.roster.find_primary()
         if hub != self._hub:
--- a/packages/toucanyard/src/toucanyard/relay_events.py
+++ b/packages/toucanyard/src/toucanyard/relay_events.py
@@ -1,4 +1,4 @@
-"""Events that the core of a relaying node takes in, and actions that it asks for."""
+"""Events that a relaying node's core handles, and actions that it returns."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 
 class CallArrived(msgspec.Struct, frozen=True):
-    """A call has passed the face's checks; answered by one RelayReply."""
+    """A call has passed the front end's checks; answered by one RelayReply."""
 
     request: RelayRequest
 
 
 class CallerLeft(msgspec.Struct, frozen=True):
-    """The caller of a call without a verdict went away; nobody waits any more."""
+    """The caller of an undecided call has disconnected."""
 
     request_id: RequestId
 
 
 class FirstEventSeen(msgspec.Struct, frozen=True):
-    """The first part of an answer came."""
+    """The first part of a response has arrived."""
 
     request_id: RequestId
 
@@ -46,16 +46,16 @@
 
 
 class ReplicaLimitSeen(msgspec.Struct, frozen=True):
-    """An answer has begun that names a limit of its replica, or names none any more."""
+    """A response has begun whose replica announces a limit, or no longer does."""
 
     replica: EndpointName
     limit_per_s: float | None
     invalid_text: str = ""
-    """What stands in its place and can't be read."""
+    """The announced value, if it can't be parsed."""
 
 
 class TopicRead(msgspec.Struct, frozen=True):
-    """The store gave records of a topic, up to `end`, when asked at `asked_ms`."""
+    """The store returned records of a topic, up to `end`, for a read at `asked_ms`."""
 
     topic: Topic
     records: tuple[KeyedRecord, ...]
@@ -63,7 +63,7 @@
     is_whole: bool
     asked_ms: float
     is_polled: bool = False
-    """Whether the read waited for a change, as other nodes' reads do."""
+    """Whether the read waited for a change, as other nodes' reads do too."""
 
 
 class StoreFailed(msgspec.Struct, frozen=True):
@@ -75,20 +75,20 @@
 
 
 class PeersLinked(msgspec.Struct, frozen=True):
-    """All peers to which a link stands now."""
+    """All peers that this node is linked to now."""
 
     peers: tuple[NodeId, ...]
 
 
 class LinkMessageRead(msgspec.Struct, frozen=True):
-    """A peer, whose name and incarnation are proved, sent a message."""
+    """A peer with a verified name and incarnation sent a message."""
 
     sender: NodeId
     message: LinkMessage
 
 
 class PartChange(msgspec.Struct, frozen=True):
-    """What a holder now keeps of a part; 0 tokens if nothing."""
+    """What a holder now has of a prompt block; 0 tokens if nothing."""
 
     scope: str
     part: str
@@ -96,23 +96,23 @@
 
 
 class PartsChanged(msgspec.Struct, frozen=True):
-    """A replica or a store told what it keeps; `is_reset` if it has started anew."""
+    """A replica or store reported its blocks; `is_reset` if its state was reset."""
 
     holder: EndpointName
     changes: tuple[PartChange, ...]
     is_reset: bool
     epoch: int = 0
-    """Another one after each of its restarts."""
+    """Changes with each restart of the holder."""
 
 
 class HolderLost(msgspec.Struct, frozen=True):
-    """A replica or a store no longer tells what it keeps."""
+    """A replica or store no longer reports its blocks."""
 
     holder: EndpointName
 
 
 class TurnRead(msgspec.Struct, frozen=True):
-    """The records of the turns to order, up to `end`."""
+    """The records of the leases for sending orders, up to `end`."""
 
     records: tuple[tuple[int, bytes], ...]
     """Offset and value."""
@@ -120,29 +120,29 @@
 
 
 class TurnAppended(msgspec.Struct, frozen=True):
-    """How an append to the turns ended; no offset if it did not succeed."""
+    """Result of an append to the lease topic; no offset if it failed."""
 
     offset: int | None
     sent_ms: float
     end: int | None = None
-    """Where the topic ended, if the condition failed."""
+    """End of the topic, if the append's condition failed."""
 
 
 class ReplicaState(msgspec.Struct, frozen=True):
-    """What a replica reports of itself."""
+    """The state that a replica reports."""
 
     weights: tuple[tuple[str, int], ...]
     is_busy: bool
-    """An order is being carried out."""
+    """Whether an order is being carried out."""
     order_count: int
     running: int
     waiting: int
     born_ms: int | None = None
-    """Start of the life that reports; None if it doesn't say."""
+    """Start time of the reporting incarnation; None if it gives none."""
 
 
 class ReplicaStateRead(msgspec.Struct, frozen=True):
-    """A replica reported, or did not."""
+    """Result of a state request to a replica."""
 
     replica: EndpointName
     state: ReplicaState | None
@@ -151,7 +151,7 @@
 
 
 class WeightsOrder(msgspec.Struct, frozen=True):
-    """Order a replica to load weights."""
+    """Send a replica the order to load weights."""
 
     replica: EndpointName
     listed_as: ReplicaId
@@ -162,25 +162,25 @@
     fence: int
     expected_order_count: int
     is_under_calls: bool = False
-    """Whether to load while calls run; they go on under the new weights. Else the load
-    waits until they have ended, and new calls are turned away meanwhile."""
+    """Whether to load while calls run; they continue on the new weights. Otherwise the
+    load waits until they have ended, and new calls are rejected meanwhile."""
 
 
 class OrderAnswered(msgspec.Struct, frozen=True):
-    """How a replica answered an order; no status without an answer."""
+    """A replica's response to an order; no status if there was none."""
 
     order: WeightsOrder
     status: int | None
 
 
 class QuarantineWritten(msgspec.Struct, frozen=True):
-    """The log has taken a record of a request under quarantine."""
+    """The record of a quarantined request was written to the log."""
 
     fingerprint: Fingerprint
 
 
 class QuarantineErased(msgspec.Struct, frozen=True):
-    """The log has taken the removal of such a record."""
+    """The removal of a quarantine record was written to the log."""
 
     fingerprint: Fingerprint
 
@@ -190,31 +190,31 @@
 
 
 class TickPassed(msgspec.Struct, frozen=True):
-    """Time has passed; wanted every 20 ms or so."""
+    """Time has passed; needed about every 20 ms."""
 
 
 class SendToPeer(msgspec.Struct, frozen=True):
-    """Send a message, which may be lost, to a peer."""
+    """Send a peer a message, which may be lost."""
 
     node: NodeName
     message: LinkMessage
 
 
 class ReadTurns(msgspec.Struct, frozen=True):
-    """Read the turns to order from an offset on."""
+    """Read the lease records from an offset on."""
 
     from_offset: int
 
 
 class AppendTurn(msgspec.Struct, frozen=True):
-    """Append to the turns to order if they still end at this offset."""
+    """Append to the lease topic if it still ends at this offset."""
 
     value: bytes
     at: int
 
 
 class ReadReplicaState(msgspec.Struct, frozen=True):
-    """Ask a replica for its state."""
+    """Request the state of a replica."""
 
     replica: EndpointName
     listed_as: ReplicaId
--- a/packages/toucanyard/src/toucanyard/relay_flow.py
+++ b/packages/toucanyard/src/toucanyard/relay_flow.py
@@ -1,8 +1,9 @@
-"""Take each relayed call from its arrival to its end: queue, replica, retries.
+"""Process relayed calls from arrival to end: queueing, dispatch and retries.
 
-A call is sent, waits for a replica with room, or is refused before anything was sent,
-so that "not run" is true. What failed is tried elsewhere only where it surely did not
-run or may run twice, within the route's attempts and the budget of all nodes.
+A call is sent, waits for a replica with capacity, or is refused before anything was
+sent, so that the ending "not run" is true. A failed call is retried elsewhere only if
+it provably did not run or may run twice, within the route's maximum attempts and the
+retry budget of all nodes.
 """
 
 from __future__ import annotations
@@ -36,17 +37,18 @@
 MIN_RETRY_AFTER_MS: Final = 100
 MAX_RETRY_AFTER_MS: Final = 2_000
 NO_REPLICA_WAIT_MS: Final = 1_500.0
-"""How long a call waits while its service has no usable replica at all: replicas load
-weights for less than that, and a list that lapsed is back."""
+"""Time that a call waits while its service has no usable replica at all. Loading
+weights, or restoring a list of replicas that expired, takes less."""
 MAX_BLOCKED: Final = 8
-"""Calls of one queue that are looked at once some don't fit; the rest hardly would."""
+"""Calls of one queue that may fail to be placed before the rest is skipped, as those
+would hardly fit either."""
 
 
 class RelayFlow:
-    """All relayed calls of one node that are not over.
+    """All relayed calls of one node that have not ended.
 
     Invariant: each arrival and each ended dispatch gets exactly one reply, unless the
-    caller left before.
+    caller disconnected before.
     """
 
     def __init__(
@@ -75,28 +77,28 @@
         self.reports = calls.reports
 
     def apply_index(self, index: RouteIndex) -> None:
-        """Decide by this table from now on."""
+        """Use this route table from now on."""
         self._calls.index = index
         self._limits.apply_index(index)
 
     def set_view_confirmed(self, confirmed_ms: float) -> None:
-        """Take in when the store last confirmed the list of replicas."""
+        """Set when the store last confirmed the list of replicas."""
         self._calls.view_confirmed_ms = confirmed_ms
 
     def apply_node_count(self, count: int) -> None:
-        """Take over how many nodes share the budget for retries."""
+        """Set how many nodes share the retry budget."""
         self._retries.node_count = count
 
     def count_pending(self) -> int:
-        """Return how many calls are not over."""
+        """Return how many calls have not ended."""
         return len(self._pending)
 
     def count_waiting(self) -> int:
-        """Return how many calls wait for a replica."""
+        """Return how many calls are queued for a replica."""
         return sum(len(queue) for queue in self._queues.values())
 
     def arrive(self, request: RelayRequest, now_ms: float) -> Iterator[RelayReply]:
-        """Take in a new call."""
+        """Handle a new call."""
         pending = PendingCall(request, queued_ms=now_ms)
         self._pending[request.request_id] = pending
         self._retries.record_first_try(request.service, now_ms)
@@ -126,7 +128,7 @@
         yield from self._drain(request.service, now_ms)
 
     def leave(self, request_id: RequestId, now_ms: float) -> Iterator[RelayReply]:
-        """Take in that the caller of a call without a verdict went away."""
+        """Handle that the caller of an undecided call has disconnected."""
         pending = self._pending.get(request_id)
         if pending is not None:
             yield from self._finish(pending, now_ms)
@@ -134,7 +136,7 @@
     def record_first_event(
         self, request_id: RequestId, now_ms: float
     ) -> Iterator[RelayReply]:
-        """Take in that an answer's first event came: its prompt has been read."""
+        """Handle the first event of a response: its prompt has been read."""
         pending = self._pending.get(request_id)
         if pending is None or pending.replica is None:
             return
@@ -145,7 +147,7 @@
     def end_dispatch(
         self, outcome: RelayOutcome, now_ms: float
     ) -> Iterator[RelayReply]:
-        """Take in how a dispatch ended and decide what follows."""
+        """Handle the end of a dispatch and decide whether to retry."""
         pending = self._pending.get(outcome.request_id)
         if pending is None:
             yield RelayReply(outcome.request_id, None)
@@ -174,7 +176,7 @@
             yield RelayReply(outcome.request_id, dispatch)
             return
         if pending.has_begun and not pending.is_awaiting_credit:
-            # Its caller may resume it elsewhere, which a silent wait would put off.
+            # The caller may resume the stream elsewhere; waiting here would delay it.
             yield from self._give_up(pending, outcome, now_ms)
             return
         pending.queued_ms = now_ms
@@ -189,7 +191,7 @@
             queue.sort(key=PendingCall.rank)
 
     def tick(self, now_ms: float) -> Iterator[RelayReply]:
-        """Refuse what can't be sent in time any more and send what fits."""
+        """Refuse queued calls that can't be sent in time and send those that fit."""
         for service, queue in self._queues.items():
             if not queue:
                 continue
@@ -203,7 +205,7 @@
             yield from self._drain(service, now_ms)
 
     def retry_waiting(self, now_ms: float) -> Iterator[RelayReply]:
-        """Send or refuse what waits, now that credit may have come."""
+        """Send or refuse queued calls after credit may have been granted."""
         for service in list(self._queues):
             yield from self._drain(service, now_ms)
 
@@ -224,7 +226,7 @@
                     return
 
     def _try_waiting(self, pending: PendingCall, now_ms: float) -> RelayReply | None:
-        """Return the verdict on a call that waits; None if it has to wait on."""
+        """Return the reply to a queued call; None if it has to keep waiting."""
         rejection = self._check_guard(pending, now_ms)
         if rejection is not None:
             return self._reject(pending, rejection, now_ms)
@@ -235,7 +237,7 @@
         if dispatch is not None:
             return RelayReply(pending.request.request_id, dispatch)
         if pending.has_begun and not pending.is_awaiting_credit:
-            text = "no replica has room for the rest of the answer"
+            text = "no replica has capacity for the rest of the response"
             return self._refuse(pending, ErrorKind.NO_ENDPOINT, text, now_ms)
         return None
 
@@ -246,13 +248,13 @@
         return dispatch
 
     def _check_guard(self, pending: PendingCall, now_ms: float) -> Rejection | None:
-        """Return why a call may not be sent now, and note how to place it if it may."""
+        """Return why a call may not be sent now; update whether it is suspect."""
         request = pending.request
         pending.is_suspect = self._guard.is_suspect(request.fingerprint)
         return self._guard.check(request, lambda: self._is_running(pending), now_ms)
 
     def _is_running(self, pending: PendingCall) -> bool:
-        """Tell whether the same request is at a replica for another call."""
+        """Return whether another call with the same request runs at a replica."""
         return any(
             each.replica is not None and each is not pending
             for each in self._pending.values()
@@ -278,7 +280,7 @@
         )
 
     def _check_wait(self, pending: PendingCall, now_ms: float) -> RelayReply | None:
-        """Refuse at once what would not be reached before its deadline."""
+        """Refuse a call at once if it would not be sent before its deadline."""
         request = pending.request
         if not self._directory.find_listed(request.service, now_ms):
             return self._refuse(pending, ErrorKind.NO_ENDPOINT, "no replica", now_ms)
@@ -286,7 +288,7 @@
             return None
         wait_ms = self._compute_wait(pending, now_ms)
         if wait_ms > request.deadline_ms - now_ms:
-            text = f"the wait would be about {wait_ms:.0f} ms"
+            text = f"the estimated wait is about {wait_ms:.0f} ms"
             if math.isinf(wait_ms):
                 text = "limits of all replicas leave room for more urgent calls only"
             return self._refuse(pending, ErrorKind.OVERLOADED, text, now_ms)
@@ -300,9 +302,9 @@
         return self._refusals.compute_wait(pending, queue, now_ms)
 
     def _should_refuse_early(self, pending: PendingCall, now_ms: float) -> bool:
-        """Tell whether a waiting call is better told now than later.
+        """Return whether a queued call should be refused now.
 
-        What is left of its time when it is refused is what its caller can retry in.
+        The time left until its deadline is the time in which its caller can retry.
         """
         request = pending.request
         if now_ms >= request.deadline_ms - request.target_ms / 4:
@@ -349,11 +351,11 @@
         else:
             self._limits.on_not_run(pending, now_ms)
         if outcome.ending is EndingSeen.NOT_SENT:
-            # It reached nobody, so it is none of the attempts that a route allows.
+            # It reached no replica, so it doesn't count as one of the route's attempts.
             pending.sends -= 1
 
     def _assume_target_weights(self, known: KnownReplica, pending: PendingCall) -> None:
-        """Believe a replica that refused for its weights to have the wanted ones."""
+        """Assume that a replica that refused for its weights has the target ones."""
         prompt = pending.request.prompt
         goal = None if prompt is None else self._goals.find(prompt.model)
         if prompt is not None and goal is not None:
@@ -361,7 +363,7 @@
 
     def _record_weights(self, known: KnownReplica, model: str, version: int) -> None:
         if known.note_weights(model, version):
-            # Loading weights drops all that was read under the ones before.
+            # Loading weights discards everything cached under the previous ones.
             self.book.forget(known.replica.name)
 
     def _give_up(
@@ -380,7 +382,7 @@
         *,
         wait_ms: float | None = None,
     ) -> RelayReply:
-        """End a call that is given up."""
+        """End a call that is given up, returning its refusal."""
         self._pending.pop(pending.request.request_id, None)
         self._limits.release(pending, now_ms)
         self._calls.release(pending)
@@ -390,7 +392,7 @@
         return self._refusals.build(pending, kind, text, wait_ms)
 
     def _finish(self, pending: PendingCall, now_ms: float) -> Iterator[RelayReply]:
-        """Free what a call held and send what fits now."""
+        """Release a call's resources and send queued calls that fit now."""
         request = pending.request
         self._pending.pop(request.request_id, None)
         self._limits.release(pending, now_ms)
--- a/packages/toucanyard/src/toucanyard/relay_options.py
+++ b/packages/toucanyard/src/toucanyard/relay_options.py
@@ -1,7 +1,7 @@
 """Settings of a node that relays calls by routes.
 
-Durations end in `_ms`. Where nothing else is said, a default was chosen for replicas
-that answer within a second and a fleet of about ten nodes.
+Durations end in `_ms`. Unless noted otherwise, defaults suit replicas that respond
+within a second and a fleet of about ten nodes.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class RetryLimits(msgspec.Struct, frozen=True):
-    """The budget for retries, over all nodes."""
+    """The retry budget of all nodes."""
 
     ratio: float = 0.2
     slack: float = 50.0
@@ -33,23 +33,24 @@
 
 
 class WeightsTimings(msgspec.Struct, frozen=True):
-    """How fast new weights have to be in force, and who may order."""
+    """Deadlines for new weights, and the lease for sending orders."""
 
     deadline_ms: int = 8_000
-    """Time from naming weights after which no call may begin on older ones."""
+    """Time after new weights are requested beyond which no call may begin on older
+    ones."""
     lease_ms: int = 3_000
-    """Least time between the orders of two holders."""
+    """Minimum time between the orders of two lease holders."""
 
 
 class StopTimings(msgspec.Struct, frozen=True):
     """Timings of a planned stop."""
 
     grace_ms: int = 8_000
-    """Time after which the process is killed."""
+    """Time after which the process is killed from outside."""
     locate_ttl_ms: int = 1_000
-    """How long callers may keep the addresses that they were told."""
+    """Time for which callers may cache the addresses they received."""
     keep_factor: float = 3.0
-    """By how much some callers overrun that time."""
+    """Factor by which some callers exceed that time."""
 
 
 class RelayOptions(msgspec.Struct, frozen=True):
@@ -60,15 +61,15 @@
     listen: RelayListen
     store: Address
     seeds: tuple[Address, ...] = ()
-    """Peers' addresses to try while no other node is known."""
+    """Addresses of peers to try while no other node is known."""
     peer_secret: str = ""
     retries: RetryLimits = RetryLimits()
     weights: WeightsTimings = WeightsTimings()
     drain_ms: float = DRAIN_MS
-    """How long replicas run after they have left the list."""
+    """Time for which replicas keep running after they were removed from the list."""
     stop: StopTimings = StopTimings()
     max_descriptors: int = 4_000
     limits: LimitBounds = LimitBounds()
     policy: RelayPolicy = RelayPolicy()
     link_mbps: float = 1_000.0
-    """What the VM can send; in a large fleet those with the fastest links are hubs."""
+    """Bandwidth of the VM; in a large fleet, nodes with the fastest links are hubs."""
--- a/packages/toucanyard/src/toucanyard/relay_requests.py
+++ b/packages/toucanyard/src/toucanyard/relay_requests.py
@@ -1,4 +1,4 @@
-"""Calls that pass through unchanged: what decides about them, and the verdicts."""
+"""Relayed calls: the attributes that decisions use, and the decisions."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """The prompt of a call: parts that others share first, its own part last."""
+    """The prompt of a call: shareable blocks first, its own block last."""
 
     model: str
     parts: tuple[Part, ...]
     max_output_tokens: int
 
     def count_tokens(self) -> int:
-        """Return the tokens of the whole prompt."""
+        """Return the number of tokens of the whole prompt."""
         return sum(part.tokens for part in self.parts)
 
     def count_shared(self) -> int:
-        """Return the tokens of the parts that other prompts may share."""
+        """Return the number of tokens of the blocks that other prompts may share."""
         return sum(part.tokens for part in self.find_shared())
 
     def find_shared(self) -> tuple[Part, ...]:
-        """Return the parts that other prompts may share."""
+        """Return the blocks that other prompts may share."""
         return self.parts[:-1]
 
 
 class RelayRequest(msgspec.Struct, frozen=True):
-    """One call of one caller; points in time are in the node's time."""
+    """One call of one caller; times are in the node's own clock."""
 
     request_id: RequestId
-    """The node's own, never used twice."""
+    """Assigned by the node and never reused."""
     caller_id: str
-    """The caller's name for this try, which answers echo."""
+    """The caller's id of this try, which responses echo."""
     customer: CustomerName
     is_walled: bool
     route: str
@@ -56,17 +56,17 @@
     target_ms: int
     arrived_ms: float
     deadline_ms: float
-    """The caller's deadline or the route's timeout, whichever comes first."""
+    """The caller's deadline or the route's timeout, whichever is earlier."""
     table_version: int
     prompt: Prompt | None = None
     tokens: int | None = None
-    """Prompt tokens and the most output tokens; None if the caller doesn't say."""
+    """Prompt tokens plus maximum output tokens; None if the caller gives no count."""
     fingerprint: Fingerprint = Fingerprint("")
-    """The same for each repeat of the request; empty if it is not known."""
+    """The same for each repetition of the request; empty if unknown."""
 
 
 class PlacementReason(msgspec.Struct, frozen=True):
-    """What decided about a dispatch, for the log."""
+    """The reasons for a dispatch, for the log."""
 
     total_ms: float
     wait_ms: float
@@ -75,66 +75,66 @@
     considered: int
     queued_ms: float
     view_age_ms: float
-    """Time since the store confirmed the list of replicas."""
+    """Time since the store last confirmed the list of replicas."""
     gone_ms: float | None = None
-    """Time since this node learned that the replica left the list; None if listed."""
+    """Time since this node learned that the replica was removed; None if listed."""
 
 
 class RelayDispatch(msgspec.Struct, frozen=True):
-    """Send the call to this replica now."""
+    """Decision to send the call to this replica now."""
 
     request_id: RequestId
     replica: EndpointName
     listed_as: ReplicaId
-    """Under which the replica answers; what a call names."""
+    """Identity that the call names and the replica answers to."""
     address: Address
     attempt: int
     rank: int
     connect_ms: float
-    """Wait for the connection after which another replica is tried."""
+    """Connect timeout, after which another replica is tried."""
     patience_ms: float
-    """Wait for the answer's head after which another replica is tried."""
+    """Timeout of the response's head, after which another replica is tried."""
     weights_version: int | None = None
-    """Weights that the replica must have."""
+    """Weights version that the replica must have."""
     cache_scope: str = ""
-    """Under which the replica keeps the prompt's parts."""
+    """Scope in which the replica caches the prompt's blocks."""
     fetch_from: Address | None = None
-    """Where the replica can get parts that it lacks."""
+    """Where the replica can fetch blocks that it lacks."""
     save_to: Address | None = None
-    """The store that is to keep the parts that are read."""
+    """The prompt store to which the blocks that are read are saved."""
     reason: PlacementReason | None = None
     is_limited: bool = False
-    """The replica has named a limit; the answer shows whether it still does."""
+    """The replica has announced a limit; its response shows whether it still does."""
 
 
 RelayVerdict = RelayDispatch | Refuse
 
 
 class RelayReply(msgspec.Struct, frozen=True):
-    """Answer the question about a call; None says that it is over."""
+    """Reply to a pending call; None means that the call has ended."""
 
     request_id: RequestId
     verdict: RelayVerdict | None
 
 
 class RelayOutcome(msgspec.Struct, frozen=True):
-    """What is known when one dispatch has ended."""
+    """The outcome of one dispatch."""
 
     request_id: RequestId
     replica: EndpointName
     ending: EndingSeen
     text: str = ""
     is_dead: bool = False
-    """Nothing answered at the replica's address."""
+    """There was no response at the replica's address."""
     has_no_listener: bool = False
-    """The replica's VM refused the connection: no process listens at the address."""
+    """The replica's VM refused the connection: no process listens on the address."""
     is_closed: bool = False
-    """The connection was closed before the answer was whole."""
+    """The connection was closed before the response was complete."""
     is_replaced: bool = False
-    """Another replica answers at the address."""
+    """Another replica responds at the address."""
     has_other_weights: bool = False
-    """The replica refused since it has other weights than were asked for."""
+    """The replica refused because its weights differ from the requested ones."""
     has_begun: bool = False
-    """Part of the answer has reached the caller."""
+    """Part of the response has reached the caller."""
     weights_version: int | None = None
-    """Weights that the answer names."""
+    """Weights version that the response names."""
