--- a/tests/toucanyard/limit_fleet.py
+++ b/tests/toucanyard/limit_fleet.py
@@ -1,7 +1,8 @@
-"""Run a fleet whose customers have limits, with callers that may pass them by far.
+"""Simulate a fleet whose customers have limits, with callers that may exceed them.
 
-Nodes can be cut from each other while callers and replicas reach all of them: messages
-between the sides are lost, and the links end once their silence has been seen.
+The network between nodes can be partitioned while callers and replicas reach all
+nodes: messages between the sides are lost, and links close once their silence is
+detected.
 """
 
 from __future__ import annotations
@@ -39,14 +40,14 @@
 LARGE = CustomerName("large")
 OTHER = CustomerName("other")
 SILENCE_MS = 1_125.0
-"""Time after which a link across a cut counts as dead."""
+"""Time after which a link across a network partition counts as dead."""
 SIZES = (9_200, 900, 900, 900, 900, 200)
-"""Tokens of calls, one after the other."""
+"""Token counts that calls are drawn from."""
 MEAN_TOKENS = sum(SIZES) / len(SIZES)
 
 
 class LimitFleet(CrashFleet):
-    """Nodes, replicas and callers of customers that have limits."""
+    """Nodes, replicas and callers of customers with limits."""
 
     def __init__(
         self,
@@ -58,19 +59,19 @@
     ) -> None:
         self._bounds = bounds
         self._policy = RelayPolicy(limits=LimitPolicy(strategy=strategy))
-        self._cut_ms: float | None = None
+        self._partitioned_ms: float | None = None
         self._far_side: frozenset[NodeName] = frozenset()
         self.suspended: set[NodeName] = set()
-        """Nodes that stand still; what is sent to them waits."""
+        """Suspended nodes; events for them are held."""
         self.muted: set[NodeName] = set()
-        """Nodes from which no message arrives, though they get all."""
+        """Nodes whose outgoing messages are lost; they receive all messages."""
         self._held: list[tuple[NodeName, RelayEvent]] = []
         self._suspended_ms: dict[NodeName, float] = {}
         self._version = 1
         super().__init__(domains, nodes_each, replicas=8)
         self.rng = random.Random(1)
         self.set_limit(limit)
-        # Nodes know each other, and what the limit allows has been saved up.
+        # By then nodes know each other and the limits' buckets are full.
         self.run_for(3_000.0)
 
     def build_options(self, options: RelayOptions) -> RelayOptions:
@@ -82,7 +83,7 @@
     def set_limit(
         self, limit: RateLimit | None, nodes: Collection[NodeName] | None = None
     ) -> None:
-        """Let nodes read a configuration that gives customers this limit."""
+        """Deliver a configuration with this limit for both customers."""
         self._version += 1
         customers = tuple(
             RoutedCustomer(name, (f"key-{name}",), limit=limit)
@@ -97,23 +98,23 @@
 
     # Faults.
 
-    def cut_apart(self, far_side: Collection[NodeName]) -> None:
-        """Cut some nodes from all others."""
+    def partition_network(self, far_side: Collection[NodeName]) -> None:
+        """Partition the network between some nodes and all others."""
         self._far_side = frozenset(far_side)
-        self._cut_ms = self.now_ms
+        self._partitioned_ms = self.now_ms
 
     def heal(self) -> None:
-        """End the cut; links come back at the next dial."""
+        """End the network partition; links are restored at the next dial."""
         self._far_side = frozenset()
-        self._cut_ms = None
+        self._partitioned_ms = None
 
     def suspend(self, name: NodeName) -> None:
-        """Let a node stand still, as one whose VM is suspended."""
+        """Suspend a node, as when its VM is suspended."""
         self.suspended.add(name)
         self._suspended_ms[name] = self.now_ms
 
     def resume(self, name: NodeName) -> None:
-        """Let a node go on; what came meanwhile is read now."""
+        """Resume a node and deliver the events held for it."""
         self.suspended.discard(name)
         held, self._held = self._held, []
         for receiver, event in held:
@@ -134,7 +135,7 @@
             self._held.append((name, event))
 
     def kill(self, names: Collection[NodeName]) -> None:
-        """End some nodes and their calls; peers see the links close."""
+        """Kill some nodes and their calls; peers see the links close."""
         for call in self.calls:
             if call.ending is None and call.node in names:
                 self._end(call, "node killed")
@@ -152,16 +153,19 @@
             self.restart(name)
 
     def find_wanted(self) -> dict[NodeName, set[NodeName]]:
-        """Return the links that stand: none over a silence that has been seen."""
+        """Return the wanted links, except those whose silence was detected."""
         found = super().find_wanted()
-        is_cut = self._cut_ms is not None and self.now_ms - self._cut_ms >= SILENCE_MS
+        is_partitioned = (
+            self._partitioned_ms is not None
+            and self.now_ms - self._partitioned_ms >= SILENCE_MS
+        )
         silent = {
             name
             for name in self.suspended
             if self.now_ms - self._suspended_ms[name] >= SILENCE_MS
         }
         for name, others in found.items():
-            if is_cut:
+            if is_partitioned:
                 side = name in self._far_side
                 others &= {o for o in others if (o in self._far_side) is side}
             others -= silent if name not in silent else set(others)
@@ -177,7 +181,7 @@
         super()._deliver()
 
     def find_coordinators(self) -> set[NodeName]:
-        """Return the nodes that give out credit of the large customer."""
+        """Return the nodes that currently coordinate a limit."""
         return {
             name
             for name, core in self.cores.items()
@@ -219,32 +223,32 @@
         *,
         other_tokens_per_s: float = 0.0,
     ) -> list[Call]:
-        """Let calls come to random nodes at a steady rate, and return them."""
+        """Send calls to random nodes at a steady rate, and return them."""
         before = len(self.calls)
         begun_ms = self.now_ms
-        asked = {customer: 0.0, OTHER: 0.0}
+        requested_tokens = {customer: 0.0, OTHER: 0.0}
         rates = {customer: tokens_per_s, OTHER: other_tokens_per_s}
         while self.now_ms < begun_ms + for_ms:
             passed_s = (self.now_ms - begun_ms) / 1_000
             alive = [name for name in self.cores if name not in self.dead]
             for name, rate in rates.items():
-                while asked[name] < rate * passed_s:
+                while requested_tokens[name] < rate * passed_s:
                     tokens = self.rng.choice(SIZES)
-                    asked[name] += tokens
+                    requested_tokens[name] += tokens
                     self.ask(self.rng.choice(alive), name, tokens)
             self.run_for(STEP_MS)
         return self.calls[before:]
 
-    # What was seen.
+    # Observations.
 
     def list_runs(self, customer: CustomerName = LARGE) -> list[Send]:
-        """Return the sends of a customer that reached a replica."""
+        """Return a customer's sends that reached a replica."""
         return [s for s in self.reached if s.call.request.customer == customer]
 
     def find_max_usage(
         self, customer: CustomerName = LARGE, since_ms: float = 0.0
     ) -> float:
-        """Return the most tokens that ran of a customer in any one window."""
+        """Return the maximum tokens that a customer used in any window."""
         window: deque[tuple[float, int]] = deque()
         worst = total = 0
         for send in self.list_runs(customer):
@@ -265,7 +269,7 @@
 
 
 def list_admissible(calls: Collection[Call], limit: RateLimit) -> list[Call]:
-    """Return the calls that one bucket with this rate and burst lets in."""
+    """Return the calls that a single token bucket with this limit would admit."""
     level, before_ms = limit.burst, float("inf")
     admissible = []
     for call in calls:
--- a/tests/toucanyard/relay_fleet.py
+++ b/tests/toucanyard/relay_fleet.py
@@ -1,4 +1,4 @@
-"""Run the decisions of a fleet of nodes in one process, on a clock of its own."""
+"""Simulate the decision logic of a fleet in one process, with its own clock."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 
 
 class Fleet:
-    """Nodes that exchange messages, with a store that may serve only some of them."""
+    """Nodes that exchange messages; the store may serve only some of them."""
 
     def __init__(self, *names: str) -> None:
         self.cores: dict[NodeName, RelayCore] = {}
         for number, name in enumerate(names):
             self.add(NodeName(name), number)
         self.now_ms = 0.0
-        self.cut: set[str] = set()
+        self.isolated_nodes: set[str] = set()
         self.link()
 
     def add(
@@ -63,8 +63,8 @@
             metrics=LISTEN.metrics,
         )
         options = self.build_options(RelayOptions(name, domain, listen, LISTEN.callers))
-        life = f"i {self.now_ms}" if name in self.cores else "i"
-        identity = NodeId(name, Incarnation(life))
+        incarnation = f"i {self.now_ms}" if name in self.cores else "i"
+        identity = NodeId(name, Incarnation(incarnation))
         core = RelayCore(options, identity, decode, random.Random(number))
         self.cores[name] = core
 
@@ -76,14 +76,14 @@
             peers = tuple(
                 other.identity
                 for other in self.cores.values()
-                if other is not core and name not in self.cut
+                if other is not core and name not in self.isolated_nodes
             )
             self.handle(name, PeersLinked(peers))
 
     def handle(self, name: NodeName, event: RelayEvent) -> None:
         core = self.cores[name]
         for action in core.handle(event, self.now_ms):
-            if isinstance(action, SendToPeer) and self.cut.isdisjoint(
+            if isinstance(action, SendToPeer) and self.isolated_nodes.isdisjoint(
                 (name, action.node)
             ):
                 message = decode_link_message(encode_link_message(action.message))
@@ -97,7 +97,7 @@
         self.handle(NodeName(name), event)
 
     def confirm(self, name: str, topic: Topic) -> None:
-        """Let the store tell a node that there is nothing new."""
+        """Deliver a store read without new records to a node."""
         end = self.core(name).exchange.views[topic].end
         event = TopicRead(topic, (), end, False, self.now_ms)
         self.handle(NodeName(name), event)
@@ -114,7 +114,7 @@
 
 
 class PlannedFleet(Fleet):
-    """A fleet in which nodes link to whom they want to, as real nodes do."""
+    """A fleet whose nodes choose their links, as real nodes do."""
 
     DIAL_MS = 250.0
 
@@ -138,7 +138,7 @@
             self.read(name, Topic.OPERATOR, table)
 
     def link(self) -> None:
-        """Link each two nodes of which one wants it."""
+        """Link each pair of nodes of which at least one wants the link."""
         found = self.find_wanted()
         alive = [each for each in self.cores.items() if each[0] not in self.dead]
         for name, _ in alive:
@@ -149,7 +149,7 @@
         self._linked = found
 
     def find_wanted(self) -> dict[NodeName, set[NodeName]]:
-        """Return the links that at least one end wants."""
+        """Return the links that at least one of their nodes wants."""
         found: dict[NodeName, set[NodeName]] = {name: set() for name in self.cores}
         alive = [each for each in self.cores.items() if each[0] not in self.dead]
         for name, core in alive:
@@ -182,7 +182,7 @@
             super().run(25.0)
 
     def find_hubs(self) -> list[NodeName]:
-        """Return the nodes that take themselves for hubs."""
+        """Return the nodes that consider themselves hubs."""
         return [
             name
             for name, core in self.cores.items()
--- a/tests/toucanyard/replica_limit_fleet.py
+++ b/tests/toucanyard/replica_limit_fleet.py
@@ -1,4 +1,4 @@
-"""Run a fleet before replicas that name limits in their answers."""
+"""Simulate a fleet with replicas that announce limits in their responses."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def find_allowed(rate_per_s: float) -> float:
-    """Return how many requests a limited replica may get in one window."""
+    """Return how many requests a limited replica may receive in one window."""
     return OVERSHOOT * rate_per_s * WINDOW_MS / 1_000 + SLACK
 
 
 class ReplicaLimitFleet(LimitFleet):
-    """Nodes and replicas, some of which take only so many requests a second."""
+    """Nodes and replicas, some of which limit their requests per second."""
 
     def __init__(
         self,
@@ -34,19 +34,19 @@
         nodes_each: int,
         strategy: LimitStrategy = LimitStrategy.POOLS,
     ) -> None:
-        self.named: dict[Address, float] = {}
-        """Requests a second that replicas name now."""
+        self.announced_limits: dict[Address, float] = {}
+        """Current limits of replicas, in requests per second."""
         self.first_limit_seen_ms: dict[EndpointName, float] = {}
-        """When a node first passed on an answer that names a replica's limit."""
+        """When a node first relayed a response that announces a replica's limit."""
         self._limited_calls: set[RequestId] = set()
         super().__init__(domains, nodes_each, strategy=strategy)
         self.set_limit(None)
         self.run_for(100.0)
 
-    def name_limits(self, rate_per_s: float, count: int) -> list[Engine]:
-        """Let some replicas name a limit from now on, and return them."""
+    def announce_limits(self, rate_per_s: float, count: int) -> list[Engine]:
+        """Let some replicas announce a limit from now on, and return them."""
         engines = list(self.engines.values())[:count]
-        self.named |= {each.address: rate_per_s for each in engines}
+        self.announced_limits |= {each.address: rate_per_s for each in engines}
         return engines
 
     def _reach(self, call: Call, dispatch: RelayDispatch) -> None:
@@ -55,7 +55,7 @@
         super()._reach(call, dispatch)
 
     def _begin(self, call: Call, engine: Engine) -> None:
-        rate_per_s = self.named.get(engine.address)
+        rate_per_s = self.announced_limits.get(engine.address)
         is_asked = call.request.request_id in self._limited_calls
         if rate_per_s is not None:
             self.first_limit_seen_ms.setdefault(engine.name, self.now_ms)
@@ -71,16 +71,16 @@
         *,
         call_ms: float = CALL_MS,
     ) -> list[Call]:
-        """Let calls come to nodes drawn at random at a steady rate; return them."""
+        """Send calls to random nodes at a steady rate, and return them."""
         before = len(self.calls)
         begun_ms = self.now_ms
-        asked = 0
+        sent = 0
         while self.now_ms < begun_ms + for_ms:
             names = list(self.cores) if nodes is None else list(nodes)
             alive = [name for name in names if name not in self.dead]
-            while asked < per_s * (self.now_ms - begun_ms) / 1_000:
-                asked += 1
-                self._arrive(self.rng.choice(alive), self._build(asked, call_ms))
+            while sent < per_s * (self.now_ms - begun_ms) / 1_000:
+                sent += 1
+                self._arrive(self.rng.choice(alive), self._build(sent, call_ms))
             self.run_for(STEP_MS)
         return self.calls[before:]
 
@@ -97,7 +97,7 @@
             deadline_ms=self.now_ms + call_ms,
         )
 
-    # What was seen.
+    # Observations.
 
     def list_arrivals(self, engine: Engine, since_ms: float = 0.0) -> list[float]:
         """Return when requests reached a replica."""
@@ -108,9 +108,9 @@
         ]
 
     def find_worst_window(self, engine: Engine, since_ms: float | None = None) -> int:
-        """Return the most requests that a replica got in one window.
+        """Return the maximum requests that a replica received in any window.
 
-        Counted from when a node first passed on its limit, if nothing else is said.
+        By default counted from when a node first relayed its limit.
         """
         seen_ms = self.first_limit_seen_ms.get(engine.name, float("inf"))
         window: deque[float] = deque()
--- a/tests/toucanyard/test_admission.py
+++ b/tests/toucanyard/test_admission.py
@@ -31,9 +31,10 @@
 
 
 def test_flood_of_one_customer_leaves_room_for_another() -> None:
-    """A large customer fills the queue; a small one's request comes last.
+    """Guards against first-come, first-served order under a flood.
 
-    In order of arrival it would wait for the whole flood; here it is admitted at once.
+    A small customer's request arrives after a large customer has filled the queue; it
+    must be admitted at once rather than after the whole flood.
     """
     admission = make_admission()
     for number in range(60):
@@ -43,9 +44,9 @@
 
 
 def test_passed_deadline_is_refused_not_run() -> None:
-    """The deadline passes while the request waits, before any dispatch.
+    """Guards against dispatching a queued request after its deadline.
 
-    The caller gets a true "not run" instead of an answer that nobody waits for.
+    It has not been dispatched, so the caller must get a refusal with "not run".
     """
     admission = make_admission(endpoints=1, max_running=1)
     admission.offer(make_request(1), 0.0)
@@ -58,9 +59,9 @@
 
 
 def test_hopeless_wait_is_refused_on_arrival() -> None:
-    """Endpoints end one request a second and ten wait; the deadline is in two.
+    """Guards against queueing a request that can't be dispatched before its deadline.
 
-    Kept waiting, the caller would learn in two seconds what is known now.
+    Ten requests are queued, one ends per second, and the deadline is in two seconds.
     """
     admission = make_admission(endpoints=1, max_running=1)
     for number in range(11):
@@ -93,9 +94,10 @@
 
 
 def test_slow_endpoint_gets_a_lower_limit() -> None:
-    """An engine answers after two seconds what it should have begun at once.
+    """Guards against a limit that ignores the latency of first tokens.
 
-    With a fixed limit the node would keep its queue inside that engine.
+    The engine's first tokens take two seconds. With a fixed limit, requests would queue
+    inside the engine rather than at the node.
     """
     admission = make_admission(endpoints=1, max_running=8)
     name = EndpointName("e0")
@@ -108,9 +110,10 @@
 
 
 def test_flooding_customer_goes_last_at_the_endpoint() -> None:
-    """Both customers' requests wait in the engine, the flood's came first.
+    """Guards against a flood that delays a small customer in the engine's queue.
 
-    Without a priority by share, the small customer would wait there for all of it.
+    Requests of both are queued there, the flood's first. Without a priority by share,
+    the small customer would wait for all of them.
     """
     admission = make_admission()
     admission.offer(make_request(0, customer=SMALL), 0.0)
@@ -125,9 +128,10 @@
 
 
 def test_overdue_first_tokens_lower_the_limit() -> None:
-    """An engine takes requests and answers none for seconds.
+    """Guards against sending more requests to an engine that stalls.
 
-    Following only the tokens that come, the node would send it more all the while.
+    The engine accepts requests and sends no tokens for seconds, so a limit that only
+    follows received first tokens would not shrink.
     """
     admission = make_admission(endpoints=1, max_running=4)
     name = EndpointName("e0")
@@ -185,9 +189,9 @@
 def test_waiting_customers_are_served_alike(
     arrivals: list[CustomerName], served: int
 ) -> None:
-    """Two customers both wait all the time; one sends many more than the other.
+    """Two customers always have queued requests; one sends many more than the other.
 
-    What each has got differs by no more than one request of each.
+    The number of served requests may differ by no more than one request of each.
     """
     admission = make_admission(endpoints=1, max_running=1)
     numbers = dict.fromkeys(CUSTOMERS, 0)
--- a/tests/toucanyard/test_backends.py
+++ b/tests/toucanyard/test_backends.py
@@ -16,7 +16,7 @@
 def test_kept_capacity_is_the_sum_of_usable_limits(
     steps: list[tuple[object, ...]],
 ) -> None:
-    # A kept sum that drifts from its parts would let too many requests in, or none.
+    # A sum that drifts from its parts would admit too many requests, or none.
     backend = Backend(16, 100.0)
     backend.set_max_running(16, 2)
     backend.set_usable(NAMES)
--- a/tests/toucanyard/test_call_limits.py
+++ b/tests/toucanyard/test_call_limits.py
@@ -32,7 +32,7 @@
 
 
 def answer(limits: CallLimits, grant: CreditGrant, now_ms: float) -> float:
-    """Answer the one question that is open, and return what was wanted."""
+    """Answer the only outstanding credit request and return the wanted amount."""
     (credit_request,) = limits.accounts.list_requests(now_ms)
     limits.accounts.apply_grant(CUSTOMER, credit_request.number, grant, now_ms)
     return credit_request.wanted
@@ -70,7 +70,7 @@
 
 
 def test_second_try_that_may_run_costs_again() -> None:
-    """Guards against retries that a limit doesn't see."""
+    """Guards against retries that are not counted against the limit."""
     limits, call = build_limits(), build_call()
     pay(limits, call)
     limits.on_sent(call)
@@ -79,7 +79,7 @@
 
 
 def test_try_that_did_not_run_costs_nothing() -> None:
-    """Guards against replicas that turn calls away and use up their callers' limits."""
+    """Guards against refusals by replicas that use up their callers' limits."""
     limits, call = build_limits(), build_call()
     pay(limits, call)
     limits.on_sent(call)
@@ -98,7 +98,7 @@
 
 
 def test_call_that_waits_long_for_a_replica_pays_anew() -> None:
-    """Guards against a queue whose credit of many windows runs in one."""
+    """Guards against queued calls that spend the credit of many windows in one."""
     limits, call = build_limits(), build_call()
     pay(limits, call)
     assert limits.check(call, BOUNDS.compute_credit_ms(LIMIT)) is None
@@ -116,7 +116,7 @@
 
 
 def test_call_just_over_the_limit_waits_for_its_turn() -> None:
-    """Guards against refusing the second of two long prompts that come together."""
+    """Guards against refusing the second of two long prompts that arrive together."""
     limits, call = build_limits(), build_call()
     limits.check(call, 0.0)
     deny(limits, 100.0)
@@ -126,7 +126,7 @@
 
 
 def test_call_is_told_when_no_home_answers() -> None:
-    """Guards against calls that wait for a home until their time is over."""
+    """Guards against calls that wait for a silent coordinator until their deadline."""
     limits, call = build_limits(), build_call()
     limits.check(call, 0.0)
     assert limits.check(call, POLICY.max_wait_ms) is None
@@ -148,7 +148,7 @@
 
 
 def test_denials_end_when_the_limit_is_raised() -> None:
-    """Guards against a raised limit that callers are still refused by."""
+    """Guards against refusing calls by an old limit after it was raised."""
     limits, call = build_limits(), build_call()
     limits.check(call, 0.0)
     deny(limits, 2_000.0)
--- a/tests/toucanyard/test_concurrency_limit.py
+++ b/tests/toucanyard/test_concurrency_limit.py
@@ -19,9 +19,10 @@
 
 
 def test_late_answers_of_one_moment_shrink_the_limit_once() -> None:
-    """Sixteen requests wait in one engine's queue and come late together.
+    """Guards against one delay that shrinks the limit many times.
 
-    Were each to shrink the limit, one hiccup would close the endpoint.
+    Sixteen requests are queued in one engine and their first tokens are late together.
+    If each of them shrank the limit, the limit would drop to its minimum.
     """
     limit = ConcurrencyLimit(16, 10.0, TARGET_MS)
     for number in range(16):
--- a/tests/toucanyard/test_customer_limits_machine.py
+++ b/tests/toucanyard/test_customer_limits_machine.py
@@ -1,4 +1,4 @@
-"""Any series of faults, load and changes keeps a customer within its limit."""
+"""Test that any sequence of faults, load and changes keeps customers in their limit."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Six nodes, meshed, under a flood; each step may hurt some of them."""
+    """Six nodes in a full mesh under a flood; each step may inject a fault."""
 
     @initialize()
     def start(self) -> None:
@@ -37,7 +37,7 @@
 
     @rule(marks=MARKS)
     def cut(self, marks: int) -> None:
-        self.fleet.cut_apart(self.find(marks))
+        self.fleet.partition_network(self.find(marks))
 
     @rule()
     def heal(self) -> None:
--- a/tests/toucanyard/test_customer_limits_over_nodes.py
+++ b/tests/toucanyard/test_customer_limits_over_nodes.py
@@ -1,4 +1,4 @@
-"""What all nodes send of a customer stays within its limit, whatever is cut or dies."""
+"""Test that all nodes together keep a customer's limit through faults."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @SIZES
 def test_flood_of_a_customer_runs_within_its_limit(nodes_each: int) -> None:
-    """Guards against nodes that each let in what only their sum exceeds."""
+    """Guards against nodes within the limit whose sum exceeds it."""
     fleet = LimitFleet(3, nodes_each)
     fleet.play(10_000.0, FLOOD_TOKENS_PER_S)
     assert fleet.find_max_usage() <= BOUND
@@ -40,11 +40,11 @@
 def test_flood_runs_within_the_limit_while_half_of_the_nodes_are_cut_off(
     nodes_each: int,
 ) -> None:
-    """Guards against two sides of a cut that each use up the whole limit."""
+    """Guards against two sides of a network partition that each use the whole limit."""
     fleet = LimitFleet(3, nodes_each)
     names = list(fleet.cores)
     fleet.play(2_000.0, FLOOD_TOKENS_PER_S)
-    fleet.cut_apart(names[: len(names) // 2])
+    fleet.partition_network(names[: len(names) // 2])
     fleet.play(10_000.0, FLOOD_TOKENS_PER_S)
     fleet.heal()
     fleet.play(4_000.0, FLOOD_TOKENS_PER_S)
@@ -55,7 +55,7 @@
 def test_flood_runs_within_the_limit_after_nine_in_ten_nodes_were_killed(
     nodes_each: int,
 ) -> None:
-    """Guards against nodes that start anew and know nothing of what was used."""
+    """Guards against restarted nodes that don't know what was used before."""
     fleet = LimitFleet(3, nodes_each)
     names = list(fleet.cores)
     fleet.play(3_000.0, FLOOD_TOKENS_PER_S)
@@ -71,7 +71,7 @@
 def test_lowered_limit_binds_one_window_after_all_nodes_know_it(
     nodes_each: int,
 ) -> None:
-    """Guards against going on with what was saved up under a higher limit."""
+    """Guards against using credit that accrued under a higher limit."""
     fleet = LimitFleet(3, nodes_each)
     lower = msgspec.structs.replace(LIMIT, rate_per_s=3_000.0, burst=3_000.0)
     fleet.play(2_000.0, FLOOD_TOKENS_PER_S)
@@ -84,7 +84,7 @@
 
 @SIZES
 def test_no_call_within_the_limit_is_refused(nodes_each: int) -> None:
-    """Guards against shares of a limit that lie where no calls come."""
+    """Guards against shares of a limit that stay unused at nodes without calls."""
     fleet = LimitFleet(3, nodes_each)
     calls = fleet.play(6_000.0, USUAL_TOKENS_PER_S)
     fleet.run_for(2_000.0)
@@ -94,7 +94,7 @@
 
 @FEW
 def test_customer_beside_a_flood_is_served(nodes_each: int) -> None:
-    """Guards against a flood that takes what belongs to another customer."""
+    """Guards against a flood that uses up another customer's capacity."""
     fleet = LimitFleet(3, nodes_each)
     calls = fleet.play(
         6_000.0, FLOOD_TOKENS_PER_S, other_tokens_per_s=USUAL_TOKENS_PER_S
@@ -106,7 +106,7 @@
 
 @FEW
 def test_flood_runs_within_the_limit_while_homes_die_in_turn(nodes_each: int) -> None:
-    """Guards against homes that each begin with the whole burst saved up."""
+    """Guards against new coordinators that each start with a full bucket."""
     fleet = LimitFleet(3, nodes_each)
     fleet.play(2_000.0, FLOOD_TOKENS_PER_S)
     for _ in range(4):
@@ -120,7 +120,7 @@
 
 @FEW
 def test_home_that_stood_still_gives_out_nothing_of_before(nodes_each: int) -> None:
-    """Guards against a home that wakes up and lends what others have lent since."""
+    """Guards against a resumed coordinator that grants what others have granted."""
     fleet = LimitFleet(3, nodes_each)
     fleet.play(2_000.0, FLOOD_TOKENS_PER_S)
     (coordinator, *_) = sorted(fleet.find_coordinators())
@@ -133,7 +133,7 @@
 
 @FEW
 def test_home_that_is_heard_by_nobody_adds_nothing(nodes_each: int) -> None:
-    """Guards against counting pledges of groups that have gone on to another home."""
+    """Guards against counting delegations that have moved to another coordinator."""
     fleet = LimitFleet(3, nodes_each)
     fleet.play(2_000.0, FLOOD_TOKENS_PER_S)
     fleet.muted.update(fleet.find_coordinators())
@@ -145,10 +145,10 @@
 
 @FEW
 def test_callers_of_the_larger_side_of_a_cut_are_served(nodes_each: int) -> None:
-    """Guards against a limit that nobody may use while some nodes are away."""
+    """Guards against a limit that nobody may use while some nodes are unreachable."""
     fleet = LimitFleet(3, nodes_each)
     names = list(fleet.cores)
-    fleet.cut_apart(names[: len(names) // 4])
+    fleet.partition_network(names[: len(names) // 4])
     fleet.run_for(3_000.0)
     begun_ms = fleet.now_ms
     fleet.play(6_000.0, USUAL_TOKENS_PER_S / 2)
@@ -161,7 +161,7 @@
 
 @FEW
 def test_raised_limit_is_used_at_once(nodes_each: int) -> None:
-    """Guards against going on with a limit that is no longer in force."""
+    """Guards against enforcing a limit that is no longer in force."""
     low = msgspec.structs.replace(LIMIT, rate_per_s=1_000.0, burst=1_000.0)
     fleet = LimitFleet(3, nodes_each, low)
     fleet.play(2_000.0, USUAL_TOKENS_PER_S)
@@ -173,7 +173,7 @@
 
 
 def test_limit_that_is_taken_away_stops_nobody() -> None:
-    """Guards against calls that wait for credit of a limit that is gone."""
+    """Guards against calls that wait for credit of a limit that was removed."""
     fleet = LimitFleet(3, 3, msgspec.structs.replace(LIMIT, rate_per_s=1.0, burst=1.0))
     fleet.play(1_000.0, USUAL_TOKENS_PER_S)
     fleet.set_limit(None)
@@ -183,7 +183,7 @@
 
 
 def test_call_beyond_all_that_a_limit_allows_is_told_so_at_once() -> None:
-    """Guards against a call that waits for credit that never suffices."""
+    """Guards against a call that waits for credit that the limit never allows."""
     fleet = LimitFleet(3, 3)
     call = fleet.ask(next(iter(fleet.cores)), OTHER, 80_000)
     assert call.refusal is not None
@@ -194,7 +194,7 @@
 
 @FEW
 def test_calls_over_the_limit_are_answered_soon_and_spread(nodes_each: int) -> None:
-    """Guards against a flood that waits in queues, and that comes back as one."""
+    """Guards against a flood that stays queued, or that retries all at once."""
     fleet = LimitFleet(3, nodes_each)
     fleet.play(3_000.0, FLOOD_TOKENS_PER_S)
     calls = fleet.play(2_000.0, FLOOD_TOKENS_PER_S)
@@ -208,14 +208,14 @@
 
 
 def test_log_tells_of_changed_limits_and_homes() -> None:
-    """Guards against limits that nobody can tell to be in force."""
+    """Guards against changes of limits that operators can't see."""
     fleet = LimitFleet(3, 3)
     fleet.set_limit(msgspec.structs.replace(LIMIT, rate_per_s=5_000.0))
     fleet.log_entries.clear()
     fleet.run_for(500.0)
     changed = [n for _, n in fleet.log_entries if n.event == "limit_changed"]
-    assert {note.fields["before_per_s"] for note in changed} == {18_000.0}
-    assert {note.fields["rate_per_s"] for note in changed} == {5_000.0}
+    assert {entry.fields["before_per_s"] for entry in changed} == {18_000.0}
+    assert {entry.fields["rate_per_s"] for entry in changed} == {5_000.0}
     assert len(changed) == 2 * len(fleet.cores)
 
 
@@ -235,7 +235,7 @@
 
 
 def test_slow_answers_use_up_nothing() -> None:
-    """Guards against homes that grant again what they granted and was not heard yet."""
+    """Guards against granting a repeated credit request twice when answers are slow."""
     fleet = LimitFleet(3, 3)
     fleet._way_ms = 150.0
     calls = fleet.play(6_000.0, USUAL_TOKENS_PER_S)
@@ -245,7 +245,7 @@
 
 @FEW
 def test_pools_refuse_less_of_what_is_owed_than_equal_shares(nodes_each: int) -> None:
-    """Guards the gain of pools: prompts are larger than a share of one node."""
+    """Checks the benefit of sharing: prompts are larger than a single node's share."""
     refused = {}
     for strategy in (LimitStrategy.POOLS, LimitStrategy.EQUAL_SHARES):
         fleet = LimitFleet(3, nodes_each, strategy=strategy)
--- a/tests/toucanyard/test_drain_rate.py
+++ b/tests/toucanyard/test_drain_rate.py
@@ -19,9 +19,10 @@
 
 
 def test_wait_grows_when_requests_stop_ending() -> None:
-    """Endpoints stall while callers keep coming.
+    """Guards against an outdated rate after endpoints stall.
 
-    With the rate of before, they would be told to come back at once, again and again.
+    With the previous rate, callers would get very short retry delays and retry at once,
+    again and again.
     """
     drain = DrainRate()
     for number in range(1_000):
--- a/tests/toucanyard/test_fair_queue.py
+++ b/tests/toucanyard/test_fair_queue.py
@@ -20,9 +20,10 @@
 
 
 def test_idle_customer_saves_nothing_up() -> None:
-    """A customer was idle while another had a hundred requests run, then sends ten.
+    """Guards against idle time that counts as credit.
 
-    With its idle time counted as credit, the other would wait behind all ten.
+    A customer is idle while another one runs a hundred requests, then sends ten. With
+    credit for its idle time, the other customer would wait behind all ten.
     """
     queue = FairQueue()
     for number in range(100):
--- a/tests/toucanyard/test_limit_buckets.py
+++ b/tests/toucanyard/test_limit_buckets.py
@@ -21,7 +21,7 @@
 
 
 class Coordinator:
-    """A pool to which the shares of some of ten nodes are pledged."""
+    """Buckets of a coordinator to which some of ten nodes delegate their shares."""
 
     def __init__(self, nodes: int = 10) -> None:
         self.delegations = DelegationTable(COORDINATOR)
@@ -58,12 +58,12 @@
 
 
 def test_new_home_has_nothing_saved_up() -> None:
-    """Guards against a burst that is spent once at each home."""
+    """Guards against a burst that can be spent once at each coordinator."""
     assert Coordinator().ask(100_000.0, 200.0) == pytest.approx(DEBT)
 
 
 def test_request_is_granted_whole_though_the_level_is_low() -> None:
-    """Guards against long prompts that never find enough beside short ones."""
+    """Guards against long prompts that are starved by short ones."""
     coordinator = Coordinator()
     coordinator.wait(100.0)
     assert coordinator.ask(9_000.0) == 9_000.0
@@ -94,7 +94,7 @@
 
 
 def test_those_denied_later_come_back_later() -> None:
-    """Guards against callers that all come back when one of them fits."""
+    """Guards against callers that all retry when capacity suffices for one."""
     coordinator = Coordinator()
     coordinator.ask(DEBT)
     retries = [
@@ -123,7 +123,7 @@
 
 
 def test_slice_that_was_lost_begins_anew() -> None:
-    """Guards against a home that reckons with time of before it was one."""
+    """Guards against accruing time from before the node became coordinator."""
     coordinator = Coordinator()
     coordinator.wait(5_000.0)
     assert coordinator.ask(200.0) == 200.0
--- a/tests/toucanyard/test_limit_credits.py
+++ b/tests/toucanyard/test_limit_credits.py
@@ -49,7 +49,7 @@
 
 
 def test_credit_lapses_and_goes_back() -> None:
-    """Guards against credit of one window that runs in a later one."""
+    """Guards against credit of one window that is spent in a later one."""
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     grant(accounts, ask(accounts, 0.0), 900.0, 5.0)
@@ -59,7 +59,7 @@
 
 
 def test_answer_of_a_slow_home_counts_for_as_long_as_its_question() -> None:
-    """Guards against never being served by a home that answers after the timeout."""
+    """Guards against starvation by a coordinator that answers after the timeout."""
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     credit_request = ask(accounts, 0.0)
@@ -89,7 +89,7 @@
 
 
 def test_denial_stops_questions_for_a_while() -> None:
-    """Guards against a flood that asks the home for each of its requests."""
+    """Guards against a credit request for each model request of a flood."""
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     denial = CreditGrant(0.0, 1.0, 3_000.0)
@@ -100,7 +100,7 @@
 
 
 def test_denial_is_not_believed_for_long() -> None:
-    """Guards against a home that is gone, whose word outlives it."""
+    """Guards against a denial that outlives its coordinator."""
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     denial = CreditGrant(0.0, 60_000.0, 60_000.0)
--- a/tests/toucanyard/test_limit_delegations.py
+++ b/tests/toucanyard/test_limit_delegations.py
@@ -37,7 +37,7 @@
 
 
 def test_pledge_to_another_home_ends_the_one_before() -> None:
-    """Guards against two homes that give out the same shares."""
+    """Guards against two coordinators that grant from the same shares."""
     table = DelegationTable(COORDINATOR)
     table.record(GROUP, delegate_to(COORDINATOR), 0.0)
     table.record(GROUP, delegate_to(OTHER), 10.0)
@@ -60,7 +60,7 @@
 
 
 def test_node_that_stood_still_has_nothing_left() -> None:
-    """Guards against giving out what others have been pledged meanwhile."""
+    """Guards against granting shares that were delegated to others meanwhile."""
     table = DelegationTable(COORDINATOR)
     table.settle(TOTAL, 0.0)
     table.record(COORDINATOR, delegate_to(COORDINATOR), 0.0)
@@ -72,7 +72,7 @@
 
 
 def test_share_never_exceeds_the_whole() -> None:
-    """Guards against a node that doesn't know of all others yet."""
+    """Guards against a share above 1 while a node doesn't know all others yet."""
     table = DelegationTable(COORDINATOR)
     table.record(GROUP, delegate_to(COORDINATOR, 50), 0.0)
     assert table.compute_share(0, 1) == 1.0
@@ -82,7 +82,7 @@
     "delegation", [ShareDelegation(5, ()), delegate_to(COORDINATOR, 0)]
 )
 def test_pledge_that_cannot_be_counts_for_nothing(delegation: ShareDelegation) -> None:
-    """Guards against a peer's message that ends each node that reads it."""
+    """Guards against a peer's message that crashes each node that reads it."""
     table = DelegationTable(COORDINATOR)
     table.record(GROUP, delegation, 0.0)
     assert find_share(table, 0.0) == 0.0
--- a/tests/toucanyard/test_limit_exchange.py
+++ b/tests/toucanyard/test_limit_exchange.py
@@ -15,7 +15,7 @@
 
 
 def find_coordinator(fleet: LimitFleet) -> RelayCore:
-    """Return the home of the large customer, after a call of it."""
+    """Let the large customer make a call, and return its limit's coordinator."""
     fleet.ask(next(iter(fleet.cores)), LARGE, 200)
     fleet.run_for(100.0)
     (coordinator,) = [
@@ -37,7 +37,7 @@
 
 
 def ask(coordinator: RelayCore, fleet: LimitFleet, number: int) -> CreditAnswer:
-    """Let another node ask a home, and return the answer."""
+    """Let another node request credit from a coordinator, and return the answer."""
     sender = next(c.identity for c in fleet.cores.values() if c is not coordinator)
     credit_request = CreditAsk(sender.node, number, LARGE, 5_000.0, 5_000.0, 0.0)
     (action,) = coordinator.handle(
@@ -49,7 +49,7 @@
 
 
 def test_question_that_comes_again_is_granted_once() -> None:
-    """Guards against slow answers that use up a limit without a call."""
+    """Guards against slow answers that exhaust a limit without any call."""
     fleet = LimitFleet(3, 3)
     coordinator = find_coordinator(fleet)
     ask(coordinator, fleet, 69)
@@ -61,7 +61,7 @@
 
 
 def test_shares_of_a_dead_node_are_not_given_out() -> None:
-    """Guards against shares that count at their home until they lapse."""
+    """Guards against a dead node's share that counts until its delegation expires."""
     fleet = LimitFleet(3, 3)
     coordinator = find_coordinator(fleet)
     fleet.kill([name for name in fleet.cores if name != coordinator.identity.node][:3])
@@ -71,12 +71,12 @@
 
 
 def test_node_without_a_hub_waits_before_it_uses_its_own_share() -> None:
-    """Guards against a share that counts at the hub and at its node."""
+    """Guards against a share that counts at the hub and at the node itself."""
     fleet = LimitFleet(3, 23)
     hubs = set(fleet.find_hubs())
     leaf = next(name for name in fleet.cores if name not in hubs)
     core = fleet.cores[leaf]
-    fleet.cut_apart([leaf])
+    fleet.partition_network([leaf])
     fleet.run_for(SILENCE_MS + 500.0)
     assert core.roster.find_primary() is None
     assert core.shares.delegation is None
@@ -87,7 +87,7 @@
 
 
 def test_node_that_knows_no_other_pledges_nothing() -> None:
-    """Guards against a node that has just started and takes itself for the fleet."""
+    """Guards against a freshly started node that regards itself as the whole fleet."""
     fleet = Fleet("n0")
     limited = RoutedCustomer(LARGE, ("key",), limit=LIMIT)
     record = KeyedRecord("config", 0, put(build_table(customers=(limited,))))
@@ -101,7 +101,7 @@
 
 
 def test_home_that_stops_is_a_home_no_more() -> None:
-    """Guards against a planned stop that takes customers' credit with it."""
+    """Guards against a planned stop during which customers get no credit."""
     fleet = LimitFleet(3, 3)
     coordinator = find_coordinator(fleet)
     coordinator.is_stopping = True
@@ -113,7 +113,7 @@
 
 
 def test_limits_cost_nothing_where_there_are_none() -> None:
-    """Guards against work and messages for limits that nobody set."""
+    """Guards against work and messages when no limits are set."""
     fleet = LimitFleet(3, 3)
     fleet.set_limit(None)
     fleet.run_for(500.0)
@@ -127,7 +127,7 @@
 
 
 def test_tries_that_reach_no_replica_use_up_nothing() -> None:
-    """Guards against replicas that are away and cost their callers the limit."""
+    """Guards against unreachable replicas that use up their callers' limits."""
     low = msgspec.structs.replace(LIMIT, rate_per_s=1.0, burst=20_000.0)
     fleet = LimitFleet(3, 3, low)
     fleet.set_limit(LIMIT)
@@ -147,7 +147,7 @@
 
 
 def test_restarted_node_is_not_given_the_answers_of_before() -> None:
-    """Guards against credit that one incarnation used and the next gets again."""
+    """Guards against granting a new incarnation the credit its predecessor used."""
     fleet = LimitFleet(3, 3)
     coordinator = find_coordinator(fleet)
     node = next(n for n in fleet.cores if n != coordinator.identity.node)
--- a/tests/toucanyard/test_rate_limits.py
+++ b/tests/toucanyard/test_rate_limits.py
@@ -18,7 +18,7 @@
 
 
 def test_one_request_may_be_saved_up_without_a_burst() -> None:
-    """Guards against a limit whose callers are never served."""
+    """Guards against a limit that never allows any request."""
     assert REQUESTS.compute_capacity() == 1.0
 
 
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("rate", [18_000.0, 261_368.0])
 def test_debt_late_credit_and_a_second_home_fit_in_the_margin(rate: float) -> None:
-    """Guards against parts that each keep to the bound and exceed it together."""
+    """Guards against parts of the margin that together exceed the bound."""
     limit = RateLimit(rate, rate, LimitUnit.TOKENS, 200.0)
     granted = BOUNDS.compute_rate(limit)
     late = granted * BOUNDS.compute_credit_ms(limit) / 1_000
--- a/tests/toucanyard/test_relay_core.py
+++ b/tests/toucanyard/test_relay_core.py
@@ -22,10 +22,10 @@
 
 
 def test_routes_reach_nodes_that_the_store_refuses() -> None:
-    """The store turns two of three nodes away; meanwhile a key is taken away.
+    """Guards against nodes that keep a revoked key while the store rejects their reads.
 
-    Only the third node reads the new version. The others must get it from there, or
-    the key opens two doors of three for as long as the store refuses them.
+    The store rejects two of three nodes, so only the third reads the new version. The
+    others must receive it from that node.
     """
     fleet = Fleet("a", "b", "c")
     fleet.read("a", Topic.OPERATOR, KeyedRecord("config", 0, put(build_table(1))))
@@ -39,19 +39,20 @@
 
 def test_node_that_was_cut_off_catches_up_by_status() -> None:
     fleet = Fleet("a", "b")
-    fleet.cut = {"b"}
+    fleet.isolated_nodes = {"b"}
     fleet.read("a", Topic.OPERATOR, KeyedRecord("config", 0, put(build_table(5))))
     fleet.run(1_000.0)
     assert fleet.core("b").index.table.version == 0
-    fleet.cut = set()
+    fleet.isolated_nodes = set()
     fleet.run(1_000.0)
     assert fleet.core("b").index.table.version == 5
 
 
 def test_version_in_force_is_never_undone() -> None:
-    """A node restarts beside a peer that still has the version before.
+    """Guards against falling back to an older configuration version.
 
-    Seen in force once and then taken back, a removed route would serve again.
+    A node restarts beside a peer that still has the previous version. Applying it would
+    serve a removed route again.
     """
     fleet = Fleet("a")
     new = KeyedRecord("config", 7, put(build_table(9)))
@@ -86,10 +87,11 @@
 
 
 def test_replicas_that_lapsed_while_nobody_read_the_store_count_a_while() -> None:
-    """The store answers nobody for three seconds; its return shows that a lease lapsed.
+    """Guards against dropping replicas whose leases expired during a store outage.
 
-    One node reads that. The other one hears it from there, and knows from the answers
-    that both were told of before that the store was away: it would else refuse calls.
+    The store answers no node for three seconds; afterwards one node reads that a lease
+    has expired, and the other learns it from that node. Both know from their last
+    answers that the store was down, so they must keep using the replica for a while.
     """
     fleet = build_listed("a", "b")
     fleet.handle(NodeName("a"), StoreFailed("replicas", "silent", fleet.now_ms))
@@ -104,10 +106,10 @@
 
 
 def test_replica_that_goes_while_the_store_fails_only_one_node_is_gone() -> None:
-    """The store fails one node for three seconds and answers the other one meanwhile.
+    """Guards against treating one node's store failures as a store outage.
 
-    Were the failure of one taken for the store's, a replica that is taken away would
-    get calls from all until it ends.
+    The store fails one node for three seconds and answers the other. If that counted
+    as an outage, all nodes would go on sending calls to a removed replica.
     """
     fleet = build_listed("a", "b")
     for _ in range(8):
@@ -143,15 +145,15 @@
     fleet.read("a", Topic.OPERATOR, KeyedRecord("config", 0, put(build_table())))
     fleet.run(300.0)
     assert len(fleet.core("a").find_addresses(fleet.now_ms)) == 2
-    fleet.cut = {"b"}
+    fleet.isolated_nodes = {"b"}
     fleet.run(STATUS_KEPT_MS + 300.0)
     assert fleet.core("a").find_addresses(fleet.now_ms) == ["10.0.0.0:1"]
 
 
 def test_one_node_reads_and_the_next_takes_over() -> None:
-    """The node that reads the replicas for all is refused by the store.
+    """Guards against stale data when the node that reads for all can't reach the store.
 
-    Nobody agrees on who reads: the others must see that what they know grows old.
+    Nodes don't agree on a reader, so the others must take over when their data ages.
     """
     fleet = Fleet("a", "b", "c")
     fleet.run(300.0)
@@ -174,9 +176,10 @@
 
 
 def test_restarted_node_learns_for_how_long_weights_are_wanted() -> None:
-    """A node restarts nine seconds after new weights were named.
+    """Guards against restarting the deadline of new weights when a node restarts.
 
-    Counting from its start, it would begin calls on older weights for seconds more.
+    A node restarts nine seconds after new weights were requested. Counting from its own
+    start, it would begin calls on older weights for several more seconds.
     """
     fleet = Fleet("a", "b")
     wanted = KeyedRecord("version/m", 0, put(WantedWeights("m", 2)))
--- a/tests/toucanyard/test_relay_flow.py
+++ b/tests/toucanyard/test_relay_flow.py
@@ -48,7 +48,7 @@
 
 
 class Node:
-    """The flow of one node and the replies that it gave."""
+    """The call flow of one node and the replies that it returned."""
 
     def __init__(self, desks: str = "xyz", engines: str = "ab") -> None:
         self.directory = ReplicaDirectory()
@@ -124,10 +124,10 @@
 
 @pytest.mark.parametrize("ending", UNPROVED)
 def test_call_that_may_run_once_is_never_sent_again(ending: EndingSeen) -> None:
-    """A replica resets the connection, or fails, after it got a seat hold.
+    """Guards against running a call twice that may run only once.
 
-    The hold may have run: sent elsewhere it would run twice, and "not run" would make
-    its caller do the same.
+    A replica resets the connection or fails after it received the call, which may
+    therefore have run. Neither a retry nor the ending "not run" is allowed.
     """
     node = Node()
     node.arrive("q", repeatability=Repeatability.RUN_ONCE, max_attempts=3)
@@ -160,9 +160,10 @@
 
 
 def test_refusal_after_a_try_that_may_have_run_is_no_not_run() -> None:
-    """A receipt is lost at one replica; the next one refuses it without running it.
+    """Guards against a false "not run" after an earlier try that may have run.
 
-    Said of the call, "not run" would be false: the first try may have run.
+    The connection to the first replica is lost; the second replica refuses the call
+    without running it.
     """
     node = Node()
     node.arrive("q", max_attempts=2)
@@ -175,10 +176,11 @@
 def test_call_given_up_in_the_queue_after_such_a_try_is_no_not_run(
     ending: EndingSeen,
 ) -> None:
-    """A receipt is lost, or fails, at the only replica, which then loads weights.
+    """Guards against a false "not run" when a call times out in the queue.
 
-    It waits again, and its time ends. The first try may have run, so a refusal that
-    says "not run" would be false; a failure's own answer is passed on instead.
+    Its first try is lost or fails at the only replica, which then loads weights, so the
+    call is queued again until its deadline. That try may have run. If it failed, the
+    replica's own response is relayed.
     """
     node = Node(desks="x")
     node.arrive("q", deadline_ms=2_000.0)
@@ -205,10 +207,7 @@
 
 
 def test_retries_of_all_calls_stay_in_the_budget() -> None:
-    """Every replica fails every call.
-
-    Without the budget all nodes together would double the load on what is left.
-    """
+    """Guards against retries that double the load when every replica fails."""
     node = Node()
     node.flow.apply_node_count(4)
     retries = 0
@@ -224,9 +223,10 @@
 
 
 def test_stream_goes_on_only_under_the_weights_it_began_with() -> None:
-    """A replica dies in mid-stream; the only other one has newer weights by now.
+    """Guards against resuming a stream under other weights than it began with.
 
-    What those go on with is no part of the answer that the caller has begun to read.
+    A replica dies during a stream, and the only other one has newer weights. Its tokens
+    would not continue the response that the caller has begun to read.
     """
     stream: dict[str, Any] = {
         "service": ENGINES,
@@ -274,9 +274,10 @@
 
 
 def test_call_that_would_wait_too_long_is_refused_at_once() -> None:
-    """A burst fills the queue far beyond what ends before the callers' deadlines.
+    """Guards against queueing calls that can't be sent before their deadlines.
 
-    Held until then, its callers would be told only when nothing is left to retry in.
+    A burst fills the queue. Callers that are refused only at their deadline have no
+    time left to retry.
     """
     node = Node(desks="x")
     for number in range(100):
@@ -338,14 +339,14 @@
 def test_every_question_gets_one_reply_and_nothing_is_left(
     steps: list[tuple[str, EndingSeen, Repeatability, int]],
 ) -> None:
-    """Calls come, end and are left in any order.
+    """Guards against lost and duplicate replies, for any order of events.
 
-    A reply that is lost holds a place at a replica for good; two of them would answer
-    another call's question.
+    A lost reply would occupy a replica's slot forever; a duplicate one would be taken
+    for the reply to another call.
     """
     node = Node(desks="xy")
     open_calls: list[str] = []
-    asked: dict[str, int] = {}
+    expected_replies: dict[str, int] = {}
     now_ms = 0.0
     for number, (step, ending, repeatability, pick) in enumerate(steps):
         now_ms += 7.0
@@ -353,14 +354,14 @@
         if step == "arrive":
             name = f"q{number}"
             open_calls.append(name)
-            asked[name] = 1
+            expected_replies[name] = 1
             node.arrive(name, now_ms, repeatability=repeatability)
         elif step == "end" and isinstance(node.find_last(name), RelayDispatch):
-            asked[name] += 1
+            expected_replies[name] += 1
             node.end(name, ending, now_ms)
         elif step == "leave" and name:
             open_calls.remove(name)
-            asked[name] = -1
+            expected_replies[name] = -1
             node.take(node.flow.leave(RequestId(name), now_ms))
         else:
             node.take(node.flow.tick(now_ms))
@@ -369,7 +370,7 @@
             if last != "nothing" and not isinstance(last, RelayDispatch):
                 open_calls.remove(each)
     node.take(node.flow.tick(now_ms + 5_000))
-    for name, count in asked.items():
+    for name, count in expected_replies.items():
         replies = node.replies.get(RequestId(name), [])
         assert count < 0 or len(replies) == count
     running = sum(
--- a/tests/toucanyard/test_replica_credits.py
+++ b/tests/toucanyard/test_replica_credits.py
@@ -23,7 +23,7 @@
 
 
 class Node:
-    """The credits of one node, one replica of which names a limit."""
+    """The replica credits of one node; one replica announces a limit."""
 
     def __init__(self, rate_per_s: float = 1.0) -> None:
         self.limits = ReplicaLimits(random.Random(1))
@@ -62,7 +62,7 @@
 
 
 def test_granted_request_lapses() -> None:
-    """Guards against requests that are saved up and sent within a later window."""
+    """Guards against credit that is saved up and spent in a later window."""
     node = Node()
     call = node.build_call()
     node.credits.claim(call, NAME, 0.0)
@@ -90,24 +90,24 @@
 
 
 def test_begun_answer_goes_on_without_asking() -> None:
-    """Guards against a pause in a stream that its caller could resume elsewhere."""
+    """Guards against delaying a stream that its caller could resume elsewhere."""
     node = Node()
     assert node.select(node.build_call(has_begun=True), 0.0) == [OPEN.replica.name]
 
 
 def test_denied_questions_are_bounded() -> None:
-    """Guards against a flood of questions where most replicas are limited."""
+    """Guards against a flood of credit requests when most replicas are limited."""
     node = Node()
-    asked = 0
+    requests = 0
     for number in range(1_000):
         now_ms = number * 1.0
         call = node.build_call()
         if NAME in node.select(call, now_ms):
-            asked += 1
+            requests += 1
             node.credits.claim(call, NAME, now_ms)
             node.answer(0.0, now_ms, closed_ms=0.0)
         node.credits.release(call)
-    assert asked <= 2 * MAX_DENIED_PER_S
+    assert requests <= 2 * MAX_DENIED_PER_S
 
 
 def test_ended_limit_frees_the_replica() -> None:
@@ -124,7 +124,7 @@
 
 
 def test_replica_that_takes_nothing_is_asked_now_and_then() -> None:
-    """Guards against a limit of zero whose end no answer would show."""
+    """Guards against a limit of zero whose end would never be detected."""
     limit = Node(0.0).credits.find_limit(NAME)
     assert limit is not None
     assert limit.rate_per_s == MIN_RATE_PER_S
--- a/tests/toucanyard/test_replica_limits.py
+++ b/tests/toucanyard/test_replica_limits.py
@@ -18,8 +18,8 @@
         return len(list(self.limits.on_answer(R, rate_per_s, now_ms)))
 
     def hear(self, other: Node, now_ms: float, latency_ms: float = 0.0) -> int:
-        news = list(other.limits.list_news(now_ms - latency_ms))
-        return len(list(self.limits.apply(news, "other", now_ms)))
+        updates = list(other.limits.list_news(now_ms - latency_ms))
+        return len(list(self.limits.apply(updates, "other", now_ms)))
 
     @property
     def rate_per_s(self) -> float | None:
@@ -39,7 +39,11 @@
 
 
 def test_update_that_comes_back_over_slow_links_undoes_nothing() -> None:
-    """Each hop makes an update look younger, so an old limit would look newer."""
+    """Guards against old updates that seem new.
+
+    Ages in updates exclude the latency of each hop, so a delayed update seems younger
+    than it is.
+    """
     a, b = Node(1), Node(2)
     a.answer(1.5, 0.0)
     b.hear(a, 300.0, latency_ms=300.0)
@@ -79,7 +83,9 @@
 def test_values_that_can_not_be_read_are_logged_in_bounds() -> None:
     a = Node(1)
     a.answer(1.5, 0.0)
-    lines = [note for _ in range(1_000) for note in a.limits.on_invalid(R, "many", 1.0)]
+    lines = [
+        entry for _ in range(1_000) for entry in a.limits.on_invalid(R, "many", 1.0)
+    ]
     assert 0 < len(lines) <= 20
     assert lines[0].fields["value"] == "many"
     assert a.rate_per_s == 1.5
--- a/tests/toucanyard/test_replica_lives.py
+++ b/tests/toucanyard/test_replica_lives.py
@@ -135,12 +135,12 @@
     by what the entry says until the replica's next one.
     """
     fleet = build_fleet("a", "b")
-    fleet.cut = {"b"}
+    fleet.isolated_nodes = {"b"}
     fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE)))
     fleet.read("a", Topic.REPLICAS, record(1, build_life(AFTER)))
     fleet.read("b", Topic.REPLICAS, record(2, build_life(BEFORE)), is_whole=True)
     assert list_usable(fleet, "b") == ["r@1000"]
-    fleet.cut = set()
+    fleet.isolated_nodes = set()
     fleet.run(300.0)
     assert "r@1000" not in list_usable(fleet, "b")
 
--- a/tests/toucanyard/test_retry_budget.py
+++ b/tests/toucanyard/test_retry_budget.py
@@ -6,9 +6,9 @@
 
 
 def test_retries_saved_up_are_bounded() -> None:
-    """A quiet day is followed by a failure of everything.
+    """Guards against a retry storm when everything fails after a long quiet period.
 
-    With all of the day's share saved, the retries would come on top of the failure.
+    If all retries earned in that period were saved up, they would add to the failure.
     """
     budget = RetryBudget(0.1)
     for _ in range(100_000):
