--- a/packages/toucanyard/src/toucanyard/limit_credits.py
+++ b/packages/toucanyard/src/toucanyard/limit_credits.py
@@ -86,14 +86,14 @@
 class CreditAccounts:
     """Credit by subject. Invariant: what is taken was granted before, and only once."""
 
-    __slots__ = ("_accounts", "_first", "_open", "request_count")
+    __slots__ = ("_accounts", "_first_number", "_waiting_subjects", "request_count")
 
     def __init__(self, first_number: int = 0) -> None:
-        self._first = first_number
+        self._first_number = first_number
         """Differs from that of the previous incarnation, whose answers may still be
         stored at coordinators."""
         self._accounts: dict[str, _Account] = {}
-        self._open: dict[str, None] = {}
+        self._waiting_subjects: dict[str, None] = {}
         """Subjects with model requests that wait for credit."""
         self.request_count = 0
         """Credit requests so far."""
@@ -107,14 +107,14 @@
         now_ms: float,
     ) -> float | None:
         """Take credit for a request and return its expiry; None if it has to wait."""
-        account = self._find(subject, now_ms)
+        account = self._find_account(subject, now_ms)
         account.ttl_ms = ttl_ms
         if account.credit >= cost:
             account.credit -= cost
             account.waiting.pop(request_id, None)
             return account.until_ms
         account.waiting[request_id] = cost
-        self._open[subject] = None
+        self._waiting_subjects[subject] = None
         return None
 
     def find_credit(self, subject: str, now_ms: float) -> float:
@@ -141,17 +141,17 @@
 
     def return_unused(self, subject: str, credit: float, now_ms: float) -> None:
         """Record credit that a request took and did not use, to be returned."""
-        self._find(subject, now_ms).returned += credit
+        self._find_account(subject, now_ms).returned += credit
 
     def has_requests(self) -> bool:
         """Return whether model requests may be waiting for credit."""
-        return bool(self._open)
+        return bool(self._waiting_subjects)
 
     def retain(self, subjects: Collection[str]) -> None:
         """Drop the accounts of subjects that no longer have a limit."""
         for subject in set(self._accounts).difference(subjects):
             del self._accounts[subject]
-            self._open.pop(subject, None)
+            self._waiting_subjects.pop(subject, None)
 
     def forget_denials(self, subject: str) -> None:
         """Drop the denial in force for a limit that has changed."""
@@ -161,10 +161,10 @@
 
     def list_requests(self, now_ms: float) -> Iterator[CreditRequest]:
         """Return the credit requests that have to be sent now."""
-        for subject in list(self._open):
-            account = self._find(subject, now_ms)
+        for subject in list(self._waiting_subjects):
+            account = self._find_account(subject, now_ms)
             if not account.waiting:
-                del self._open[subject]
+                del self._waiting_subjects[subject]
                 continue
             is_covered = account.credit >= sum(account.waiting.values())
             if is_covered or account.denied_until_ms > now_ms:
@@ -213,7 +213,7 @@
         returned, account.returned = account.returned + account.credit, 0.0
         account.credit = 0.0
         account.credit_request = CreditRequest(
-            self._first + self.request_count,
+            self._first_number + self.request_count,
             subject,
             sum(account.waiting.values()),
             next(iter(account.waiting.values())),
@@ -221,7 +221,7 @@
         )
         return account.credit_request
 
-    def _find(self, subject: str, now_ms: float) -> _Account:
+    def _find_account(self, subject: str, now_ms: float) -> _Account:
         account = self._accounts.get(subject)
         if account is None:
             account = self._accounts[subject] = _Account()
