--- a/packages/toucanyard/src/toucanyard/call_limits.py
+++ b/packages/toucanyard/src/toucanyard/call_limits.py
@@ -68,7 +68,7 @@
         return self.index.find_limit(CustomerName(subject))
 
     def check(self, pending: PendingCall, now_ms: float) -> LimitRejection | None:
-        """Take credit for a call's next try; return a rejection if it is over the limit.
+        """Take credit for a call's next try; return a rejection if over the limit.
 
         A call that has to wait for credit gets `is_awaiting_credit` set.
         """
