--- a/packages/toucanyard/src/toucanyard/limit_buckets.py
+++ b/packages/toucanyard/src/toucanyard/limit_buckets.py
@@ -26,7 +26,7 @@
     """A coordinator's answer to a node's credit request."""
 
     granted: float
-    closed_ms: float
+    denial_ms: float
     """Time until the coordinator grants credit again; 0 if it does now."""
     retry_ms: float
     """The same, after all requests that were recently denied."""
@@ -136,18 +136,18 @@
         needed = max(least - debt, 0.0)
         rate_per_s = bucket.rate_per_s * share
         if bucket.level < needed:
-            closed_ms = (needed - bucket.level) / rate_per_s * 1_000
-            retry_ms = closed_ms + bucket.backlog / rate_per_s * 1_000
+            denial_ms = (needed - bucket.level) / rate_per_s * 1_000
+            retry_ms = denial_ms + bucket.backlog / rate_per_s * 1_000
             most = bucket.rate_per_s * MAX_BACKLOG_S
             added = max(wanted - denied, 0.0)
             bucket.backlog = min(bucket.backlog + added, most)
             bucket.denied_total += added
-            return CreditGrant(0.0, closed_ms, retry_ms)
+            return CreditGrant(0.0, denial_ms, retry_ms)
         granted = min(wanted, bucket.level + debt)
         bucket.level -= granted
         bucket.granted_total += granted
-        closed_ms = max(-bucket.level, 0.0) / rate_per_s * 1_000
-        return CreditGrant(granted, closed_ms, closed_ms)
+        denial_ms = max(-bucket.level, 0.0) / rate_per_s * 1_000
+        return CreditGrant(granted, denial_ms, denial_ms)
 
     def return_credit(
         self, subject: str, limit: RateLimit, credit: float, share: float
--- a/packages/toucanyard/src/toucanyard/limit_coordinators.py
+++ b/packages/toucanyard/src/toucanyard/limit_coordinators.py
@@ -24,7 +24,7 @@
 
 UPDATE_MS: Final = 100.0
 """Interval between updates of the candidates for coordinator."""
-ALONE_MS: Final = 1_500.0
+HUB_LOSS_TIMEOUT_MS: Final = 1_500.0
 """Time without a hub after which a node uses its own share. By then its hub has
 detected the lost link and no longer delegates that share."""
 
@@ -54,7 +54,7 @@
         self._candidates: frozenset[NodeName] = frozenset()
         self.coordinators: tuple[NodeName, ...] = ()
         """By partition; empty while this node delegates to nobody."""
-        self._reached_ms: float | None = None
+        self._hub_seen_ms: float | None = None
         """When this node last had a hub; None before its first tick."""
         self._updated_ms = float("-inf")
         self.total = 1
@@ -79,7 +79,7 @@
             self._update(now_ms)
         return is_due
 
-    def withdraw(self) -> None:
+    def clear_delegation(self) -> None:
         """Delegate nothing, as there is no limit."""
         self.delegation = None
 
@@ -131,7 +131,7 @@
             self.coordinators = choose_coordinators(candidates) if candidates else ()
         self.delegation = None
         if self.coordinators:
-            nodes = 1 if self._is_apart() else self._count_group()
+            nodes = 1 if self._is_single_node_group() else self._count_group()
             self.delegation = ShareDelegation(nodes, self.coordinators)
             self.delegations.record(self.own, self.delegation, now_ms)
 
@@ -149,9 +149,9 @@
         plan = self._roster.plan
         if plan.is_hub():
             return self._add_own(name for name in ready if name in plan.hubs)
-        if self._reached_ms is None or self._roster.find_primary() is not None:
-            self._reached_ms = now_ms
-        return own if now_ms - self._reached_ms > ALONE_MS else frozenset()
+        if self._hub_seen_ms is None or self._roster.find_primary() is not None:
+            self._hub_seen_ms = now_ms
+        return own if now_ms - self._hub_seen_ms > HUB_LOSS_TIMEOUT_MS else frozenset()
 
     def _add_own(self, names: Iterable[NodeName]) -> frozenset[NodeName]:
         found = set(names)
@@ -159,7 +159,7 @@
             found.add(self.own)
         return frozenset(found)
 
-    def _is_apart(self) -> bool:
+    def _is_single_node_group(self) -> bool:
         """Return whether this node represents only itself."""
         is_equal = self._strategy is LimitStrategy.EQUAL_SHARES
         return is_equal or self._roster.is_full_mesh()
--- a/packages/toucanyard/src/toucanyard/limit_credits.py
+++ b/packages/toucanyard/src/toucanyard/limit_credits.py
@@ -43,7 +43,7 @@
 class Denial(msgspec.Struct, frozen=True):
     """Answer of a limit's coordinator that granted nothing."""
 
-    closed_ms: float
+    denial_ms: float
     """Time until the next credit request."""
     retry_ms: float
     """Estimated time until a grant, after all requests that were denied earlier."""
@@ -129,9 +129,9 @@
         account = self._accounts.get(subject)
         if account is None or account.denied_until_ms <= now_ms:
             return None
-        closed_ms = account.denied_until_ms - now_ms
-        retry_ms = max(account.retry_at_ms - now_ms, closed_ms)
-        return Denial(closed_ms, retry_ms, now_ms - account.denied_ms)
+        denial_ms = account.denied_until_ms - now_ms
+        retry_ms = max(account.retry_at_ms - now_ms, denial_ms)
+        return Denial(denial_ms, retry_ms, now_ms - account.denied_ms)
 
     def withdraw(self, request_id: RequestId, subject: str) -> None:
         """Remove a request from those that wait for credit."""
@@ -199,10 +199,10 @@
         else:
             account.returned += grant.granted
         if not grant.granted:
-            closed_ms = min(max(grant.closed_ms, MIN_DENIAL_MS), MAX_DENIAL_MS)
+            denial_ms = min(max(grant.denial_ms, MIN_DENIAL_MS), MAX_DENIAL_MS)
             account.denied_ms = now_ms
-            account.denied_until_ms = now_ms + closed_ms
-            account.retry_at_ms = now_ms + max(grant.retry_ms, closed_ms)
+            account.denied_until_ms = now_ms + denial_ms
+            account.retry_at_ms = now_ms + max(grant.retry_ms, denial_ms)
 
     def _issue_request(
         self, subject: str, account: _Account, now_ms: float
--- a/packages/toucanyard/src/toucanyard/limit_exchange.py
+++ b/packages/toucanyard/src/toucanyard/limit_exchange.py
@@ -171,7 +171,7 @@
 
     def _apply(self, answer: CreditAnswer, now_ms: float) -> None:
         self._is_answered = True
-        grant = CreditGrant(answer.granted, answer.closed_ms, answer.retry_ms)
+        grant = CreditGrant(answer.granted, answer.denial_ms, answer.retry_ms)
         self._source.accounts.apply_grant(answer.subject, answer.number, grant, now_ms)
 
 
@@ -181,7 +181,7 @@
         request.number,
         request.subject,
         grant.granted,
-        grant.closed_ms,
+        grant.denial_ms,
         grant.retry_ms,
         request.kind,
     )
--- a/packages/toucanyard/src/toucanyard/link_messages.py
+++ b/packages/toucanyard/src/toucanyard/link_messages.py
@@ -222,7 +222,7 @@
     number: int
     subject: str
     granted: Credit
-    closed_ms: SpanMs
+    denial_ms: SpanMs
     """Time until the home grants anything again; 0 if it does now."""
     retry_ms: SpanMs
     kind: LimitKind = LimitKind.CUSTOMER
--- a/packages/toucanyard/src/toucanyard/shared_limits.py
+++ b/packages/toucanyard/src/toucanyard/shared_limits.py
@@ -79,7 +79,7 @@
         if self._replicas.consume_changed_flag():
             self._exchanges[LimitKind.REPLICA].apply_limits(now_ms)
         if not self._limits and not self._replicas.has_limits():
-            self._coordinators.withdraw()
+            self._coordinators.clear_delegation()
             return
         before = self._coordinators.coordinators
         if self._coordinators.tick(now_ms):
--- a/tests/toucanyard/test_limit_buckets.py
+++ b/tests/toucanyard/test_limit_buckets.py
@@ -48,7 +48,7 @@
     def find(self, wanted: float, least: float | None = None) -> tuple[float, float]:
         first = wanted if least is None else least
         grant = self.buckets.grant(CUSTOMER, LIMIT, wanted, first, self.share)
-        return grant.granted, grant.closed_ms
+        return grant.granted, grant.denial_ms
 
 
 def test_no_more_than_the_burst_is_saved_up() -> None:
@@ -73,9 +73,9 @@
     coordinator = Coordinator()
     coordinator.wait(1_000.0)
     assert coordinator.ask(15_000.0) == 15_000.0
-    granted, closed_ms = coordinator.find(200.0)
+    granted, denial_ms = coordinator.find(200.0)
     assert granted == 0.0
-    coordinator.wait(closed_ms + 1.0)
+    coordinator.wait(denial_ms + 1.0)
     assert coordinator.ask(200.0) == 200.0
 
 
--- a/tests/toucanyard/test_replica_credits.py
+++ b/tests/toucanyard/test_replica_credits.py
@@ -39,9 +39,9 @@
         usable = self.credits.select(call, (LIMITED, OPEN), now_ms)
         return [each.replica.name for each in usable]
 
-    def answer(self, granted: float, now_ms: float, closed_ms: float = 0.0) -> None:
+    def answer(self, granted: float, now_ms: float, denial_ms: float = 0.0) -> None:
         for credit_request in list(self.credits.accounts.list_requests(now_ms)):
-            grant = CreditGrant(granted, closed_ms, closed_ms)
+            grant = CreditGrant(granted, denial_ms, denial_ms)
             self.credits.accounts.apply_grant(
                 credit_request.subject, credit_request.number, grant, now_ms
             )
@@ -74,7 +74,7 @@
     node = Node()
     call = node.build_call()
     node.credits.claim(call, NAME, 0.0)
-    node.answer(0.0, 5.0, closed_ms=400.0)
+    node.answer(0.0, 5.0, denial_ms=400.0)
     assert not node.credits.is_awaiting_replica_credit(call, 5.0)
     assert node.select(call, 5.0) == [OPEN.replica.name]
     assert NAME in node.select(node.build_call(), 406.0)
@@ -105,7 +105,7 @@
         if NAME in node.select(call, now_ms):
             requests += 1
             node.credits.claim(call, NAME, now_ms)
-            node.answer(0.0, now_ms, closed_ms=0.0)
+            node.answer(0.0, now_ms, denial_ms=0.0)
         node.credits.release(call)
     assert requests <= 2 * MAX_DENIED_PER_S
 
