--- a/packages/toucanyard/src/toucanyard/limit_credits.py
+++ b/packages/toucanyard/src/toucanyard/limit_credits.py
@@ -1,10 +1,10 @@
-"""Hold the credit that one node was granted for what limits count.
+"""Hold the credit that rate limits have granted to one node.
 
-What a limit is of, a customer or a replica, is its subject here.
+The subject of a limit is the customer or the replica that it applies to.
 
-Credit is asked for when requests need it and used within a moment: what a node holds
-that nobody uses would be missing elsewhere, and could run in a later window than the
-one that it was granted in.
+Credit is requested when model requests need it and expires soon after: credit held
+without use would be missing at other nodes, and could be spent in a later window than
+the one in which it was granted.
 """
 
 from __future__ import annotations
@@ -14,48 +14,49 @@
 
 import msgspec
 
-from toucanyard.limit_pool import CreditGrant
+from toucanyard.limit_buckets import CreditGrant
 from toucanyard.names import RequestId
 from toucanyard.rate_limits import MIN_CREDIT_MS
 
-ASK_TIMEOUT_MS: Final = 200.0
-"""Time without an answer after which a question is sent again."""
-MIN_CLOSED_MS: Final = 25.0
-"""Least time between a denial and the next question, which a flood would else ask for
-each of its requests."""
-MAX_CLOSED_MS: Final = 500.0
-"""Longest time for which a denial is believed: another node may be the home by then."""
+REQUEST_TIMEOUT_MS: Final = 200.0
+"""Time without an answer after which a credit request is sent again."""
+MIN_DENIAL_MS: Final = 25.0
+"""Minimum time between a denial and the next credit request; otherwise a flood would
+send one for each of its requests."""
+MAX_DENIAL_MS: Final = 500.0
+"""Maximum time for which a denial is valid: by then another node may be the limit's
+coordinator."""
 
 
-class CreditQuestion(msgspec.Struct, frozen=True):
-    """What a node asks the home of a limit for."""
+class CreditRequest(msgspec.Struct, frozen=True):
+    """A node's request for credit to the coordinator of a limit."""
 
     number: int
     subject: str
     wanted: float
     least: float
-    """Cost of the first request; less is of no use."""
+    """Cost of the first waiting request; a smaller grant can't be used."""
     returned: float
-    """Credit of before that was not used."""
+    """Previously granted credit that was not used."""
 
 
 class Denial(msgspec.Struct, frozen=True):
-    """What the home of a limit said when it granted nothing."""
+    """Answer of a limit's coordinator that granted nothing."""
 
-    closed_ms: float
-    """Time until it is asked again."""
+    denial_ms: float
+    """Time until the next credit request."""
     retry_ms: float
-    """Time until it may grant something, behind all that it denied before."""
+    """Estimated time until a grant, after all requests that were denied earlier."""
     age_ms: float
 
 
 class _Account:
     __slots__ = (
-        "asked_ms",
-        "closed_until_ms",
         "credit",
+        "credit_request",
         "denied_ms",
-        "question",
+        "denied_until_ms",
+        "requested_ms",
         "retry_at_ms",
         "returned",
         "sent_ms",
@@ -67,34 +68,35 @@
     def __init__(self) -> None:
         self.credit = 0.0
         self.ttl_ms = MIN_CREDIT_MS
-        """Time from asking for credit until it may no longer be used."""
+        """Time from the credit request until the credit expires."""
         self.until_ms = float("-inf")
-        self.question: CreditQuestion | None = None
-        """The question that has no answer yet."""
-        self.asked_ms = float("-inf")
+        self.credit_request: CreditRequest | None = None
+        """The outstanding credit request, if any."""
+        self.requested_ms = float("-inf")
         self.sent_ms = float("-inf")
-        """When the question was sent last."""
+        """When the credit request was last sent."""
         self.waiting: dict[RequestId, float] = {}
-        """Cost of requests that wait for credit, in order of arrival."""
+        """Costs of the model requests that wait for credit, in order of arrival."""
         self.returned = 0.0
-        self.closed_until_ms = float("-inf")
+        self.denied_until_ms = float("-inf")
         self.denied_ms = float("-inf")
         self.retry_at_ms = float("-inf")
 
 
 class CreditAccounts:
-    """Credit by subject. Invariant: what is taken was granted before, and once."""
+    """Credit by subject. Invariant: what is taken was granted before, and only once."""
 
-    __slots__ = ("_accounts", "_first", "_open", "asked")
+    __slots__ = ("_accounts", "_first_number", "_waiting_subjects", "request_count")
 
     def __init__(self, first_number: int = 0) -> None:
-        self._first = first_number
-        """Other than that of the incarnation before, whose answers homes still know."""
+        self._first_number = first_number
+        """Differs from that of the previous incarnation, whose answers may still be
+        stored at coordinators."""
         self._accounts: dict[str, _Account] = {}
-        self._open: dict[str, None] = {}
-        """Customers with requests that wait for credit."""
-        self.asked = 0
-        """Questions so far."""
+        self._waiting_subjects: dict[str, None] = {}
+        """Subjects with model requests that wait for credit."""
+        self.request_count = 0
+        """Credit requests so far."""
 
     def take(
         self,
@@ -104,117 +106,122 @@
         ttl_ms: float,
         now_ms: float,
     ) -> float | None:
-        """Use credit for a request; return until when, or let the request wait."""
-        account = self._find(subject, now_ms)
+        """Take credit for a request and return its expiry; None if it has to wait."""
+        account = self._find_account(subject, now_ms)
         account.ttl_ms = ttl_ms
         if account.credit >= cost:
             account.credit -= cost
             account.waiting.pop(request_id, None)
             return account.until_ms
         account.waiting[request_id] = cost
-        self._open[subject] = None
+        self._waiting_subjects[subject] = None
         return None
 
     def find_credit(self, subject: str, now_ms: float) -> float:
-        """Return the credit that may be used now."""
+        """Return the credit that may be spent now."""
         account = self._accounts.get(subject)
         if account is None or now_ms >= account.until_ms:
             return 0.0
         return account.credit
 
     def find_denial(self, subject: str, now_ms: float) -> Denial | None:
-        """Return the denial that still holds; None if the home may grant now."""
+        """Return the denial in force; None if the coordinator may grant now."""
         account = self._accounts.get(subject)
-        if account is None or account.closed_until_ms <= now_ms:
+        if account is None or account.denied_until_ms <= now_ms:
             return None
-        closed_ms = account.closed_until_ms - now_ms
-        retry_ms = max(account.retry_at_ms - now_ms, closed_ms)
-        return Denial(closed_ms, retry_ms, now_ms - account.denied_ms)
+        denial_ms = account.denied_until_ms - now_ms
+        retry_ms = max(account.retry_at_ms - now_ms, denial_ms)
+        return Denial(denial_ms, retry_ms, now_ms - account.denied_ms)
 
     def withdraw(self, request_id: RequestId, subject: str) -> None:
-        """Let a request no longer wait for credit."""
+        """Remove a request from those that wait for credit."""
         account = self._accounts.get(subject)
         if account is not None:
             account.waiting.pop(request_id, None)
 
-    def give_back(self, subject: str, credit: float, now_ms: float) -> None:
-        """Return credit that a request took and did not use."""
-        self._find(subject, now_ms).returned += credit
+    def return_unused(self, subject: str, credit: float, now_ms: float) -> None:
+        """Record credit that a request took and did not use, to be returned."""
+        self._find_account(subject, now_ms).returned += credit
 
-    def has_questions(self) -> bool:
-        """Tell whether requests may be waiting for credit."""
-        return bool(self._open)
+    def has_requests(self) -> bool:
+        """Return whether model requests may be waiting for credit."""
+        return bool(self._waiting_subjects)
 
     def retain(self, subjects: Collection[str]) -> None:
-        """Drop what is known of those that have no limit any more."""
+        """Drop the accounts of subjects that no longer have a limit."""
         for subject in set(self._accounts).difference(subjects):
             del self._accounts[subject]
-            self._open.pop(subject, None)
+            self._waiting_subjects.pop(subject, None)
 
     def forget_denials(self, subject: str) -> None:
-        """Drop the denials of a limit that has changed."""
+        """Drop the denial in force for a limit that has changed."""
         account = self._accounts.get(subject)
         if account is not None:
-            account.closed_until_ms = float("-inf")
+            account.denied_until_ms = float("-inf")
 
-    def list_questions(self, now_ms: float) -> Iterator[CreditQuestion]:
-        """Return what has to be asked now."""
-        for subject in list(self._open):
-            account = self._find(subject, now_ms)
+    def list_requests(self, now_ms: float) -> Iterator[CreditRequest]:
+        """Return the credit requests that have to be sent now."""
+        for subject in list(self._waiting_subjects):
+            account = self._find_account(subject, now_ms)
             if not account.waiting:
-                del self._open[subject]
+                del self._waiting_subjects[subject]
                 continue
             is_covered = account.credit >= sum(account.waiting.values())
-            if is_covered or account.closed_until_ms > now_ms:
+            if is_covered or account.denied_until_ms > now_ms:
                 continue
-            question = account.question
-            if question is None or now_ms - account.asked_ms >= account.ttl_ms:
-                yield self._ask(subject, account, now_ms)
-            elif now_ms - account.sent_ms >= ASK_TIMEOUT_MS:
+            credit_request = account.credit_request
+            if (
+                credit_request is None
+                or now_ms - account.requested_ms >= account.ttl_ms
+            ):
+                yield self._issue_request(subject, account, now_ms)
+            elif now_ms - account.sent_ms >= REQUEST_TIMEOUT_MS:
                 account.sent_ms = now_ms
-                yield question
+                yield credit_request
 
     def apply_grant(
         self, subject: str, number: int, grant: CreditGrant, now_ms: float
     ) -> None:
-        """Take in the answer to a question; one that came too late grants nothing."""
+        """Apply the answer to a credit request; a late answer grants nothing."""
         account = self._accounts.get(subject)
         if account is None:
             return
-        question = account.question
-        if question is None or question.number != number:
+        credit_request = account.credit_request
+        if credit_request is None or credit_request.number != number:
             account.returned += grant.granted
             return
-        account.question = None
+        account.credit_request = None
         self._expire(account, now_ms)
-        until_ms = account.asked_ms + account.ttl_ms
+        until_ms = account.requested_ms + account.ttl_ms
         if until_ms > now_ms:
             account.credit += grant.granted
             account.until_ms = until_ms
         else:
             account.returned += grant.granted
         if not grant.granted:
-            closed_ms = min(max(grant.closed_ms, MIN_CLOSED_MS), MAX_CLOSED_MS)
+            denial_ms = min(max(grant.denial_ms, MIN_DENIAL_MS), MAX_DENIAL_MS)
             account.denied_ms = now_ms
-            account.closed_until_ms = now_ms + closed_ms
-            account.retry_at_ms = now_ms + max(grant.retry_ms, closed_ms)
-
-    def _ask(self, subject: str, account: _Account, now_ms: float) -> CreditQuestion:
-        self.asked += 1
-        account.asked_ms = account.sent_ms = now_ms
-        # What is left would lapse before the answer does.
+            account.denied_until_ms = now_ms + denial_ms
+            account.retry_at_ms = now_ms + max(grant.retry_ms, denial_ms)
+
+    def _issue_request(
+        self, subject: str, account: _Account, now_ms: float
+    ) -> CreditRequest:
+        self.request_count += 1
+        account.requested_ms = account.sent_ms = now_ms
+        # The remaining credit would expire before the new grant does, so return it.
         returned, account.returned = account.returned + account.credit, 0.0
         account.credit = 0.0
-        account.question = CreditQuestion(
-            self._first + self.asked,
+        account.credit_request = CreditRequest(
+            self._first_number + self.request_count,
             subject,
             sum(account.waiting.values()),
             next(iter(account.waiting.values())),
             returned,
         )
-        return account.question
+        return account.credit_request
 
-    def _find(self, subject: str, now_ms: float) -> _Account:
+    def _find_account(self, subject: str, now_ms: float) -> _Account:
         account = self._accounts.get(subject)
         if account is None:
             account = self._accounts[subject] = _Account()
--- a/packages/toucanyard/src/toucanyard/limit_exchange.py
+++ b/packages/toucanyard/src/toucanyard/limit_exchange.py
@@ -1,6 +1,7 @@
-"""Keep limits together over all nodes: questions for credit, and their answers.
+"""Enforce limits across all nodes: credit requests and their answers.
 
-A node asks its hub, which asks the limit's home; in a mesh it asks the home itself.
+A node sends its requests to its hub, which forwards them to the limit's coordinator; in
+a full mesh it sends them to the coordinator directly.
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 
 import msgspec
 
+from toucanyard.limit_buckets import BucketUsage, CreditGrant, LimitBuckets
+from toucanyard.limit_coordinators import LimitCoordinators
 from toucanyard.limit_credits import CreditAccounts
-from toucanyard.limit_homes import LimitHomes
-from toucanyard.limit_pool import CreditGrant, LimitPool, PoolUse
 from toucanyard.link_messages import CreditAnswer, CreditAsk, LimitKind
 from toucanyard.names import NodeName
 from toucanyard.rate_limits import MAX_CREDIT_MS, LimitBounds, RateLimit
@@ -20,157 +21,167 @@
 
 
 class LimitSource(Protocol):
-    """Knows the limits of one kind, and what this node's calls need of them."""
+    """Provides the limits of one kind and this node's credit accounts for them."""
 
     @property
     def accounts(self) -> CreditAccounts:
-        """Return the credit that this node was granted."""
+        """Return the accounts of credit granted to this node."""
         ...
 
     def find_limit(self, subject: str) -> RateLimit | None:
-        """Return a limit; None if there is none that this node knows of."""
+        """Return a limit; None if this node knows of none."""
         ...
 
 
-class _Given(msgspec.Struct, frozen=True):
-    """What a home answered to one node about one limit."""
+class _SentAnswer(msgspec.Struct, frozen=True):
+    """A coordinator's last answer to one node about one limit."""
 
     at_ms: float
     answer: CreditAnswer
     denied: float
-    """What was asked for, if nothing was granted."""
+    """The amount requested, if nothing was granted."""
 
 
 class LimitExchange:
-    """The part of one node in all limits of one kind."""
+    """One node's participation in all limits of one kind."""
 
     def __init__(
         self,
         kind: LimitKind,
-        homes: LimitHomes,
+        coordinators: LimitCoordinators,
         source: LimitSource,
         bounds: LimitBounds,
     ) -> None:
         self._kind = kind
-        self._homes = homes
+        self._coordinators = coordinators
         self._source = source
-        self._pool = LimitPool(bounds, homes.pledges)
-        homes.add_pool(self._pool)
+        self._buckets = LimitBuckets(bounds, coordinators.delegations)
+        coordinators.add_buckets(self._buckets)
         self._is_answered = False
-        self._given: dict[tuple[NodeName, str], _Given] = {}
-        """The last answer to each node about each limit."""
+        self._sent_answers: dict[tuple[NodeName, str], _SentAnswer] = {}
+        """The last answer to each node, by limit."""
 
     def apply_limits(self, now_ms: float) -> None:
-        """Let changed limits be in force."""
-        self._homes.settle(now_ms)
-        self._pool.apply_limits(self._source.find_limit, self._homes.compute_shares())
-
-    def ask(self, now_ms: float) -> Iterator[SendToPeer]:
-        """Ask for the credit that calls wait for; this node may be its own home."""
-        for question in self._source.accounts.list_questions(now_ms):
-            ask = CreditAsk(
-                self._homes.own,
-                question.number,
-                question.subject,
-                question.wanted,
-                question.least,
-                question.returned,
+        """Apply changed limits."""
+        self._coordinators.settle(now_ms)
+        self._buckets.apply_limits(
+            self._source.find_limit, self._coordinators.compute_shares()
+        )
+
+    def request_credit(self, now_ms: float) -> Iterator[SendToPeer]:
+        """Request the credit that calls wait for; this node may be the coordinator."""
+        for credit_request in self._source.accounts.list_requests(now_ms):
+            request = CreditAsk(
+                self._coordinators.own,
+                credit_request.number,
+                credit_request.subject,
+                credit_request.wanted,
+                credit_request.least,
+                credit_request.returned,
                 self._kind,
             )
-            if self._homes.find_home(question.subject) == self._homes.own:
-                answer = self._answer(ask, now_ms)
+            if (
+                self._coordinators.find_coordinator(credit_request.subject)
+                == self._coordinators.own
+            ):
+                answer = self._answer(request, now_ms)
                 if answer is not None:
                     self._apply(answer, now_ms)
                 continue
-            target = self._homes.find_next(question.subject)
+            target = self._coordinators.find_next_hop(credit_request.subject)
             if target is not None:
-                yield SendToPeer(target, ask)
+                yield SendToPeer(target, request)
 
-    def read_ask(
-        self, sender: NodeName, ask: CreditAsk, now_ms: float
+    def receive_request(
+        self, sender: NodeName, request: CreditAsk, now_ms: float
     ) -> Iterator[SendToPeer]:
-        """Answer a node's question, or pass it on to the home."""
-        home = self._homes.find_home(ask.subject)
-        if home == self._homes.own:
-            answer = self._answer(ask, now_ms)
+        """Answer a node's credit request, or forward it to the coordinator."""
+        coordinator = self._coordinators.find_coordinator(request.subject)
+        if coordinator == self._coordinators.own:
+            answer = self._answer(request, now_ms)
             if answer is not None:
                 yield SendToPeer(sender, answer)
-        elif home in self._homes.linked and ask.origin == sender:
-            # Passed on once only: nodes that differ on the home would pass it for ever.
-            yield SendToPeer(home, ask)
+        elif coordinator in self._coordinators.linked and request.origin == sender:
+            # Forwarded only once: nodes that disagree about the coordinator would
+            # otherwise forward it forever.
+            yield SendToPeer(coordinator, request)
 
-    def read_answer(self, answer: CreditAnswer, now_ms: float) -> Iterator[SendToPeer]:
-        """Take in a home's answer, or pass it on to the node that asked."""
-        if answer.origin == self._homes.own:
+    def receive_answer(
+        self, answer: CreditAnswer, now_ms: float
+    ) -> Iterator[SendToPeer]:
+        """Apply a coordinator's answer, or forward it to the node that asked."""
+        if answer.origin == self._coordinators.own:
             self._apply(answer, now_ms)
-        elif answer.origin in self._homes.linked:
+        elif answer.origin in self._coordinators.linked:
             yield SendToPeer(answer.origin, answer)
 
-    def list_uses(self) -> list[PoolUse]:
-        """Return what this node knows of the limits of which it is the home."""
-        return self._pool.list_uses(self._homes.compute_shares())
+    def list_usage(self) -> list[BucketUsage]:
+        """Return the usage of the limits that this node coordinates."""
+        return self._buckets.list_usage(self._coordinators.compute_shares())
 
-    def take_answered(self) -> bool:
-        """Tell whether an answer has come since this was asked last."""
+    def consume_answered_flag(self) -> bool:
+        """Return whether an answer has arrived since the last call of this method."""
         is_answered, self._is_answered = self._is_answered, False
         return is_answered
 
-    def forget_given(self, now_ms: float) -> None:
-        """Drop answers whose credit has lapsed."""
-        self._given = {
-            key: given
-            for key, given in self._given.items()
-            if now_ms - given.at_ms <= MAX_CREDIT_MS
+    def prune_answers(self, now_ms: float) -> None:
+        """Drop stored answers whose credit has expired."""
+        self._sent_answers = {
+            key: sent
+            for key, sent in self._sent_answers.items()
+            if now_ms - sent.at_ms <= MAX_CREDIT_MS
         }
 
-    def _answer(self, ask: CreditAsk, now_ms: float) -> CreditAnswer | None:
-        """Return what a question is granted; None if nothing is pledged here.
+    def _answer(self, request: CreditAsk, now_ms: float) -> CreditAnswer | None:
+        """Return the answer to a credit request; None if no share is delegated here.
 
-        A question that comes again gets its answer again: granted anew each time that
-        an answer is slow, a limit would be used up without anything being sent.
+        A repeated request gets the stored answer. If it were granted again whenever an
+        answer is slow, a limit would be exhausted without anything being sent.
         """
-        given = self._given.get((ask.origin, ask.subject))
-        if given is not None and given.answer.number == ask.number:
-            return given.answer
-        limit = self._source.find_limit(ask.subject)
+        sent = self._sent_answers.get((request.origin, request.subject))
+        if sent is not None and sent.answer.number == request.number:
+            return sent.answer
+        limit = self._source.find_limit(request.subject)
         if limit is None:
-            return self._answer_unlimited(ask)
-        self._homes.settle(now_ms)
-        share = self._homes.compute_share(ask.subject)
+            return self._answer_unlimited(request)
+        self._coordinators.settle(now_ms)
+        share = self._coordinators.compute_share(request.subject)
         if not share:
             return None
-        self._pool.take_back(ask.subject, limit, ask.returned, share)
-        denied = 0.0 if given is None else given.denied
-        grant = self._pool.grant(
-            ask.subject, limit, ask.wanted, ask.least, share, denied
+        self._buckets.return_credit(request.subject, limit, request.returned, share)
+        denied = 0.0 if sent is None else sent.denied
+        grant = self._buckets.grant(
+            request.subject, limit, request.wanted, request.least, share, denied
+        )
+        answer = _build_answer(request, grant)
+        denied = 0.0 if grant.granted else request.wanted
+        self._sent_answers[request.origin, request.subject] = _SentAnswer(
+            now_ms, answer, denied
         )
-        answer = _build_answer(ask, grant)
-        denied = 0.0 if grant.granted else ask.wanted
-        self._given[ask.origin, ask.subject] = _Given(now_ms, answer, denied)
         return answer
 
-    def _answer_unlimited(self, ask: CreditAsk) -> CreditAnswer | None:
+    def _answer_unlimited(self, request: CreditAsk) -> CreditAnswer | None:
         match self._kind:
             case LimitKind.CUSTOMER:
-                # The asker has read another version of the configuration.
-                return _build_answer(ask, CreditGrant(ask.wanted, 0.0, 0.0))
+                # The requesting node has read another version of the configuration.
+                return _build_answer(request, CreditGrant(request.wanted, 0.0, 0.0))
             case LimitKind.REPLICA:
-                # This node has not heard of the limit yet; the asker asks again.
+                # This node has not learned of the limit yet; the request is repeated.
                 return None
 
     def _apply(self, answer: CreditAnswer, now_ms: float) -> None:
         self._is_answered = True
-        grant = CreditGrant(answer.granted, answer.closed_ms, answer.retry_ms)
+        grant = CreditGrant(answer.granted, answer.denial_ms, answer.retry_ms)
         self._source.accounts.apply_grant(answer.subject, answer.number, grant, now_ms)
 
 
-def _build_answer(ask: CreditAsk, grant: CreditGrant) -> CreditAnswer:
+def _build_answer(request: CreditAsk, grant: CreditGrant) -> CreditAnswer:
     return CreditAnswer(
-        ask.origin,
-        ask.number,
-        ask.subject,
+        request.origin,
+        request.number,
+        request.subject,
         grant.granted,
-        grant.closed_ms,
+        grant.denial_ms,
         grant.retry_ms,
-        ask.kind,
+        request.kind,
     )
--- a/packages/toucanyard/src/toucanyard/relay_core.py
+++ b/packages/toucanyard/src/toucanyard/relay_core.py
@@ -1,7 +1,7 @@
-"""All decisions of one node that relays calls: events in, actions out.
+"""Decision logic of one node that relays calls: events in, actions out.
 
-Owns one instance of each decision module and routes events between them. It has no
-sockets, clock or tasks, so that any number of nodes can be driven in one process.
+Owns one instance of each decision module and dispatches events to them. It has no
+sockets, clock or tasks, so any number of nodes can be run in one process.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from collections.abc import Iterator
 from typing import Final
 
-from toucanyard.call_limits import CallLimits, compute_first_number
+from toucanyard.call_limits import CallLimits, compute_first_request_number
 from toucanyard.call_placement import CallPlacement
 from toucanyard.keyed_view import Decode, Topic
 from toucanyard.known_facts import KnownFacts
+from toucanyard.limit_coordinators import LimitCoordinators
 from toucanyard.limit_events import LimitEvents
-from toucanyard.limit_homes import LimitHomes
 from toucanyard.link_messages import (
     CreditAnswer,
     CreditAsk,
@@ -36,7 +36,7 @@
     LeaseAppended,
     LeaseRead,
     LinkMessageRead,
-    Note,
+    LogEntry,
     OrderAnswered,
     PeersLinked,
     PromptBlocksChanged,
@@ -72,25 +72,26 @@
 
 PRUNE_MS: Final = 5_000.0
 TICK_MS: Final = 25.0
-"""Time between two ticks in a mesh."""
-FAR_TICK_MS: Final = 50.0
-"""The same in a larger fleet, whose nodes are many and small."""
-REST_TICK_MS: Final = 125.0
-"""The same for a node that has no call, no weights to order and no group. All that it
-does by itself is a status each third tick, and most nodes of a large fleet rest."""
-MISDIRECTED: Final = 421
-"""Status with which a replica says that it is not the one that was meant."""
+"""Tick interval in a full mesh."""
+LARGE_FLEET_TICK_MS: Final = 50.0
+"""Tick interval in a larger fleet, whose nodes are many and small."""
+IDLE_TICK_MS: Final = 125.0
+"""Tick interval of a node of a large fleet that has no calls, weights to order or
+group. Without events it only sends a status every third tick, and most nodes of a large
+fleet are idle."""
+MISDIRECTED_STATUS: Final = 421
+"""Status of a replica's response to an order that names another replica."""
 
 CallEvent = CallArrived | CallerLeft | FirstEventSeen | DispatchEnded | ReplicaLimitSeen
-QuietEvent = PromptBlocksChanged | HolderLost | QuarantineWritten | QuarantineErased
+PassiveEvent = PromptBlocksChanged | HolderLost | QuarantineWritten | QuarantineErased
 RolloutEvent = LeaseRead | LeaseAppended | ReplicaStateRead | OrderAnswered
 
 
 class RelayCore:
-    """The decisions of one node incarnation.
+    """The decision logic of one node incarnation.
 
-    Invariant: state changes only inside `handle`, so the actions of one event are
-    complete before the next event is taken.
+    Invariant: state changes only inside `handle`, so all actions of one event are known
+    before the next event is handled.
     """
 
     def __init__(
@@ -118,7 +119,7 @@
         self.sources = PromptBlockSources(self.directory, self.roster)
         self.replica_limits = ReplicaLimits(rng)
         self.credits = ReplicaCredits(
-            self.replica_limits, compute_first_number(identity.incarnation)
+            self.replica_limits, compute_first_request_number(identity.incarnation)
         )
         calls = CallPlacement(
             options,
@@ -176,15 +177,17 @@
             self.weight_targets,
             lambda now_ms: self.sources.list_stores(self.index, now_ms),
             options.link_mbps,
-            lambda: self.shares.pledge,
+            lambda: self.shares.delegation,
         )
-        homes = LimitHomes(
+        coordinators = LimitCoordinators(
             self.roster,
             self.statuses.count_group,
             lambda: self.exchange.views[Topic.NODES].end > 0,
-            options.policy.limits.way,
+            options.policy.limits.strategy,
+        )
+        self.shares = SharedLimits(
+            coordinators, self.limits, self.credits, options.limits
         )
-        self.shares = SharedLimits(homes, self.limits, self.credits, options.limits)
         self._limit_events = LimitEvents(
             self.shares, self.replica_limits, self.flow, self.statuses
         )
@@ -207,11 +210,11 @@
         return self.facts.index
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether callers may be directed to this node."""
         return self.index.table.version > 0 and not self.is_stopping
 
     def find_addresses(self, now_ms: float) -> list[Address]:
-        """Return where callers may connect."""
+        """Return the addresses that callers may connect to."""
         self.roster.is_ready = self.is_ready()
         return self.roster.find_addresses(now_ms)
 
@@ -220,11 +223,15 @@
         if self.roster.is_full_mesh():
             return TICK_MS
         is_busy = self.flow.count_pending() > 0 or self.rollout.is_busy()
-        return FAR_TICK_MS if is_busy or self.statuses.has_group() else REST_TICK_MS
+        return (
+            LARGE_FLEET_TICK_MS
+            if is_busy or self.statuses.has_group()
+            else IDLE_TICK_MS
+        )
 
     def handle(self, event: RelayEvent, now_ms: float) -> list[RelayAction]:
-        """Take one event in and return what must be done now, in this order."""
-        self.flow.note_view(self.exchange.views[Topic.REPLICAS].confirmed_ms)
+        """Handle one event and return the actions to carry out now, in order."""
+        self.flow.set_view_confirmed(self.exchange.views[Topic.REPLICAS].confirmed_ms)
         actions = list(self._handle(event, now_ms))
         if self.guard.has_news():
             actions += self._settle_guard(now_ms)
@@ -246,7 +253,7 @@
             case TopicRead():
                 yield from self.topics.handle_read(event, now_ms)
             case StoreFailed():
-                yield _note_failed(event, now_ms)
+                yield _build_failure_entry(event, now_ms)
             case PeersLinked(peers=peers):
                 yield from self._link([peer.node for peer in peers], now_ms)
             case LinkMessageRead(sender=sender, message=message):
@@ -257,7 +264,7 @@
                 | QuarantineWritten()
                 | QuarantineErased()
             ):
-                self._handle_quiet(event, now_ms)
+                self._handle_passive(event, now_ms)
             case StopBegun():
                 self.is_stopping = True
                 yield from self.statuses.send(self.is_ready(), now_ms)
@@ -271,22 +278,22 @@
             case CallerLeft(request_id=request_id):
                 yield from self.flow.leave(request_id, now_ms)
             case FirstEventSeen(request_id=request_id):
-                yield from self.flow.note_first(request_id, now_ms)
+                yield from self.flow.record_first_event(request_id, now_ms)
             case ReplicaLimitSeen():
                 yield from self._limit_events.on_seen(event, now_ms)
             case DispatchEnded(outcome=outcome):
                 yield from self.flow.end_dispatch(outcome, now_ms)
                 yield from self.probes.ask_lost(now_ms)
                 if outcome.ending is DispatchEnding.REFUSED:
-                    # Each node would else find out by calls of its own, and have some
-                    # of them refused that may be sent only once.
+                    # Otherwise each node would learn of it from refusals of its own
+                    # calls, some of which may be sent only once.
                     self.gossip.note(outcome.replica, now_ms)
-                    yield from self._tell_soon(now_ms)
+                    yield from self._send_status_now(now_ms)
 
     def _handle_rollout(
         self, event: RolloutEvent, now_ms: float
     ) -> Iterator[RelayAction]:
-        if isinstance(event, OrderAnswered) and event.status == MISDIRECTED:
+        if isinstance(event, OrderAnswered) and event.status == MISDIRECTED_STATUS:
             self.directory.note_replaced(event.order.replica, now_ms)
         if isinstance(event, ReplicaStateRead):
             yield from self.probes.on_read(event, now_ms)
@@ -300,7 +307,7 @@
         yield from self.flow.tick(now_ms)
         yield from self._tick_rollout(now_ms)
         yield from self.statuses.tick(self.is_ready(), now_ms)
-        yield from self._note_hub()
+        yield from self._log_hub_change()
         if now_ms - self._pruned_ms >= PRUNE_MS:
             self._pruned_ms = now_ms
             self.guard.ledger.prune(now_ms)
@@ -310,13 +317,13 @@
             self.replica_limits.retain(known)
 
     def _settle_guard(self, now_ms: float) -> Iterator[RelayAction]:
-        """Log what the guard has learned, and let peers know at once."""
-        yield from self.guard.take_notes()
+        """Emit the guard's log entries, and inform peers at once if it is urgent."""
+        yield from self.guard.take_log_entries()
         if self.guard.take_urgent():
-            yield from self._tell_soon(now_ms)
+            yield from self._send_status_now(now_ms)
 
-    def _handle_quiet(self, event: QuietEvent, now_ms: float) -> None:
-        """Handle an event that asks for nothing to be done now."""
+    def _handle_passive(self, event: PassiveEvent, now_ms: float) -> None:
+        """Handle an event that needs no action now."""
         match event:
             case PromptBlocksChanged() | HolderLost():
                 self.parts.on_change(event, now_ms)
@@ -331,7 +338,7 @@
                 self.guard.quarantine.on_written(fingerprint, now_ms)
             case QuarantineErased(fingerprint=fingerprint):
                 self.guard.quarantine.on_erased(fingerprint)
-        # Peers get the record from whoever reads it first.
+        # Peers receive the record from the node that reads it first.
         self.reads.mark_outdated(Topic.NODES)
 
     def _tick_guard(self, now_ms: float) -> Iterator[RelayAction]:
@@ -339,13 +346,13 @@
         yield from self.probes.ask_lost(now_ms)
         yield from self.guard.quarantine.tick(now_ms)
 
-    def _note_hub(self) -> Iterator[RelayAction]:
-        """Say to whom this node reports, each time that this changes."""
+    def _log_hub_change(self) -> Iterator[RelayAction]:
+        """Log the hub that this node reports to whenever it changes."""
         is_hub = not self.roster.is_full_mesh() and self.roster.plan.is_hub()
         hub = self.identity.node if is_hub else self.roster.find_primary()
         if hub != self._hub:
             before, self._hub = self._hub, hub
-            yield Note(
+            yield LogEntry(
                 "hub_changed",
                 {"hub": hub or "", "before": before or "", "is_own": is_hub},
             )
@@ -355,9 +362,9 @@
         if not self.options.policy.rollout.announces:
             return
         if self.gossip.note_changing(set(self.rollout.list_changing()), now_ms):
-            yield from self._tell_soon(now_ms)
+            yield from self._send_status_now(now_ms)
 
-    def _tell_soon(self, now_ms: float) -> Iterator[RelayAction]:
+    def _send_status_now(self, now_ms: float) -> Iterator[RelayAction]:
         self.statuses.note_due()
         yield from self.statuses.tick(self.is_ready(), now_ms)
 
@@ -390,20 +397,20 @@
         self.exchange.linked = tuple(names)
         self.roster.retain_linked(names)
         self.statuses.note_links(names)
-        self.shares.note_links(names, now_ms)
+        self.shares.update_links(names, now_ms)
         for name in before - set(names):
-            yield Note("peer_lost", {"peer": name})
+            yield LogEntry("peer_lost", {"peer": name})
         for name in set(names) - before:
-            yield Note("peer_linked", {"peer": name})
+            yield LogEntry("peer_linked", {"peer": name})
         if set(names) - before:
             self.guard.ledger.share_all(now_ms)
             self.replica_limits.share_all(now_ms)
 
 
-def _note_failed(failed: StoreFailed, now_ms: float) -> Note:
+def _build_failure_entry(failed: StoreFailed, now_ms: float) -> LogEntry:
     fields = {
         "purpose": failed.purpose,
         "reason": failed.reason,
         "after_ms": round(now_ms - failed.asked_ms),
     }
-    return Note("store_failed", fields)
+    return LogEntry("store_failed", fields)
--- a/packages/toucanyard/src/toucanyard/rollout_leader.py
+++ b/packages/toucanyard/src/toucanyard/rollout_leader.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from toucanyard.leases import MAX_FOLLOWERS, Leases
+from toucanyard.log_entries import LogEntry
 from toucanyard.names import EndpointName, NodeId
 from toucanyard.relay_events import (
     AppendLease,
@@ -19,7 +20,6 @@
     ReplicaStateRead,
     WeightsOrder,
 )
-from toucanyard.relay_notes import Note
 from toucanyard.relay_options import WeightsTimings
 from toucanyard.relay_policy import RolloutPolicy
 from toucanyard.replica_usage import ReplicaUsage
@@ -43,7 +43,7 @@
 """Time between two scans for outdated replicas. With 70 replicas and a scan at each
 tick, scans took a fifth of a node's time for decisions."""
 
-RolloutAction = AppendLease | ReadLeases | ReadReplicaState | WeightsOrder | Note
+RolloutAction = AppendLease | ReadLeases | ReadReplicaState | WeightsOrder | LogEntry
 
 
 class _Work(msgspec.Struct):
--- a/packages/toucanyard/src/toucanyard/weights_rollout.py
+++ b/packages/toucanyard/src/toucanyard/weights_rollout.py
@@ -16,6 +16,7 @@
 
 from toucanyard.failed_loads import FailedLoads
 from toucanyard.leases import Lease
+from toucanyard.log_entries import LogEntry
 from toucanyard.names import EndpointName, NodeName
 from toucanyard.relay_events import (
     OrderAnswered,
@@ -23,7 +24,6 @@
     ReplicaStateRead,
     WeightsOrder,
 )
-from toucanyard.relay_notes import Note
 from toucanyard.relay_policy import RolloutPolicy
 from toucanyard.replicas import KnownReplica
 
@@ -86,7 +86,7 @@
 UNLIMITED: Final = RolloutBudget(float("inf"))
 """A budget without a deadline."""
 
-RolloutAction = ReadReplicaState | WeightsOrder | Note
+RolloutAction = ReadReplicaState | WeightsOrder | LogEntry
 
 
 class WeightsRollout:
@@ -116,7 +116,7 @@
         self._announce_ms = ANNOUNCE_MS
         self._changes: dict[EndpointName, _Change] = {}
         self._failures = FailedLoads()
-        self._log_entries: list[Note] = []
+        self._log_entries: list[LogEntry] = []
         self._skipped_ms: dict[EndpointName, float] = {}
         self._reported_ms: dict[EndpointName, float] = {}
         """When the last report received from each replica was requested."""
@@ -150,7 +150,7 @@
         if self._failures.record_read(read.replica, version, read.reach, read.asked_ms):
             count = self._failures.count(version)
             fields = {"version": version, "replica": read.replica, "count": count}
-            self._log_entries.append(Note("rollout_halted", fields))
+            self._log_entries.append(LogEntry("rollout_halted", fields))
 
     def record_answer(self, answered: OrderAnswered, now_ms: float) -> bool:
         """Record the answer to an order; return whether there is a higher fence."""
--- a/tests/toucanyard/test_backends.py
+++ b/tests/toucanyard/test_backends.py
@@ -16,7 +16,7 @@
 def test_kept_capacity_is_the_sum_of_usable_limits(
     steps: list[tuple[object, ...]],
 ) -> None:
-    # A kept sum that drifts from its parts would let too many requests in, or none.
+    # A sum that drifts from its parts would admit too many requests, or none.
     backend = Backend(16, 100.0)
     backend.set_max_running(16, 2)
     backend.set_usable(NAMES)
@@ -25,7 +25,7 @@
         now_ms = number * 150.0
         match step:
             case ("wait", str(name), float(wait_ms)):
-                backend.note_wait(EndpointName(name), wait_ms, now_ms)
+                backend.record_wait(EndpointName(name), wait_ms, now_ms)
             case ("fail", str(name), _):
                 backend.record_failure(EndpointName(name), now_ms)
             case ("use", list(chosen)):
--- a/tests/toucanyard/test_call_limits.py
+++ b/tests/toucanyard/test_call_limits.py
@@ -3,11 +3,11 @@
 import pytest
 
 from toucanyard.call_limits import BRIEF_GRACE_MS, CallLimits, LimitRejection
-from toucanyard.limit_pool import CreditGrant
+from toucanyard.limit_buckets import CreditGrant
 from toucanyard.names import CustomerName, Incarnation
 from toucanyard.pending_call import PendingCall
 from toucanyard.rate_limits import LimitBounds, LimitUnit, RateLimit
-from toucanyard.relay_policy import LimitPolicy, LimitWay
+from toucanyard.relay_policy import LimitPolicy, LimitStrategy
 from toucanyard.routes import RoutedCustomer, RouteIndex
 
 from .relay_examples import build_request, build_table
@@ -32,17 +32,17 @@
 
 
 def answer(limits: CallLimits, grant: CreditGrant, now_ms: float) -> float:
-    """Answer the one question that is open, and return what was wanted."""
-    (question,) = limits.accounts.list_questions(now_ms)
-    limits.accounts.apply_grant(CUSTOMER, question.number, grant, now_ms)
-    return question.wanted
+    """Answer the only outstanding credit request and return the wanted amount."""
+    (credit_request,) = limits.accounts.list_requests(now_ms)
+    limits.accounts.apply_grant(CUSTOMER, credit_request.number, grant, now_ms)
+    return credit_request.wanted
 
 
 def pay(limits: CallLimits, call: PendingCall, now_ms: float = 0.0) -> None:
     assert limits.check(call, now_ms) is None
     answer(limits, CreditGrant(900.0, 0.0, 0.0), now_ms)
     assert limits.check(call, now_ms) is None
-    assert not call.is_unpaid
+    assert not call.is_awaiting_credit
 
 
 def deny(limits: CallLimits, retry_ms: float, now_ms: float = 0.0) -> None:
@@ -52,14 +52,14 @@
 def test_customer_without_a_limit_asks_nobody() -> None:
     limits, call = build_limits(None), build_call()
     assert limits.check(call, 0.0) is None
-    assert not call.is_unpaid
-    assert not limits.accounts.has_questions()
+    assert not call.is_awaiting_credit
+    assert not limits.accounts.has_requests()
 
 
 def test_call_waits_for_credit_before_it_is_sent() -> None:
     limits, call = build_limits(), build_call()
     assert limits.check(call, 0.0) is None
-    assert call.is_unpaid
+    assert call.is_awaiting_credit
     pay(limits, call)
 
 
@@ -70,22 +70,22 @@
 
 
 def test_second_try_that_may_run_costs_again() -> None:
-    """Guards against retries that a limit doesn't see."""
+    """Guards against retries that are not counted against the limit."""
     limits, call = build_limits(), build_call()
     pay(limits, call)
     limits.on_sent(call)
     assert limits.check(call, 10.0) is None
-    assert call.is_unpaid
+    assert call.is_awaiting_credit
 
 
 def test_try_that_did_not_run_costs_nothing() -> None:
-    """Guards against replicas that turn calls away and use up their callers' limits."""
+    """Guards against refusals by replicas that use up their callers' limits."""
     limits, call = build_limits(), build_call()
     pay(limits, call)
     limits.on_sent(call)
     limits.on_not_run(call, 10.0)
     assert limits.check(call, 10.0) is None
-    assert not call.is_unpaid
+    assert not call.is_awaiting_credit
 
 
 def test_credit_of_a_call_that_ends_unsent_goes_back() -> None:
@@ -93,16 +93,16 @@
     pay(limits, call)
     limits.release(call, 10.0)
     limits.check(next_call, 10.0)
-    (question,) = limits.accounts.list_questions(10.0)
-    assert question.returned == 900.0
+    (credit_request,) = limits.accounts.list_requests(10.0)
+    assert credit_request.returned == 900.0
 
 
 def test_call_that_waits_long_for_a_replica_pays_anew() -> None:
-    """Guards against a queue whose credit of many windows runs in one."""
+    """Guards against queued calls that spend the credit of many windows in one."""
     limits, call = build_limits(), build_call()
     pay(limits, call)
     assert limits.check(call, BOUNDS.compute_credit_ms(LIMIT)) is None
-    assert call.is_unpaid
+    assert call.is_awaiting_credit
 
 
 def test_call_far_over_the_limit_is_rejected_at_once() -> None:
@@ -116,7 +116,7 @@
 
 
 def test_call_just_over_the_limit_waits_for_its_turn() -> None:
-    """Guards against refusing the second of two long prompts that come together."""
+    """Guards against refusing the second of two long prompts that arrive together."""
     limits, call = build_limits(), build_call()
     limits.check(call, 0.0)
     deny(limits, 100.0)
@@ -126,7 +126,7 @@
 
 
 def test_call_is_told_when_no_home_answers() -> None:
-    """Guards against calls that wait for a home until their time is over."""
+    """Guards against calls that wait for a silent coordinator until their deadline."""
     limits, call = build_limits(), build_call()
     limits.check(call, 0.0)
     assert limits.check(call, POLICY.max_wait_ms) is None
@@ -134,10 +134,10 @@
 
 
 def test_limits_that_are_switched_off_stop_nothing() -> None:
-    limits = build_limits(policy=LimitPolicy(way=LimitWay.OFF))
+    limits = build_limits(policy=LimitPolicy(strategy=LimitStrategy.OFF))
     call = build_call(1_000_000)
     assert limits.check(call, 0.0) is None
-    assert not call.is_unpaid
+    assert not call.is_awaiting_credit
 
 
 @pytest.mark.parametrize("tokens", [50_000, 10**9])
@@ -148,7 +148,7 @@
 
 
 def test_denials_end_when_the_limit_is_raised() -> None:
-    """Guards against a raised limit that callers are still refused by."""
+    """Guards against refusing calls by an old limit after it was raised."""
     limits, call = build_limits(), build_call()
     limits.check(call, 0.0)
     deny(limits, 2_000.0)
@@ -156,4 +156,4 @@
     customers = (RoutedCustomer(CUSTOMER, ("key",), limit=raised),)
     limits.apply_index(RouteIndex(build_table(2, customers=customers)))
     assert limits.check(call, 1.0) is None
-    assert call.is_unpaid
+    assert call.is_awaiting_credit
--- a/tests/toucanyard/test_concurrency_limit.py
+++ b/tests/toucanyard/test_concurrency_limit.py
@@ -10,22 +10,23 @@
 def test_limit_grows_only_while_it_is_used() -> None:
     limit = ConcurrencyLimit(16, 4.0, TARGET_MS)
     for at in range(100):
-        limit.note_wait(0.0, float(at))
+        limit.record_wait(0.0, float(at))
     assert limit.limit == 4
     limit.in_flight = 16
     for at in range(1_000):
-        limit.note_wait(0.0, float(at))
+        limit.record_wait(0.0, float(at))
     assert limit.limit == 16
 
 
 def test_late_answers_of_one_moment_shrink_the_limit_once() -> None:
-    """Sixteen requests wait in one engine's queue and come late together.
+    """Guards against one delay that shrinks the limit many times.
 
-    Were each to shrink the limit, one hiccup would close the endpoint.
+    Sixteen requests are queued in one engine and their first tokens are late together.
+    If each of them shrank the limit, the limit would drop to its minimum.
     """
     limit = ConcurrencyLimit(16, 10.0, TARGET_MS)
     for number in range(16):
-        limit.note_wait(2 * TARGET_MS, float(number))
+        limit.record_wait(2 * TARGET_MS, float(number))
     assert limit.limit == 8
     limit.record_failure(TARGET_MS)
     assert limit.limit == 6
@@ -52,5 +53,5 @@
     for is_late, in_flight, step_ms in steps:
         now_ms += step_ms
         limit.in_flight = in_flight
-        limit.note_wait(2 * TARGET_MS * is_late, now_ms)
+        limit.record_wait(2 * TARGET_MS * is_late, now_ms)
         assert 1 <= limit.limit <= most
--- a/tests/toucanyard/test_customer_limits_machine.py
+++ b/tests/toucanyard/test_customer_limits_machine.py
@@ -1,4 +1,4 @@
-"""Any series of faults, load and changes keeps a customer within its limit."""
+"""Test that any sequence of faults, load and changes keeps customers in their limit."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Six nodes, meshed, under a flood; each step may hurt some of them."""
+    """Six nodes in a full mesh under a flood; each step may inject a fault."""
 
     @initialize()
     def start(self) -> None:
@@ -37,7 +37,7 @@
 
     @rule(marks=MARKS)
     def cut(self, marks: int) -> None:
-        self.fleet.cut_apart(self.find(marks))
+        self.fleet.partition_network(self.find(marks))
 
     @rule()
     def heal(self) -> None:
@@ -45,22 +45,22 @@
 
     @rule(marks=MARKS)
     def kill(self, marks: int) -> None:
-        self.fleet.kill([n for n in self.find(marks) if n not in self.fleet.frozen])
+        self.fleet.kill([n for n in self.find(marks) if n not in self.fleet.suspended])
 
     @rule()
     def start_again(self) -> None:
         self.fleet.start_again(list(self.fleet.dead))
 
     @rule(marks=MARKS)
-    def freeze(self, marks: int) -> None:
+    def suspend(self, marks: int) -> None:
         for name in self.find(marks)[:1]:
-            if name not in self.fleet.dead | self.fleet.frozen:
-                self.fleet.freeze(name)
+            if name not in self.fleet.dead | self.fleet.suspended:
+                self.fleet.suspend(name)
 
     @rule()
-    def thaw(self) -> None:
-        for name in list(self.fleet.frozen):
-            self.fleet.thaw(name)
+    def resume(self) -> None:
+        for name in list(self.fleet.suspended):
+            self.fleet.resume(name)
 
     @rule(marks=MARKS)
     def mute(self, marks: int) -> None:
@@ -73,7 +73,7 @@
     @invariant()
     def check_use(self) -> None:
         if hasattr(self, "fleet"):
-            assert self.fleet.find_worst_use() <= TIGHT.compute_bound(LIMIT)
+            assert self.fleet.find_max_usage() <= TIGHT.compute_bound(LIMIT)
 
 
 LimitMachine.TestCase.settings = settings(max_examples=12, stateful_step_count=14)
--- a/tests/toucanyard/test_replica_lives.py
+++ b/tests/toucanyard/test_replica_lives.py
@@ -9,7 +9,7 @@
 from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_events import (
     LinkMessageRead,
-    Note,
+    LogEntry,
     PromptBlockChange,
     PromptBlocksChanged,
     ReplicaState,
@@ -135,12 +135,12 @@
     by what the entry says until the replica's next one.
     """
     fleet = build_fleet("a", "b")
-    fleet.cut = {"b"}
+    fleet.isolated_nodes = {"b"}
     fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE)))
     fleet.read("a", Topic.REPLICAS, record(1, build_life(AFTER)))
     fleet.read("b", Topic.REPLICAS, record(2, build_life(BEFORE)), is_whole=True)
     assert list_usable(fleet, "b") == ["r@1000"]
-    fleet.cut = set()
+    fleet.isolated_nodes = set()
     fleet.run(300.0)
     assert "r@1000" not in list_usable(fleet, "b")
 
@@ -268,4 +268,4 @@
         changes = view.apply([record(offset, fact)], offset + 1, is_whole=False)
         notes += list(core.facts.apply(changes, "store", 0.0, listed_ms=0.0))
     assert 0 < len(notes) <= 20
-    assert all(isinstance(each, Note) for each in notes)
+    assert all(isinstance(each, LogEntry) for each in notes)
