--- a/tests/toucanyard_platform/test_boundary.py
+++ b/tests/toucanyard_platform/test_boundary.py
@@ -11,8 +11,8 @@
 from toucanyard_platform import wire_names
 
 ROOT = Path(__file__).parent.parent.parent
-FOLDERS = ("packages", "tests")
-WORDS = (
+CHECKED_FOLDERS = ("packages", "tests")
+PLATFORM_WORDS = (
     "bootEpoch",
     "fencingToken",
     "frontend",
@@ -31,7 +31,7 @@
     "ttlS",
 )
 """Words of the platform's wire that mean nothing else here."""
-OWN: tuple[str, ...] = (
+SHARED_HEADERS: tuple[str, ...] = (
     wire_names.LAST_EVENT_ID,
     wire_names.AUTHORIZATION,
     wire_names.DEADLINE,
@@ -46,12 +46,15 @@
         for name, value in vars(wire_names).items()
         if name.isupper() and isinstance(value, str) and "-" in value
     ]
-    names = {each.lower() for each in (*headers, *wire_names.RESERVED, *WORDS)}
-    names -= {each.lower() for each in OWN}
+    names = {
+        each.lower()
+        for each in (*headers, *wire_names.RESERVED_HEADERS, *PLATFORM_WORDS)
+    }
+    names -= {each.lower() for each in SHARED_HEADERS}
     pattern = re.compile("|".join(rf"\b{re.escape(each)}\b" for each in names))
     found = [
         f"{file.relative_to(ROOT)}:{number}: {match[0]}"
-        for folder in FOLDERS
+        for folder in CHECKED_FOLDERS
         for file in sorted((ROOT / folder).rglob("*.py"))
         if not {"build", Path(__file__).parent.name}.intersection(file.parts)
         for number, line in enumerate(file.read_text().lower().splitlines(), 1)
--- a/tests/toucanyard_platform/test_calls.py
+++ b/tests/toucanyard_platform/test_calls.py
@@ -17,7 +17,7 @@
 from toucanyard_node.http_exchange import HttpRequest
 from toucanyard_node.relay_ports import CallInvalidError
 from toucanyard_platform.calls import PlatformCalls
-from toucanyard_platform.wire_names import RESERVED
+from toucanyard_platform.wire_names import RESERVED_HEADERS
 
 PROMPT = Prompt("m", (PromptBlock("5c1e07a2", 800), PromptBlock("e4402b7d", 250)), 80)
 MODEL_CALL = (
@@ -122,7 +122,7 @@
     assert PlatformCalls().read_call(build_http(*fields)).key == ""
 
 
-@pytest.mark.parametrize("name", RESERVED)
+@pytest.mark.parametrize("name", RESERVED_HEADERS)
 def test_headers_that_only_the_router_sets_are_dropped(name: str) -> None:
     """A caller names the customer, the cache or the replica of its call itself.
 
--- a/tests/toucanyard_platform/test_decoders_fuzz.py
+++ b/tests/toucanyard_platform/test_decoders_fuzz.py
@@ -19,10 +19,10 @@
 from toucanyard.weights_goals import WantedWeights
 from toucanyard_node.relay_ports import StoreError
 from toucanyard_platform.json_answers import AnswerInvalidError
-from toucanyard_platform.part_client import decode_page
+from toucanyard_platform.prompt_block_client import decode_page
 from toucanyard_platform.records import decode_record
 from toucanyard_platform.replica_client import decode_report
-from toucanyard_platform.store_client import split_keyed, split_records
+from toucanyard_platform.store_client import parse_keyed_record, split_records
 
 from .test_records import ENTRY
 
@@ -36,7 +36,7 @@
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner),
     max_leaves=8,
 )
-NAMES = (
+FIELD_NAMES = (
     *ENTRY,
     "born",
     "routes",
@@ -50,7 +50,7 @@
 KEYS = st.sampled_from(
     ("config", "version/m", "i-1", "", "\u20ac", "release/f", "quarantine/f")
 )
-FACTS = {
+DECODED_TYPES = {
     Topic.OPERATOR: (RouteTable, WantedWeights, Release),
     Topic.REPLICAS: (Replica,),
     Topic.NODES: (NodeRecord, QuarantinedRequest),
@@ -62,20 +62,22 @@
 
 
 BODIES = st.binary(max_size=200) | st.builds(
-    encode, st.dictionaries(st.sampled_from(NAMES) | st.text(), JSON, max_size=8)
+    encode, st.dictionaries(st.sampled_from(FIELD_NAMES) | st.text(), JSON, max_size=8)
 )
-DEEP = b"[" * 100_000
-DEEP_FIELD = b'{"models":[],"x":' + b"[" * 100_000
+DEEP_NESTING = b"[" * 100_000
+DEEPLY_NESTED_FIELD = b'{"models":[],"x":' + b"[" * 100_000
 """Deep in a field that nobody reads: it is passed over by recursion."""
-HUGE = b'{"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","routeKind":'
-HUGE += b'"idempotent","timeoutMs":1e999,"service":"s"}]}'
+HUGE_NUMBER = (
+    b'{"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","routeKind":'
+)
+HUGE_NUMBER += b'"idempotent","timeoutMs":1e999,"service":"s"}]}'
 
 
 @given(st.sampled_from(Topic), KEYS, BODIES)
 @settings(max_examples=300)
 def test_records(topic: Topic, key: str, body: bytes) -> None:
     found = decode_record(topic, key, body)
-    assert found is None or isinstance(found, (InvalidRecord, *FACTS[topic]))
+    assert found is None or isinstance(found, (InvalidRecord, *DECODED_TYPES[topic]))
 
 
 @given(st.dictionaries(st.sampled_from((*ENTRY, "born")), JSON, min_size=1))
@@ -98,7 +100,9 @@
 
 
 @pytest.mark.parametrize(
-    "body", [DEEP, DEEP_FIELD, HUGE, b"\xff\xfe", b"1e999"], ids=len
+    "body",
+    [DEEP_NESTING, DEEPLY_NESTED_FIELD, HUGE_NUMBER, b"\xff\xfe", b"1e999"],
+    ids=len,
 )
 def test_bodies_that_broke_readers(body: bytes) -> None:
     """Nested too deeply, infinite once read, not text: each has an error of its own."""
@@ -126,4 +130,4 @@
 def test_records_of_the_log(body: bytes) -> None:
     with contextlib.suppress(StoreError):
         for content in split_records(body):
-            split_keyed(0, content)
+            parse_keyed_record(0, content)
--- a/tests/toucanyard_platform/test_processes.py
+++ b/tests/toucanyard_platform/test_processes.py
@@ -23,7 +23,7 @@
 from toucanyard_node.http_client import ConnectionFailedError
 
 HOST = ("Host", "h")
-LIMIT_KNOWN_S = 0.5
+LIMIT_PROPAGATION_S = 0.5
 """Time after which all nodes know a limit that a replica has named."""
 
 
@@ -86,16 +86,16 @@
             node = fleet.nodes[number % len(fleet.nodes)]
             await node.call(f"/desk/{number}", f"q{number}", HOST)
 
-        await fleet.name_limit(name, "1.5")
+        await fleet.set_limit(name, "1.5")
         for number in range(20):
             await call(number)
-        await trio.sleep(LIMIT_KNOWN_S)
-        before = len(await fleet.find_arrivals(name))
+        await trio.sleep(LIMIT_PROPAGATION_S)
+        before = len(await fleet.fetch_arrival_times(name))
         async with trio.open_nursery() as nursery:
             for number in range(20, 320):
                 nursery.start_soon(call, number)
                 await trio.sleep(0.03)
-        arrivals_s = (await fleet.find_arrivals(name))[before:]
+        arrivals_s = (await fleet.fetch_arrival_times(name))[before:]
         for begun_s in arrivals_s:
             window = [at for at in arrivals_s if begun_s <= at < begun_s + 4.0]
             assert len(window) <= 1.5 * 1.5 * 4.0 + 5.0
@@ -145,8 +145,8 @@
         assert answers == [10] * 8
 
 
-REPEAT_S = 0.3
-DOWN_S = 1.0
+REPEAT_INTERVAL_S = 0.3
+RESTART_DELAY_S = 1.0
 MAX_CRASHES = GUILTY_CRASHES + 3
 """Three replicas, and three retries until all nodes know."""
 
@@ -163,7 +163,7 @@
             statuses.append(answer.status)
         except ConnectionFailedError:
             statuses.append(0)
-        await trio.sleep(REPEAT_S)
+        await trio.sleep(REPEAT_INTERVAL_S)
     return statuses
 
 
@@ -172,7 +172,7 @@
 ) -> None:
     """Guards against repeats that crash replicas, also after all nodes were killed."""
     async with open_fleet(tmp_path, 3) as fleet, trio.open_nursery() as nursery:
-        nursery.start_soon(fleet.keep_replicas, DOWN_S)
+        nursery.start_soon(fleet.restart_exited_replicas, RESTART_DELAY_S)
         statuses = await repeat_crashing_call(fleet, 15)
         assert 0 < fleet.count_crashes() <= MAX_CRASHES
         assert statuses[-1] == 503
@@ -191,22 +191,24 @@
         for node in fleet.nodes:
             node.start([str(fleet.nodes[0].address(2))])
         for node in fleet.nodes:
-            await wait_until(lambda node=node: knows(node), "it knows the quarantine")
+            await wait_until(
+                lambda node=node: has_quarantine(node), "it knows the quarantine"
+            )
         assert set(await repeat_crashing_call(fleet, 6)) == {503}
         assert fleet.count_crashes() == before
         for node in fleet.nodes:
             # The store of the stand-ins lists the lives that crashed; a node learns
             # from calls that others have followed them.
-            await wait_until(lambda node=node: streams(node), f"{node.name} streams")
+            await wait_until(lambda node=node: can_stream(node), f"{node.name} streams")
         nursery.cancel_scope.cancel()
 
 
-async def streams(node: NodeProcess) -> bool:
+async def can_stream(node: NodeProcess) -> bool:
     answer = await node.call("/model/x", "harmless", *MODEL_HEADERS)
     return answer.body.count(b"id: ") == 10
 
 
-async def knows(node: NodeProcess) -> bool:
+async def has_quarantine(node: NodeProcess) -> bool:
     is_ready = await node.is_ready()
     text = node.log.read_text().rpartition("event=started")[2]
     return is_ready and "event=request_quarantined" in text
--- a/tests/toucanyard_platform/test_replica_client.py
+++ b/tests/toucanyard_platform/test_replica_client.py
@@ -7,10 +7,10 @@
 from toucanyard.names import Address, EndpointName, NodeName, ReplicaId
 from toucanyard.relay_events import PromptBlockChange, WeightsOrder
 from toucanyard_node.relay_ports import StateAnswer
-from toucanyard_platform.part_client import PartClient
+from toucanyard_platform.prompt_block_client import PromptBlockClient
 from toucanyard_platform.replica_client import ReplicaClient
 
-from .wire_world import serve
+from .stub_server import serve
 
 REPORT = (
     b'{"phase":"colocated","models":[{"name":"m","version":1,"adapters":[]}],'
@@ -80,15 +80,15 @@
     assert body["holder"] == "n"
     assert body["method"] == "defer"
     assert msgspec.json.decode(seen[1].body)["method"] == "in_place"
-    assert await ReplicaClient().send_order(ORDER_NOWHERE) is None
+    assert await ReplicaClient().send_order(ORDER_TO_CLOSED_PORT) is None
 
 
-ORDER_NOWHERE = msgspec.structs.replace(ORDER, address=Address("127.0.0.1:1"))
+ORDER_TO_CLOSED_PORT = msgspec.structs.replace(ORDER, address=Address("127.0.0.1:1"))
 
 
 async def test_part_events_are_decoded_on_one_connection() -> None:
     async with serve(lambda _: (200, (), EVENTS)) as (address, seen):
-        client = PartClient()
+        client = PromptBlockClient()
         for _ in range(3):
             page = await client.read_parts(address, 118, 800.0)
     assert page is not None
@@ -103,5 +103,5 @@
 
 async def test_holder_that_refuses_or_is_away_tells_nothing() -> None:
     async with serve(lambda _: (429, (), b"")) as (address, _):
-        assert await PartClient().read_parts(address, 0, 10.0) is None
-    assert await PartClient().read_parts(Address("127.0.0.1:1"), 0, 10.0) is None
+        assert await PromptBlockClient().read_parts(address, 0, 10.0) is None
+    assert await PromptBlockClient().read_parts(Address("127.0.0.1:1"), 0, 10.0) is None
--- a/tests/toucanyard_platform/test_soak.py
+++ b/tests/toucanyard_platform/test_soak.py
@@ -8,23 +8,23 @@
 from faulty_proxy import Fault, FaultyProxy
 from fleet import find_port, find_ports
 from soak import SoakFleet, SoakOptions, run_soak
-from soak_callers import CRASH, TIME_MS, CallSeen
-from soak_faults import Targets, plan_faults
-from soak_verdict import (
-    LATE_S,
+from soak_callers import CALL_DEADLINE_MS, CRASH_KIND, ObservedCall
+from soak_checks import (
+    LATE_TOLERANCE_S,
     count_runs,
     iterate_crash_repeats,
-    iterate_late_ends,
+    iterate_late_calls,
     iterate_problems,
 )
+from soak_faults import FaultTargets, plan_faults
 
 from toucanyard.names import Address
 
 STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, 11))
-TARGETS = Targets(("n1", "n2"), ("e1",), ("e1", "store-of-n1"))
+TARGETS = FaultTargets(("n1", "n2"), ("e1",), ("e1", "store-of-n1"))
 
 
-def build_call(kind: str = "once", **changes: object) -> CallSeen:
+def build_call(kind: str = "once", **changes: object) -> ObservedCall:
     fields: dict[str, object] = {
         "status": 200,
         "stamp": "d1.c",
@@ -32,14 +32,14 @@
         "is_whole": True,
         "ended_s": 1.0,
     }
-    call = CallSeen("c", kind, "n1", "/desk/c", 0.5)
+    call = ObservedCall("c", kind, "n1", "/desk/c", 0.5)
     for name, value in (fields | changes).items():
         setattr(call, name, value)
     return call
 
 
-def find_problems(call: CallSeen, runs: int = 1) -> list[str]:
-    late = iterate_late_ends([call], [("n1", 10.0, 12.0)])
+def find_problems(call: ObservedCall, runs: int = 1) -> list[str]:
+    late = iterate_late_calls([call], [("n1", 10.0, 12.0)])
     return [*iterate_problems([call], {"c": runs}), *late]
 
 
@@ -64,16 +64,18 @@
         (build_call("stream", body=STREAM[:-40]), 1),
         (build_call("stream", body=STREAM + STREAM[-24:]), 1),
         (build_call("stream", body=STREAM[21:], is_whole=False), 1),
-        (build_call(ended_s=0.6 + TIME_MS / 1000 + LATE_S), 1),
+        (build_call(ended_s=0.6 + CALL_DEADLINE_MS / 1000 + LATE_TOLERANCE_S), 1),
     ],
 )
-def test_each_broken_promise_is_found(call: CallSeen, runs: int) -> None:
+def test_each_broken_promise_is_found(call: ObservedCall, runs: int) -> None:
     assert find_problems(call, runs)
 
 
-def build_crashing(count: int, node: str = "n1") -> list[CallSeen]:
+def build_crashing(count: int, node: str = "n1") -> list[ObservedCall]:
     return [
-        CallSeen(f"x{n}", CRASH, node, "/model/crash", float(n), ended_s=n + 0.1)
+        ObservedCall(
+            f"x{n}", CRASH_KIND, node, "/model/crash", float(n), ended_s=n + 0.1
+        )
         for n in range(count)
     ]
 
@@ -113,7 +115,7 @@
     assert all(each.at_s < 30.0 for each in first)
 
 
-async def answer_in_capitals(stream: trio.SocketStream) -> None:
+async def echo_in_upper_case(stream: trio.SocketStream) -> None:
     async for data in stream:
         await stream.send_all(data.upper())
 
@@ -131,7 +133,7 @@
         serve = trio.serve_tcp
         await nursery.start(
             lambda task_status: serve(
-                answer_in_capitals, port, host=host, task_status=task_status
+                echo_in_upper_case, port, host=host, task_status=task_status
             )
         )
         nursery.start_soon(proxy.run)
@@ -165,7 +167,7 @@
     for process_id in (1_001, 1_002):
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(os, "getpid", lambda number=process_id: number)
-            patch.setattr(SoakFleet, "start_store", stop_here)
+            patch.setattr(SoakFleet, "start_store", raise_stopped)
             with pytest.raises(StoppedError) as stopped:
                 await run_soak(SoakOptions(seed=3, folder=tmp_path))
         bases.add(str(stopped.value))
@@ -176,8 +178,8 @@
     """Tell the addresses of a fleet that was about to start."""
 
 
-def stop_here(fleet: SoakFleet) -> None:
-    raise StoppedError(fleet.base)
+def raise_stopped(fleet: SoakFleet) -> None:
+    raise StoppedError(fleet.address_prefix)
 
 
 def test_ports_of_a_node_differ() -> None:
--- a/tests/toucanyard_platform/test_store_client.py
+++ b/tests/toucanyard_platform/test_store_client.py
@@ -20,11 +20,11 @@
 from toucanyard_node.relay_ports import RecordsGoneError, StoreError, TurnTakenError
 from toucanyard_platform.store_client import (
     StoreClient,
-    split_keyed,
+    parse_keyed_record,
     split_records,
 )
 
-from .wire_world import Reply, serve
+from .stub_server import Reply, serve
 
 NODE = NodeRecord(
     NodeName("n"),
@@ -147,7 +147,9 @@
     async with serve(lambda _: (200, (), reply)) as (address, seen):
         await StoreClient(address).write_quarantine(request)
         await StoreClient(address).erase_quarantine(request.fingerprint)
-    written, erased = (split_keyed(0, split_records(each.body)[0]) for each in seen)
+    written, erased = (
+        parse_keyed_record(0, split_records(each.body)[0]) for each in seen
+    )
     assert written.key == erased.key == "quarantine/f1"
     assert written.value == msgspec.json.encode(request)
     assert erased.value is None
