--- a/tests/toucanyard_platform/stub_server.py
+++ b/tests/toucanyard_platform/stub_server.py
@@ -1,4 +1,4 @@
-"""Answer calls on a port of the kernel's by a function of method, target and body."""
+"""HTTP server on a free port whose answers a function computes from the request."""
 
 from __future__ import annotations
 
--- a/tests/toucanyard_platform/test_boundary.py
+++ b/tests/toucanyard_platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""Keep the platform's names inside `platform/`, its tests and `deploy/`."""
+"""Check that the platform's names occur only in the adapter, its tests and deploy."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
     "TOUCANYARD_NODE_FILE",
     "ttlS",
 )
-"""Words of the platform's wire that mean nothing else here."""
+"""Words of the platform's protocol that have no other meaning in this repository."""
 SHARED_HEADERS: tuple[str, ...] = (
     wire_names.LAST_EVENT_ID,
     wire_names.AUTHORIZATION,
     wire_names.DEADLINE,
     wire_names.CACHE_SCOPE,
 )
-"""Headers that this project's own interface has as well."""
+"""Headers that this project's own interface also uses."""
 
 
 def test_names_of_the_wire_stand_only_in_the_adapter() -> None:
@@ -64,9 +64,9 @@
 
 
 def test_folder_does_not_hide_the_standard_library() -> None:
-    """A library asks `platform` for the system; a folder of that name is in its way.
+    """Guards against the folder shadowing the standard library's `platform` module.
 
-    It must hold neither in a process started at the root nor in this run of the tests.
+    Libraries import that module, both in processes started at the root and in tests.
     """
     code = "import platform, sys; sys.exit(not hasattr(platform, 'machine'))"
     done = subprocess.run([sys.executable, "-P", "-c", code], cwd=ROOT, check=False)
--- a/tests/toucanyard_platform/test_calls.py
+++ b/tests/toucanyard_platform/test_calls.py
@@ -124,9 +124,9 @@
 
 @pytest.mark.parametrize("name", RESERVED_HEADERS)
 def test_headers_that_only_the_router_sets_are_dropped(name: str) -> None:
-    """A caller names the customer, the cache or the replica of its call itself.
+    """Guards against callers that set the customer, cache scope or replica themselves.
 
-    Passed on, it would run in another's name or on another's memory.
+    A forwarded header would run the call as another customer or on its cache.
     """
     found = build_headers(*MODEL_CALL, (name, "forged"), (name.upper(), "forged"))
     assert "forged" not in found.get(name.lower(), [])
@@ -211,7 +211,7 @@
     "value", ["", "-1", "nan", "inf", "1e308", "many", "1,5", "٣", ".", "1" * 500]
 )
 def test_limits_that_are_no_decimal_numbers_are_told_apart(value: str) -> None:
-    """Guards against taking what can't be read for a limit or for its end."""
+    """Guards against reading an invalid value as a limit or as the end of one."""
     for values in ((value,), ("2", value)):
         facts = PlatformCalls().read_answer(build_limited(*values))
         assert facts.limit_per_s is None
@@ -225,7 +225,7 @@
 
 
 def test_tokens_that_a_limit_counts_are_both_numbers() -> None:
-    """Guards against counting the prompt alone; output is the dearer part."""
+    """Guards against counting only the prompt; output tokens cost more."""
     facts = PlatformCalls().read_call(build_http(*MODEL_CALL))
     prompt = facts.prompt
     assert prompt is not None
@@ -234,7 +234,7 @@
 
 
 def test_tokens_count_without_a_model() -> None:
-    """Guards against a call that passes for a plain one by leaving its model out."""
+    """Guards against a call that escapes a token limit by omitting its model."""
     http = build_http(*PLAIN_CALL, ("X-Token-Usage", "1460,80"))
     assert PlatformCalls().read_call(http).tokens == 1_540
 
@@ -245,6 +245,6 @@
 
 @pytest.mark.parametrize("text", ["", "1", "1,2,3", "-1,2", "1,x", "1,9999999999"])
 def test_tokens_that_are_not_two_counts_are_refused(text: str) -> None:
-    """Guards against a limit that is passed by a number that can't be read."""
+    """Guards against a call that escapes a limit by an invalid token count."""
     with pytest.raises(CallInvalidError):
         PlatformCalls().read_call(build_http(*PLAIN_CALL, ("X-Token-Usage", text)))
--- a/tests/toucanyard_platform/test_decoders_fuzz.py
+++ b/tests/toucanyard_platform/test_decoders_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever bytes come, no decoder raises anything but its own error."""
+"""Check that decoders raise only their own exceptions for arbitrary bytes."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 )
 DEEP_NESTING = b"[" * 100_000
 DEEPLY_NESTED_FIELD = b'{"models":[],"x":' + b"[" * 100_000
-"""Deep in a field that nobody reads: it is passed over by recursion."""
+"""Nested in an unknown field, which the decoder skips by recursion."""
 HUGE_NUMBER = (
     b'{"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","routeKind":'
 )
@@ -83,9 +83,9 @@
 @given(st.dictionaries(st.sampled_from((*ENTRY, "born")), JSON, min_size=1))
 @settings(max_examples=300)
 def test_no_usable_replica_out_of_a_bad_entry(changes: dict[str, object]) -> None:
-    """Fields of a good entry are replaced by anything.
+    """Replaces fields of a valid entry by arbitrary values.
 
-    Either nothing is wrong with the entry or it names no replica; nothing between.
+    The result must be a complete replica or an InvalidRecord.
     """
     found = decode_record(Topic.REPLICAS, "i-1", encode(ENTRY | changes))
     if isinstance(found, InvalidRecord):
@@ -105,7 +105,7 @@
     ids=len,
 )
 def test_bodies_that_broke_readers(body: bytes) -> None:
-    """Nested too deeply, infinite once read, not text: each has an error of its own."""
+    """Inputs that raised errors of other types: nesting, infinity and invalid UTF-8."""
     for topic in Topic:
         assert isinstance(decode_record(topic, "config", body), InvalidRecord)
     for decode in (decode_page, decode_report):
--- a/tests/toucanyard_platform/test_processes.py
+++ b/tests/toucanyard_platform/test_processes.py
@@ -1,4 +1,4 @@
-"""Run real nodes against stand-ins of the platform, all as processes of their own."""
+"""Run real nodes against stand-ins of the platform, all in separate processes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 HOST = ("Host", "h")
 LIMIT_PROPAGATION_S = 0.5
-"""Time after which all nodes know a limit that a replica has named."""
+"""Time within which a limit that a replica returns reaches all nodes."""
 
 
 async def test_fleet_serves_and_follows_its_operator(tmp_path: Path) -> None:
@@ -55,9 +55,9 @@
 
 
 async def test_node_that_the_store_refuses_follows_its_peers(tmp_path: Path) -> None:
-    """The store refuses everybody, a node restarts meanwhile.
+    """Guards against a node that can't start while the store refuses all calls.
 
-    It must serve by what its peers know: routes, keys and replicas.
+    It must get the routes, keys and replicas from its peers.
     """
     async with open_fleet(tmp_path) as fleet:
         one, two = fleet.nodes
@@ -78,7 +78,7 @@
 
 
 async def test_replica_that_names_a_limit_gets_no_more(tmp_path: Path) -> None:
-    """Guards against nodes that pass a limit on to callers and don't keep to it."""
+    """Guards against nodes that forward a limit to callers but exceed it themselves."""
     async with open_fleet(tmp_path) as fleet:
         name = next(each for each in fleet.replicas if each.startswith("d"))
 
@@ -102,9 +102,10 @@
 
 
 async def test_planned_stop_cuts_no_call(tmp_path: Path) -> None:
-    """SIGTERM comes while calls arrive one after the other on new connections.
+    """Guards against calls that fail on a node after SIGTERM.
 
-    A caller that still has the address must be served until it has asked again.
+    Callers use a known address until they ask for addresses again; until then calls on
+    new connections must be served.
     """
     async with open_fleet(tmp_path) as fleet:
         one, two = fleet.nodes
@@ -148,11 +149,11 @@
 REPEAT_INTERVAL_S = 0.3
 RESTART_DELAY_S = 1.0
 MAX_CRASHES = GUILTY_CRASHES + 3
-"""Three replicas, and three retries until all nodes know."""
+"""Three confirmed crashes, and three retries until all nodes have the quarantine."""
 
 
 async def repeat_crashing_call(fleet: Fleet, times: int) -> list[int]:
-    """Send a call that crashes replicas to the nodes in turn; return the statuses."""
+    """Send a call that crashes replicas to each node in turn; return the statuses."""
     statuses = []
     for number in range(times):
         node = fleet.nodes[number % len(fleet.nodes)]
@@ -170,7 +171,7 @@
 async def test_call_that_crashes_its_replicas_is_quarantined_for_good(
     tmp_path: Path,
 ) -> None:
-    """Guards against repeats that crash replicas, also after all nodes were killed."""
+    """Guards against repeats that crash replicas, even after all nodes restart."""
     async with open_fleet(tmp_path, 3) as fleet, trio.open_nursery() as nursery:
         nursery.start_soon(fleet.restart_exited_replicas, RESTART_DELAY_S)
         statuses = await repeat_crashing_call(fleet, 15)
@@ -192,13 +193,13 @@
             node.start([str(fleet.nodes[0].address(2))])
         for node in fleet.nodes:
             await wait_until(
-                lambda node=node: has_quarantine(node), "it knows the quarantine"
+                lambda node=node: has_quarantine(node), "the node has the quarantine"
             )
         assert set(await repeat_crashing_call(fleet, 6)) == {503}
         assert fleet.count_crashes() == before
         for node in fleet.nodes:
-            # The store of the stand-ins lists the lives that crashed; a node learns
-            # from calls that others have followed them.
+            # The stand-in of the store still lists the crashed incarnations; a node
+            # learns from calls that new ones have replaced them.
             await wait_until(lambda node=node: can_stream(node), f"{node.name} streams")
         nursery.cancel_scope.cancel()
 
@@ -215,14 +216,14 @@
 
 
 async def test_reload_does_not_end_a_node_that_is_starting(tmp_path: Path) -> None:
-    """Guards against a signal between the start of the process and its handler."""
+    """Guards against a signal that arrives before its handler is installed."""
     file = tmp_path / "boot.toml"
     os.mkfifo(file)
     process = await trio.lowlevel.open_process(
         [sys.executable, "-P", "-m", "toucanyard_platform"],
         env=dict(os.environ, TOUCANYARD_NODE_FILE=str(file)),
     )
-    # Opens once the node reads its settings, long before it listens for signals.
+    # Opening blocks until the node reads its settings, before it handles signals.
     async with await trio.open_file(file, "w") as settings:
         process.send_signal(signal.SIGHUP)
         await settings.write("not toml")
--- a/tests/toucanyard_platform/test_records.py
+++ b/tests/toucanyard_platform/test_records.py
@@ -110,7 +110,7 @@
     "models": [{"name": "m", "version": 3, "adapters": []}],
     "sequence": 4,
 }
-"""An entry as replicas write it."""
+"""An entry in the form that replicas write."""
 
 
 def decode_entry(**changes: object) -> object:
@@ -127,9 +127,10 @@
     "field", sorted(set(ENTRY) - {"models", "phase"}), ids=lambda field: field
 )
 def test_entry_without_a_field_names_no_replica(field: str) -> None:
-    """Another writer leaves an entry beside the replicas', without all their fields.
+    """Guards against entries that another program writes without all fields.
 
-    With a default in a field's place it would get calls that nobody answers.
+    With a default for a missing field, calls would be sent to an address that nobody
+    serves.
     """
     entry = {name: value for name, value in ENTRY.items() if name != field}
     found = decode_record(Topic.REPLICAS, "i-1", msgspec.json.encode(entry))
@@ -216,7 +217,7 @@
 
 @pytest.mark.parametrize("key", ["quarantine/", "quarantine/f2"])
 def test_quarantine_of_another_request_is_not_taken_over(key: str) -> None:
-    """Guards against a record that would reject requests it doesn't name."""
+    """Guards against a record that rejects requests of another fingerprint."""
     value = msgspec.json.encode(QUARANTINED)
     assert isinstance(decode_record(Topic.NODES, key, value), InvalidRecord)
 
@@ -255,7 +256,7 @@
 def test_limit_that_cannot_be_leaves_the_last_good_table(
     name: str, value: object
 ) -> None:
-    """Guards against a limit that no sum can be compared with."""
+    """Guards against limits that are negative, out of range or not numbers."""
     text = msgspec.json.encode({"version": 7, "tenants": [{"name": "c", name: value}]})
     found = decode_record(Topic.OPERATOR, "config", text)
     assert isinstance(found, InvalidRecord)
--- a/tests/toucanyard_platform/test_settings.py
+++ b/tests/toucanyard_platform/test_settings.py
@@ -75,7 +75,7 @@
 
 
 def test_secret_that_is_given_goes_before_one_that_is_derived(tmp_path: Path) -> None:
-    """Guards against nodes that reach the store at addresses of their own, unlinked."""
+    """Guards against unlinked nodes that reach the store at different addresses."""
     secrets = set()
     for store in ("10.200.1.7:8784", "10.200.1.8:8784"):
         text = 'peerSecret = "s"' + TEXT.replace("10.200.1.7:8784", store)
--- a/tests/toucanyard_platform/test_soak.py
+++ b/tests/toucanyard_platform/test_soak.py
@@ -82,7 +82,7 @@
 
 def test_repeats_of_a_crashing_request_are_counted_after_the_third_crash() -> None:
     runs = {f"x{number}": 1 for number in range(20)}
-    # Three crashes by 2.1 s, so calls from 6 s on are late.
+    # The third crash is at 2.1 s, so calls from 6 s on count as late.
     assert not list(iterate_crash_repeats(build_crashing(9), runs, []))
     assert list(iterate_crash_repeats(build_crashing(10), runs, []))
     assert not list(iterate_crash_repeats(build_crashing(10), {"x1": 1, "x9": 1}, []))
@@ -121,9 +121,9 @@
 
 
 async def test_proxy_passes_on_silences_and_resets(autojump_clock: object) -> None:
-    """One connection passes, goes silent for good and is reset at last.
+    """Guards against a proxy that injects no faults, so that every soak passes.
 
-    A proxy that did less would let a soak pass that has seen no fault.
+    A connection is forwarded, goes silent permanently, and is reset.
     """
     host = "127.0.0.1"
     target = Address(f"{host}:{find_port(host)}")
@@ -158,10 +158,10 @@
 
 
 async def test_soaks_of_one_seed_have_addresses_of_their_own(tmp_path: Path) -> None:
-    """Two runs of CI on one machine soak the same seed at the same time.
+    """Guards against address conflicts of two CI runs that soak the same seed.
 
-    Nodes can't choose their metrics' port, so with the same addresses those of the
-    second run could not start.
+    Nodes can't choose their metrics port, so on the same addresses the nodes of the
+    second run can't start.
     """
     bases = set()
     for process_id in (1_001, 1_002):
@@ -175,7 +175,7 @@
 
 
 class StoppedError(Exception):
-    """Tell the addresses of a fleet that was about to start."""
+    """Carries the address prefix of a fleet that was about to start."""
 
 
 def raise_stopped(fleet: SoakFleet) -> None:
@@ -183,13 +183,13 @@
 
 
 def test_ports_of_a_node_differ() -> None:
-    """The kernel may give a port again once it is released; a node needs four."""
+    """Guards against equal ports: the kernel may assign a released port again."""
     ports = find_ports("127.0.0.1", 200)
     assert len(set(ports)) == 200
 
 
 async def test_short_soak_breaks_no_promise(tmp_path: Path) -> None:
-    """Processes are killed, paused, stopped and cut off while callers go on."""
+    """Kills, pauses, stops and disconnects processes while callers send calls."""
     options = SoakOptions(
         seed=3,
         length_s=5.0,
--- a/tests/toucanyard_platform/test_store_client.py
+++ b/tests/toucanyard_platform/test_store_client.py
@@ -48,7 +48,7 @@
 
 
 async def test_records_are_read_up_to_the_end() -> None:
-    """One answer holds only so much; the rest stands in the next ones."""
+    """Guards against stopping after the first page; the size of answers is limited."""
     log = [build_keyed("a", b"1"), build_keyed("b", b""), build_keyed("c", b"3")]
 
     def answer(http: HttpRequest) -> Reply:
@@ -70,9 +70,9 @@
 
 
 async def test_pages_of_newest_records_keep_the_first_end() -> None:
-    """A record is appended between two pages.
+    """Guards against losing records that are appended between two pages.
 
-    With the end of the last page, what changed before it would never be read.
+    Reading on from the end of the last page would skip them.
     """
     pages = [
         {"items": [{"key": "a", "value": "MQ==", "offset": 1}], "hasMore": True},
