--- a/tests/toucanyard_platform/test_boundary.py
+++ b/tests/toucanyard_platform/test_boundary.py
@@ -75,8 +75,8 @@
 
 
 def test_libraries_of_the_build_are_pinned() -> None:
-    wanted = (ROOT / "deploy" / "requirements.txt").read_text().splitlines()
+    required = (ROOT / "deploy" / "requirements.txt").read_text().splitlines()
     pinned = (ROOT / "constraints.txt").read_text().lower()
-    for name in wanted:
+    for name in required:
         if name and not name.startswith("#"):
             assert f"{name.lower()}==" in pinned
--- a/tests/toucanyard_platform/test_calls.py
+++ b/tests/toucanyard_platform/test_calls.py
@@ -160,10 +160,14 @@
 
 
 def test_headers_of_one_connection_are_dropped_both_ways() -> None:
-    own = (("Connection", "close, X-Hop"), ("X-Hop", "1"), ("Keep-Alive", "timeout=5"))
-    found = build_headers(*MODEL_CALL, *own, ("Transfer-Encoding", "chunked"))
+    hop_by_hop = (
+        ("Connection", "close, X-Hop"),
+        ("X-Hop", "1"),
+        ("Keep-Alive", "timeout=5"),
+    )
+    found = build_headers(*MODEL_CALL, *hop_by_hop, ("Transfer-Encoding", "chunked"))
     assert not {"connection", "x-hop", "keep-alive", "transfer-encoding"} & set(found)
-    fields = (*own, ("X-Server-Stamp", "s"), ("Content-Length", "4"))
+    fields = (*hop_by_hop, ("X-Server-Stamp", "s"), ("Content-Length", "4"))
     head = ResponseHead(200, {n.lower(): v for n, v in fields}, fields)
     assert PlatformCalls().filter_answer(head) == (("X-Server-Stamp", "s"),)
 
@@ -181,10 +185,15 @@
     assert not facts.is_unrun
     assert facts.incarnation == "i-1"
     assert facts.weights_version == 4
-    bare = PlatformCalls().read_answer(ResponseHead(503, {"x-not-executed": "1"}))
-    assert bare.is_unrun
-    odd = {"x-weight-versions": "new"}
-    assert PlatformCalls().read_answer(ResponseHead(200, odd)).weights_version is None
+    not_executed = PlatformCalls().read_answer(
+        ResponseHead(503, {"x-not-executed": "1"})
+    )
+    assert not_executed.is_unrun
+    invalid_version = {"x-weight-versions": "new"}
+    assert (
+        PlatformCalls().read_answer(ResponseHead(200, invalid_version)).weights_version
+        is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -202,7 +211,7 @@
 def test_limits_that_replicas_name_are_decoded(
     values: tuple[str, ...], limit_per_s: float | None
 ) -> None:
-    facts = PlatformCalls().read_answer(build_limited(*values))
+    facts = PlatformCalls().read_answer(build_limit_answer(*values))
     assert facts.limit_per_s == limit_per_s
     assert not facts.invalid_limit
 
@@ -213,12 +222,12 @@
 def test_limits_that_are_no_decimal_numbers_are_told_apart(value: str) -> None:
     """Guards against reading an invalid value as a limit or as the end of one."""
     for values in ((value,), ("2", value)):
-        facts = PlatformCalls().read_answer(build_limited(*values))
+        facts = PlatformCalls().read_answer(build_limit_answer(*values))
         assert facts.limit_per_s is None
         assert 0 < len(facts.invalid_limit) <= 40
 
 
-def build_limited(*values: str) -> ResponseHead:
+def build_limit_answer(*values: str) -> ResponseHead:
     fields = tuple(("Server-Limit", value) for value in values)
     headers = {name.lower(): value for name, value in fields}
     return ResponseHead(200, headers, fields)
--- a/tests/toucanyard_platform/test_processes.py
+++ b/tests/toucanyard_platform/test_processes.py
@@ -95,9 +95,9 @@
             for number in range(20, 320):
                 nursery.start_soon(call, number)
                 await trio.sleep(0.03)
-        arrivals_s = (await fleet.fetch_arrival_times(name))[before:]
-        for begun_s in arrivals_s:
-            window = [at for at in arrivals_s if begun_s <= at < begun_s + 4.0]
+        arrival_times_s = (await fleet.fetch_arrival_times(name))[before:]
+        for started_s in arrival_times_s:
+            window = [at for at in arrival_times_s if started_s <= at < started_s + 4.0]
             assert len(window) <= 1.5 * 1.5 * 4.0 + 5.0
 
 
@@ -113,10 +113,10 @@
         assert two.process is not None
         two.process.send_signal(signal.SIGTERM)
 
-        async def is_out() -> bool:
+        async def is_unlisted() -> bool:
             return str(two.address(0)) not in await one.locate()
 
-        await wait_until(is_out, "the stopping node is not named any more")
+        await wait_until(is_unlisted, "the stopping node is not named any more")
         assert not await two.is_ready()
         for number in range(10):
             answer = await two.call("/desk/x", f"q{number}", HOST)
--- a/tests/toucanyard_platform/test_soak.py
+++ b/tests/toucanyard_platform/test_soak.py
@@ -138,8 +138,8 @@
         )
         nursery.start_soon(proxy.run)
         await trio.testing.wait_all_tasks_blocked()
-        own = int(proxy.address.partition(":")[2])
-        stream = await trio.open_tcp_stream(host, own)
+        proxy_port = int(proxy.address.partition(":")[2])
+        stream = await trio.open_tcp_stream(host, proxy_port)
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"A"
         proxy.set_fault(Fault.SILENCE)
@@ -163,15 +163,15 @@
     Nodes can't choose their metrics port, so on the same addresses the nodes of the
     second run can't start.
     """
-    bases = set()
+    address_prefixes = set()
     for process_id in (1_001, 1_002):
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(os, "getpid", lambda number=process_id: number)
             patch.setattr(SoakFleet, "start_store", raise_stopped)
             with pytest.raises(StoppedError) as stopped:
                 await run_soak(SoakOptions(seed=3, folder=tmp_path))
-        bases.add(str(stopped.value))
-    assert len(bases) == 2
+        address_prefixes.add(str(stopped.value))
+    assert len(address_prefixes) == 2
 
 
 class StoppedError(Exception):
