--- a/tests/toucanyard_platform/test_calls.py
+++ b/tests/toucanyard_platform/test_calls.py
@@ -17,7 +17,7 @@
 from toucanyard_node.http_exchange import HttpRequest
 from toucanyard_node.relay_ports import CallInvalidError
 from toucanyard_platform.calls import PlatformCalls
-from toucanyard_platform.wire_names import RESERVED
+from toucanyard_platform.wire_names import RESERVED_HEADERS
 
 PROMPT = Prompt("m", (PromptBlock("5c1e07a2", 800), PromptBlock("e4402b7d", 250)), 80)
 MODEL_CALL = (
@@ -122,11 +122,11 @@
     assert PlatformCalls().read_call(build_http(*fields)).key == ""
 
 
-@pytest.mark.parametrize("name", RESERVED)
+@pytest.mark.parametrize("name", RESERVED_HEADERS)
 def test_headers_that_only_the_router_sets_are_dropped(name: str) -> None:
-    """A caller names the customer, the cache or the replica of its call itself.
+    """Guards against callers that set the customer, cache scope or replica themselves.
 
-    Passed on, it would run in another's name or on another's memory.
+    A forwarded header would run the call as another customer or on its cache.
     """
     found = build_headers(*MODEL_CALL, (name, "forged"), (name.upper(), "forged"))
     assert "forged" not in found.get(name.lower(), [])
@@ -160,10 +160,14 @@
 
 
 def test_headers_of_one_connection_are_dropped_both_ways() -> None:
-    own = (("Connection", "close, X-Hop"), ("X-Hop", "1"), ("Keep-Alive", "timeout=5"))
-    found = build_headers(*MODEL_CALL, *own, ("Transfer-Encoding", "chunked"))
+    hop_by_hop = (
+        ("Connection", "close, X-Hop"),
+        ("X-Hop", "1"),
+        ("Keep-Alive", "timeout=5"),
+    )
+    found = build_headers(*MODEL_CALL, *hop_by_hop, ("Transfer-Encoding", "chunked"))
     assert not {"connection", "x-hop", "keep-alive", "transfer-encoding"} & set(found)
-    fields = (*own, ("X-Server-Stamp", "s"), ("Content-Length", "4"))
+    fields = (*hop_by_hop, ("X-Server-Stamp", "s"), ("Content-Length", "4"))
     head = ResponseHead(200, {n.lower(): v for n, v in fields}, fields)
     assert PlatformCalls().filter_answer(head) == (("X-Server-Stamp", "s"),)
 
@@ -181,10 +185,15 @@
     assert not facts.is_unrun
     assert facts.incarnation == "i-1"
     assert facts.weights_version == 4
-    bare = PlatformCalls().read_answer(ResponseHead(503, {"x-not-executed": "1"}))
-    assert bare.is_unrun
-    odd = {"x-weight-versions": "new"}
-    assert PlatformCalls().read_answer(ResponseHead(200, odd)).weights_version is None
+    not_executed = PlatformCalls().read_answer(
+        ResponseHead(503, {"x-not-executed": "1"})
+    )
+    assert not_executed.is_unrun
+    invalid_version = {"x-weight-versions": "new"}
+    assert (
+        PlatformCalls().read_answer(ResponseHead(200, invalid_version)).weights_version
+        is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -202,7 +211,7 @@
 def test_limits_that_replicas_name_are_decoded(
     values: tuple[str, ...], limit_per_s: float | None
 ) -> None:
-    facts = PlatformCalls().read_answer(build_limited(*values))
+    facts = PlatformCalls().read_answer(build_limit_answer(*values))
     assert facts.limit_per_s == limit_per_s
     assert not facts.invalid_limit
 
@@ -211,21 +220,21 @@
     "value", ["", "-1", "nan", "inf", "1e308", "many", "1,5", "٣", ".", "1" * 500]
 )
 def test_limits_that_are_no_decimal_numbers_are_told_apart(value: str) -> None:
-    """Guards against taking what can't be read for a limit or for its end."""
+    """Guards against reading an invalid value as a limit or as the end of one."""
     for values in ((value,), ("2", value)):
-        facts = PlatformCalls().read_answer(build_limited(*values))
+        facts = PlatformCalls().read_answer(build_limit_answer(*values))
         assert facts.limit_per_s is None
         assert 0 < len(facts.invalid_limit) <= 40
 
 
-def build_limited(*values: str) -> ResponseHead:
+def build_limit_answer(*values: str) -> ResponseHead:
     fields = tuple(("Server-Limit", value) for value in values)
     headers = {name.lower(): value for name, value in fields}
     return ResponseHead(200, headers, fields)
 
 
 def test_tokens_that_a_limit_counts_are_both_numbers() -> None:
-    """Guards against counting the prompt alone; output is the dearer part."""
+    """Guards against counting only the prompt; output tokens cost more."""
     facts = PlatformCalls().read_call(build_http(*MODEL_CALL))
     prompt = facts.prompt
     assert prompt is not None
@@ -234,7 +243,7 @@
 
 
 def test_tokens_count_without_a_model() -> None:
-    """Guards against a call that passes for a plain one by leaving its model out."""
+    """Guards against a call that escapes a token limit by omitting its model."""
     http = build_http(*PLAIN_CALL, ("X-Token-Usage", "1460,80"))
     assert PlatformCalls().read_call(http).tokens == 1_540
 
@@ -245,6 +254,6 @@
 
 @pytest.mark.parametrize("text", ["", "1", "1,2,3", "-1,2", "1,x", "1,9999999999"])
 def test_tokens_that_are_not_two_counts_are_refused(text: str) -> None:
-    """Guards against a limit that is passed by a number that can't be read."""
+    """Guards against a call that escapes a limit by an invalid token count."""
     with pytest.raises(CallInvalidError):
         PlatformCalls().read_call(build_http(*PLAIN_CALL, ("X-Token-Usage", text)))
--- a/tests/toucanyard_platform/test_soak.py
+++ b/tests/toucanyard_platform/test_soak.py
@@ -8,23 +8,23 @@
 from faulty_proxy import Fault, FaultyProxy
 from fleet import find_port, find_ports
 from soak import SoakFleet, SoakOptions, run_soak
-from soak_callers import CRASH, TIME_MS, CallSeen
-from soak_faults import Targets, plan_faults
-from soak_verdict import (
-    LATE_S,
+from soak_callers import CALL_DEADLINE_MS, CRASH_KIND, ObservedCall
+from soak_checks import (
+    LATE_TOLERANCE_S,
     count_runs,
     iterate_crash_repeats,
-    iterate_late_ends,
+    iterate_late_calls,
     iterate_problems,
 )
+from soak_faults import FaultTargets, plan_faults
 
 from toucanyard.names import Address
 
 STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, 11))
-TARGETS = Targets(("n1", "n2"), ("e1",), ("e1", "store-of-n1"))
+TARGETS = FaultTargets(("n1", "n2"), ("e1",), ("e1", "store-of-n1"))
 
 
-def build_call(kind: str = "once", **changes: object) -> CallSeen:
+def build_call(kind: str = "once", **changes: object) -> ObservedCall:
     fields: dict[str, object] = {
         "status": 200,
         "stamp": "d1.c",
@@ -32,14 +32,14 @@
         "is_whole": True,
         "ended_s": 1.0,
     }
-    call = CallSeen("c", kind, "n1", "/desk/c", 0.5)
+    call = ObservedCall("c", kind, "n1", "/desk/c", 0.5)
     for name, value in (fields | changes).items():
         setattr(call, name, value)
     return call
 
 
-def find_problems(call: CallSeen, runs: int = 1) -> list[str]:
-    late = iterate_late_ends([call], [("n1", 10.0, 12.0)])
+def find_problems(call: ObservedCall, runs: int = 1) -> list[str]:
+    late = iterate_late_calls([call], [("n1", 10.0, 12.0)])
     return [*iterate_problems([call], {"c": runs}), *late]
 
 
@@ -64,23 +64,25 @@
         (build_call("stream", body=STREAM[:-40]), 1),
         (build_call("stream", body=STREAM + STREAM[-24:]), 1),
         (build_call("stream", body=STREAM[21:], is_whole=False), 1),
-        (build_call(ended_s=0.6 + TIME_MS / 1000 + LATE_S), 1),
+        (build_call(ended_s=0.6 + CALL_DEADLINE_MS / 1000 + LATE_TOLERANCE_S), 1),
     ],
 )
-def test_each_broken_promise_is_found(call: CallSeen, runs: int) -> None:
+def test_each_broken_promise_is_found(call: ObservedCall, runs: int) -> None:
     assert find_problems(call, runs)
 
 
-def build_crashing(count: int, node: str = "n1") -> list[CallSeen]:
+def build_crashing(count: int, node: str = "n1") -> list[ObservedCall]:
     return [
-        CallSeen(f"x{n}", CRASH, node, "/model/crash", float(n), ended_s=n + 0.1)
+        ObservedCall(
+            f"x{n}", CRASH_KIND, node, "/model/crash", float(n), ended_s=n + 0.1
+        )
         for n in range(count)
     ]
 
 
 def test_repeats_of_a_crashing_request_are_counted_after_the_third_crash() -> None:
     runs = {f"x{number}": 1 for number in range(20)}
-    # Three crashes by 2.1 s, so calls from 6 s on are late.
+    # The third crash is at 2.1 s, so calls from 6 s on count as late.
     assert not list(iterate_crash_repeats(build_crashing(9), runs, []))
     assert list(iterate_crash_repeats(build_crashing(10), runs, []))
     assert not list(iterate_crash_repeats(build_crashing(10), {"x1": 1, "x9": 1}, []))
@@ -113,15 +115,15 @@
     assert all(each.at_s < 30.0 for each in first)
 
 
-async def answer_in_capitals(stream: trio.SocketStream) -> None:
+async def echo_in_upper_case(stream: trio.SocketStream) -> None:
     async for data in stream:
         await stream.send_all(data.upper())
 
 
 async def test_proxy_passes_on_silences_and_resets(autojump_clock: object) -> None:
-    """One connection passes, goes silent for good and is reset at last.
+    """Guards against a proxy that injects no faults, so that every soak passes.
 
-    A proxy that did less would let a soak pass that has seen no fault.
+    A connection is forwarded, goes silent permanently, and is reset.
     """
     host = "127.0.0.1"
     target = Address(f"{host}:{find_port(host)}")
@@ -131,13 +133,13 @@
         serve = trio.serve_tcp
         await nursery.start(
             lambda task_status: serve(
-                answer_in_capitals, port, host=host, task_status=task_status
+                echo_in_upper_case, port, host=host, task_status=task_status
             )
         )
         nursery.start_soon(proxy.run)
         await trio.testing.wait_all_tasks_blocked()
-        own = int(proxy.address.partition(":")[2])
-        stream = await trio.open_tcp_stream(host, own)
+        proxy_port = int(proxy.address.partition(":")[2])
+        stream = await trio.open_tcp_stream(host, proxy_port)
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"A"
         proxy.set_fault(Fault.SILENCE)
@@ -156,38 +158,38 @@
 
 
 async def test_soaks_of_one_seed_have_addresses_of_their_own(tmp_path: Path) -> None:
-    """Two runs of CI on one machine soak the same seed at the same time.
+    """Guards against address conflicts of two CI runs that soak the same seed.
 
-    Nodes can't choose their metrics' port, so with the same addresses those of the
-    second run could not start.
+    Nodes can't choose their metrics port, so on the same addresses the nodes of the
+    second run can't start.
     """
-    bases = set()
+    address_prefixes = set()
     for process_id in (1_001, 1_002):
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(os, "getpid", lambda number=process_id: number)
-            patch.setattr(SoakFleet, "start_store", stop_here)
+            patch.setattr(SoakFleet, "start_store", raise_stopped)
             with pytest.raises(StoppedError) as stopped:
                 await run_soak(SoakOptions(seed=3, folder=tmp_path))
-        bases.add(str(stopped.value))
-    assert len(bases) == 2
+        address_prefixes.add(str(stopped.value))
+    assert len(address_prefixes) == 2
 
 
 class StoppedError(Exception):
-    """Tell the addresses of a fleet that was about to start."""
+    """Carries the address prefix of a fleet that was about to start."""
 
 
-def stop_here(fleet: SoakFleet) -> None:
-    raise StoppedError(fleet.base)
+def raise_stopped(fleet: SoakFleet) -> None:
+    raise StoppedError(fleet.address_prefix)
 
 
 def test_ports_of_a_node_differ() -> None:
-    """The kernel may give a port again once it is released; a node needs four."""
+    """Guards against equal ports: the kernel may assign a released port again."""
     ports = find_ports("127.0.0.1", 200)
     assert len(set(ports)) == 200
 
 
 async def test_short_soak_breaks_no_promise(tmp_path: Path) -> None:
-    """Processes are killed, paused, stopped and cut off while callers go on."""
+    """Kills, pauses, stops and disconnects processes while callers send calls."""
     options = SoakOptions(
         seed=3,
         length_s=5.0,
--- a/tests/toucanyard_platform/test_store_client.py
+++ b/tests/toucanyard_platform/test_store_client.py
@@ -20,11 +20,11 @@
 from toucanyard_node.relay_ports import LeaseConflictError, RecordsGoneError, StoreError
 from toucanyard_platform.store_client import (
     StoreClient,
-    split_keyed,
+    parse_keyed_record,
     split_records,
 )
 
-from .wire_world import Reply, serve
+from .stub_server import Reply, serve
 
 NODE = NodeRecord(
     NodeName("n"),
@@ -48,7 +48,7 @@
 
 
 async def test_records_are_read_up_to_the_end() -> None:
-    """One answer holds only so much; the rest stands in the next ones."""
+    """Guards against stopping after the first page; the size of answers is limited."""
     log = [build_keyed("a", b"1"), build_keyed("b", b""), build_keyed("c", b"3")]
 
     def answer(http: HttpRequest) -> Reply:
@@ -70,9 +70,9 @@
 
 
 async def test_pages_of_newest_records_keep_the_first_end() -> None:
-    """A record is appended between two pages.
+    """Guards against losing records that are appended between two pages.
 
-    With the end of the last page, what changed before it would never be read.
+    Reading on from the end of the last page would skip them.
     """
     pages = [
         {"items": [{"key": "a", "value": "MQ==", "offset": 1}], "hasMore": True},
@@ -147,7 +147,9 @@
     async with serve(lambda _: (200, (), reply)) as (address, seen):
         await StoreClient(address).write_quarantine(request)
         await StoreClient(address).erase_quarantine(request.fingerprint)
-    written, erased = (split_keyed(0, split_records(each.body)[0]) for each in seen)
+    written, erased = (
+        parse_keyed_record(0, split_records(each.body)[0]) for each in seen
+    )
     assert written.key == erased.key == "quarantine/f1"
     assert written.value == msgspec.json.encode(request)
     assert erased.value is None
