--- a/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Final
 
-from toucanyard.crash_watch import Reach
+from toucanyard.crash_detector import Reachability
 from toucanyard.keyed_view import Topic
 from toucanyard.names import (
     EndpointName,
@@ -237,7 +237,7 @@
         if not isinstance(engine, Engine) or engine.presence is not Presence.UP:
             is_silent = engine is not None and engine.presence is Presence.SILENT
             delay_ms = REPORT_TIMEOUT_MS if is_silent else 2.0
-            reach = Reach.NO_ANSWER if is_silent else Reach.NO_LISTENER
+            reach = Reachability.NO_ANSWER if is_silent else Reachability.NO_LISTENER
             failed = ReplicaStateRead(read.replica, None, asked_ms, reach)
             self.after(delay_ms, lambda: self.handle(failed))
             return
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
@@ -15,7 +15,7 @@
 )
 from toucanyard.part_sources import name_store
 from toucanyard.relay_events import PartChange, WeightsOrder
-from toucanyard.replica_lives import name_life
+from toucanyard.replica_incarnations import name_incarnation
 from toucanyard.replicas import Replica
 from toucanyard.routes import PromptStore
 from toucanyard_emulator.engine import Engine, LoadBoard, Presence
@@ -103,7 +103,7 @@
         self._births += 1
         born_ms = int(self._clock.now_ms) + self._births
         listed = listed_as or ReplicaId(f"e{self._births}")
-        name = name_life(listed, born_ms)
+        name = name_incarnation(listed, born_ms)
         address = Address(f"10.1.{number}.{self._births}:1")
         domain = name_domain(self._scenario, number)
         rng = random.Random(f"{self._seed} engine {number}")
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/world.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/world.py
@@ -143,7 +143,7 @@
         by_name = {node.identity.node: node for node in live}
         found: dict[int, set[int]] = {node.number: set() for node in live}
         for node in live:
-            for vm in node.core.roster.find_peers(self.clock.now_ms):
+            for vm in node.core.node_directory.find_peers(self.clock.now_ms):
                 other = by_name.get(NodeName(vm.name))
                 if other is not None and other is not node:
                     found[node.number].add(other.number)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_metrics.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_metrics.py
@@ -122,7 +122,7 @@
     yield _format("calls_pending", core.flow.count_pending())
     yield _format("calls_waiting", core.flow.count_waiting())
     yield _format("peers_linked", len(core.exchange.linked))
-    yield _format("nodes_alive", core.roster.count_alive(now_ms))
+    yield _format("nodes_alive", core.node_directory.count_alive(now_ms))
     yield _format("is_stopping", int(core.is_stopping))
     for topic in Topic:
         view = core.exchange.views[topic]
--- a/packages/toucanyard-node/src/toucanyard_node/relay_node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_node.py
@@ -14,6 +14,7 @@
 from toucanyard.cbor_messages import MAX_MESSAGE_BYTES
 from toucanyard.link_messages import decode_link_message, encode_link_message
 from toucanyard.names import Address
+from toucanyard.node_directory import MAX_MESH
 from toucanyard.options import MembershipTimings
 from toucanyard.relay_core import RelayCore
 from toucanyard.relay_events import (
@@ -23,7 +24,6 @@
     SendToPeer as SendToPeer,
     StopBegun,
 )
-from toucanyard.roster import MAX_MESH
 from toucanyard.status_schedule import STATUS_MS
 from toucanyard_node.bounded_output import BoundedOutput
 from toucanyard_node.http_client import split_address
@@ -123,7 +123,7 @@
             core.identity,
             (self._options.peer_secret,),
             timings,
-            lambda: core.roster.find_peers(trio.current_time() * 1000),
+            lambda: core.node_directory.find_peers(trio.current_time() * 1000),
             self._emit,
             rng,
             RELAY_LINKS,
@@ -218,7 +218,7 @@
         pending = self.core.flow.count_pending()
         _LOG.info("stop_begun", pending=pending, grace_ms=stop.grace_ms)
         self._task.client.tell(StopBegun())
-        is_near = self.core.roster.is_full_mesh()
+        is_near = self.core.node_directory.is_full_mesh()
         margin_ms = CLOSE_MARGIN_MS if is_near else FAR_CLOSE_MARGIN_MS
         keep_ms = stop.locate_ttl_ms * stop.keep_factor + margin_ms
         last_s = begun_s + (stop.grace_ms - STOP_MARGIN_MS) / 1000
--- a/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from toucanyard.crash_watch import Reach
+from toucanyard.crash_detector import Reachability
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.names import Address, Fingerprint, ReplicaId
 from toucanyard.node_records import NodeRecord
@@ -172,7 +172,7 @@
 class StateAnswer(msgspec.Struct, frozen=True):
     """What came of asking a replica for its state."""
 
-    reach: Reach
+    reach: Reachability
     state: ReplicaState | None = None
 
 
--- a/packages/toucanyard-node/src/toucanyard_node/relay_store.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_store.py
@@ -164,7 +164,7 @@
                 await trio.sleep(self._find_look(topic, now_ms))
 
     def _find_look(self, topic: Topic, now_ms: float) -> float:
-        if self._core.roster.is_full_mesh():
+        if self._core.node_directory.is_full_mesh():
             return LOOK_S[topic]
         due_s = (self._core.reads.find_due(topic, now_ms) - now_ms) / 1000
         return min(max(due_s, FAR_LOOK_S, LOOK_S[topic]), MAX_FAR_LOOK_S)
--- a/packages/toucanyard-standins/src/toucanyard_standins/detector_traces.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/detector_traces.py
@@ -14,7 +14,13 @@
 
 import msgspec
 
-from toucanyard.detectors import Accrual, Detector, ErrorRun, Silence, SourceCount
+from toucanyard.detectors import (
+    AccrualDetector,
+    Detector,
+    ErrorRunDetector,
+    SourceQuorum,
+    TimeoutDetector,
+)
 from toucanyard.options import MembershipTimings
 
 _TIMINGS: Final = MembershipTimings()
@@ -89,24 +95,36 @@
     silence_ms = float(_TIMINGS.suspect_after_ms)
     sources = _TIMINGS.condemn_sources
     return (
-        Rule("timeout, 1 source", lambda now_ms: Silence(silence_ms, now_ms), 1),
-        Rule("accrual, 1 source", lambda now_ms: Accrual(8.0, POLL_MS, now_ms), 1),
-        Rule("N errors, 1 source", lambda _: ErrorRun(reports, window_ms), 1),
-        Rule("timeout, S sources", lambda now_ms: Silence(silence_ms, now_ms), sources),
+        Rule(
+            "timeout, 1 source", lambda now_ms: TimeoutDetector(silence_ms, now_ms), 1
+        ),
+        Rule(
+            "accrual, 1 source", lambda now_ms: AccrualDetector(8.0, POLL_MS, now_ms), 1
+        ),
+        Rule("N errors, 1 source", lambda _: ErrorRunDetector(reports, window_ms), 1),
+        Rule(
+            "timeout, S sources",
+            lambda now_ms: TimeoutDetector(silence_ms, now_ms),
+            sources,
+        ),
         Rule(
             "accrual, S sources",
-            lambda now_ms: Accrual(8.0, POLL_MS, now_ms),
+            lambda now_ms: AccrualDetector(8.0, POLL_MS, now_ms),
             sources,
         ),
         Rule(
             "accrual wide, S",
-            lambda now_ms: Accrual(8.0, POLL_MS, now_ms, POLL_MS),
+            lambda now_ms: AccrualDetector(8.0, POLL_MS, now_ms, POLL_MS),
+            sources,
+        ),
+        Rule(
+            "N errors, S sources",
+            lambda _: ErrorRunDetector(reports, window_ms),
             sources,
         ),
-        Rule("N errors, S sources", lambda _: ErrorRun(reports, window_ms), sources),
         Rule(
             "same, doubts itself",
-            lambda _: ErrorRun(reports, window_ms),
+            lambda _: ErrorRunDetector(reports, window_ms),
             sources,
             doubts_itself=True,
         ),
@@ -167,7 +185,7 @@
         for watcher in range(WATCHERS)
         for endpoint in range(ENDPOINTS)
     }
-    joined = [SourceCount(rule.sources, 1e12) for _ in range(ENDPOINTS)]
+    joined = [SourceQuorum(rule.sources, 1e12) for _ in range(ENDPOINTS)]
     since: dict[int, float] = {}
     failing: list[set[int]] = [set() for _ in range(WATCHERS)]
     noticed = False
@@ -177,7 +195,7 @@
             _note(detector, failing[watcher], poll)
         is_doubted = rule.doubts_itself and 2 * len(failing[watcher]) > ENDPOINTS
         if detector.is_suspect(now_ms) and not is_doubted:
-            joined[endpoint].note_report(str(watcher), now_ms)
+            joined[endpoint].record_report(str(watcher), now_ms)
         else:
             joined[endpoint].withdraw(str(watcher))
         is_condemned = joined[endpoint].is_condemned(now_ms)
@@ -199,10 +217,10 @@
 
 def _note(detector: Detector, failing: set[int], poll: Poll) -> None:
     if poll.is_ok:
-        detector.note_ok(poll.at_ms)
+        detector.record_success(poll.at_ms)
         failing.discard(poll.endpoint)
     else:
-        detector.note_error(poll.at_ms)
+        detector.record_error(poll.at_ms)
         failing.add(poll.endpoint)
 
 
--- a/packages/toucanyard/src/toucanyard/crash_watch.py
+++ b/packages/toucanyard/src/toucanyard/crash_detector.py
@@ -24,16 +24,16 @@
 crashed within that time."""
 PROBE_MS: Final = 250.0
 """Time between two probes of a replica that has not answered the last one."""
-MAX_CLOSED: Final = 2
+MAX_CLOSED_PROBES: Final = 2
 """Probes in a row that were closed, after which a replica counts as ended."""
-AFTERMATH_MS: Final = 500.0
+SURVIVAL_DELAY_MS: Final = 500.0
 """How long a replica has to go on after an answer for the request to have survived:
 one that crashes while it cleans up has answered."""
 MAX_ENDED: Final = 1_000
 """Lives that ended lately and are remembered."""
 
 
-class Reach(enum.Enum):
+class Reachability(enum.Enum):
     """What a probe found at a replica's address."""
 
     ANSWERED = "answered"
@@ -46,7 +46,7 @@
     NO_ANSWER = "no_answer"
 
 
-class Loss(msgspec.Struct, frozen=True):
+class LostCall(msgspec.Struct, frozen=True):
     """A call that was lost at a replica."""
 
     fingerprint: Fingerprint
@@ -55,7 +55,7 @@
     is_closed: bool
 
 
-class Answered(msgspec.Struct, frozen=True):
+class AnsweredCall(msgspec.Struct, frozen=True):
     """A call that a replica answered a moment ago."""
 
     replica: EndpointName
@@ -64,7 +64,7 @@
     at_ms: float
 
 
-class CrashWatch:
+class CrashDetector:
     """Lost calls whose replicas may have crashed.
 
     Invariant: a loss is charged at most once, and only to the life that it was lost at.
@@ -81,15 +81,15 @@
 
     def __init__(self, directory: ReplicaDirectory) -> None:
         self._directory = directory
-        self._losses: dict[EndpointName, list[Loss]] = {}
-        self._answered: deque[Answered] = deque()
+        self._losses: dict[EndpointName, list[LostCall]] = {}
+        self._answered: deque[AnsweredCall] = deque()
         """In the order of their ends."""
         self._probed_ms: dict[EndpointName, float] = {}
         self._closed: dict[EndpointName, int] = {}
         """Probes in a row that were closed, of lives with losses."""
         self._ended: dict[EndpointName, None] = {}
 
-    def has_open_loss(self, fingerprint: Fingerprint) -> bool:
+    def has_unresolved_loss(self, fingerprint: Fingerprint) -> bool:
         """Tell whether a run of this request was cut and nobody knows yet by what."""
         return any(
             loss.is_closed and loss.fingerprint == fingerprint
@@ -112,7 +112,7 @@
         known = self._directory.find(outcome.replica)
         if known is None or not known.is_listed(now_ms):
             return False
-        loss = Loss(fingerprint, sent_ms, now_ms, outcome.is_closed)
+        loss = LostCall(fingerprint, sent_ms, now_ms, outcome.is_closed)
         self._losses.setdefault(outcome.replica, []).append(loss)
         return outcome.replica in self._ended
 
@@ -126,15 +126,15 @@
         """Record that a replica has answered a call."""
         self.mark_alive(replica, sent_ms)
         if fingerprint:
-            answered = Answered(replica, fingerprint, sent_ms, now_ms)
+            answered = AnsweredCall(replica, fingerprint, sent_ms, now_ms)
             self._answered.append(answered)
 
-    def take_survivals(self, now_ms: float) -> Iterator[Answered]:
+    def take_survivals(self, now_ms: float) -> Iterator[AnsweredCall]:
         """Return the answers that their replicas have outlived, once."""
-        while self._answered and now_ms - self._answered[0].at_ms >= AFTERMATH_MS:
+        while self._answered and now_ms - self._answered[0].at_ms >= SURVIVAL_DELAY_MS:
             yield self._answered.popleft()
 
-    def take_answered(self, replica: EndpointName) -> list[Answered]:
+    def take_answered(self, replica: EndpointName) -> list[AnsweredCall]:
         """Return the last answers of a life that has ended, and drop them."""
         found = [each for each in self._answered if each.replica == replica]
         if found:
@@ -143,17 +143,17 @@
         return found
 
     def record_probe(
-        self, replica: EndpointName, reach: Reach, asked_ms: float
+        self, replica: EndpointName, reach: Reachability, asked_ms: float
     ) -> bool:
         """Record what a probe found; return whether the replica surely ended."""
         match reach:
-            case Reach.NO_LISTENER | Reach.REPLACED:
+            case Reachability.NO_LISTENER | Reachability.REPLACED:
                 return True
-            case Reach.ANSWERED:
+            case Reachability.ANSWERED:
                 self.mark_alive(replica, asked_ms)
-            case Reach.CLOSED if replica in self._losses:
+            case Reachability.CLOSED if replica in self._losses:
                 self._closed[replica] = self._closed.get(replica, 0) + 1
-                return self._closed[replica] >= MAX_CLOSED
+                return self._closed[replica] >= MAX_CLOSED_PROBES
         return False
 
     def mark_alive(self, replica: EndpointName, asked_ms: float) -> None:
@@ -163,7 +163,9 @@
         losses = self._losses.get(replica)
         if losses:
             # What was lost before a life answered was not lost by its end.
-            self._keep(replica, [each for each in losses if each.at_ms > asked_ms])
+            self._replace_losses(
+                replica, [each for each in losses if each.at_ms > asked_ms]
+            )
 
     def mark_ended(self, replica: EndpointName) -> None:
         """Record that a life of a replica is over."""
@@ -171,7 +173,7 @@
         if len(self._ended) > MAX_ENDED:
             del self._ended[next(iter(self._ended))]
 
-    def take_losses(self, replica: EndpointName) -> list[Loss]:
+    def take_losses(self, replica: EndpointName) -> list[LostCall]:
         """Return the losses at a life that has ended, and drop them."""
         self._probed_ms.pop(replica, None)
         self._closed.pop(replica, None)
@@ -185,7 +187,7 @@
         """Return the replicas to probe now, and forget what is too old to matter."""
         for name, losses in list(self._losses.items()):
             fresh = [each for each in losses if now_ms - each.at_ms < LOSS_TTL_MS]
-            self._keep(name, fresh)
+            self._replace_losses(name, fresh)
             known = self._directory.find(name)
             if known is None or not any(each.is_closed for each in fresh):
                 continue
@@ -193,14 +195,14 @@
                 self._probed_ms[name] = now_ms
                 yield known
 
-    def _keep(self, replica: EndpointName, losses: list[Loss]) -> None:
+    def _replace_losses(self, replica: EndpointName, losses: list[LostCall]) -> None:
         if losses:
             self._losses[replica] = losses
         else:
             self.take_losses(replica)
 
     def _is_replaced(self, name: EndpointName, now_ms: float) -> bool:
-        if self._directory.is_over(name):
+        if self._directory.is_superseded(name):
             return True
         known = self._directory.find(name)
         if known is None:
--- a/packages/toucanyard/src/toucanyard/crash_ledger.py
+++ b/packages/toucanyard/src/toucanyard/crash_ledger.py
@@ -16,15 +16,15 @@
 from toucanyard.link_messages import LostRun, ReplicaCrash, RequestSurvival
 from toucanyard.names import EndpointName, Fingerprint
 
-GUILTY_CRASHES: Final = 3
+CONFIRMED_CRASHES: Final = 3
 """Crashes, each of a run sent after the one before, by which a request is convicted."""
-SOLE_CRASHES: Final = 2
+SOLE_CAUSE_CRASHES: Final = 2
 """The same for a request that alone was under way at all of them."""
 PROBATION_REPLICAS: Final = 3
 """Replicas lost under copies of a request after which one node alone runs it."""
-SETTLE_MS: Final = 500.0
+SETTLING_MS: Final = 500.0
 """Time after a crash in which other nodes may still say what they had under way."""
-SHARE_MS: Final = 400.0
+GOSSIP_MS: Final = 400.0
 """How long each piece of news is in statuses: at least one to each peer. What a link
 that breaks has lost is sent again once there is a new one."""
 CRASH_TTL_MS: Final = 600_000.0
@@ -47,7 +47,7 @@
     them, or one event that it has nothing to do with."""
     UNSETTLED = "unsettled"
     """Nodes may still tell what else was under way at the last crash."""
-    GUILTY = "guilty"
+    CONFIRMED = "guilty"
 
 
 class _Crash(msgspec.Struct):
@@ -80,11 +80,11 @@
         crash = self._crashes.get(replica)
         return None if crash is None else crash.at_ms
 
-    def list_charges(self, fingerprint: Fingerprint) -> list[EndpointName]:
+    def list_attributed_crashes(self, fingerprint: Fingerprint) -> list[EndpointName]:
         """Return the replicas that crashed under a request since it last survived."""
         names = self._by_request.get(fingerprint, ())
-        charged = [name for name in names if self._is_charged(fingerprint, name)]
-        return sorted(charged, key=lambda name: self._crashes[name].at_ms)
+        attributed = [name for name in names if self._is_attributed(fingerprint, name)]
+        return sorted(attributed, key=lambda name: self._crashes[name].at_ms)
 
     def count_runs(self) -> int:
         """Return how many lost runs are remembered, over all crashes."""
@@ -98,17 +98,17 @@
         """Return what is to be believed of a request."""
         if fingerprint not in self._by_request:
             return Suspicion.NONE
-        charges = self.list_charges(fingerprint)
-        if not charges:
+        crashed = self.list_attributed_crashes(fingerprint)
+        if not crashed:
             return Suspicion.NONE
-        count = self._count_serial(fingerprint, charges)
-        if count < SOLE_CRASHES:
-            return self._judge_copies(fingerprint, len(charges))
-        if now_ms - self._crashes[charges[-1]].at_ms < SETTLE_MS:
+        count = self._count_serial(fingerprint, crashed)
+        if count < SOLE_CAUSE_CRASHES:
+            return self._judge_copies(fingerprint, len(crashed))
+        if now_ms - self._crashes[crashed[-1]].at_ms < SETTLING_MS:
             return Suspicion.UNSETTLED
-        if count >= GUILTY_CRASHES or self._is_sole_cause(fingerprint, charges):
-            return Suspicion.GUILTY
-        return self._judge_copies(fingerprint, len(charges))
+        if count >= CONFIRMED_CRASHES or self._is_sole_cause(fingerprint, crashed):
+            return Suspicion.CONFIRMED
+        return self._judge_copies(fingerprint, len(crashed))
 
     def add_crash(
         self,
@@ -140,7 +140,7 @@
                 added.append(fingerprint)
         self._request_count += len(added)
         if added and is_shared:
-            crash.shared_until_ms = now_ms + SHARE_MS
+            crash.shared_until_ms = now_ms + GOSSIP_MS
         self._trim()
         return added
 
@@ -154,18 +154,18 @@
         before_ms = self._survived_ms.get(fingerprint, float("-inf"))
         if at_ms <= before_ms:
             return False
-        charges = self.list_charges(fingerprint)
+        crashed = self.list_attributed_crashes(fingerprint)
         self._survived_ms.pop(fingerprint, None)
         self._survived_ms[fingerprint] = at_ms
         if len(self._survived_ms) > MAX_SURVIVORS:
             del self._survived_ms[next(iter(self._survived_ms))]
-        if not charges:
+        if not crashed:
             return False
         if is_shared:
             self._share_survival(fingerprint, now_ms)
         return True
 
-    def acquit(self, fingerprint: Fingerprint) -> None:
+    def clear(self, fingerprint: Fingerprint) -> None:
         """Drop all charges against a request; it counts as one that never ran."""
         for replica in self._by_request.pop(fingerprint, ()):
             del self._crashes[replica].sent_ms[fingerprint]
@@ -174,7 +174,7 @@
     def share_all(self, now_ms: float) -> None:
         """Tell peers once more of all that counts; a new one has heard nothing."""
         for crash in self._crashes.values():
-            crash.shared_until_ms = now_ms + SHARE_MS
+            crash.shared_until_ms = now_ms + GOSSIP_MS
         for fingerprint in self._by_request:
             self._share_survival(fingerprint, now_ms)
 
@@ -185,7 +185,7 @@
                 runs = tuple(
                     LostRun(fingerprint, crash.at_ms - sent_ms)
                     for fingerprint, sent_ms in crash.sent_ms.items()
-                    if self._is_charged(fingerprint, replica)
+                    if self._is_attributed(fingerprint, replica)
                 )
                 yield ReplicaCrash(replica, now_ms - crash.at_ms, runs)
 
@@ -210,9 +210,9 @@
 
     def _share_survival(self, fingerprint: Fingerprint, now_ms: float) -> None:
         if fingerprint in self._survived_ms:
-            self._shared[fingerprint] = now_ms + SHARE_MS
+            self._shared[fingerprint] = now_ms + GOSSIP_MS
 
-    def _is_charged(self, fingerprint: Fingerprint, replica: EndpointName) -> bool:
+    def _is_attributed(self, fingerprint: Fingerprint, replica: EndpointName) -> bool:
         survived_ms = self._survived_ms.get(fingerprint, float("-inf"))
         return self._crashes[replica].at_ms > survived_ms
 
@@ -223,14 +223,14 @@
         return Suspicion.POSSIBLE
 
     def _count_serial(
-        self, fingerprint: Fingerprint, charges: list[EndpointName]
+        self, fingerprint: Fingerprint, crashed: list[EndpointName]
     ) -> int:
         """Return the crashes of which each met a run sent after the one before.
 
         One event may have ended all replicas that ran copies at the same time.
         """
         count, last_ms = 0, float("-inf")
-        for name in charges:
+        for name in crashed:
             crash = self._crashes[name]
             if crash.sent_ms[fingerprint] >= last_ms:
                 count += 1
@@ -238,14 +238,14 @@
         return count
 
     def _is_sole_cause(
-        self, fingerprint: Fingerprint, charges: list[EndpointName]
+        self, fingerprint: Fingerprint, crashed: list[EndpointName]
     ) -> bool:
         common = set.intersection(
-            *(set(self._crashes[name].sent_ms) for name in charges)
+            *(set(self._crashes[name].sent_ms) for name in crashed)
         )
         return not any(
             other != fingerprint
-            and all(self._is_charged(other, name) for name in charges)
+            and all(self._is_attributed(other, name) for name in crashed)
             for other in common
         )
 
--- a/packages/toucanyard/src/toucanyard/detectors.py
+++ b/packages/toucanyard/src/toucanyard/detectors.py
@@ -17,17 +17,17 @@
 class Detector(Protocol):
     """What one node knows of the life of one endpoint."""
 
-    def note_ok(self, now_ms: float) -> None:
+    def record_success(self, now_ms: float) -> None:
         """Take in an answer."""
 
-    def note_error(self, now_ms: float) -> None:
+    def record_error(self, now_ms: float) -> None:
         """Take in a failed try."""
 
     def is_suspect(self, now_ms: float) -> bool:
         """Tell whether the endpoint looks dead from here."""
 
 
-class Silence:
+class TimeoutDetector:
     """Suspect an endpoint from which nothing came for a fixed time."""
 
     __slots__ = ("_last_ok_ms", "_timeout_ms")
@@ -36,11 +36,11 @@
         self._timeout_ms = timeout_ms
         self._last_ok_ms = now_ms
 
-    def note_ok(self, now_ms: float) -> None:
+    def record_success(self, now_ms: float) -> None:
         """Take in an answer."""
         self._last_ok_ms = now_ms
 
-    def note_error(self, now_ms: float) -> None:
+    def record_error(self, now_ms: float) -> None:
         """Pass over: only silence counts."""
 
     def is_suspect(self, now_ms: float) -> bool:
@@ -48,7 +48,7 @@
         return now_ms - self._last_ok_ms > self._timeout_ms
 
 
-class ErrorRun:
+class ErrorRunDetector:
     """Suspect an endpoint after N errors within T and no answer in between.
 
     Invariant: `_errors_ms` holds only errors after the last answer, N at most.
@@ -60,11 +60,11 @@
         self._errors_ms: deque[float] = deque(maxlen=errors)
         self._window_ms = window_ms
 
-    def note_ok(self, now_ms: float) -> None:
+    def record_success(self, now_ms: float) -> None:
         """Take in an answer."""
         self._errors_ms.clear()
 
-    def note_error(self, now_ms: float) -> None:
+    def record_error(self, now_ms: float) -> None:
         """Take in a failed try."""
         self._errors_ms.append(now_ms)
 
@@ -80,7 +80,7 @@
         return bool(self._errors_ms)
 
 
-class Accrual:
+class AccrualDetector:
     """Suspect an endpoint when its silence is improbable after its own history.
 
     The gaps between answers are taken as normally distributed; phi is minus the
@@ -106,12 +106,12 @@
         self._last_ok_ms = now_ms
         self._min_deviation_ms = max(interval_ms / 4, min_deviation_ms)
 
-    def note_ok(self, now_ms: float) -> None:
+    def record_success(self, now_ms: float) -> None:
         """Take in an answer."""
         self._gaps_ms.append(now_ms - self._last_ok_ms)
         self._last_ok_ms = now_ms
 
-    def note_error(self, now_ms: float) -> None:
+    def record_error(self, now_ms: float) -> None:
         """Pass over: only the gaps between answers count."""
 
     def is_suspect(self, now_ms: float) -> bool:
@@ -131,7 +131,7 @@
         return -math.log10(0.5 * math.erfc(distance / math.sqrt(2)))
 
 
-class SourceCount:
+class SourceQuorum:
     """Condemn an endpoint on the word of S sources within T.
 
     After the rule of MySQL Fabric's WL#7388, N reports from S sources within an
@@ -145,7 +145,7 @@
         self._window_ms = window_ms
         self._reports_ms: dict[str, float] = {}
 
-    def note_report(self, source: str, at_ms: float) -> None:
+    def record_report(self, source: str, at_ms: float) -> None:
         """Take in that a source suspected the endpoint at a time."""
         self._reports_ms[source] = max(at_ms, self._reports_ms.get(source, at_ms))
 
--- a/packages/toucanyard/src/toucanyard/digests.py
+++ b/packages/toucanyard/src/toucanyard/digests.py
@@ -45,7 +45,7 @@
     age_ms: int
 
 
-News = Suspected | Recovered | Leaving | Restarted
+GossipUpdate = Suspected | Recovered | Leaving | Restarted
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
@@ -62,7 +62,7 @@
     version: int
     configuration_digest: int
     confirmed_age_ms: float
-    news: tuple[News, ...] = ()
+    updates: tuple[GossipUpdate, ...] = ()
 
 
 class ConfigurationRequest(msgspec.Struct, frozen=True, tag="configuration_request"):
--- a/packages/toucanyard/src/toucanyard/evidence.py
+++ b/packages/toucanyard/src/toucanyard/evidence.py
@@ -11,35 +11,35 @@
 
 import msgspec
 
-from toucanyard.detectors import ErrorRun, SourceCount
+from toucanyard.detectors import ErrorRunDetector, SourceQuorum
 from toucanyard.names import EndpointName, Incarnation, NodeName
 from toucanyard.options import MembershipTimings
 
 REFRESH_MS: Final = 10_000.0
 """How often a lasting suspicion is told again."""
-_CONDEMNED_MS: Final = 25_000.0
+_REPORT_TTL_MS: Final = 25_000.0
 """How long a source's word counts; longer than two refreshes."""
 _SELF_SUSPECT_SHARE: Final = 0.5
-_MIN_FOR_SELF_SUSPICION: Final = 3
+_MIN_SELF_SUSPECT_FAILURES: Final = 3
 _RETIRED_KEPT: Final = 4
 _NEVER: Final = float("-inf")
 
 
-class _Known(msgspec.Struct):
+class _EndpointState(msgspec.Struct):
     """What this node knows of one endpoint.
 
     `established_ms` is the last time at which the incarnation is known to have been
     the endpoint's.
     """
 
-    run: ErrorRun
-    sources: SourceCount
+    error_run: ErrorRunDetector
+    sources: SourceQuorum
     incarnation: Incarnation | None = None
     retired: tuple[Incarnation, ...] = ()
     established_ms: float = _NEVER
     ok_ms: float = _NEVER
     error_ms: float = _NEVER
-    told_ms: float | None = None
+    reported_ms: float | None = None
 
 
 class Evidence:
@@ -52,10 +52,10 @@
     def __init__(self, node: NodeName, timings: MembershipTimings) -> None:
         self._node = node
         self._timings = timings
-        self._known: dict[EndpointName, _Known] = {}
+        self._known: dict[EndpointName, _EndpointState] = {}
         self._tried: set[EndpointName] = set()
-        self._erring: set[EndpointName] = set()
-        self._accused: set[EndpointName] = set()
+        self._failing: set[EndpointName] = set()
+        self._suspected: set[EndpointName] = set()
 
     def keep(self, names: Iterable[EndpointName]) -> None:
         """Hold entries for these endpoints and no others."""
@@ -64,45 +64,45 @@
             del self._known[name]
         for name in kept - set(self._known):
             timings = self._timings
-            self._known[name] = _Known(
-                ErrorRun(timings.condemn_reports, timings.condemn_window_ms),
-                SourceCount(timings.condemn_sources, _CONDEMNED_MS),
+            self._known[name] = _EndpointState(
+                ErrorRunDetector(timings.condemn_reports, timings.condemn_window_ms),
+                SourceQuorum(timings.condemn_sources, _REPORT_TTL_MS),
             )
         self._tried &= kept
-        self._erring &= kept
-        self._accused &= kept
+        self._failing &= kept
+        self._suspected &= kept
 
     def find_incarnation(self, endpoint: EndpointName) -> Incarnation | None:
         """Return the incarnation of an endpoint that was learned last."""
         known = self._known.get(endpoint)
         return None if known is None else known.incarnation
 
-    def has_doubts(self) -> bool:
+    def has_suspicions(self) -> bool:
         """Tell whether anything speaks against any endpoint."""
-        return bool(self._erring or self._accused)
+        return bool(self._failing or self._suspected)
 
     def is_avoided(self, endpoint: EndpointName, now_ms: float) -> bool:
         """Tell whether own evidence speaks against an endpoint."""
-        if endpoint not in self._erring:
+        if endpoint not in self._failing:
             return False
         known = self._known[endpoint]
         # A single error may be chance; waiting for the next poll costs nothing while
         # others take the work. Where this node doesn't poll, the doubt ends by
         # itself, or an endpoint that came back would never be tried again.
-        doubt_ms = self._timings.suspect_after_ms
-        if known.run.is_suspect(now_ms):
-            doubt_ms = max(doubt_ms, self._timings.condemn_window_ms)
-        return now_ms - known.error_ms <= doubt_ms
+        suspicion_ms = self._timings.suspect_after_ms
+        if known.error_run.is_suspect(now_ms):
+            suspicion_ms = max(suspicion_ms, self._timings.condemn_window_ms)
+        return now_ms - known.error_ms <= suspicion_ms
 
     def find_avoided(
         self, names: KeysView[EndpointName], now_ms: float
     ) -> set[EndpointName]:
         """Return the endpoints that own evidence speaks against."""
-        return {name for name in names & self._erring if self.is_avoided(name, now_ms)}
+        return {name for name in names & self._failing if self.is_avoided(name, now_ms)}
 
-    def find_accused(self, names: KeysView[EndpointName]) -> set[EndpointName]:
+    def find_suspected(self, names: KeysView[EndpointName]) -> set[EndpointName]:
         """Return the endpoints that anybody suspects."""
-        return names & self._accused
+        return names & self._suspected
 
     def find_condemned(
         self, names: Iterable[EndpointName], size: int, now_ms: float
@@ -112,83 +112,88 @@
         At most a share of `size`: more dead at once is rather a cut between nodes,
         and the work would be heaped on the few that are left.
         """
-        accused: list[EndpointName] = []
+        suspected: list[EndpointName] = []
         for name in names:
             known = self._known[name]
             is_silent = now_ms - known.ok_ms > self._timings.suspect_after_ms
             if is_silent and known.sources.is_condemned(now_ms):
-                accused.append(name)
+                suspected.append(name)
         limit = max(1, int(self._timings.max_condemned_share * size))
-        accused.sort(key=lambda name: (self._known[name].ok_ms, name))
-        return set(accused[:limit])
+        suspected.sort(key=lambda name: (self._known[name].ok_ms, name))
+        return set(suspected[:limit])
 
     def find_all_condemned(self, now_ms: float) -> list[EndpointName]:
         """Return the endpoints on whose death enough sources agree."""
         return [
             name
-            for name in sorted(self._accused)
+            for name in sorted(self._suspected)
             if self._known[name].sources.is_condemned(now_ms)
         ]
 
     def is_self_suspect(self, now_ms: float) -> bool:
         """Tell whether so much looks dead that this node's network is to blame."""
-        if len(self._erring) < _MIN_FOR_SELF_SUSPICION:
+        if len(self._failing) < _MIN_SELF_SUSPECT_FAILURES:
             return False
-        since_ms = now_ms - _CONDEMNED_MS
+        since_ms = now_ms - _REPORT_TTL_MS
         tried = sum(
             max(self._known[name].ok_ms, self._known[name].error_ms) > since_ms
             for name in self._tried
         )
-        dead = sum(self._known[name].error_ms > since_ms for name in self._erring)
+        dead = sum(self._known[name].error_ms > since_ms for name in self._failing)
         return dead > _SELF_SUSPECT_SHARE * tried
 
-    def note_ok(self, endpoint: EndpointName, now_ms: float) -> bool:
+    def record_success(self, endpoint: EndpointName, now_ms: float) -> bool:
         """Take in an answer; return whether others must hear of the recovery."""
         known = self._known.get(endpoint)
         if known is None:
             return False
-        known.run.note_ok(now_ms)
+        known.error_run.record_success(now_ms)
         known.ok_ms = now_ms
         self._tried.add(endpoint)
-        self._erring.discard(endpoint)
-        if known.told_ms is None:
+        self._failing.discard(endpoint)
+        if known.reported_ms is None:
             return False
-        known.told_ms = None
+        known.reported_ms = None
         known.sources.withdraw(self._node)
         return True
 
-    def note_error(self, endpoint: EndpointName, now_ms: float) -> None:
+    def record_error(self, endpoint: EndpointName, now_ms: float) -> None:
         """Take in a failed try."""
         known = self._known.get(endpoint)
         if known is None:
             return
-        known.run.note_error(now_ms)
+        known.error_run.record_error(now_ms)
         known.error_ms = now_ms
         self._tried.add(endpoint)
-        self._erring.add(endpoint)
+        self._failing.add(endpoint)
 
     def take_suspected(self, now_ms: float) -> list[EndpointName]:
         """Return the endpoints of which others must hear now that they look dead."""
-        if not self._erring or self.is_self_suspect(now_ms):
+        if not self._failing or self.is_self_suspect(now_ms):
             return []
         taken: list[EndpointName] = []
-        for name in sorted(self._erring):
+        for name in sorted(self._failing):
             known = self._known[name]
             is_recent = now_ms - known.error_ms <= self._timings.condemn_window_ms
-            is_told = known.told_ms is not None and now_ms - known.told_ms < REFRESH_MS
-            if is_told or not is_recent or not known.run.is_suspect(now_ms):
+            is_reported = (
+                known.reported_ms is not None
+                and now_ms - known.reported_ms < REFRESH_MS
+            )
+            if is_reported or not is_recent or not known.error_run.is_suspect(now_ms):
                 continue
-            known.told_ms = now_ms
-            self.accuse(name, self._node, now_ms)
+            known.reported_ms = now_ms
+            self.record_suspicion(name, self._node, now_ms)
             taken.append(name)
         return taken
 
-    def accuse(self, endpoint: EndpointName, source: NodeName, at_ms: float) -> None:
+    def record_suspicion(
+        self, endpoint: EndpointName, source: NodeName, at_ms: float
+    ) -> None:
         """Take in that a source suspects an endpoint."""
         known = self._known.get(endpoint)
         if known is not None:
-            known.sources.note_report(source, at_ms)
-            self._accused.add(endpoint)
+            known.sources.record_report(source, at_ms)
+            self._suspected.add(endpoint)
 
     def withdraw(self, endpoint: EndpointName, source: NodeName) -> None:
         """Take in that a source no longer suspects an endpoint."""
@@ -198,9 +203,9 @@
 
     def prune(self, now_ms: float) -> None:
         """Drop accusations that no longer count."""
-        for name in list(self._accused):
+        for name in list(self._suspected):
             if self._known[name].sources.prune(now_ms):
-                self._accused.discard(name)
+                self._suspected.discard(name)
 
     def learn_directly(
         self, endpoint: EndpointName, incarnation: Incarnation, asked_ms: float
@@ -216,7 +221,7 @@
         known.established_ms = asked_ms
         return self._replace(known, incarnation)
 
-    def learn_from_news(
+    def learn_from_gossip(
         self, endpoint: EndpointName, incarnation: Incarnation, at_ms: float
     ) -> bool:
         """Take in an incarnation that a peer saw; return whether it is another one."""
@@ -228,7 +233,7 @@
         known.established_ms = at_ms
         return self._replace(known, incarnation)
 
-    def _replace(self, known: _Known, incarnation: Incarnation) -> bool:
+    def _replace(self, known: _EndpointState, incarnation: Incarnation) -> bool:
         if incarnation == known.incarnation:
             return False
         if known.incarnation is not None:
--- a/packages/toucanyard/src/toucanyard/failed_loads.py
+++ b/packages/toucanyard/src/toucanyard/failed_loads.py
@@ -9,7 +9,7 @@
 
 from typing import Final
 
-from toucanyard.crash_watch import Reach
+from toucanyard.crash_detector import Reachability
 from toucanyard.names import EndpointName
 
 MAX_FAILED_LOADS: Final = 3
@@ -46,13 +46,13 @@
         return self.count(version) >= MAX_FAILED_LOADS
 
     def record_read(
-        self, replica: EndpointName, version: int, reach: Reach, now_ms: float
+        self, replica: EndpointName, version: int, reach: Reachability, now_ms: float
     ) -> bool:
         """Record what was found at a replica under an order; return whether it halts.
 
         `reach` is what came instead of a report.
         """
-        if reach not in (Reach.NO_LISTENER, Reach.REPLACED):
+        if reach not in (Reachability.NO_LISTENER, Reachability.REPLACED):
             return False
         failed = self._failed.setdefault(version, set())
         if replica in failed:
--- a/packages/toucanyard/src/toucanyard/known_facts.py
+++ b/packages/toucanyard/src/toucanyard/known_facts.py
@@ -10,6 +10,7 @@
 
 from toucanyard.keyed_view import Change, InvalidRecord, Topic
 from toucanyard.names import EndpointName, ReplicaId
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.node_records import NodeRecord
 from toucanyard.note_limit import NoteLimit
 from toucanyard.quarantine import QuarantinedRequest, Release
@@ -17,7 +18,6 @@
 from toucanyard.relay_flow import RelayFlow
 from toucanyard.replicas import Replica, ReplicaDirectory
 from toucanyard.request_guard import RequestGuard
-from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex, RouteTable
 from toucanyard.weights_goals import WantedWeights, WeightsGoals
 
@@ -46,14 +46,14 @@
         self,
         directory: ReplicaDirectory,
         goals: WeightsGoals,
-        roster: Roster,
+        node_directory: NodeDirectory,
         flow: RelayFlow,
         guard: RequestGuard,
     ) -> None:
         self.index = RouteIndex(RouteTable())
         self._directory = directory
         self._goals = goals
-        self._roster = roster
+        self._roster = node_directory
         self._flow = flow
         self._guard = guard
         self._invalid = NoteLimit("record_invalid")
--- a/packages/toucanyard/src/toucanyard/limit_events.py
+++ b/packages/toucanyard/src/toucanyard/limit_events.py
@@ -34,7 +34,7 @@
         yield from self._shares.tick(now_ms)
         if self._shares.list_homes() != homes:
             # A home gives out nothing before it is told what is pledged to it.
-            self._statuses.note_due()
+            self._statuses.mark_due()
 
     def settle(self, now_ms: float) -> Iterator[RelayAction]:
         """Use the credit that has come, and ask homes for what is missing."""
@@ -81,4 +81,4 @@
 
     def _tell_changes(self, before: int) -> None:
         if self._replica_limits.change_count != before:
-            self._statuses.note_due()
+            self._statuses.mark_due()
--- a/packages/toucanyard/src/toucanyard/limit_homes.py
+++ b/packages/toucanyard/src/toucanyard/limit_homes.py
@@ -18,8 +18,8 @@
 )
 from toucanyard.limit_pool import LimitPool
 from toucanyard.names import NodeName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.relay_policy import LimitWay
-from toucanyard.roster import Roster
 
 UPDATE_MS: Final = 100.0
 """Time between two looks at who may be a home."""
@@ -37,13 +37,13 @@
 
     def __init__(
         self,
-        roster: Roster,
+        node_directory: NodeDirectory,
         count_group: Callable[[], int],
         knows_nodes: Callable[[], bool],
         way: LimitWay,
     ) -> None:
-        self._roster = roster
-        self.own = roster.own_name
+        self._roster = node_directory
+        self.own = node_directory.own_name
         self._count_group = count_group
         self._knows_nodes = knows_nodes
         self._way = way
@@ -65,7 +65,7 @@
         """Let a pool drop what it held of slices whose pledges end."""
         self._pools.append(pool)
 
-    def note_links(self, names: Collection[NodeName], now_ms: float) -> None:
+    def record_links(self, names: Collection[NodeName], now_ms: float) -> None:
         """Take in which peers are linked now."""
         self.linked = frozenset(names)
         self.pledges.retain(names)
--- a/packages/toucanyard/src/toucanyard/link_messages.py
+++ b/packages/toucanyard/src/toucanyard/link_messages.py
@@ -22,7 +22,7 @@
     ReplicaId,
 )
 
-SpanMs = Annotated[float, msgspec.Meta(ge=-1e12, le=1e12)]
+DurationMs = Annotated[float, msgspec.Meta(ge=-1e12, le=1e12)]
 """A span of time, neither infinite nor no number: no reader could reckon with these."""
 
 
@@ -30,9 +30,9 @@
     """The newest answer of the store that a node knows of."""
 
     read_id: int
-    age_ms: SpanMs
+    age_ms: DurationMs
     """Time since it was asked for."""
-    steady_ms: SpanMs
+    steady_ms: DurationMs
     """For how long before that the store is known to have answered without a break."""
 
 
@@ -56,28 +56,28 @@
     """Prompt tokens still to be read there."""
 
 
-class ReplicaNews(msgspec.Struct, frozen=True, array_like=True):
+class ReplicaUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What the node that orders weights knows of a replica before the store does."""
 
     replica: EndpointName
-    loading_left_ms: SpanMs
+    loading_left_ms: DurationMs
     """How long it takes no new calls, since it loads weights; 0 if it does."""
     weights: tuple[tuple[str, int], ...]
     pause_id: int = 0
     """Of the update that began the pause or renewed it; 0 without a pause."""
 
 
-class ReplicaLimitNews(msgspec.Struct, frozen=True, array_like=True):
+class ReplicaLimitUpdate(msgspec.Struct, frozen=True, array_like=True):
     """The limit that a replica named in an answer, or that it names none any more."""
 
     replica: EndpointName
     rate_per_s: Annotated[float, msgspec.Meta(ge=0, le=1e9)] | None
-    age_ms: SpanMs
+    age_ms: DurationMs
     """Time since the answer was seen."""
     update_id: int
 
 
-class LifeNews(msgspec.Struct, frozen=True, array_like=True):
+class ReplicaRestart(msgspec.Struct, frozen=True, array_like=True):
     """A replica that has started again under its name."""
 
     listed_as: ReplicaId
@@ -92,7 +92,7 @@
     scope: str
     part: str
     tokens: int
-    ready_in_ms: SpanMs
+    ready_in_ms: DurationMs
 
 
 class GoalAge(msgspec.Struct, frozen=True, array_like=True):
@@ -100,21 +100,21 @@
 
     model: str
     version: int
-    age_ms: SpanMs
+    age_ms: DurationMs
 
 
-class NodeNews(msgspec.Struct, frozen=True, array_like=True):
+class NodeUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A node that is alive, and whether it takes callers."""
 
     node: NodeName
     is_ready: bool
 
 
-class StoreNews(msgspec.Struct, frozen=True, array_like=True):
+class PromptStoreUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A store of prompts that answered a node lately."""
 
     store: EndpointName
-    heard_age_ms: SpanMs
+    heard_age_ms: DurationMs
     epoch: int
     """Another one after each restart, with which the store is empty."""
 
@@ -123,7 +123,7 @@
     """A request that was under way at a replica when this ended."""
 
     fingerprint: Fingerprint
-    ran_ms: SpanMs
+    ran_ms: DurationMs
     """Time since it was sent there."""
 
 
@@ -131,7 +131,7 @@
     """A replica that ended while it ran requests."""
 
     replica: EndpointName
-    age_ms: SpanMs
+    age_ms: DurationMs
     runs: tuple[LostRun, ...]
     """Those that were under way there, as far as the sender knows."""
 
@@ -140,7 +140,7 @@
     """A request that a replica answered, though replicas crashed under it."""
 
     fingerprint: Fingerprint
-    age_ms: SpanMs
+    age_ms: DurationMs
 
 
 class Coverage(enum.StrEnum):
@@ -160,22 +160,22 @@
     is_ready: bool
     views: tuple[ViewStatus, ...]
     uses: tuple[ReplicaUse, ...] = ()
-    news: tuple[ReplicaNews, ...] = ()
+    replica_updates: tuple[ReplicaUpdate, ...] = ()
     parts: tuple[ReadPart, ...] = ()
     goals: tuple[GoalAge, ...] = ()
-    stores: tuple[StoreNews, ...] = ()
+    stores: tuple[PromptStoreUpdate, ...] = ()
     covers: Coverage = Coverage.GROUP
-    nodes: tuple[NodeNews, ...] | None = None
+    nodes: tuple[NodeUpdate, ...] | None = None
     """The nodes that are alive among those that it covers; None if it doesn't say."""
     is_report: bool = False
     """The receiver is the hub that the sender reports to."""
-    lives: tuple[LifeNews, ...] = ()
+    restarts: tuple[ReplicaRestart, ...] = ()
     """The newest lives of replicas that have started again lately."""
     crashes: tuple[ReplicaCrash, ...] = ()
     survivals: tuple[RequestSurvival, ...] = ()
     pledge: Pledge | None = None
     """To whom the sender's group gives its shares of limits; None if it doesn't say."""
-    replica_limits: tuple[ReplicaLimitNews, ...] = ()
+    replica_limits: tuple[ReplicaLimitUpdate, ...] = ()
     """Limits of replicas that have changed lately."""
 
 
@@ -222,9 +222,9 @@
     number: int
     subject: str
     granted: Credit
-    closed_ms: SpanMs
+    closed_ms: DurationMs
     """Time until the home grants anything again; 0 if it does now."""
-    retry_ms: SpanMs
+    retry_ms: DurationMs
     kind: LimitKind = LimitKind.CUSTOMER
 
 
--- a/packages/toucanyard/src/toucanyard/link_plan.py
+++ b/packages/toucanyard/src/toucanyard/link_plan.py
@@ -22,7 +22,7 @@
 NODES_PER_HUB: Final = 24
 """Nodes of a domain for each of its hubs: what a hub tells so many takes a tenth of a
 link of 100 Mbit/s, and at 320 nodes in 5 domains the 15 hubs can still be meshed."""
-GIVE_UP_MS: Final = 1_500.0
+UNREACHABLE_AFTER_MS: Final = 1_500.0
 """Time without a link after which a node counts as out of reach; a dial to one that
 lives takes a few milliseconds, and twice as long as a dial may wait passes first."""
 RETRY_MS: Final = 6_000.0
@@ -35,13 +35,13 @@
     Invariant: `wanted` names known nodes, and never the node itself.
     """
 
-    __slots__ = ("_given_up_ms", "_own", "_ranks", "_wanted_ms", "hubs", "wanted")
+    __slots__ = ("_missing_ms", "_own", "_ranks", "_unreachable_ms", "hubs", "wanted")
 
     def __init__(self, own: NodeRecord) -> None:
         self._own = own
         self._ranks: dict[tuple[str, NodeName], int] = {}
-        self._wanted_ms: dict[NodeName, float] = {}
-        self._given_up_ms: dict[NodeName, float] = {}
+        self._missing_ms: dict[NodeName, float] = {}
+        self._unreachable_ms: dict[NodeName, float] = {}
         self.hubs: frozenset[NodeName] = frozenset()
         """All hubs of the fleet, as this node sees them."""
         self.wanted: tuple[NodeName, ...] = ()
@@ -58,7 +58,7 @@
         now_ms: float,
     ) -> None:
         """Decide anew, knowing all other nodes and those that are linked."""
-        self._note_reached(linked, now_ms)
+        self._update_reachability(linked, now_ms)
         domains: dict[DomainName, list[NodeRecord]] = {}
         for node in (self._own, *others):
             domains.setdefault(node.domain, []).append(node)
@@ -70,12 +70,12 @@
         else:
             near = hubs[self._own.domain]
             wanted = heapq.nsmallest(LINKS, near, lambda hub: self._rank(own, hub))
-            if self._given_up_ms and not set(wanted).intersection(linked):
+            if self._unreachable_ms and not set(wanted).intersection(linked):
                 # Most of its domain may be down; a hub of another one will do.
                 far = self.hubs.difference(near)
                 wanted += heapq.nsmallest(LINKS, far, lambda hub: self._rank(own, hub))
         self.wanted = tuple(wanted)
-        self._forget({node.name for node in others})
+        self._prune_ranks({node.name for node in others})
 
     def find_primary(self, linked: Collection[NodeName]) -> NodeName | None:
         """Return the hub that this node reports to; none if it is a hub itself."""
@@ -87,31 +87,33 @@
         count = max(MIN_HUBS, -(-len(nodes) // NODES_PER_HUB))
         best = heapq.nsmallest(
             count,
-            (each for each in nodes if each.name not in self._given_up_ms),
+            (each for each in nodes if each.name not in self._unreachable_ms),
             # What a hub sends grows with its domain; VMs with a faster link go first.
             key=lambda each: (-each.link_mbps, self._rank(each.domain, each.name)),
         )
         return [each.name for each in best]
 
-    def _note_reached(self, linked: Collection[NodeName], now_ms: float) -> None:
-        for name, at_ms in list(self._given_up_ms.items()):
+    def _update_reachability(self, linked: Collection[NodeName], now_ms: float) -> None:
+        for name, at_ms in list(self._unreachable_ms.items()):
             if name in linked or now_ms - at_ms > RETRY_MS:
-                del self._given_up_ms[name]
+                del self._unreachable_ms[name]
         missing = [name for name in self.wanted if name not in linked]
-        self._wanted_ms = {name: self._wanted_ms.get(name, now_ms) for name in missing}
-        for name, since_ms in list(self._wanted_ms.items()):
-            if now_ms - since_ms > GIVE_UP_MS:
-                self._given_up_ms[name] = now_ms
-                del self._wanted_ms[name]
-
-    def _rank(self, matter: str, name: NodeName) -> int:
-        key = (matter, name)
+        self._missing_ms = {
+            name: self._missing_ms.get(name, now_ms) for name in missing
+        }
+        for name, since_ms in list(self._missing_ms.items()):
+            if now_ms - since_ms > UNREACHABLE_AFTER_MS:
+                self._unreachable_ms[name] = now_ms
+                del self._missing_ms[name]
+
+    def _rank(self, subject: str, name: NodeName) -> int:
+        key = (subject, name)
         rank = self._ranks.get(key)
         if rank is None:
-            rank = self._ranks[key] = compute_rank(matter, name)
+            rank = self._ranks[key] = compute_rank(subject, name)
         return rank
 
-    def _forget(self, known: Iterable[NodeName]) -> None:
+    def _prune_ranks(self, known: Iterable[NodeName]) -> None:
         kept = {*known, self._own.name}
         if len(self._ranks) > 4 * len(kept):
             self._ranks = {
--- a/packages/toucanyard/src/toucanyard/membership.py
+++ b/packages/toucanyard/src/toucanyard/membership.py
@@ -16,13 +16,14 @@
 from toucanyard.configuration import Endpoint
 from toucanyard.digests import (
     Digest,
+    GossipUpdate,
     Leaving,
-    News,
     Recovered,
     Restarted,
     Suspected,
 )
 from toucanyard.evidence import REFRESH_MS, Evidence
+from toucanyard.gossip_queue import GossipQueue
 from toucanyard.membership_events import (
     Action,
     ConfigurationChanged,
@@ -42,13 +43,12 @@
     VmListRead,
 )
 from toucanyard.names import Address, EndpointName, Incarnation, NodeName
-from toucanyard.news import NewsBoard
 from toucanyard.options import MembershipTimings
 from toucanyard.patches import find_owners
 from toucanyard.usable_endpoints import UsablePool, UsablePools
 from toucanyard.vm_view import Vm, VmView, WatchRing, choose_peers
 
-NEWS_KEPT_MS: Final = 30_000.0
+GOSSIP_TTL_MS: Final = 30_000.0
 _MIN_GAP_MS: Final = 100.0
 """Least time between two digests to one peer, however urgent."""
 _NEWS_PER_INTERVAL: Final = 40
@@ -57,15 +57,15 @@
 """News in one digest, so that the first peer doesn't take the whole budget."""
 _URGENT_PER_INTERVAL: Final = 4
 """Digests out of turn in one interval over all peers."""
-_FETCH_AGAIN_MS: Final = 500.0
-_WATCH_ALL: Final = 64
+_FETCH_RETRY_MS: Final = 500.0
+_MAX_WATCHED_BY_ALL: Final = 64
 _WATCHERS: Final = 3
 
 
 class _Peer(msgspec.Struct):
     last_sent_ms: float
     last_echo_ms: float = -1.0
-    version_told: int = -1
+    version_sent: int = -1
 
 
 class Membership:
@@ -87,23 +87,23 @@
         self._rng = rng
         self._view = VmView()
         self._ring = WatchRing(())
-        self._peers_of: tuple[Vm, ...] = ()
+        self._chosen_from: tuple[Vm, ...] = ()
         self._chosen: list[Vm] = []
-        self._watched_of: tuple[Endpoint, ...] = ()
+        self._watched_from: tuple[Endpoint, ...] = ()
         self._watched: list[Endpoint] = []
-        self._board = NewsBoard(NEWS_KEPT_MS)
+        self._gossip_queue = GossipQueue(GOSSIP_TTL_MS)
         self._evidence = Evidence(node, timings)
         self._pools = UsablePools()
         self._peers: dict[NodeName, _Peer] = {}
-        self._told_leaving_ms: dict[Address, float] = {}
-        self._heard_leaving_ms: dict[Address, float] = {}
+        self._leave_queued_ms: dict[Address, float] = {}
+        self._leave_learned_ms: dict[Address, float] = {}
         self._own_leaving: Address | None = None
         self._version = 0
         self._digest = 0
         self._confirmed_ms: float | None = None
         self._asked_ms = float("-inf")
-        self._budget = float(_NEWS_PER_INTERVAL)
-        self._urgent = float(_URGENT_PER_INTERVAL)
+        self._update_budget = float(_NEWS_PER_INTERVAL)
+        self._urgent_budget = float(_URGENT_PER_INTERVAL)
         self._budget_ms: float | None = None
 
     @property
@@ -122,8 +122,8 @@
         """Tell whether the VM at an address leaves, by the list or by news."""
         if self._view.is_leaving(address):
             return True
-        heard_ms = self._heard_leaving_ms.get(address)
-        return heard_ms is not None and now_ms - heard_ms <= NEWS_KEPT_MS
+        learned_ms = self._leave_learned_ms.get(address)
+        return learned_ms is not None and now_ms - learned_ms <= GOSSIP_TTL_MS
 
     def find_usable(
         self, endpoints: Sequence[Endpoint], now_ms: float
@@ -135,7 +135,7 @@
         back while nothing changes; the sequence given must not be changed afterwards.
         """
         pool = self._pools.get(endpoints)
-        return pool.take_out(self._find_unusable(pool, now_ms))
+        return pool.exclude(self._find_unusable(pool, now_ms))
 
     def find_unusable(
         self, endpoints: Sequence[Endpoint], now_ms: float
@@ -151,8 +151,8 @@
         """Return the nodes that this one should have a link to."""
         nodes = self._view.find_nodes()
         # Asked for several times a second; choosing among 320 takes a thousand hashes.
-        if nodes is not self._peers_of:
-            self._peers_of = nodes
+        if nodes is not self._chosen_from:
+            self._chosen_from = nodes
             self._chosen = choose_peers(self.node, nodes, self._timings.max_peers)
         return list(self._chosen)
 
@@ -166,11 +166,11 @@
 
     def find_watched(self, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
         """Return the endpoints that this node polls: all if few, else its share."""
-        if len(endpoints) <= _WATCH_ALL:
+        if len(endpoints) <= _MAX_WATCHED_BY_ALL:
             return list(endpoints)
         wanted = tuple(endpoints)
-        if wanted != self._watched_of:
-            self._watched_of = wanted
+        if wanted != self._watched_from:
+            self._watched_from = wanted
             self._watched = [
                 each
                 for each in wanted
@@ -185,7 +185,7 @@
         only double their bytes. The next node on the ring follows once the list of VMs
         has lost the first.
         """
-        if len(endpoints) <= _WATCH_ALL:
+        if len(endpoints) <= _MAX_WATCHED_BY_ALL:
             return list(endpoints)
         return [
             each
@@ -205,23 +205,23 @@
         """Take in one event; return what is to be done."""
         match event:
             case VmListRead():
-                self._read_list(event, now_ms)
+                self._apply_vm_list(event, now_ms)
             case EndpointReported():
-                return self._note_ok(event, now_ms)
+                return self._record_endpoint_report(event, now_ms)
             case EndpointError():
-                self._evidence.note_error(event.endpoint, now_ms)
-                self._tell_suspected(now_ms)
+                self._evidence.record_error(event.endpoint, now_ms)
+                self._queue_suspicions(now_ms)
             case DigestArrived():
-                return self._note_digest(event.sender, event.digest, now_ms)
+                return self._apply_digest(event.sender, event.digest, now_ms)
             case PeerUp() | PeerDown():
-                self._note_link(event, now_ms)
+                self._record_link(event, now_ms)
             case ConfigurationChanged():
-                self._change(event)
+                self._apply_configuration(event)
             case ConfigurationConfirmed():
                 self._confirmed_ms = event.confirmed_ms
             case NodeLeaves(address=address):
                 self._own_leaving = address
-                self._tell_own_leaving(now_ms)
+                self._queue_own_leave(now_ms)
             case Ticked():
                 return self._tick(now_ms)
         return []
@@ -230,48 +230,48 @@
         evidence = self._evidence
         size = len(pool.endpoints)
         leaving = self._find_leaving(pool, now_ms)
-        if not evidence.has_doubts():
+        if not evidence.has_suspicions():
             return leaving
         unreachable = leaving | evidence.find_avoided(pool.names, now_ms)
         if len(unreachable) == size:
             return leaving
-        accused = evidence.find_accused(pool.names) - unreachable
-        unusable = unreachable | evidence.find_condemned(accused, size, now_ms)
+        suspected = evidence.find_suspected(pool.names) - unreachable
+        unusable = unreachable | evidence.find_condemned(suspected, size, now_ms)
         return unreachable if len(unusable) == size else unusable
 
     def _find_leaving(self, pool: UsablePool, now_ms: float) -> set[EndpointName]:
         addresses = self._view.find_leaving(pool.addresses)
-        for address in self._heard_leaving_ms.keys() & pool.addresses:
+        for address in self._leave_learned_ms.keys() & pool.addresses:
             if self.is_address_leaving(address, now_ms):
                 addresses.add(address)
         return pool.find_at(addresses)
 
-    def _read_list(self, event: VmListRead, now_ms: float) -> None:
+    def _apply_vm_list(self, event: VmListRead, now_ms: float) -> None:
         self._view.read(event.vms, now_ms)
         names = {vm.name for vm in self._view.find_nodes()} | {str(self.node)}
         if names != self._ring.nodes:
             self._ring = WatchRing(sorted(names))
-            self._watched_of = ()
+            self._watched_from = ()
         leaving = self._view.leaving
-        told = self._told_leaving_ms
+        queued_ms = self._leave_queued_ms
         for address in sorted(leaving):
-            if now_ms - told.get(address, float("-inf")) >= REFRESH_MS:
-                told[address] = now_ms
-                self._board.post(Leaving(address, 0), now_ms, None)
-        for address in set(told) - leaving - {self._own_leaving}:
-            del told[address]
+            if now_ms - queued_ms.get(address, float("-inf")) >= REFRESH_MS:
+                queued_ms[address] = now_ms
+                self._gossip_queue.enqueue(Leaving(address, 0), now_ms, None)
+        for address in set(queued_ms) - leaving - {self._own_leaving}:
+            del queued_ms[address]
 
-    def _tell_own_leaving(self, now_ms: float) -> None:
+    def _queue_own_leave(self, now_ms: float) -> None:
         """Tell peers that this node leaves, since the VM list may lag for seconds."""
         address = self._own_leaving
         if address is None:
             return
-        told_ms = self._told_leaving_ms.get(address, float("-inf"))
-        if now_ms - told_ms >= REFRESH_MS:
-            self._told_leaving_ms[address] = now_ms
-            self._board.post(Leaving(address, 0), now_ms, None)
+        last_queued_ms = self._leave_queued_ms.get(address, float("-inf"))
+        if now_ms - last_queued_ms >= REFRESH_MS:
+            self._leave_queued_ms[address] = now_ms
+            self._gossip_queue.enqueue(Leaving(address, 0), now_ms, None)
 
-    def _note_link(self, event: PeerUp | PeerDown, now_ms: float) -> None:
+    def _record_link(self, event: PeerUp | PeerDown, now_ms: float) -> None:
         self._peers.pop(event.peer, None)
         if isinstance(event, PeerDown):
             return
@@ -279,24 +279,28 @@
         # started together would all send in the same moment for ever.
         interval_ms = self._timings.digest_interval_ms
         self._peers[event.peer] = _Peer(now_ms - self._rng.random() * interval_ms)
-        self._board.forget_peer(event.peer)
+        self._gossip_queue.forget_peer(event.peer)
 
-    def _note_ok(self, event: EndpointReported, now_ms: float) -> list[Action]:
+    def _record_endpoint_report(
+        self, event: EndpointReported, now_ms: float
+    ) -> list[Action]:
         name = event.endpoint
-        if self._evidence.note_ok(name, now_ms):
-            self._board.post(Recovered(name, self.node, 0), now_ms, None)
+        if self._evidence.record_success(name, now_ms):
+            self._gossip_queue.enqueue(Recovered(name, self.node, 0), now_ms, None)
         before = self._evidence.find_incarnation(name)
         if not self._evidence.learn_directly(name, event.incarnation, event.asked_ms):
             return []
         if before is not None:
-            self._board.post(Restarted(name, event.incarnation, 0), now_ms, None)
+            self._gossip_queue.enqueue(
+                Restarted(name, event.incarnation, 0), now_ms, None
+            )
         return [EndpointRestarted(name, event.incarnation)]
 
-    def _tell_suspected(self, now_ms: float) -> None:
+    def _queue_suspicions(self, now_ms: float) -> None:
         for name in self._evidence.take_suspected(now_ms):
-            self._board.post(Suspected(name, self.node, 0), now_ms, None)
+            self._gossip_queue.enqueue(Suspected(name, self.node, 0), now_ms, None)
 
-    def _change(self, event: ConfigurationChanged) -> None:
+    def _apply_configuration(self, event: ConfigurationChanged) -> None:
         self._version = event.configuration.version
         self._digest = event.digest
         self._evidence.keep(
@@ -305,7 +309,7 @@
             for endpoint in owner.endpoints
         )
 
-    def _note_digest(
+    def _apply_digest(
         self, sender: NodeName, digest: Digest, now_ms: float
     ) -> list[Action]:
         peer = self._peers.get(sender)
@@ -313,7 +317,7 @@
             return []
         peer.last_echo_ms = digest.sent_ms
         actions: list[Action] = []
-        is_asked = now_ms - self._asked_ms < _FETCH_AGAIN_MS
+        is_asked = now_ms - self._asked_ms < _FETCH_RETRY_MS
         if digest.version > self._version and not is_asked:
             self._asked_ms = now_ms
             actions.append(FetchConfiguration(sender, self._version))
@@ -326,46 +330,50 @@
                     sender, digest.version, digest.configuration_digest, confirmed_ms
                 )
             )
-        for news in digest.news:
-            actions += self._note_news(news, sender, now_ms)
+        for update in digest.updates:
+            actions += self._apply_update(update, sender, now_ms)
         return actions
 
-    def _note_news(self, news: News, sender: NodeName, now_ms: float) -> list[Action]:
-        if not self._board.post(news, now_ms, sender):
+    def _apply_update(
+        self, update: GossipUpdate, sender: NodeName, now_ms: float
+    ) -> list[Action]:
+        if not self._gossip_queue.enqueue(update, now_ms, sender):
             return []
         evidence = self._evidence
-        at_ms = now_ms - news.age_ms
-        match news:
+        at_ms = now_ms - update.age_ms
+        match update:
             case Leaving():
-                self._heard_leaving_ms[news.address] = at_ms
+                self._leave_learned_ms[update.address] = at_ms
             case Restarted():
-                if evidence.learn_from_news(news.endpoint, news.incarnation, at_ms):
-                    return [EndpointRestarted(news.endpoint, news.incarnation)]
+                if evidence.learn_from_gossip(
+                    update.endpoint, update.incarnation, at_ms
+                ):
+                    return [EndpointRestarted(update.endpoint, update.incarnation)]
             case Suspected():
-                evidence.accuse(news.endpoint, news.source, at_ms)
+                evidence.record_suspicion(update.endpoint, update.source, at_ms)
             case Recovered():
-                evidence.withdraw(news.endpoint, news.source)
+                evidence.withdraw(update.endpoint, update.source)
         return []
 
     def _tick(self, now_ms: float) -> list[Action]:
-        self._tell_suspected(now_ms)
-        self._tell_own_leaving(now_ms)
-        self._board.prune(now_ms)
+        self._queue_suspicions(now_ms)
+        self._queue_own_leave(now_ms)
+        self._gossip_queue.prune(now_ms)
         self._evidence.prune(now_ms)
         self._refill(now_ms)
-        for address, heard_ms in list(self._heard_leaving_ms.items()):
-            if now_ms - heard_ms > NEWS_KEPT_MS:
-                del self._heard_leaving_ms[address]
+        for address, learned_ms in list(self._leave_learned_ms.items()):
+            if now_ms - learned_ms > GOSSIP_TTL_MS:
+                del self._leave_learned_ms[address]
         due = [name for name in self._peers if self._is_digest_due(name, now_ms)]
         return [self._build_digest(name, now_ms) for name in due]
 
     def _refill(self, now_ms: float) -> None:
         if self._budget_ms is not None:
             share = (now_ms - self._budget_ms) / self._timings.digest_interval_ms
-            refilled = self._budget + share * _NEWS_PER_INTERVAL
-            self._budget = min(float(_NEWS_PER_INTERVAL), refilled)
-            urgent = self._urgent + share * _URGENT_PER_INTERVAL
-            self._urgent = min(float(_URGENT_PER_INTERVAL), urgent)
+            refilled = self._update_budget + share * _NEWS_PER_INTERVAL
+            self._update_budget = min(float(_NEWS_PER_INTERVAL), refilled)
+            urgent = self._urgent_budget + share * _URGENT_PER_INTERVAL
+            self._urgent_budget = min(float(_URGENT_PER_INTERVAL), urgent)
         self._budget_ms = now_ms
 
     def _is_digest_due(self, name: NodeName, now_ms: float) -> bool:
@@ -373,22 +381,22 @@
         waited_ms = now_ms - peer.last_sent_ms
         if waited_ms >= self._timings.digest_interval_ms:
             return True
-        if waited_ms < _MIN_GAP_MS or min(self._budget, self._urgent) < 1:
+        if waited_ms < _MIN_GAP_MS or min(self._update_budget, self._urgent_budget) < 1:
             return False
         # A new version, a leaving VM or a death shouldn't wait at every hop.
-        is_urgent = peer.version_told != self._version
-        if not is_urgent and not self._board.has_news_for(name):
+        is_urgent = peer.version_sent != self._version
+        if not is_urgent and not self._gossip_queue.has_updates_for(name):
             return False
-        self._urgent -= 1
+        self._urgent_budget -= 1
         return True
 
     def _build_digest(self, name: NodeName, now_ms: float) -> SendDigest:
         peer = self._peers[name]
         peer.last_sent_ms = now_ms
-        peer.version_told = self._version
-        limit = min(_NEWS_PER_DIGEST, max(0, int(self._budget)))
-        news = self._board.take(name, now_ms, limit)
-        self._budget -= len(news)
+        peer.version_sent = self._version
+        limit = min(_NEWS_PER_DIGEST, max(0, int(self._update_budget)))
+        updates = self._gossip_queue.take_for(name, now_ms, limit)
+        self._update_budget -= len(updates)
         confirmed_ms = self._confirmed_ms
         digest = Digest(
             node=self.node,
@@ -397,6 +405,6 @@
             version=self._version,
             configuration_digest=self._digest,
             confirmed_age_ms=-1.0 if confirmed_ms is None else now_ms - confirmed_ms,
-            news=news,
+            updates=updates,
         )
         return SendDigest(name, digest)
--- a/packages/toucanyard/src/toucanyard/roster.py
+++ b/packages/toucanyard/src/toucanyard/node_directory.py
@@ -11,40 +11,40 @@
 
 import msgspec
 
-from toucanyard.link_messages import NodeNews
+from toucanyard.link_messages import NodeUpdate
 from toucanyard.link_plan import LinkPlan
 from toucanyard.names import Address, NodeName
 from toucanyard.node_records import NodeRecord
 from toucanyard.vm_view import UNNAMED, Vm, compute_rank
 
-STATUS_KEPT_MS: Final = 1_500.0
+STATUS_TTL_MS: Final = 1_500.0
 """After this silence a node is not named to callers; six statuses were missed."""
 MAX_MESH: Final = 16
 """Other nodes up to which every node is linked to every other one."""
-TOLD_KEPT_MS: Final = 2_500.0
+HUB_REPORT_TTL_MS: Final = 2_500.0
 """How long what a hub said of nodes counts; it says it at least once a second."""
 MAX_ADDRESSES: Final = 64
 """Addresses that callers take from one answer."""
 
 
-class _Heard(msgspec.Struct):
-    heard_ms: float
+class _LastStatus(msgspec.Struct):
+    received_ms: float
     is_ready: bool
 
 
-class Roster:
+class NodeDirectory:
     """The nodes as one of them sees them. Invariant: it names itself first."""
 
     __slots__ = (
         "_alive",
         "_alive_until_ms",
-        "_heard",
+        "_last_statuses",
         "_known",
         "_linked",
         "_own",
         "_ranks",
         "_seeds",
-        "_told",
+        "_hub_reports",
         "is_ready",
         "plan",
     )
@@ -54,8 +54,8 @@
         self._seeds: tuple[Address, ...] = ()
         self.apply_seeds(seeds)
         self._known: dict[NodeName, NodeRecord] = {}
-        self._heard: dict[NodeName, _Heard] = {}
-        self._told: dict[NodeName, tuple[float, dict[NodeName, bool]]] = {}
+        self._last_statuses: dict[NodeName, _LastStatus] = {}
+        self._hub_reports: dict[NodeName, tuple[float, dict[NodeName, bool]]] = {}
         """By hub: when it said so, and of which nodes, whether each is ready."""
         self._alive: dict[NodeName, bool] = {}
         """The other live nodes, and whether callers may go there, as merged last."""
@@ -84,36 +84,36 @@
     def remove(self, name: NodeName) -> None:
         """Take in that a node left for good."""
         self._known.pop(name, None)
-        if self._heard.pop(name, None) is not None:
-            self._forget_alive()
+        if self._last_statuses.pop(name, None) is not None:
+            self._invalidate_alive()
 
-    def note_status(self, name: NodeName, is_ready: bool, now_ms: float) -> bool:
+    def record_status(self, name: NodeName, is_ready: bool, now_ms: float) -> bool:
         """Take in that a node is alive; return whether its readiness has changed."""
-        before = self._heard.get(name)
-        self._heard[name] = _Heard(now_ms, is_ready)
+        before = self._last_statuses.get(name)
+        self._last_statuses[name] = _LastStatus(now_ms, is_ready)
         if self._alive.get(name) is not is_ready:
-            self._forget_alive()
+            self._invalidate_alive()
         return before is None or before.is_ready != is_ready
 
-    def note_told(
-        self, hub: NodeName, nodes: Iterable[NodeNews], now_ms: float
+    def record_hub_report(
+        self, hub: NodeName, nodes: Iterable[NodeUpdate], now_ms: float
     ) -> bool:
         """Take in which nodes a hub says are alive; return whether they changed."""
-        before_ms, before = self._told.get(hub, (float("-inf"), {}))
-        told = {each.node: each.is_ready for each in nodes if self._is_other(each)}
-        self._told[hub] = (now_ms, told)
-        if told != before or now_ms - before_ms > TOLD_KEPT_MS:
-            self._forget_alive()
-        return told != before
+        before_ms, before = self._hub_reports.get(hub, (float("-inf"), {}))
+        reported = {each.node: each.is_ready for each in nodes if self._is_other(each)}
+        self._hub_reports[hub] = (now_ms, reported)
+        if reported != before or now_ms - before_ms > HUB_REPORT_TTL_MS:
+            self._invalidate_alive()
+        return reported != before
 
     def retain_linked(self, names: Iterable[NodeName]) -> None:
         """Drop what was heard from nodes without a link."""
         self._linked = frozenset(names)
-        lost = [name for name in self._heard if name not in self._linked]
+        lost = [name for name in self._last_statuses if name not in self._linked]
         for name in lost:
-            del self._heard[name]
+            del self._last_statuses[name]
         if lost:
-            self._forget_alive()
+            self._invalidate_alive()
 
     def find_peers(self, now_ms: float) -> list[Vm]:
         """Return the nodes that this one should have a link to."""
@@ -125,12 +125,12 @@
             Vm(name=each.name, domain=each.domain, peers=each.peers) for each in chosen
         ]
         known = {each.peers for each in self._known.values()}
-        strangers = [
+        unknown = [
             Vm(address, self._own.domain, runs=UNNAMED, peers=address)
             for address in self._seeds
             if address not in known
         ]
-        return vms + strangers
+        return vms + unknown
 
     def find_primary(self) -> NodeName | None:
         """Return the hub that this node reports to, if there is one."""
@@ -138,70 +138,77 @@
 
     def find_alive(self, now_ms: float) -> list[NodeName]:
         """Return the other nodes that were heard from, or of, lately."""
-        return list(self._find_ready(now_ms))
+        return list(self._get_alive(now_ms))
 
     def is_alive(self, name: NodeName | None, now_ms: float) -> bool:
         """Tell whether another node was heard from, or of, lately."""
-        return name in self._find_ready(now_ms)
+        return name in self._get_alive(now_ms)
 
     def list_ready_linked(self) -> list[NodeName]:
         """Return the linked nodes that said last that they take callers."""
-        return [name for name, heard in self._heard.items() if heard.is_ready]
+        return [
+            name
+            for name, last_status in self._last_statuses.items()
+            if last_status.is_ready
+        ]
 
-    def list_heard(self, names: Iterable[NodeName], now_ms: float) -> list[NodeNews]:
+    def list_responsive(
+        self, names: Iterable[NodeName], now_ms: float
+    ) -> list[NodeUpdate]:
         """Return those of some nodes that were heard from lately, and this one."""
-        news = [NodeNews(self._own.name, self.is_ready)]
+        news = [NodeUpdate(self._own.name, self.is_ready)]
         for name in names:
-            heard = self._heard.get(name)
-            if heard is not None and now_ms - heard.heard_ms <= STATUS_KEPT_MS:
-                news.append(NodeNews(name, heard.is_ready))
+            last_status = self._last_statuses.get(name)
+            if (
+                last_status is not None
+                and now_ms - last_status.received_ms <= STATUS_TTL_MS
+            ):
+                news.append(NodeUpdate(name, last_status.is_ready))
         return news
 
-    def list_alive(self, now_ms: float) -> list[NodeNews]:
+    def list_alive(self, now_ms: float) -> list[NodeUpdate]:
         """Return all nodes that are alive, this one first."""
-        own = NodeNews(self._own.name, self.is_ready)
-        return [own, *(NodeNews(*each) for each in self._find_ready(now_ms).items())]
+        own = NodeUpdate(self._own.name, self.is_ready)
+        return [own, *(NodeUpdate(*each) for each in self._get_alive(now_ms).items())]
 
     def count_nodes(self, now_ms: float) -> int:
         """Return how many nodes there are, heard from or not, this one included."""
         return max(self.count_alive(now_ms), 1 + len(self._known))
 
-    def find_fleet_rank(self, matter: str) -> int:
+    def find_fleet_rank(self, subject: str) -> int:
         """Return how many of all nodes go before this one in a matter."""
-        own = compute_rank(matter, self._own.name)
-        return sum(compute_rank(matter, name) > own for name in self._known)
+        own = compute_rank(subject, self._own.name)
+        return sum(compute_rank(subject, name) > own for name in self._known)
 
     def count_alive(self, now_ms: float) -> int:
         """Return how many nodes are alive, this one included."""
-        return 1 + len(self._find_ready(now_ms))
+        return 1 + len(self._get_alive(now_ms))
 
     def is_full_mesh(self) -> bool:
         """Tell whether every node has a link to every other one."""
         return len(self._known) <= MAX_MESH
 
-    def find_rank(self, matter: str, now_ms: float) -> int:
+    def find_rank(self, subject: str, now_ms: float) -> int:
         """Return how many live nodes go before this one in a matter.
 
         Nodes that see the same others agree on the order without asking. One that
         reports to a hub and was not told of the others yet counts all that are known;
         who goes first may be dead, and those behind must not wait for it for long.
         """
-        if not self.is_full_mesh() and not self._told:
-            return self.find_fleet_rank(matter)
-        alive = self._find_ready(now_ms)
-        rank = self._ranks.get(matter)
+        if not self.is_full_mesh() and not self._hub_reports:
+            return self.find_fleet_rank(subject)
+        alive = self._get_alive(now_ms)
+        rank = self._ranks.get(subject)
         if rank is None:
-            own = compute_rank(matter, self._own.name)
-            rank = sum(compute_rank(matter, name) > own for name in alive)
-            self._ranks[matter] = rank
+            own = compute_rank(subject, self._own.name)
+            rank = sum(compute_rank(subject, name) > own for name in alive)
+            self._ranks[subject] = rank
         return rank
 
     def find_addresses(self, now_ms: float) -> list[Address]:
         """Return where callers may connect."""
         addresses = [self._own.callers] if self.is_ready else []
-        ready = [
-            name for name, is_ready in self._find_ready(now_ms).items() if is_ready
-        ]
+        ready = [name for name, is_ready in self._get_alive(now_ms).items() if is_ready]
         if len(ready) >= MAX_ADDRESSES:
             # Each node leaves out others, so that all of them get callers.
             ready.sort(key=lambda name: compute_rank(self._own.name, name))
@@ -211,7 +218,7 @@
                 addresses.append(record.callers)
         return addresses
 
-    def _find_ready(self, now_ms: float) -> dict[NodeName, bool]:
+    def _get_alive(self, now_ms: float) -> dict[NodeName, bool]:
         """Return the other nodes that are alive, and whether callers may go there.
 
         Merged only when it may have changed: a hub of 195 nodes asks for it some 200
@@ -223,27 +230,27 @@
             self._alive = self._merge_alive(now_ms)
         return self._alive
 
-    def _forget_alive(self) -> None:
+    def _invalidate_alive(self) -> None:
         self._alive_until_ms = float("-inf")
 
     def _merge_alive(self, now_ms: float) -> dict[NodeName, bool]:
         found: dict[NodeName, bool] = {}
-        for told_ms, nodes in self._told.values():
-            if self._is_kept(told_ms + TOLD_KEPT_MS, now_ms):
+        for reported_ms, nodes in self._hub_reports.values():
+            if self._is_fresh(reported_ms + HUB_REPORT_TTL_MS, now_ms):
                 for name, is_ready in nodes.items():
                     # A hub that lags must not send callers to a node that is stopping.
                     found[name] = is_ready and found.get(name, True)
-        for name, heard in self._heard.items():
-            if self._is_kept(heard.heard_ms + STATUS_KEPT_MS, now_ms):
-                found[name] = heard.is_ready
+        for name, last_status in self._last_statuses.items():
+            if self._is_fresh(last_status.received_ms + STATUS_TTL_MS, now_ms):
+                found[name] = last_status.is_ready
         return found
 
-    def _is_kept(self, until_ms: float, now_ms: float) -> bool:
+    def _is_fresh(self, until_ms: float, now_ms: float) -> bool:
         """Tell whether something still counts, and merge again once it doesn't."""
         if now_ms > until_ms:
             return False
         self._alive_until_ms = min(self._alive_until_ms, until_ms)
         return True
 
-    def _is_other(self, news: NodeNews) -> bool:
+    def _is_other(self, news: NodeUpdate) -> bool:
         return news.node != self._own.name
--- a/packages/toucanyard/src/toucanyard/order_duties.py
+++ b/packages/toucanyard/src/toucanyard/order_duties.py
@@ -36,7 +36,7 @@
     endpoints: tuple[Endpoint, ...] | None = None
     read_ms: float = float("-inf")
     planned_ms: float = float("-inf")
-    has_news: bool = True
+    has_updates: bool = True
     reads: StateReads = msgspec.field(default_factory=StateReads)
 
 
@@ -114,7 +114,7 @@
         entry = self._find_entry(endpoint)
         if entry is not None:
             entry.orders.note_state(endpoint, state, asked_ms)
-            entry.has_news = True
+            entry.has_updates = True
 
     def note_outcome(
         self, sent: SendOrder, outcome: OrderOutcome, now_ms: float
@@ -123,7 +123,7 @@
         entry = self._held.get(sent.pool)
         if entry is None or entry.orders.fence != sent.order.fence:
             return
-        entry.has_news = True
+        entry.has_updates = True
         order_id = sent.order.order_id
         if entry.orders.note_outcome(sent.endpoint, order_id, outcome, now_ms):
             self.duties.give_up(sent.pool)
@@ -137,10 +137,10 @@
     pool: Pool, entry: _Held, until_ms: float, now_ms: float
 ) -> list[SendOrder | ReadState]:
     actions: list[SendOrder | ReadState] = []
-    plan_ms = _PLAN_MS if entry.has_news else _IDLE_PLAN_MS
+    plan_ms = _PLAN_MS if entry.has_updates else _IDLE_PLAN_MS
     if now_ms - entry.planned_ms >= plan_ms:
         entry.planned_ms = now_ms
-        entry.has_news = False
+        entry.has_updates = False
         actions += entry.orders.plan(pool, until_ms, now_ms)
     read_ms = _IDLE_PLAN_MS if entry.reads.is_quiet else _READ_MS
     if now_ms - entry.read_ms >= read_ms:
--- a/packages/toucanyard/src/toucanyard/part_intake.py
+++ b/packages/toucanyard/src/toucanyard/part_intake.py
@@ -38,7 +38,7 @@
         if isinstance(event, HolderLost):
             self._sources.note_lost(event.holder)
             return
-        if self._directory.is_over(event.holder):
+        if self._directory.is_superseded(event.holder):
             # Told by the life before the present one; the replica has lost it all.
             return
         is_new = self._sources.note_heard(event.holder, now_ms, event.epoch)
--- a/packages/toucanyard/src/toucanyard/part_sources.py
+++ b/packages/toucanyard/src/toucanyard/part_sources.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from toucanyard.link_messages import StoreNews
+from toucanyard.link_messages import PromptStoreUpdate
 from toucanyard.names import Address, DomainName, EndpointName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.rendezvous import compute_seed, compute_weight
 from toucanyard.replicas import ReplicaDirectory
-from toucanyard.roster import Roster
 from toucanyard.routes import PromptStore, RouteIndex
 
 SPARE_FOLLOWERS: Final = 2
@@ -69,9 +69,11 @@
 
     __slots__ = ("_directory", "_heard", "_roster")
 
-    def __init__(self, directory: ReplicaDirectory, roster: Roster) -> None:
+    def __init__(
+        self, directory: ReplicaDirectory, node_directory: NodeDirectory
+    ) -> None:
         self._directory = directory
-        self._roster = roster
+        self._roster = node_directory
         self._heard: dict[EndpointName, _Heard] = {}
 
     def note_heard(self, holder: EndpointName, heard_ms: float, epoch: int) -> bool:
@@ -86,12 +88,14 @@
         """Take in that a holder did not answer."""
         self._heard.pop(holder, None)
 
-    def list_stores(self, index: RouteIndex, now_ms: float) -> Iterable[StoreNews]:
+    def list_stores(
+        self, index: RouteIndex, now_ms: float
+    ) -> Iterable[PromptStoreUpdate]:
         """Return what to tell other nodes of the stores that are heard from."""
         for store in self.find_stores(index, now_ms):
             name = name_store(store)
             heard = self._heard[name]
-            yield StoreNews(name, now_ms - heard.heard_ms, heard.epoch)
+            yield PromptStoreUpdate(name, now_ms - heard.heard_ms, heard.epoch)
 
     def find_followed(self, index: RouteIndex, now_ms: float) -> list[PartHolder]:
         """Return the holders that this node should ask."""
--- a/packages/toucanyard/src/toucanyard/quarantine.py
+++ b/packages/toucanyard/src/toucanyard/quarantine.py
@@ -21,9 +21,9 @@
 """Age of a record from which a node that gets the request writes it again."""
 MAX_ENTRIES: Final = 1_024
 """Entries of one node; the one whose request came longest ago goes first."""
-WRITE_MS: Final = 250.0
+WRITE_DELAY_MS: Final = 250.0
 """Time from an entry to its record, in which a survival may still be heard of."""
-RANK_MS: Final = 500.0
+RANK_DELAY_MS: Final = 500.0
 """How much later each further node writes what the log lacks."""
 MAX_RANK: Final = 4
 TICK_MS: Final = 100.0
@@ -181,7 +181,7 @@
             return
         self._ticked_ms = now_ms
         for fingerprint, entry in list(self._entries.items()):
-            if now_ms - _find_last_use(entry) >= TTL_MS:
+            if now_ms - _find_lifetime_start(entry) >= TTL_MS:
                 self.end(fingerprint, now_ms)
             elif self._is_write_due(entry, now_ms):
                 entry.written_ms = now_ms
@@ -210,9 +210,9 @@
 
     def _compute_delay(self, fingerprint: Fingerprint, now_ms: float) -> float:
         rank = min(self._find_rank(fingerprint, now_ms), MAX_RANK)
-        return WRITE_MS + rank * RANK_MS
+        return WRITE_DELAY_MS + rank * RANK_DELAY_MS
 
 
-def _find_last_use(entry: Entry) -> float:
+def _find_lifetime_start(entry: Entry) -> float:
     """Return from when an entry's lifetime counts, the same on all nodes."""
     return entry.begun_ms if entry.stored_ms is None else entry.stored_ms
--- a/packages/toucanyard/src/toucanyard/relay_core.py
+++ b/packages/toucanyard/src/toucanyard/relay_core.py
@@ -24,6 +24,7 @@
     ViewRecords,
 )
 from toucanyard.names import Address, NodeId, NodeName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.node_records import NodeRecord
 from toucanyard.part_intake import PartIntake
 from toucanyard.part_sources import PartSources
@@ -61,7 +62,6 @@
 from toucanyard.request_guard import RequestGuard
 from toucanyard.requests import EndingSeen
 from toucanyard.rollout_leader import RolloutLeader
-from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
 from toucanyard.shared_limits import SharedLimits
 from toucanyard.status_exchange import StatusExchange
@@ -113,9 +113,9 @@
             listen.peers,
             options.link_mbps,
         )
-        self.roster = Roster(self.own_record, options.seeds)
-        self.exchange = ViewExchange(decode, self.roster.is_full_mesh, rng)
-        self.sources = PartSources(self.directory, self.roster)
+        self.node_directory = NodeDirectory(self.own_record, options.seeds)
+        self.exchange = ViewExchange(decode, self.node_directory.is_full_mesh, rng)
+        self.sources = PartSources(self.directory, self.node_directory)
         self.replica_limits = ReplicaLimits(rng)
         self.credits = ReplicaCredits(
             self.replica_limits, compute_first_number(identity.incarnation)
@@ -129,12 +129,14 @@
             rng,
         )
         self.guard = RequestGuard(
-            self.directory, self.roster.find_rank, rng, options.policy.guard
+            self.directory, self.node_directory.find_rank, rng, options.policy.guard
         )
         self.probes = ReplicaProbes(
             self.directory,
             self.guard,
-            lambda: options.policy.retries.probes and self.roster.is_full_mesh(),
+            lambda: (
+                options.policy.retries.probes and self.node_directory.is_full_mesh()
+            ),
         )
         self.limits = CallLimits(
             options.limits, options.policy.limits, identity.incarnation
@@ -150,7 +152,7 @@
             rng,
         )
         self.facts = KnownFacts(
-            self.directory, self.goals, self.roster, self.flow, self.guard
+            self.directory, self.goals, self.node_directory, self.flow, self.guard
         )
         self.parts = PartIntake(
             self.flow.book, self.sources, self.directory, self.facts
@@ -161,12 +163,12 @@
             options.weights,
             self.directory,
             self.goals,
-            self.roster,
+            self.node_directory,
             self.flow.uses,
             options.policy.rollout,
         )
         self.statuses = StatusExchange(
-            self.roster,
+            self.node_directory,
             self.exchange,
             self.flow.uses,
             self.flow.reports,
@@ -179,7 +181,7 @@
             lambda: self.shares.pledge,
         )
         homes = LimitHomes(
-            self.roster,
+            self.node_directory,
             self.statuses.count_group,
             lambda: self.exchange.views[Topic.NODES].end > 0,
             options.policy.limits.way,
@@ -188,12 +190,12 @@
         self._limit_events = LimitEvents(
             self.shares, self.replica_limits, self.flow, self.statuses
         )
-        self.reads = StoreReads(self.roster, self.exchange)
+        self.reads = StoreReads(self.node_directory, self.exchange)
         self.topics = TopicIntake(
             self.exchange,
             self.facts,
             self.directory,
-            self.roster,
+            self.node_directory,
             self.statuses,
             options.weights.deadline_ms,
         )
@@ -212,12 +214,12 @@
 
     def find_addresses(self, now_ms: float) -> list[Address]:
         """Return where callers may connect."""
-        self.roster.is_ready = self.is_ready()
-        return self.roster.find_addresses(now_ms)
+        self.node_directory.is_ready = self.is_ready()
+        return self.node_directory.find_addresses(now_ms)
 
     def compute_tick(self) -> float:
         """Return the time until this node needs its next tick, in ms."""
-        if self.roster.is_full_mesh():
+        if self.node_directory.is_full_mesh():
             return TICK_MS
         is_busy = self.flow.count_pending() > 0 or self.rollout.is_busy()
         return FAR_TICK_MS if is_busy or self.statuses.has_group() else REST_TICK_MS
@@ -226,7 +228,7 @@
         """Take one event in and return what must be done now, in this order."""
         self.flow.note_view(self.exchange.views[Topic.REPLICAS].confirmed_ms)
         actions = list(self._handle(event, now_ms))
-        if self.guard.has_news():
+        if self.guard.has_updates():
             actions += self._settle_guard(now_ms)
         actions += self._limit_events.settle(now_ms)
         return actions
@@ -273,25 +275,25 @@
                 yield from self._limit_events.on_seen(event, now_ms)
             case DispatchEnded(outcome=outcome):
                 yield from self.flow.end_dispatch(outcome, now_ms)
-                yield from self.probes.ask_lost(now_ms)
+                yield from self.probes.probe_lost(now_ms)
                 if outcome.ending is EndingSeen.REFUSED:
                     # Each node would else find out by calls of its own, and have some
                     # of them refused that may be sent only once.
-                    self.gossip.note(outcome.replica, now_ms)
+                    self.gossip.record_change(outcome.replica, now_ms)
                     yield from self._tell_soon(now_ms)
 
     def _handle_rollout(
         self, event: RolloutEvent, now_ms: float
     ) -> Iterator[RelayAction]:
         if isinstance(event, OrderAnswered) and event.status == MISDIRECTED:
-            self.directory.note_replaced(event.order.replica, now_ms)
+            self.directory.record_replaced(event.order.replica, now_ms)
         if isinstance(event, ReplicaStateRead):
             yield from self.probes.on_read(event, now_ms)
         self.rollout.handle(event, now_ms)
         yield from self._tick_rollout(now_ms)
 
     def _tick(self, now_ms: float) -> Iterator[RelayAction]:
-        yield from self.probes.ask_resting(now_ms)
+        yield from self.probes.probe_unreachable(now_ms)
         yield from self._tick_guard(now_ms)
         yield from self._limit_events.tick(now_ms)
         yield from self.flow.tick(now_ms)
@@ -333,13 +335,15 @@
 
     def _tick_guard(self, now_ms: float) -> Iterator[RelayAction]:
         self.guard.tick(now_ms)
-        yield from self.probes.ask_lost(now_ms)
+        yield from self.probes.probe_lost(now_ms)
         yield from self.guard.quarantine.tick(now_ms)
 
     def _note_hub(self) -> Iterator[RelayAction]:
         """Say to whom this node reports, each time that this changes."""
-        is_hub = not self.roster.is_full_mesh() and self.roster.plan.is_hub()
-        hub = self.identity.node if is_hub else self.roster.find_primary()
+        is_hub = (
+            not self.node_directory.is_full_mesh() and self.node_directory.plan.is_hub()
+        )
+        hub = self.identity.node if is_hub else self.node_directory.find_primary()
         if hub != self._hub:
             before, self._hub = self._hub, hub
             yield Note(
@@ -351,11 +355,11 @@
         yield from self.rollout.tick(now_ms, is_leaving=self.is_stopping)
         if not self.options.policy.rollout.announces:
             return
-        if self.gossip.note_changing(set(self.rollout.list_changing()), now_ms):
+        if self.gossip.record_changing(set(self.rollout.list_changing()), now_ms):
             yield from self._tell_soon(now_ms)
 
     def _tell_soon(self, now_ms: float) -> Iterator[RelayAction]:
-        self.statuses.note_due()
+        self.statuses.mark_due()
         yield from self.statuses.tick(self.is_ready(), now_ms)
 
     def _read_message(
@@ -374,7 +378,7 @@
     ) -> Iterator[RelayAction]:
         self.statuses.read(sender, status, now_ms)
         yield from self._limit_events.read_status(sender, status, now_ms)
-        self.flow.apply_node_count(self.roster.count_nodes(now_ms))
+        self.flow.apply_node_count(self.node_directory.count_nodes(now_ms))
         for store in status.stores:
             heard_ms = now_ms - store.heard_age_ms
             if self.sources.note_heard(store.store, heard_ms, store.epoch):
@@ -385,9 +389,9 @@
     def _link(self, names: list[NodeName], now_ms: float) -> Iterator[RelayAction]:
         before = set(self.exchange.linked)
         self.exchange.linked = tuple(names)
-        self.roster.retain_linked(names)
-        self.statuses.note_links(names)
-        self.shares.note_links(names, now_ms)
+        self.node_directory.retain_linked(names)
+        self.statuses.record_links(names)
+        self.shares.record_links(names, now_ms)
         for name in before - set(names):
             yield Note("peer_lost", {"peer": name})
         for name in set(names) - before:
--- a/packages/toucanyard/src/toucanyard/relay_events.py
+++ b/packages/toucanyard/src/toucanyard/relay_events.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from toucanyard.crash_watch import Reach
+from toucanyard.crash_detector import Reachability
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.link_messages import LinkMessage
 from toucanyard.names import (
@@ -147,7 +147,7 @@
     replica: EndpointName
     state: ReplicaState | None
     asked_ms: float
-    reach: Reach = Reach.NO_ANSWER
+    reach: Reachability = Reachability.NO_ANSWER
 
 
 class WeightsOrder(msgspec.Struct, frozen=True):
--- a/packages/toucanyard/src/toucanyard/relay_flow.py
+++ b/packages/toucanyard/src/toucanyard/relay_flow.py
@@ -323,18 +323,18 @@
             self._note_weights(known, prompt.model, outcome.weights_version)
         match outcome.ending:
             case EndingSeen.COMPLETED:
-                known.note_success()
+                known.record_success()
             case EndingSeen.NOT_SENT | EndingSeen.LOST:
                 is_dead = outcome.is_dead and self._policy.retries.rests
-                known.note_failure(now_ms, is_dead=is_dead)
+                known.record_failure(now_ms, is_dead=is_dead)
             case EndingSeen.FAILED:
-                known.note_failure(now_ms, is_dead=False)
+                known.record_failure(now_ms, is_dead=False)
             case EndingSeen.REFUSED if outcome.is_replaced:
-                self._directory.note_replaced(outcome.replica, now_ms)
+                self._directory.record_replaced(outcome.replica, now_ms)
             case EndingSeen.REFUSED if outcome.has_other_weights:
                 self._guess_weights(known, pending)
             case EndingSeen.REFUSED:
-                known.note_refusal(now_ms)
+                known.record_refused_call(now_ms)
 
     def _note_sends(
         self, pending: PendingCall, outcome: RelayOutcome, now_ms: float
@@ -356,7 +356,7 @@
             self._note_weights(known, prompt.model, goal.version)
 
     def _note_weights(self, known: KnownReplica, model: str, version: int) -> None:
-        if known.note_weights(model, version):
+        if known.record_weights(model, version):
             # Loading weights drops all that was read under the ones before.
             self.book.forget(known.replica.name)
 
--- a/packages/toucanyard/src/toucanyard/replica_limits.py
+++ b/packages/toucanyard/src/toucanyard/replica_limits.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Final
 
-from toucanyard.link_messages import ReplicaLimitNews
+from toucanyard.link_messages import ReplicaLimitUpdate
 from toucanyard.names import EndpointName
 from toucanyard.note_limit import NoteLimit
 from toucanyard.relay_notes import Note
@@ -92,19 +92,19 @@
         """Log a limit that can't be read; what is believed stays."""
         yield from self._invalid.note({"replica": replica, "value": text}, now_ms)
 
-    def list_news(self, now_ms: float) -> Iterator[ReplicaLimitNews]:
+    def list_updates(self, now_ms: float) -> Iterator[ReplicaLimitUpdate]:
         """Return what to tell peers, and drop limits that ended a while ago."""
         for name, belief in list(self._beliefs.items()):
             if now_ms - belief.changed_ms <= UPDATE_TTL_MS:
                 age_ms = now_ms - belief.seen_ms
-                yield ReplicaLimitNews(
+                yield ReplicaLimitUpdate(
                     name, belief.rate_per_s, age_ms, belief.update_id
                 )
             elif belief.rate_per_s is None:
                 del self._beliefs[name]
 
     def apply(
-        self, all_news: Iterable[ReplicaLimitNews], source: str, now_ms: float
+        self, all_news: Iterable[ReplicaLimitUpdate], source: str, now_ms: float
     ) -> Iterator[Note]:
         """Take in what a peer knows."""
         for news in all_news:
--- a/packages/toucanyard/src/toucanyard/replica_probes.py
+++ b/packages/toucanyard/src/toucanyard/replica_probes.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
-from toucanyard.crash_watch import Reach
+from toucanyard.crash_detector import Reachability
 from toucanyard.relay_events import Note, ReadReplicaState, ReplicaStateRead
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.request_guard import RequestGuard
@@ -13,49 +13,49 @@
 class ReplicaProbes:
     """The probes of one node."""
 
-    __slots__ = ("_directory", "_guard", "_is_asking_resting")
+    __slots__ = ("_directory", "_guard", "_is_probing_unreachable")
 
     def __init__(
         self,
         directory: ReplicaDirectory,
         guard: RequestGuard,
-        is_asking_resting: Callable[[], bool],
+        is_probing_unreachable: Callable[[], bool],
     ) -> None:
         self._directory = directory
         self._guard = guard
-        self._is_asking_resting = is_asking_resting
+        self._is_probing_unreachable = is_probing_unreachable
 
-    def ask_lost(self, now_ms: float) -> Iterator[ReadReplicaState]:
+    def probe_lost(self, now_ms: float) -> Iterator[ReadReplicaState]:
         """Ask replicas whose calls were cut whether they still run."""
-        for known in self._guard.watch.take_probes(now_ms):
-            yield _ask(known)
+        for known in self._guard.detector.take_probes(now_ms):
+            yield _build_probe(known)
 
-    def ask_resting(self, now_ms: float) -> Iterator[ReadReplicaState]:
+    def probe_unreachable(self, now_ms: float) -> Iterator[ReadReplicaState]:
         """Ask replicas that could not be reached for a report.
 
         Not in a large fleet: the reports of all its nodes would cost the replicas and
         the nodes more than the calls that they spare.
         """
-        if not self._is_asking_resting():
+        if not self._is_probing_unreachable():
             return
         for known in self._directory.list_served(now_ms):
             if known.replica.weights and known.is_probe_due(now_ms):
-                known.note_probed(now_ms)
-                yield _ask(known)
+                known.record_probe(now_ms)
+                yield _build_probe(known)
 
     def on_read(self, read: ReplicaStateRead, now_ms: float) -> Iterator[Note]:
         """Learn whether a replica answers; end its rest if it has reported."""
-        reach = read.reach if read.state is None else Reach.ANSWERED
+        reach = read.reach if read.state is None else Reachability.ANSWERED
         self._guard.on_probe(read.replica, reach, read.asked_ms, now_ms)
         if read.state is None:
             return
         known = self._directory.find(read.replica)
-        if known is not None and known.is_resting(now_ms):
-            known.note_success()
+        if known is not None and known.is_backing_off(now_ms):
+            known.record_success()
             fields = {"replica": read.replica, "asked_ms_ago": now_ms - read.asked_ms}
             yield Note("replica_reached", fields)
 
 
-def _ask(known: KnownReplica) -> ReadReplicaState:
+def _build_probe(known: KnownReplica) -> ReadReplicaState:
     replica = known.replica
     return ReadReplicaState(replica.name, replica.listed_as, replica.address)
--- a/packages/toucanyard/src/toucanyard/replica_uses.py
+++ b/packages/toucanyard/src/toucanyard/replica_uses.py
@@ -143,7 +143,7 @@
             for name, calls in self._own.items()
         )
 
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Tell whether this node has calls under way, or last reported some."""
         return bool(self._own or self._told)
 
--- a/packages/toucanyard/src/toucanyard/replicas.py
+++ b/packages/toucanyard/src/toucanyard/replicas.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from toucanyard.link_messages import LifeNews
+from toucanyard.link_messages import ReplicaRestart
 from toucanyard.names import (
     Address,
     DomainName,
@@ -20,28 +20,28 @@
     ReplicaId,
     ServiceName,
 )
-from toucanyard.replica_lives import ReplicaLives
+from toucanyard.replica_incarnations import ReplicaIncarnations
 from toucanyard.store_contact import Absence
 
-MIN_REST_MS: Final = 250.0
+MIN_BACKOFF_MS: Final = 250.0
 """First pause after a failure; a crashed process refuses connections for longer."""
-REFUSED_MS: Final = 600.0
+REFUSAL_PAUSE_MS: Final = 600.0
 """Pause after a refusal; then one call shows whether it takes calls again."""
-MAX_REST_MS: Final = 1_000.0
+MAX_BACKOFF_MS: Final = 1_000.0
 """Longest pause: replicas that come back are wanted at once."""
-CRASH_REST_MS: Final = 5_000.0
+CRASH_BACKOFF_MS: Final = 5_000.0
 """How long a replica that crashed may stay listed."""
-LAPSE_GRACE_MS: Final = 2_500.0
+EXPIRY_GRACE_MS: Final = 2_500.0
 """How long after the store's return a replica counts that left the list: one that lives
 is listed again within two seconds, and known here half a second later."""
-MASS_SHARE: Final = 0.5
+MASS_REMOVAL_SHARE: Final = 0.5
 """Share of a service's replicas that, dropped at once, may have lapsed unseen."""
 DRAIN_MS: Final = 2_000.0
 """How long a replica runs after it has left the list, if nothing else is said."""
-SEND_MS: Final = 250.0
+SEND_MARGIN_MS: Final = 250.0
 """How long before that it gets its last call: the wait for a connection, 150, and the
 way there on a busy node."""
-RETURN_SEEN_MS: Final = 400.0
+RETURN_DETECTION_MS: Final = 400.0
 """How long after the store's return it is asked first: the nodes that go first ask each
 300 ms, answered or not, and look each 50 whether to."""
 PROBE_MS: Final = 500.0
@@ -89,7 +89,7 @@
         "_failures",
         "_failures_ms",
         "_probed_ms",
-        "_rest_ms",
+        "_backoff_ms",
         "_unreached_ms",
         "grace_until_ms",
         "gone_ms",
@@ -97,7 +97,7 @@
         "loading_until_ms",
         "removal",
         "replica",
-        "rest_until_ms",
+        "backoff_until_ms",
         "weights",
     )
 
@@ -109,9 +109,9 @@
         self.removal: Removal | None = None
         """None while it is listed, and for what surely serves no more."""
         self.grace_until_ms = float("-inf")
-        self.rest_until_ms = float("-inf")
+        self.backoff_until_ms = float("-inf")
         self.loading_until_ms = float("-inf")
-        self._rest_ms = 0.0
+        self._backoff_ms = 0.0
         self._unreached_ms = float("inf")
         """Since when it can't be reached."""
         self._probed_ms = float("-inf")
@@ -126,9 +126,9 @@
         # A replica never takes its leave back: a stale entry must not give it work.
         self.is_leaving = self.is_leaving or replica.is_draining
         for model, version in replica.weights:
-            self.note_weights(model, version)
+            self.record_weights(model, version)
 
-    def note_weights(self, model: str, version: int) -> bool:
+    def record_weights(self, model: str, version: int) -> bool:
         """Note weights that an answer or a report showed; return whether they rose.
 
         Then the load is over, whoever said so first.
@@ -149,49 +149,51 @@
         """Return the time since it was dropped from the list; None if it is listed."""
         return None if self.gone_ms is None else now_ms - self.gone_ms
 
-    def is_resting(self, now_ms: float) -> bool:
+    def is_backing_off(self, now_ms: float) -> bool:
         """Tell whether it failed this node a moment ago."""
-        return now_ms < self.rest_until_ms
+        return now_ms < self.backoff_until_ms
 
     def is_loading(self, now_ms: float) -> bool:
         """Tell whether it takes no new calls, since it loads weights."""
         return now_ms < self.loading_until_ms
 
-    def note_failure(self, now_ms: float, *, is_dead: bool) -> None:
+    def record_failure(self, now_ms: float, *, is_dead: bool) -> None:
         """Take in a failed call; `is_dead` if nothing there answered."""
         self._failures = self.compute_failures(now_ms) + 1.0
         self._failures_ms = now_ms
         if is_dead:
-            self._rest_ms = min(max(2 * self._rest_ms, MIN_REST_MS), MAX_REST_MS)
-            self.rest_until_ms = now_ms + self._rest_ms
+            self._backoff_ms = min(
+                max(2 * self._backoff_ms, MIN_BACKOFF_MS), MAX_BACKOFF_MS
+            )
+            self.backoff_until_ms = now_ms + self._backoff_ms
             self._unreached_ms = min(self._unreached_ms, now_ms)
 
     def record_crash(self, at_ms: float) -> None:
         """Give it no calls until it has left the list, since it has crashed."""
-        self.rest_until_ms = max(self.rest_until_ms, at_ms + CRASH_REST_MS)
+        self.backoff_until_ms = max(self.backoff_until_ms, at_ms + CRASH_BACKOFF_MS)
 
     def is_probe_due(self, now_ms: float) -> bool:
         """Tell whether to ask it for a report, to see whether it is back."""
-        return self.is_resting(now_ms) and now_ms - self._probed_ms >= PROBE_MS
+        return self.is_backing_off(now_ms) and now_ms - self._probed_ms >= PROBE_MS
 
-    def note_probed(self, now_ms: float) -> None:
+    def record_probe(self, now_ms: float) -> None:
         """Note that it is asked for a report; until the next one it rests."""
         self._probed_ms = now_ms
         if now_ms - self._unreached_ms < MAX_PROBED_MS:
-            self.rest_until_ms = max(self.rest_until_ms, now_ms + 2 * PROBE_MS)
+            self.backoff_until_ms = max(self.backoff_until_ms, now_ms + 2 * PROBE_MS)
 
-    def note_refusal(self, now_ms: float) -> None:
+    def record_refused_call(self, now_ms: float) -> None:
         """Take in that it turned a call away: it is full, or is to load weights.
 
         It then turns every call away until its own have ended, for a second or more.
         """
-        self.loading_until_ms = max(self.loading_until_ms, now_ms + REFUSED_MS)
+        self.loading_until_ms = max(self.loading_until_ms, now_ms + REFUSAL_PAUSE_MS)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Take in an answer."""
-        self._rest_ms = 0.0
+        self._backoff_ms = 0.0
         self._unreached_ms = float("inf")
-        self.rest_until_ms = float("-inf")
+        self.backoff_until_ms = float("-inf")
 
     def compute_failures(self, now_ms: float) -> float:
         """Return the decayed count of failures."""
@@ -211,7 +213,7 @@
         "_drain_ms",
         "_absence",
         "_known",
-        "_lives",
+        "_incarnations",
         "_served",
     )
 
@@ -220,7 +222,7 @@
         self._drain_ms = drain_ms
         self._absence: Absence | None = None
         """When the store was last away for all nodes."""
-        self._lives = ReplicaLives()
+        self._incarnations = ReplicaIncarnations()
         self._served: frozenset[ServiceName] = frozenset()
         self._known: dict[EndpointName, KnownReplica] = {}
         self._by_service: dict[ServiceName, list[KnownReplica]] = {}
@@ -231,7 +233,7 @@
 
     def find_current(self, listed_as: ReplicaId) -> KnownReplica | None:
         """Return the newest life of a replica."""
-        name = self._lives.find_newest(listed_as)
+        name = self._incarnations.find_newest(listed_as)
         return None if name is None else self._known.get(name)
 
     def find_newest_at(self, address: Address, now_ms: float) -> KnownReplica | None:
@@ -275,12 +277,12 @@
         return [
             each
             for each in self.find_listed(service, now_ms)
-            if not each.is_loading(now_ms) and not each.is_resting(now_ms)
+            if not each.is_loading(now_ms) and not each.is_backing_off(now_ms)
         ]
 
     def apply(self, replica: Replica, now_ms: float) -> KnownReplica | None:
         """Take in what a replica says of itself; None if that life is over."""
-        if not self.note_life(replica.listed_as, replica.born_ms, now_ms):
+        if not self.record_incarnation(replica.listed_as, replica.born_ms, now_ms):
             return None
         known = self._known.get(replica.name)
         if known is None:
@@ -290,7 +292,7 @@
             known.update(replica)
         return known
 
-    def note_life(
+    def record_incarnation(
         self, listed_as: ReplicaId, born_ms: int | None, now_ms: float
     ) -> bool:
         """Take in a life of a replica; return False if it is over.
@@ -298,24 +300,24 @@
         The life before ends at once: its memory, weights and calls are gone, and what
         is sent by what was known of it would be refused or read anew.
         """
-        if self._lives.is_over(listed_as, born_ms):
+        if self._incarnations.is_superseded(listed_as, born_ms):
             return False
         before = self.find_current(listed_as)
-        if self._lives.note(listed_as, born_ms, now_ms) and before is not None:
-            self.note_replaced(before.replica.name, now_ms)
+        if self._incarnations.record(listed_as, born_ms, now_ms) and before is not None:
+            self.record_replaced(before.replica.name, now_ms)
         return True
 
-    def list_restarted(self, now_ms: float) -> Iterable[LifeNews]:
+    def list_restarted(self, now_ms: float) -> Iterable[ReplicaRestart]:
         """Return what peers should know of replicas that have started again."""
-        return self._lives.list_restarted(now_ms)
+        return self._incarnations.list_restarted(now_ms)
 
-    def is_over(self, name: EndpointName) -> bool:
+    def is_superseded(self, name: EndpointName) -> bool:
         """Tell whether a replica is known whose life was followed by another one."""
         known = self._known.get(name)
         if known is None:
             return False
         replica = known.replica
-        return self._lives.is_over(replica.listed_as, replica.born_ms)
+        return self._incarnations.is_superseded(replica.listed_as, replica.born_ms)
 
     def remove_foreign(self, name: EndpointName, now_ms: float) -> None:
         """Take in that another writer's entry stands in a replica's place.
@@ -340,13 +342,13 @@
         for known in self._by_service.values():
             gone = [each for each in known if each.replica.name in names]
             present = [each for each in known if each.gone_ms is None]
-            is_mass = len(gone) > 1 and len(gone) >= MASS_SHARE * len(present)
+            is_mass = len(gone) > 1 and len(gone) >= MASS_REMOVAL_SHARE * len(present)
             for each in gone:
                 each.gone_ms = now_ms
                 each.removal = Removal(listed_ms, is_mass)
                 each.grace_until_ms = self._find_grace_end(each.removal)
 
-    def note_absence(self, absence: Absence | None) -> bool:
+    def record_absence(self, absence: Absence | None) -> bool:
         """Take in when the store was last away for all nodes; return whether it's new.
 
         Only then are graces reckoned anew: peers say the same in each status.
@@ -366,18 +368,18 @@
         of that: a replica that was taken away ends `drain_ms` after the former, and
         calls reached it up to 1.9 s past that when they counted from the latter.
         """
-        serves_ms = max(self._drain_ms - SEND_MS, 0.0)
+        serves_ms = max(self._drain_ms - SEND_MARGIN_MS, 0.0)
         end_ms = float("-inf")
         if removal.is_mass:
             end_ms = removal.listed_ms + serves_ms
         absence = self._absence
         # What had left before the store was away has not lapsed.
         if absence is not None and removal.listed_ms >= absence.before_ms:
-            grace_ms = min(LAPSE_GRACE_MS, serves_ms - RETURN_SEEN_MS)
+            grace_ms = min(EXPIRY_GRACE_MS, serves_ms - RETURN_DETECTION_MS)
             end_ms = max(end_ms, absence.returned_ms + grace_ms)
         return end_ms
 
-    def note_replaced(self, name: EndpointName, now_ms: float) -> None:
+    def record_replaced(self, name: EndpointName, now_ms: float) -> None:
         """Take in that another replica answers at this one's address."""
         known = self._known.get(name)
         if known is not None:
--- a/packages/toucanyard/src/toucanyard/request_guard.py
+++ b/packages/toucanyard/src/toucanyard/request_guard.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
+from toucanyard.crash_detector import CrashDetector, Reachability
 from toucanyard.crash_ledger import CrashLedger, Suspicion
-from toucanyard.crash_watch import CrashWatch, Reach
 from toucanyard.link_messages import LostRun, ReplicaCrash, RequestSurvival
 from toucanyard.names import EndpointName, Fingerprint
 from toucanyard.quarantine import (
@@ -34,8 +34,8 @@
 """When to ask again for a request under quarantine; by then it may be released."""
 SUSPECT_RETRY_MS: Final = 500
 """When to ask again for a suspect that is being run; by then more is known of it."""
-WATCHFUL: Final = GuardPolicy()
-MAX_NOTED: Final = 8
+DEFAULT_POLICY: Final = GuardPolicy()
+MAX_LOGGED: Final = 8
 """Fingerprints in a log line."""
 
 
@@ -60,7 +60,7 @@
         "_policy",
         "ledger",
         "quarantine",
-        "watch",
+        "detector",
     )
 
     def __init__(
@@ -68,13 +68,13 @@
         directory: ReplicaDirectory,
         find_rank: FindRank,
         rng: random.Random,
-        policy: GuardPolicy = WATCHFUL,
+        policy: GuardPolicy = DEFAULT_POLICY,
     ) -> None:
         self._policy = policy
         self._directory = directory
         self._find_rank = find_rank
         self.ledger = CrashLedger()
-        self.watch = CrashWatch(directory)
+        self.detector = CrashDetector(directory)
         self.quarantine = Quarantine(find_rank, rng)
         self._notes: list[Note] = []
         self._is_urgent = False
@@ -94,9 +94,9 @@
             suspicion = self.ledger.judge(fingerprint, now_ms)
             if suspicion is Suspicion.NONE:
                 return None
-            if suspicion is not Suspicion.GUILTY:
+            if suspicion is not Suspicion.CONFIRMED:
                 return self._check_suspect(fingerprint, suspicion, is_running, now_ms)
-            entry = self._begin(request, now_ms)
+            entry = self._begin_quarantine(request, now_ms)
         self.quarantine.record_refusal(entry, now_ms)
         count = len(entry.request.replicas)
         text = f"{fingerprint} is under quarantine: {count} replicas crashed under it"
@@ -104,7 +104,7 @@
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
         """Tell whether more than one replica has crashed under a request."""
-        return len(self.ledger.list_charges(fingerprint)) > 1
+        return len(self.ledger.list_attributed_crashes(fingerprint)) > 1
 
     def on_dispatch_ended(
         self,
@@ -115,18 +115,20 @@
     ) -> None:
         """Learn from the end of a dispatch that was sent at `sent_ms`."""
         if outcome.ending is EndingSeen.COMPLETED:
-            self.watch.record_answer(
+            self.detector.record_answer(
                 outcome.replica, request.fingerprint, sent_ms, now_ms
             )
-        elif self.watch.record_outcome(outcome, request.fingerprint, sent_ms, now_ms):
-            self._charge_losses(outcome.replica, now_ms)
+        elif self.detector.record_outcome(
+            outcome, request.fingerprint, sent_ms, now_ms
+        ):
+            self._attribute_losses(outcome.replica, now_ms)
 
     def on_probe(
-        self, replica: EndpointName, reach: Reach, asked_ms: float, now_ms: float
+        self, replica: EndpointName, reach: Reachability, asked_ms: float, now_ms: float
     ) -> None:
         """Learn from what a probe of a replica found."""
-        if self.watch.record_probe(replica, reach, asked_ms):
-            self._charge_losses(replica, now_ms)
+        if self.detector.record_probe(replica, reach, asked_ms):
+            self._attribute_losses(replica, now_ms)
 
     def apply_gossip(
         self,
@@ -141,12 +143,12 @@
 
         `is_relayed` tells whether this node is to tell its own peers of it.
         """
-        is_news = False
+        has_changed = False
         if not self._policy.shares:
-            return is_news
+            return has_changed
         for crash in crashes:
             at_ms = now_ms - crash.age_ms
-            is_news |= self._add_crash(
+            has_changed |= self._add_crash(
                 crash.replica,
                 at_ms,
                 crash.runs,
@@ -154,13 +156,13 @@
                 now_ms,
                 is_shared=is_relayed,
             )
-            self._charge_losses(crash.replica, now_ms)
+            self._attribute_losses(crash.replica, now_ms)
         for survival in survivals:
             at_ms = now_ms - survival.age_ms
-            is_news |= self._record_survival(
+            has_changed |= self._record_survival(
                 survival.fingerprint, at_ms, source, now_ms, is_shared=is_relayed
             )
-        return is_news
+        return has_changed
 
     def apply_record(
         self, request: QuarantinedRequest, source: str, now_ms: float
@@ -172,26 +174,26 @@
     def on_record_removed(self, request: QuarantinedRequest) -> None:
         """End the entry whose record has left the log."""
         if self.quarantine.on_record_removed(request.fingerprint):
-            self.ledger.acquit(request.fingerprint)
+            self.ledger.clear(request.fingerprint)
             self._log("quarantine_ended", request, reason="removed from the log")
 
     def release(self, release: Release, now_ms: float) -> None:
         """End the entry that an operator releases."""
         entry = self.quarantine.find(release.fingerprint)
         if self.quarantine.release(release, now_ms) and entry is not None:
-            self.ledger.acquit(release.fingerprint)
+            self.ledger.clear(release.fingerprint)
             self._log("quarantine_ended", entry.request, reason="released")
 
     def tick(self, now_ms: float) -> None:
         """Find replicas that were replaced, and requests that have survived."""
-        for replica in self.watch.find_replaced(now_ms):
-            self._charge_losses(replica, now_ms)
-        for each in self.watch.take_survivals(now_ms):
+        for replica in self.detector.find_replaced(now_ms):
+            self._attribute_losses(replica, now_ms)
+        for each in self.detector.take_survivals(now_ms):
             self._is_urgent |= self._record_survival(
                 each.fingerprint, each.at_ms, "own", now_ms, is_shared=True
             )
 
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Tell whether there is something to log or to tell peers."""
         return self._is_urgent or bool(self._notes)
 
@@ -216,7 +218,7 @@
             text = f"replicas have just ended under {fingerprint}"
         elif self.ledger.has_survived(fingerprint):
             return None
-        elif self.watch.has_open_loss(fingerprint):
+        elif self.detector.has_unresolved_loss(fingerprint):
             text = f"a replica may just have ended under {fingerprint}"
         elif suspicion is Suspicion.PROBATION and self._find_rank(fingerprint, now_ms):
             text = f"replicas ended under {fingerprint}, which another node runs again"
@@ -226,22 +228,22 @@
             return None
         return Rejection(text, SUSPECT_RETRY_MS)
 
-    def _begin(self, request: RelayRequest, now_ms: float) -> Entry:
+    def _begin_quarantine(self, request: RelayRequest, now_ms: float) -> Entry:
         entry = self.quarantine.begin(
             request.fingerprint,
             request.customer,
             request.route,
-            self.ledger.list_charges(request.fingerprint),
+            self.ledger.list_attributed_crashes(request.fingerprint),
             now_ms,
         )
         self._log("request_quarantined", entry.request, source="own")
         return entry
 
-    def _charge_losses(self, replica: EndpointName, now_ms: float) -> None:
+    def _attribute_losses(self, replica: EndpointName, now_ms: float) -> None:
         """Charge the requests that were lost at a life that is over."""
-        self.watch.mark_ended(replica)
-        losses = self.watch.take_losses(replica)
-        answered = self.watch.take_answered(replica)
+        self.detector.mark_ended(replica)
+        losses = self.detector.take_losses(replica)
+        answered = self.detector.take_answered(replica)
         known_ms = self.ledger.find_crash_time(replica)
         if known_ms is None and not losses:
             return
@@ -274,7 +276,7 @@
                 "replica": replica,
                 "age_ms": round(now_ms - at_ms),
                 "count": len(added),
-                "requests": ",".join(added[:MAX_NOTED]),
+                "requests": ",".join(added[:MAX_LOGGED]),
                 "source": source,
             }
             self._notes.append(Note("replica_crashed", fields))
@@ -305,7 +307,7 @@
         }
         self._notes.append(Note("suspect_survived", fields))
         entry = self.quarantine.find(fingerprint)
-        is_cleared = self.ledger.judge(fingerprint, now_ms) is not Suspicion.GUILTY
+        is_cleared = self.ledger.judge(fingerprint, now_ms) is not Suspicion.CONFIRMED
         if entry is not None and is_cleared:
             self.quarantine.end(fingerprint, now_ms)
             self._log("quarantine_ended", entry.request, reason="a replica survived it")
@@ -317,6 +319,6 @@
             "entry": request.entry_id,
             "customer": request.customer,
             "route": request.route,
-            "replicas": ",".join(request.replicas[-MAX_NOTED:]),
+            "replicas": ",".join(request.replicas[-MAX_LOGGED:]),
         }
         self._notes.append(Note(event, known | fields))
--- a/packages/toucanyard/src/toucanyard/rollout_leader.py
+++ b/packages/toucanyard/src/toucanyard/rollout_leader.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from toucanyard.names import EndpointName, NodeId
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.relay_events import (
     AppendTurn,
     OrderAnswered,
@@ -23,7 +24,6 @@
 from toucanyard.relay_policy import RolloutPolicy
 from toucanyard.replica_uses import ReplicaUses
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
-from toucanyard.roster import Roster
 from toucanyard.turns import MAX_FOLLOWERS, Turns
 from toucanyard.weights_goals import Goal, WeightsGoals
 from toucanyard.weights_rollout import (
@@ -77,7 +77,7 @@
         timings: WeightsTimings,
         directory: ReplicaDirectory,
         goals: WeightsGoals,
-        roster: Roster,
+        node_directory: NodeDirectory,
         uses: ReplicaUses,
         policy: RolloutPolicy,
     ) -> None:
@@ -86,7 +86,7 @@
         self._identity = identity
         self._directory = directory
         self._goals = goals
-        self._roster = roster
+        self._roster = node_directory
         self._uses = uses
         self._turns = Turns(identity, float(timings.lease_ms))
         self._rollouts: dict[str, WeightsRollout] = {}
@@ -215,7 +215,7 @@
         replica, born_ms = known.replica, read.state.born_ms
         if replica.born_ms is None or replica.born_ms == born_ms:
             return False
-        self._directory.note_life(replica.listed_as, born_ms, now_ms)
+        self._directory.record_incarnation(replica.listed_as, born_ms, now_ms)
         return True
 
     def _find_behind(self, now_ms: float) -> list[KnownReplica]:
--- a/packages/toucanyard/src/toucanyard/seen_updates.py
+++ b/packages/toucanyard/src/toucanyard/seen_updates.py
@@ -19,13 +19,13 @@
 
 
 class SeenUpdates:
-    """The newest ids that were added. Invariant: there are never more than `most`."""
+    """The ids added last; there are never more than `capacity`."""
 
-    __slots__ = ("_ids", "_most")
+    __slots__ = ("_ids", "_capacity")
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, capacity: int) -> None:
         self._ids: dict[int, None] = {}
-        self._most = most
+        self._capacity = capacity
 
     def __contains__(self, number: int) -> bool:
         return number in self._ids
@@ -33,5 +33,5 @@
     def add(self, number: int) -> None:
         """Remember an id and forget the oldest one beyond the bound."""
         self._ids[number] = None
-        if len(self._ids) > self._most:
+        if len(self._ids) > self._capacity:
             del self._ids[next(iter(self._ids))]
--- a/packages/toucanyard/src/toucanyard/shared_limits.py
+++ b/packages/toucanyard/src/toucanyard/shared_limits.py
@@ -60,9 +60,9 @@
         """Return what this node knows of the limits of which it is the home."""
         return self._exchanges[kind].list_uses()
 
-    def note_links(self, names: Collection[NodeName], now_ms: float) -> None:
+    def record_links(self, names: Collection[NodeName], now_ms: float) -> None:
         """Take in which peers are linked now."""
-        self._homes.note_links(names, now_ms)
+        self._homes.record_links(names, now_ms)
 
     def read_pledge(self, sender: NodeName, pledge: Pledge, now_ms: float) -> None:
         """Take in to whom a peer's group gives its shares."""
--- a/packages/toucanyard/src/toucanyard/status_exchange.py
+++ b/packages/toucanyard/src/toucanyard/status_exchange.py
@@ -19,32 +19,32 @@
     Coverage,
     GoalAge,
     NodeStatus,
+    PromptStoreUpdate,
     ReadPart,
-    StoreNews,
 )
 from toucanyard.names import NodeName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.part_reports import PartReports
 from toucanyard.relay_events import SendToPeer
 from toucanyard.replica_gossip import ReplicaGossip
 from toucanyard.replica_limits import ReplicaLimits
 from toucanyard.replica_uses import FLEET, ReplicaUses
 from toucanyard.request_guard import RequestGuard
-from toucanyard.roster import Roster
 from toucanyard.status_schedule import URGENT_MS, Audience, StatusSchedule
 from toucanyard.view_exchange import ViewExchange
 from toucanyard.weights_goals import WeightsGoals
 
-LARGE_TOKENS: Final = 500
+MIN_SHARED_TOKENS: Final = 500
 """Least tokens of a part that peers are told of in a fleet that is not meshed: there
 are thousands of small ones a second, and reading one again costs little."""
-NODES_MS: Final = 1_000.0
+NODE_LIST_MS: Final = 1_000.0
 """Time between two lists of the nodes that are alive, if none has changed."""
 LINK_SHARE: Final = 0.15
 """Share of a hub's link that its statuses may take; calls need the rest."""
 MAX_FULL_MS: Final = 1_000.0
 """Longest time between two full statuses; uses are kept for half as long again."""
 BYTES_PER_MBPS_MS: Final = 125.0
-USE_BYTES: Final = 22
+USAGE_BYTES: Final = 22
 """Size of an entry as it is sent, by the mean of a large fleet."""
 
 
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        roster: Roster,
+        node_directory: NodeDirectory,
         views: ViewExchange,
         uses: ReplicaUses,
         reports: PartReports,
@@ -65,12 +65,12 @@
         replica_limits: ReplicaLimits,
         guard: RequestGuard,
         goals: WeightsGoals,
-        list_stores: Callable[[float], Iterable[StoreNews]],
+        list_stores: Callable[[float], Iterable[PromptStoreUpdate]],
         link_mbps: float,
         find_pledge: Callable[[], Pledge | None] = lambda: None,
     ) -> None:
         self._find_pledge = find_pledge
-        self._roster = roster
+        self._node_directory = node_directory
         self._views = views
         self._uses = uses
         self._reports = reports
@@ -80,32 +80,32 @@
         self._goals = goals
         self._list_stores = list_stores
         self._link_mbps = link_mbps
-        self._leaves: set[NodeName] = set()
+        self._members: set[NodeName] = set()
         """The nodes that report to this one."""
-        self._far_reports = PartReports()
+        self._remote_reports = PartReports()
         """Parts of which other hubs told, for the nodes that report to this one."""
         self._schedule = StatusSchedule()
         self._full_ms = dict.fromkeys(Audience, float("-inf"))
         self._full_bytes = 0
-        self._nodes_ms = dict.fromkeys(Audience, float("-inf"))
+        self._node_list_ms = dict.fromkeys(Audience, float("-inf"))
         self._peers: frozenset[NodeName] = frozenset()
         """The linked peers that are told of this node's group."""
 
-    def note_due(self) -> None:
+    def mark_due(self) -> None:
         """Let the next status that tells of this node go out at once."""
-        self._schedule.note_due(Audience.PEERS)
+        self._schedule.mark_due(Audience.PEERS)
 
     def has_group(self) -> bool:
         """Tell whether other nodes report to this one."""
-        return bool(self._leaves)
+        return bool(self._members)
 
     def count_group(self) -> int:
         """Return how many nodes this one reports for, itself included."""
-        return 1 + len(self._leaves)
+        return 1 + len(self._members)
 
-    def note_links(self, names: Collection[NodeName]) -> None:
+    def record_links(self, names: Collection[NodeName]) -> None:
         """Take in which peers are linked now."""
-        self._leaves.intersection_update(names)
+        self._members.intersection_update(names)
         # What a hub told of the fleet counts on while another one takes its place.
         for name in set(self._uses.list_peers()).difference(names, (FLEET,)):
             self._uses.forget_peer(name)
@@ -115,7 +115,7 @@
         # Each link that a hub gets while all nodes start is no news to other hubs.
         if peers != self._peers:
             self._peers = peers
-            self._schedule.note_due(Audience.PEERS)
+            self._schedule.mark_due(Audience.PEERS)
 
     def find_targets(
         self,
@@ -129,31 +129,34 @@
         `is_polled` tells that peers, which poll for it too, have it at the same time.
         """
         linked = self._views.linked
-        if self._roster.is_full_mesh():
+        if self._node_directory.is_full_mesh():
             return [] if sender is not None else list(linked)
         if topic is Topic.OPERATOR and (
-            is_polled or (sender is not None and not self._roster.plan.is_hub())
+            is_polled or (sender is not None and not self._node_directory.plan.is_hub())
         ):
             # Whoever can't poll shows in its status.
             return []
-        if sender in self._roster.plan.hubs and self._roster.plan.is_hub():
+        if (
+            sender in self._node_directory.plan.hubs
+            and self._node_directory.plan.is_hub()
+        ):
             # Hubs are meshed: the sender has told the others.
-            return sorted(self._leaves - {sender})
-        primary = self._roster.find_primary()
+            return sorted(self._members - {sender})
+        primary = self._node_directory.find_primary()
         return [
             name
             for name in linked
             if name != sender
-            and (name in self._leaves or name == primary or self._is_hub_pair(name))
+            and (name in self._members or name == primary or self._is_hub_pair(name))
         ]
 
     def tick(self, is_ready: bool, now_ms: float) -> Iterator[SendToPeer]:
         """Send what is due."""
-        is_full_mesh = self._roster.is_full_mesh()
+        is_full_mesh = self._node_directory.is_full_mesh()
         if not is_full_mesh:
-            self._note_urgent()
+            self._mark_urgent()
         # Hubs report for others, whose calls end and begin all the time.
-        is_quiet = not self._leaves and not self._uses.has_news()
+        is_quiet = not self._members and not self._uses.has_updates()
         audiences = self._schedule.find_due(
             now_ms, is_full_mesh=is_full_mesh, is_quiet=is_quiet
         )
@@ -164,60 +167,64 @@
         """Send a status to every peer."""
         yield from self._send(set(Audience), is_ready, now_ms)
 
-    def _note_urgent(self) -> None:
+    def _mark_urgent(self) -> None:
         if self._reports.is_urgent or self._uses.is_urgent:
-            self._schedule.note_due(Audience.PEERS)
-        if self._far_reports.is_urgent:
-            self._schedule.note_due(Audience.GROUP)
+            self._schedule.mark_due(Audience.PEERS)
+        if self._remote_reports.is_urgent:
+            self._schedule.mark_due(Audience.GROUP)
 
     def _send(
         self, audiences: set[Audience], is_ready: bool, now_ms: float
     ) -> Iterator[SendToPeer]:
-        self._roster.is_ready = is_ready
+        self._node_directory.is_ready = is_ready
         if Audience.PEERS in audiences:
             # What peers are told of this node's group the group is told with it.
             audiences.add(Audience.GROUP)
         for each in audiences:
-            self._schedule.note_sent(each, now_ms)
-        if not self._roster.is_full_mesh():
+            self._schedule.record_sent(each, now_ms)
+        if not self._node_directory.is_full_mesh():
             yield from self._send_planned(audiences, now_ms)
         elif Audience.PEERS in audiences:
             yield from self._send_meshed(now_ms)
 
     def read(self, sender: NodeName, status: NodeStatus, now_ms: float) -> None:
         """Take in what a peer says of nodes, their calls and the store."""
-        is_node_news = self._roster.note_status(sender, status.is_ready, now_ms)
+        has_node_updates = self._node_directory.record_status(
+            sender, status.is_ready, now_ms
+        )
         if status.is_report:
-            self._leaves.add(sender)
-        elif sender in self._leaves:
-            self._leaves.discard(sender)
+            self._members.add(sender)
+        elif sender in self._members:
+            self._members.discard(sender)
             self._uses.forget_peer(sender)
         if status.nodes is not None:
-            is_node_news |= self._roster.note_told(sender, status.nodes, now_ms)
+            has_node_updates |= self._node_directory.record_hub_report(
+                sender, status.nodes, now_ms
+            )
         has_long_call = False
         match status.covers:
             case Coverage.GROUP:
                 has_long_call = self._uses.apply_peer(sender, status.uses, now_ms)
-            case Coverage.FLEET if sender == self._roster.find_primary():
+            case Coverage.FLEET if sender == self._node_directory.find_primary():
                 self._uses.apply_fleet(status.uses, now_ms)
-        self._pass_on_parts(sender, status.parts, now_ms)
+        self._forward_parts(sender, status.parts, now_ms)
         for each in status.goals:
             self._goals.note_age(each.model, each.version, each.age_ms, now_ms)
-        self._gossip.apply_lives(status.lives, now_ms)
-        is_replica_news = self._gossip.apply(status.news, now_ms)
-        is_replica_news |= self._guard.apply_gossip(
+        self._gossip.apply_restarts(status.restarts, now_ms)
+        has_replica_updates = self._gossip.apply(status.replica_updates, now_ms)
+        has_replica_updates |= self._guard.apply_gossip(
             status.crashes,
             status.survivals,
             sender,
             now_ms,
-            is_relayed=not self._roster.is_full_mesh(),
+            is_relayed=not self._node_directory.is_full_mesh(),
         )
-        if is_node_news or is_replica_news or has_long_call:
-            self._pass_on_news(sender, is_node_news=is_node_news)
+        if has_node_updates or has_replica_updates or has_long_call:
+            self._forward_updates(sender, has_node_updates=has_node_updates)
 
-    def _pass_on_news(self, sender: NodeName, *, is_node_news: bool) -> None:
+    def _forward_updates(self, sender: NodeName, *, has_node_updates: bool) -> None:
         """Let those be told at once who didn't hear it from where this node did."""
-        if self._roster.is_full_mesh():
+        if self._node_directory.is_full_mesh():
             return
         match self._find_audience(sender):
             case Audience.PEERS:
@@ -227,16 +234,16 @@
             case Audience.STANDBY:
                 # The hub that the sender reports to tells all others.
                 return
-        self._schedule.note_due(*others)
-        if is_node_news:
-            self._nodes_ms.update(dict.fromkeys(others, float("-inf")))
+        self._schedule.mark_due(*others)
+        if has_node_updates:
+            self._node_list_ms.update(dict.fromkeys(others, float("-inf")))
 
-    def _pass_on_parts(
+    def _forward_parts(
         self, sender: NodeName, parts: Iterable[ReadPart], now_ms: float
     ) -> None:
-        if not self._leaves:
+        if not self._members:
             return
-        reports = self._reports if sender in self._leaves else self._far_reports
+        reports = self._reports if sender in self._members else self._remote_reports
         for each in parts:
             ready_ms = now_ms + each.ready_in_ms
             reports.note(
@@ -250,7 +257,7 @@
 
     def _send_meshed(self, now_ms: float) -> Iterator[SendToPeer]:
         status = msgspec.structs.replace(
-            self._build_light(now_ms),
+            self._build_base(now_ms),
             covers=Coverage.GROUP,
             uses=self._uses.report(),
             parts=self._reports.take(0, now_ms),
@@ -262,87 +269,90 @@
     def _send_planned(
         self, audiences: set[Audience], now_ms: float
     ) -> Iterator[SendToPeer]:
-        light = self._build_light(now_ms)
-        messages = {Audience.STANDBY: light}
+        base = self._build_base(now_ms)
+        messages = {Audience.STANDBY: base}
         parts: tuple[ReadPart, ...] = ()
         if Audience.PEERS in audiences:
-            parts = self._reports.take(LARGE_TOKENS, now_ms)
-            messages[Audience.PEERS] = self._build_group(light, parts, now_ms)
-        if Audience.GROUP in audiences and self._leaves:
-            parts += self._far_reports.take(LARGE_TOKENS, now_ms)
-            messages[Audience.GROUP] = self._build_fleet(light, parts, now_ms)
+            parts = self._reports.take(MIN_SHARED_TOKENS, now_ms)
+            messages[Audience.PEERS] = self._build_group(base, parts, now_ms)
+        if Audience.GROUP in audiences and self._members:
+            parts += self._remote_reports.take(MIN_SHARED_TOKENS, now_ms)
+            messages[Audience.GROUP] = self._build_fleet(base, parts, now_ms)
         for name in self._views.linked:
             audience = self._find_audience(name)
             if audience in audiences:
                 yield SendToPeer(name, messages[audience])
 
     def _build_group(
-        self, light: NodeStatus, parts: tuple[ReadPart, ...], now_ms: float
+        self, base: NodeStatus, parts: tuple[ReadPart, ...], now_ms: float
     ) -> NodeStatus:
         """Return what peers are told of this node and those that report to it."""
-        primary = self._roster.find_primary()
+        primary = self._node_directory.find_primary()
         full_ms = self._find_full_interval()
         changes: dict[str, object] = {"parts": parts, "is_report": primary is not None}
         changes["pledge"] = self._find_pledge()
-        if _take_turn(self._nodes_ms, Audience.PEERS, NODES_MS, now_ms):
-            nodes = self._roster.list_heard(sorted(self._leaves), now_ms)
+        if _start_interval(self._node_list_ms, Audience.PEERS, NODE_LIST_MS, now_ms):
+            nodes = self._node_directory.list_responsive(sorted(self._members), now_ms)
             changes["nodes"] = tuple(nodes)
-        if _take_turn(self._full_ms, Audience.PEERS, full_ms, now_ms):
+        if _start_interval(self._full_ms, Audience.PEERS, full_ms, now_ms):
             own = self._uses.report()
-            group = self._leaves - {primary}
+            group = self._members - {primary}
             changes["covers"] = Coverage.GROUP
             changes["uses"] = self._uses.sum_group(own, group, now_ms)
-        return msgspec.structs.replace(light, **changes)
+        return msgspec.structs.replace(base, **changes)
 
     def _build_fleet(
-        self, light: NodeStatus, parts: tuple[ReadPart, ...], now_ms: float
+        self, base: NodeStatus, parts: tuple[ReadPart, ...], now_ms: float
     ) -> NodeStatus:
         """Return what the nodes that report to this one are told of all nodes."""
         full_ms = self._find_full_interval()
         changes: dict[str, object] = {"parts": parts}
-        if _take_turn(self._nodes_ms, Audience.GROUP, NODES_MS, now_ms):
-            changes["nodes"] = tuple(self._roster.list_alive(now_ms))
-        if _take_turn(self._full_ms, Audience.GROUP, full_ms, now_ms):
+        if _start_interval(self._node_list_ms, Audience.GROUP, NODE_LIST_MS, now_ms):
+            changes["nodes"] = tuple(self._node_directory.list_alive(now_ms))
+        if _start_interval(self._full_ms, Audience.GROUP, full_ms, now_ms):
             peers = list(self._uses.list_peers())
             uses = self._uses.sum_group(self._uses.list_own(), peers, now_ms)
             changes["covers"] = Coverage.FLEET
             changes["uses"] = uses
-            self._full_bytes = len(uses) * USE_BYTES
-        return msgspec.structs.replace(light, **changes)
+            self._full_bytes = len(uses) * USAGE_BYTES
+        return msgspec.structs.replace(base, **changes)
 
     def _find_audience(self, name: NodeName) -> Audience:
-        if self._roster.is_full_mesh() or name == self._roster.find_primary():
+        if (
+            self._node_directory.is_full_mesh()
+            or name == self._node_directory.find_primary()
+        ):
             return Audience.PEERS
-        if name in self._leaves:
+        if name in self._members:
             return Audience.GROUP
         return Audience.PEERS if self._is_hub_pair(name) else Audience.STANDBY
 
-    def _build_light(self, now_ms: float) -> NodeStatus:
+    def _build_base(self, now_ms: float) -> NodeStatus:
         return NodeStatus(
-            is_ready=self._roster.is_ready,
+            is_ready=self._node_directory.is_ready,
             views=self._views.list_statuses(now_ms),
-            news=tuple(self._gossip.list_news(now_ms)),
+            replica_updates=tuple(self._gossip.list_updates(now_ms)),
             goals=tuple(GoalAge(*each) for each in self._goals.list_recent(now_ms)),
             stores=tuple(self._list_stores(now_ms)),
             covers=Coverage.NOBODY,
-            lives=tuple(self._gossip.list_lives(now_ms)),
+            restarts=tuple(self._gossip.list_restarts(now_ms)),
             crashes=tuple(self._guard.ledger.list_crashes(now_ms)),
             survivals=tuple(self._guard.ledger.list_survivals(now_ms)),
-            replica_limits=tuple(self._replica_limits.list_news(now_ms)),
+            replica_limits=tuple(self._replica_limits.list_updates(now_ms)),
         )
 
     def _is_hub_pair(self, name: NodeName) -> bool:
-        plan = self._roster.plan
+        plan = self._node_directory.plan
         return plan.is_hub() and name in plan.hubs
 
     def _find_full_interval(self) -> float:
         """Return the time between two full statuses, which a hub's link must carry."""
         bytes_per_ms = self._link_mbps * BYTES_PER_MBPS_MS * LINK_SHARE
-        needed_ms = len(self._leaves) * self._full_bytes / max(bytes_per_ms, 1.0)
+        needed_ms = len(self._members) * self._full_bytes / max(bytes_per_ms, 1.0)
         return min(max(needed_ms, URGENT_MS), MAX_FULL_MS)
 
 
-def _take_turn(
+def _start_interval(
     last_ms: dict[Audience, float],
     audience: Audience,
     interval_ms: float,
--- a/packages/toucanyard/src/toucanyard/status_schedule.py
+++ b/packages/toucanyard/src/toucanyard/status_schedule.py
@@ -41,11 +41,11 @@
         self._sent_ms = dict.fromkeys(Audience, float("-inf"))
         self._due: set[Audience] = set()
 
-    def note_due(self, *audiences: Audience) -> None:
+    def mark_due(self, *audiences: Audience) -> None:
         """Let the next status to some audiences go out as soon as it may."""
         self._due.update(audiences)
 
-    def note_sent(self, audience: Audience, now_ms: float) -> None:
+    def record_sent(self, audience: Audience, now_ms: float) -> None:
         """Note that an audience is being sent a status."""
         self._sent_ms[audience] = now_ms
         self._due.discard(audience)
--- a/packages/toucanyard/src/toucanyard/store_reads.py
+++ b/packages/toucanyard/src/toucanyard/store_reads.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from toucanyard.keyed_view import Topic
-from toucanyard.roster import Roster
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.store_schedule import (
     LATE_MS,
     MAX_ASKING_RANK,
@@ -25,8 +25,8 @@
 
     __slots__ = ("_asked_ms", "_exchange", "_outdated", "_roster")
 
-    def __init__(self, roster: Roster, exchange: ViewExchange) -> None:
-        self._roster = roster
+    def __init__(self, node_directory: NodeDirectory, exchange: ViewExchange) -> None:
+        self._roster = node_directory
         self._exchange = exchange
         self._asked_ms = dict.fromkeys(Topic, float("-inf"))
         self._outdated: set[Topic] = set()
--- a/packages/toucanyard/src/toucanyard/topic_intake.py
+++ b/packages/toucanyard/src/toucanyard/topic_intake.py
@@ -13,9 +13,9 @@
 from toucanyard.known_facts import KnownFacts
 from toucanyard.link_messages import ViewRecords, ViewStatus
 from toucanyard.names import NodeName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.relay_events import Note, RelayAction, TopicRead
 from toucanyard.replicas import ReplicaDirectory
-from toucanyard.roster import Roster
 from toucanyard.status_exchange import StatusExchange
 from toucanyard.view_exchange import ViewExchange
 
@@ -45,14 +45,14 @@
         exchange: ViewExchange,
         facts: KnownFacts,
         directory: ReplicaDirectory,
-        roster: Roster,
+        node_directory: NodeDirectory,
         statuses: StatusExchange,
         weights_deadline_ms: float,
     ) -> None:
         self._exchange = exchange
         self._facts = facts
         self._directory = directory
-        self._roster = roster
+        self._roster = node_directory
         self._statuses = statuses
         self._known_ms = weights_deadline_ms / 2
         """For how long wanted weights count as named that stood in the store before
@@ -64,7 +64,7 @@
         before, listed_ms = view.end, view.confirmed_ms
         if read.topic is Topic.REPLICAS and not self._roster.is_full_mesh():
             # All nodes rely on the reader's word that the list is as it was.
-            self._statuses.note_due()
+            self._statuses.mark_due()
         changes = self._exchange.apply_read(
             read.topic,
             read.records,
@@ -113,7 +113,7 @@
     def _note_contact(self) -> Iterator[RelayAction]:
         """Let replicas that left the list count by what is known of the store now."""
         absence = self._exchange.views[Topic.REPLICAS].contact.find_absence()
-        if not self._directory.note_absence(absence):
+        if not self._directory.record_absence(absence):
             return
         if absence is None:
             yield Note("store_was_there", {})
--- a/packages/toucanyard/src/toucanyard/usable_endpoints.py
+++ b/packages/toucanyard/src/toucanyard/usable_endpoints.py
@@ -46,7 +46,7 @@
         """Return the endpoints at some of the pool's addresses."""
         return {name for address in addresses for name in self._by_address[address]}
 
-    def take_out(self, unusable: set[EndpointName]) -> Sequence[Endpoint]:
+    def exclude(self, unusable: set[EndpointName]) -> Sequence[Endpoint]:
         """Return the endpoints but for some; the same object while these are same."""
         if unusable != self.unusable:
             self.unusable = unusable
--- a/packages/toucanyard/src/toucanyard/vm_view.py
+++ b/packages/toucanyard/src/toucanyard/vm_view.py
@@ -75,12 +75,12 @@
             # that it does give are followed.
             known = {vm.name: vm for vm in self._vms}
             known.update({vm.name: vm for vm in vms})
-            self._keep(known.values())
+            self._store(known.values())
             return
         if len(self._gone) > _MAX_GONE:
             self._gone.clear()
         self._gone = (self._gone | (before - listed)) - listed
-        self._keep(vms)
+        self._store(vms)
         self.read_ms = now_ms
 
     def is_gone(self, address: Address) -> bool:
@@ -99,7 +99,7 @@
         """Return the live VMs that run a node, by name; the same object for a list."""
         return self._nodes
 
-    def _keep(self, vms: Iterable[Vm]) -> None:
+    def _store(self, vms: Iterable[Vm]) -> None:
         self._vms = tuple(vms)
         nodes = [
             vm for vm in self._vms if vm.runs == "node" and vm.state is VmState.LIVE
--- a/packages/toucanyard/src/toucanyard/weights_rollout.py
+++ b/packages/toucanyard/src/toucanyard/weights_rollout.py
@@ -217,7 +217,7 @@
             state = None if change.report is None else change.report.state
             if state is not None:
                 for loaded, loaded_version in state.weights:
-                    known.note_weights(loaded, loaded_version)
+                    known.record_weights(loaded, loaded_version)
             is_busy = state is not None and state.is_busy
             is_done = known.weights.get(model, 0) >= change.version and not is_busy
             since_ms = change.ordered_ms or change.announced_ms
--- a/tests/toucanyard/crash_fleet.py
+++ b/tests/toucanyard/crash_fleet.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from toucanyard.crash_watch import Reach
+from toucanyard.crash_detector import Reachability
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.names import (
     Address,
@@ -56,7 +56,7 @@
 
 STEP_MS = 5.0
 TICK_MS = 25.0
-WAY_MS = 2.0
+LATENCY_MS = 2.0
 START_MS = 30.0
 """From a call's arrival at a replica until it begins to run."""
 CRASH_MS = 60.0
@@ -143,7 +143,7 @@
         engine.is_up = False
         self.crashes.append((self.now_ms, engine.name))
         for call in list(engine.calls.values()):
-            self.after(WAY_MS, lambda call=call: self.lose(call, engine.name))  # type: ignore[misc]
+            self.after(LATENCY_MS, lambda call=call: self.lose(call, engine.name))  # type: ignore[misc]
         engine.calls.clear()
         self.after(BACK_MS, lambda: self._start(address))
         self.after(LAPSE_MS, lambda: self._append(engine.name, None))
@@ -162,7 +162,7 @@
         )
         self.handle(call.node, DispatchEnded(outcome))
 
-    def _reach(self, call: Call, dispatch: RelayDispatch) -> None:
+    def _deliver_call(self, call: Call, dispatch: RelayDispatch) -> None:
         engine = self.engines[dispatch.address]
         outcome = None
         request_id = call.request.request_id
@@ -226,11 +226,11 @@
             case RelayReply(request_id=request_id, verdict=verdict):
                 call = self._by_id.get(request_id)
                 if call is not None and call.ending is None:
-                    self._take(call, verdict)
+                    self._apply_verdict(call, verdict)
             case ReadReplicaState():
                 self.probes += 1
                 asked_ms = self.now_ms
-                self.after(WAY_MS, lambda: self._report(name, action, asked_ms))
+                self.after(LATENCY_MS, lambda: self._report(name, action, asked_ms))
             case WriteQuarantine(request=request):
                 self._put(name, request.fingerprint, request)
             case EraseQuarantine(fingerprint=fingerprint):
@@ -238,11 +238,11 @@
 
     def _report(self, node: NodeName, read: ReadReplicaState, asked_ms: float) -> None:
         engine = self.engines[read.address]
-        state, reach = None, Reach.NO_LISTENER
+        state, reach = None, Reachability.NO_LISTENER
         if engine.is_up:
-            reach = Reach.REPLACED
+            reach = Reachability.REPLACED
         if engine.is_up and str(engine.name) == str(read.listed_as):
-            state, reach = ReplicaState((), False, 0, 0, 0), Reach.ANSWERED
+            state, reach = ReplicaState((), False, 0, 0, 0), Reachability.ANSWERED
         self.handle(node, ReplicaStateRead(read.replica, state, asked_ms, reach))
 
     def _put(
@@ -264,7 +264,7 @@
             if request is None
             else QuarantineWritten(fingerprint)
         )
-        self.after(WAY_MS, lambda: self.handle(node, written))
+        self.after(LATENCY_MS, lambda: self.handle(node, written))
 
     def _read_nodes(self, name: NodeName) -> None:
         core = self.cores[name]
@@ -276,11 +276,11 @@
         end = len(self._node_records)
         self.handle(name, TopicRead(Topic.NODES, records, end, False, self.now_ms))
 
-    def _take(self, call: Call, verdict: object) -> None:
+    def _apply_verdict(self, call: Call, verdict: object) -> None:
         match verdict:
             case RelayDispatch():
                 call.sends += 1
-                self.after(WAY_MS, lambda: self._reach(call, verdict))
+                self.after(LATENCY_MS, lambda: self._deliver_call(call, verdict))
             case Refuse():
                 call.refusal = verdict
                 self._end(call, "refused")
--- a/tests/toucanyard/relay_fleet.py
+++ b/tests/toucanyard/relay_fleet.py
@@ -153,7 +153,7 @@
         found: dict[NodeName, set[NodeName]] = {name: set() for name in self.cores}
         alive = [each for each in self.cores.items() if each[0] not in self.dead]
         for name, core in alive:
-            for vm in core.roster.find_peers(self.now_ms):
+            for vm in core.node_directory.find_peers(self.now_ms):
                 other = NodeName(vm.name)
                 if other not in self.dead:
                     found[name].add(other)
@@ -186,5 +186,5 @@
         return [
             name
             for name, core in self.cores.items()
-            if name not in self.dead and core.roster.plan.is_hub()
+            if name not in self.dead and core.node_directory.plan.is_hub()
         ]
--- a/tests/toucanyard/replica_limit_fleet.py
+++ b/tests/toucanyard/replica_limit_fleet.py
@@ -46,10 +46,10 @@
         self.named |= {each.address: rate_per_s for each in engines}
         return engines
 
-    def _reach(self, call: Call, dispatch: RelayDispatch) -> None:
+    def _deliver_call(self, call: Call, dispatch: RelayDispatch) -> None:
         if dispatch.is_limited:
             self._limited_calls.add(call.request.request_id)
-        super()._reach(call, dispatch)
+        super()._deliver_call(call, dispatch)
 
     def _begin(self, call: Call, engine: Engine) -> None:
         rate_per_s = self.named.get(engine.address)
--- a/tests/toucanyard/store_fleet.py
+++ b/tests/toucanyard/store_fleet.py
@@ -92,7 +92,7 @@
     def find_reader(self) -> NodeName:
         """Return the node that reads the list for all others."""
         ranks = {
-            name: core.roster.find_rank(Topic.REPLICAS.value, self.now_ms)
+            name: core.node_directory.find_rank(Topic.REPLICAS.value, self.now_ms)
             for name, core in self.cores.items()
         }
         return min(ranks, key=ranks.__getitem__)
--- a/tests/toucanyard/test_call_placement.py
+++ b/tests/toucanyard/test_call_placement.py
@@ -4,6 +4,7 @@
 
 from toucanyard.call_placement import CallPlacement
 from toucanyard.names import EndpointName, Incarnation, NodeName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.node_records import NodeRecord
 from toucanyard.part_sources import PartSources, name_store
 from toucanyard.pending_call import PendingCall
@@ -11,7 +12,6 @@
 from toucanyard.replica_credits import ReplicaCredits
 from toucanyard.replica_limits import ReplicaLimits
 from toucanyard.replicas import ReplicaDirectory
-from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
 from toucanyard.weights_goals import WantedWeights, WeightsGoals
 
@@ -46,7 +46,7 @@
             LISTEN.callers,
             LISTEN.peers,
         )
-        sources = PartSources(directory, Roster(own, ()))
+        sources = PartSources(directory, NodeDirectory(own, ()))
         sources.note_heard(STORE_NAME, 0.0, 1)
         rng = random.Random(1)
         credits = ReplicaCredits(ReplicaLimits(rng))
--- a/tests/toucanyard/test_crash_watch.py
+++ b/tests/toucanyard/test_crash_detector.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from toucanyard.crash_watch import (
-    AFTERMATH_MS,
+from toucanyard.crash_detector import (
     LOSS_TTL_MS,
-    MAX_CLOSED,
-    CrashWatch,
-    Reach,
+    MAX_CLOSED_PROBES,
+    SURVIVAL_DELAY_MS,
+    CrashDetector,
+    Reachability,
 )
 from toucanyard.names import EndpointName, Fingerprint, RequestId
 from toucanyard.relay_requests import RelayOutcome
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.directory = ReplicaDirectory()
         self.directory.apply(build_replica(ONE), 0.0)
-        self.watch = CrashWatch(self.directory)
+        self.detector = CrashDetector(self.directory)
 
     def lose(self, at_ms: float, **changes: object) -> bool:
         fields: dict[str, object] = {"is_closed": True}
@@ -36,10 +36,10 @@
             EndingSeen.LOST,
             **(fields | changes),  # type: ignore[arg-type]
         )
-        return self.watch.record_outcome(outcome, BODY, at_ms - 10.0, at_ms)
+        return self.detector.record_outcome(outcome, BODY, at_ms - 10.0, at_ms)
 
     def count_probes(self, now_ms: float) -> int:
-        return len(list(self.watch.take_probes(now_ms)))
+        return len(list(self.detector.take_probes(now_ms)))
 
 
 def test_closed_connection_is_probed_and_a_silent_one_is_not() -> None:
@@ -51,12 +51,12 @@
     assert world.count_probes(120.0) == 0
 
 
-@pytest.mark.parametrize("reach", [Reach.NO_LISTENER, Reach.REPLACED])
-def test_replica_that_is_not_there_any_more_has_crashed(reach: Reach) -> None:
+@pytest.mark.parametrize("reach", [Reachability.NO_LISTENER, Reachability.REPLACED])
+def test_replica_that_is_not_there_any_more_has_crashed(reach: Reachability) -> None:
     world = World()
     world.lose(100.0)
-    assert world.watch.record_probe(ONE, reach, 101.0)
-    assert [each.fingerprint for each in world.watch.take_losses(ONE)] == [BODY]
+    assert world.detector.record_probe(ONE, reach, 101.0)
+    assert [each.fingerprint for each in world.detector.take_losses(ONE)] == [BODY]
 
 
 def test_frozen_replica_has_not_crashed() -> None:
@@ -64,34 +64,38 @@
     world = World()
     world.lose(100.0)
     for number in range(10):
-        assert not world.watch.record_probe(ONE, Reach.NO_ANSWER, 101.0 + number)
+        assert not world.detector.record_probe(
+            ONE, Reachability.NO_ANSWER, 101.0 + number
+        )
 
 
 def test_replica_behind_a_proxy_has_crashed_once_probes_are_closed_in_a_row() -> None:
     """Guards against a listener that outlives its replica and hides each crash."""
     world = World()
     world.lose(100.0)
-    found = [world.watch.record_probe(ONE, Reach.CLOSED, 101.0) for _ in range(2)]
-    assert found == [False] * (MAX_CLOSED - 1) + [True]
+    found = [
+        world.detector.record_probe(ONE, Reachability.CLOSED, 101.0) for _ in range(2)
+    ]
+    assert found == [False] * (MAX_CLOSED_PROBES - 1) + [True]
 
 
 def test_probe_that_is_answered_clears_what_was_lost_before_it() -> None:
     """Guards against a reset that is charged when the replica ends later."""
     world = World()
     world.lose(100.0)
-    world.watch.record_probe(ONE, Reach.CLOSED, 101.0)
+    world.detector.record_probe(ONE, Reachability.CLOSED, 101.0)
     world.lose(300.0)
-    assert not world.watch.record_probe(ONE, Reach.ANSWERED, 200.0)
-    assert [each.at_ms for each in world.watch.take_losses(ONE)] == [300.0]
+    assert not world.detector.record_probe(ONE, Reachability.ANSWERED, 200.0)
+    assert [each.at_ms for each in world.detector.take_losses(ONE)] == [300.0]
 
 
 def test_replica_that_was_taken_for_ended_counts_again_once_it_answers() -> None:
     """Guards against charging each later loss at a replica that lives."""
     world = World()
-    world.watch.mark_ended(ONE)
+    world.detector.mark_ended(ONE)
     assert world.lose(100.0)
-    world.watch.take_losses(ONE)
-    world.watch.mark_alive(ONE, 150.0)
+    world.detector.take_losses(ONE)
+    world.detector.mark_alive(ONE, 150.0)
     assert not world.lose(200.0)
 
 
@@ -99,39 +103,39 @@
     """Guards against a crash that no probe sees, since the replica is back at once."""
     world = World()
     world.lose(100.0)
-    assert world.watch.find_replaced(100.0) == []
+    assert world.detector.find_replaced(100.0) == []
     address = build_replica(ONE).address
     world.directory.apply(build_replica("two", address=address), 200.0)
-    assert world.watch.find_replaced(200.0) == [ONE]
+    assert world.detector.find_replaced(200.0) == [ONE]
 
 
 def test_loss_is_forgotten_when_nothing_is_heard_of_its_replica() -> None:
     world = World()
     world.lose(100.0)
-    assert world.watch.has_open_loss(BODY)
+    assert world.detector.has_unresolved_loss(BODY)
     world.count_probes(100.0 + LOSS_TTL_MS)
-    assert not world.watch.has_open_loss(BODY)
+    assert not world.detector.has_unresolved_loss(BODY)
 
 
 def test_call_that_may_not_have_run_is_no_loss() -> None:
     world = World()
     outcome = RelayOutcome(RequestId("q"), ONE, EndingSeen.REFUSED)
-    assert not world.watch.record_outcome(outcome, BODY, 0.0, 1.0)
-    assert not world.watch.has_open_loss(BODY)
+    assert not world.detector.record_outcome(outcome, BODY, 0.0, 1.0)
+    assert not world.detector.has_unresolved_loss(BODY)
 
 
 def test_answer_counts_once_its_replica_has_outlived_it() -> None:
     """Guards against a request that is answered just before its replica crashes."""
     world = World()
-    world.watch.record_answer(ONE, BODY, 90.0, 100.0)
-    assert list(world.watch.take_survivals(100.0 + AFTERMATH_MS - 1)) == []
-    survived = list(world.watch.take_survivals(100.0 + AFTERMATH_MS))
+    world.detector.record_answer(ONE, BODY, 90.0, 100.0)
+    assert list(world.detector.take_survivals(100.0 + SURVIVAL_DELAY_MS - 1)) == []
+    survived = list(world.detector.take_survivals(100.0 + SURVIVAL_DELAY_MS))
     assert [each.fingerprint for each in survived] == [BODY]
-    assert list(world.watch.take_survivals(9_000.0)) == []
+    assert list(world.detector.take_survivals(9_000.0)) == []
 
 
 def test_answer_of_a_life_that_has_ended_is_no_survival() -> None:
     world = World()
-    world.watch.record_answer(ONE, BODY, 90.0, 100.0)
-    assert [each.fingerprint for each in world.watch.take_answered(ONE)] == [BODY]
-    assert list(world.watch.take_survivals(9_000.0)) == []
+    world.detector.record_answer(ONE, BODY, 90.0, 100.0)
+    assert [each.fingerprint for each in world.detector.take_answered(ONE)] == [BODY]
+    assert list(world.detector.take_survivals(9_000.0)) == []
--- a/tests/toucanyard/test_crash_ledger.py
+++ b/tests/toucanyard/test_crash_ledger.py
@@ -5,11 +5,11 @@
 from hypothesis import given, strategies as st
 
 from toucanyard.crash_ledger import (
+    CONFIRMED_CRASHES,
     CRASH_TTL_MS,
-    GUILTY_CRASHES,
     MAX_CRASH_REQUESTS,
     MAX_REQUESTS,
-    SETTLE_MS,
+    SETTLING_MS,
     CrashLedger,
     Suspicion,
 )
@@ -40,7 +40,7 @@
     add(ledger, "r1", 1_000.0, BAD, "a")
     assert judge(ledger, BAD) is Suspicion.POSSIBLE
     add(ledger, "r2", 2_000.0, BAD, "b")
-    assert judge(ledger, BAD) is Suspicion.GUILTY
+    assert judge(ledger, BAD) is Suspicion.CONFIRMED
     assert judge(ledger, "a") is judge(ledger, "b") is Suspicion.POSSIBLE
 
 
@@ -52,14 +52,14 @@
     assert judge(ledger, BAD) is judge(ledger, "a") is Suspicion.POSSIBLE
     assert survive(ledger, "a", 3_000.0)
     assert judge(ledger, "a") is Suspicion.NONE
-    assert judge(ledger, BAD) is Suspicion.GUILTY
+    assert judge(ledger, BAD) is Suspicion.CONFIRMED
 
 
 def test_third_crash_convicts_whatever_ran_beside() -> None:
     ledger = CrashLedger()
-    for number in range(GUILTY_CRASHES):
+    for number in range(CONFIRMED_CRASHES):
         add(ledger, f"r{number}", 1_000.0 * number, BAD, "a")
-    assert judge(ledger, BAD) is Suspicion.GUILTY
+    assert judge(ledger, BAD) is Suspicion.CONFIRMED
 
 
 def test_nothing_is_judged_before_other_nodes_could_speak() -> None:
@@ -67,8 +67,8 @@
     ledger = CrashLedger()
     add(ledger, "r1", 1_000.0, BAD)
     add(ledger, "r2", 2_000.0, BAD)
-    assert judge(ledger, BAD, 2_000.0 + SETTLE_MS - 1) is Suspicion.UNSETTLED
-    assert judge(ledger, BAD, 2_000.0 + SETTLE_MS) is Suspicion.GUILTY
+    assert judge(ledger, BAD, 2_000.0 + SETTLING_MS - 1) is Suspicion.UNSETTLED
+    assert judge(ledger, BAD, 2_000.0 + SETTLING_MS) is Suspicion.CONFIRMED
 
 
 def test_copies_that_ran_at_the_same_time_count_once() -> None:
@@ -88,7 +88,7 @@
     add(ledger, "r2", 2_000.0, BAD)
     assert judge(ledger, BAD) is Suspicion.POSSIBLE
     add(ledger, "r3", 3_000.0, BAD)
-    assert judge(ledger, BAD) is Suspicion.GUILTY
+    assert judge(ledger, BAD) is Suspicion.CONFIRMED
 
 
 def test_many_crashes_neither_fill_memory_nor_hide_the_latest() -> None:
@@ -99,7 +99,7 @@
         add(ledger, f"r{number}", 1_000.0 * number, *bodies)
     add(ledger, "x1", 300_000.0, BAD)
     add(ledger, "x2", 301_000.0, BAD)
-    assert judge(ledger, BAD, 400_000.0) is Suspicion.GUILTY
+    assert judge(ledger, BAD, 400_000.0) is Suspicion.CONFIRMED
     kept = list(ledger.list_crashes(200_000.0))
     assert all(len(each.runs) <= MAX_CRASH_REQUESTS for each in kept)
     assert ledger.count_runs() <= MAX_REQUESTS
--- a/tests/toucanyard/test_crashing_requests.py
+++ b/tests/toucanyard/test_crashing_requests.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from toucanyard.crash_ledger import GUILTY_CRASHES, SETTLE_MS
-from toucanyard.crash_watch import AFTERMATH_MS
+from toucanyard.crash_detector import SURVIVAL_DELAY_MS
+from toucanyard.crash_ledger import CONFIRMED_CRASHES, SETTLING_MS
 from toucanyard.errorcodes import Ending, ErrorKind
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.names import CustomerName, NodeName
@@ -25,7 +25,7 @@
 def crash_until_quarantined(fleet: CrashFleet) -> None:
     before = len(fleet.crashes)
     fleet.call_in_turn(2_000.0)
-    assert len(fleet.crashes) - before <= GUILTY_CRASHES
+    assert len(fleet.crashes) - before <= CONFIRMED_CRASHES
     # By now a record is written and all nodes have read it.
     fleet.run_for(4_000.0)
 
@@ -75,7 +75,7 @@
     """Guards against waiting for the bound where the cause is clear before."""
     fleet = CrashFleet(3, nodes_each)
     fleet.call_in_turn(10_000.0, is_resumable=is_resumable)
-    assert len(fleet.crashes) <= GUILTY_CRASHES
+    assert len(fleet.crashes) <= CONFIRMED_CRASHES
 
 
 @SIZES
@@ -93,7 +93,7 @@
     fleet = CrashFleet(3, 3)
     fleet.poison_answers = True
     fleet.call_in_turn(10_000.0)
-    assert len(fleet.crashes) <= GUILTY_CRASHES
+    assert len(fleet.crashes) <= CONFIRMED_CRASHES
 
 
 def test_call_under_quarantine_is_answered_at_once_and_truthfully() -> None:
@@ -119,7 +119,7 @@
         for name in list(fleet.cores)[:9]:
             fleet.call(name, POISON)
         fleet.run_for(300.0)
-    assert len(fleet.crashes) >= GUILTY_CRASHES
+    assert len(fleet.crashes) >= CONFIRMED_CRASHES
     assert len(fleet.list_late(STABLE_MS)) <= MAX_RETRIES
 
 
@@ -192,7 +192,7 @@
             fleet.crash(list(fleet.engines)[number // 30 % len(fleet.engines)])
         fleet.run_for(50.0)
     fleet.run_for(RUN_MS * 2)
-    assert len(fleet.crashes) >= 2 * GUILTY_CRASHES
+    assert len(fleet.crashes) >= 2 * CONFIRMED_CRASHES
     assert list_rejected(calls) == []
 
 
@@ -208,7 +208,7 @@
         fleet.run_for(50.0)
     for address in list(fleet.engines)[:4]:
         fleet.crash(address)
-    fleet.run_for(LAPSE_MS + SETTLE_MS)
+    fleet.run_for(LAPSE_MS + SETTLING_MS)
     calls = call_everywhere(fleet, POPULAR)
     assert {call.ending for call in calls} == {"completed"}
 
@@ -222,10 +222,10 @@
     fleet.run_for(START_MS * 2)
     for address in fleet.engines:
         fleet.crash(address)
-    fleet.run_for(LAPSE_MS + SETTLE_MS)
+    fleet.run_for(LAPSE_MS + SETTLING_MS)
     first = call_everywhere(fleet, "new")
     assert "completed" in {call.ending for call in first}
-    fleet.run_for(AFTERMATH_MS)
+    fleet.run_for(SURVIVAL_DELAY_MS)
     second = call_everywhere(fleet, "new")
     assert {call.ending for call in second} == {"completed"}
 
@@ -244,23 +244,29 @@
     call = fleet.call(name, "reset")
     fleet.run_for(2 * RUN_MS)
     assert call.ending == "completed"
-    assert fleet.core(name).guard.ledger.list_charges(call.request.fingerprint) == []
+    assert (
+        fleet.core(name).guard.ledger.list_attributed_crashes(call.request.fingerprint)
+        == []
+    )
 
 
 def test_replica_that_was_to_leave_has_not_crashed() -> None:
     """Guards against charging the calls that a planned stop cuts."""
     fleet = CrashFleet(3, 3)
     name = next(iter(fleet.cores))
-    for _ in range(GUILTY_CRASHES):
+    for _ in range(CONFIRMED_CRASHES):
         call = fleet.call(name, "cut", is_resumable=False)
         fleet.run_for(START_MS * 2)
         engine = next(e for e in fleet.engines.values() if e.calls)
         fleet.announce_leave(engine)
         fleet.run_for(500.0)
         fleet.crash(engine.address)
-        fleet.run_for(SETTLE_MS + 100.0)
+        fleet.run_for(SETTLING_MS + 100.0)
         assert (
-            fleet.core(name).guard.ledger.list_charges(call.request.fingerprint) == []
+            fleet.core(name).guard.ledger.list_attributed_crashes(
+                call.request.fingerprint
+            )
+            == []
         )
 
 
@@ -290,7 +296,7 @@
         for number, body in enumerate(beside):
             fleet.call(names[number % len(names)], body)
         fleet.call(names[round_number], POISON)
-        fleet.run_for(RUN_MS + SETTLE_MS + 200.0)
+        fleet.run_for(RUN_MS + SETTLING_MS + 200.0)
     for number, body in enumerate(beside):
         call = fleet.call(names[number % len(names)], body)
         fleet.run_for(2 * RUN_MS)
--- a/tests/toucanyard/test_limit_exchange.py
+++ b/tests/toucanyard/test_limit_exchange.py
@@ -76,7 +76,7 @@
     core = fleet.cores[leaf]
     fleet.cut_apart([leaf])
     fleet.run_for(SILENCE_MS + 500.0)
-    assert core.roster.find_primary() is None
+    assert core.node_directory.find_primary() is None
     assert core.shares.pledge is None
     fleet.run_for(2_000.0)
     assert core.shares.pledge is not None
--- a/tests/toucanyard/test_link_plan.py
+++ b/tests/toucanyard/test_link_plan.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from toucanyard.link_plan import GIVE_UP_MS, LINKS, RETRY_MS, LinkPlan
+from toucanyard.link_plan import LINKS, RETRY_MS, UNREACHABLE_AFTER_MS, LinkPlan
 from toucanyard.names import Address, DomainName, Incarnation, NodeName
 from toucanyard.node_records import NodeRecord
 
@@ -63,11 +63,11 @@
     assert leaf.find_primary({first, second}) == first
     assert leaf.find_primary({second}) == second
     leaf.update(others, {second}, 1.0)
-    leaf.update(others, {second}, 2.0 + GIVE_UP_MS)
+    leaf.update(others, {second}, 2.0 + UNREACHABLE_AFTER_MS)
     assert first not in leaf.hubs
     assert second in leaf.wanted
     assert len(leaf.wanted) == LINKS
-    leaf.update(others, set(leaf.wanted), 3.0 + GIVE_UP_MS + RETRY_MS)
+    leaf.update(others, set(leaf.wanted), 3.0 + UNREACHABLE_AFTER_MS + RETRY_MS)
     assert first in leaf.hubs
 
 
@@ -80,7 +80,7 @@
     leaf, others = build_plan(30)
     leaf.update(others, (), 0.0)
     leaf.update(others, (), 1.0)
-    leaf.update(others, (), 2.0 + GIVE_UP_MS)
+    leaf.update(others, (), 2.0 + UNREACHABLE_AFTER_MS)
     far = [name for name in leaf.wanted if name in FAST]
     assert len(far) == LINKS
     assert leaf.find_primary(far) == far[0]
--- a/tests/toucanyard/test_membership.py
+++ b/tests/toucanyard/test_membership.py
@@ -2,8 +2,8 @@
 
 from hypothesis import given, strategies as st
 
-from toucanyard.digests import Digest, News, Restarted, Suspected
-from toucanyard.membership import NEWS_KEPT_MS
+from toucanyard.digests import Digest, GossipUpdate, Restarted, Suspected
+from toucanyard.membership import GOSSIP_TTL_MS
 from toucanyard.membership_events import (
     DigestArrived,
     EndpointReported,
@@ -44,7 +44,7 @@
     fleet.read_list(0, leaving=["e1"])
     fleet.run(1_000)
     fleet.read_list(0)
-    later_ms = NEWS_KEPT_MS + 2_000
+    later_ms = GOSSIP_TTL_MS + 2_000
     assert not fleet.nodes[1].is_leaving(fleet.endpoints[1], later_ms)
     fleet.run(later_ms)
     assert fleet.find_usable(1) == ["e0", "e1", "e2"]
@@ -194,7 +194,11 @@
     ),
 )
 def test_no_digest_makes_it_fail_or_look_younger_than_it_is(
-    sent_ms: float, echo_ms: float, age_ms: float, version: int, news: list[News]
+    sent_ms: float,
+    echo_ms: float,
+    age_ms: float,
+    version: int,
+    news: list[GossipUpdate],
 ) -> None:
     fleet = Fleet(2, 1)
     digest = Digest(NodeName("n1"), sent_ms, echo_ms, version, 0, age_ms, tuple(news))
--- a/tests/toucanyard/test_node_core.py
+++ b/tests/toucanyard/test_node_core.py
@@ -75,8 +75,8 @@
     world.handle(DrainBegun(OWN))
     world.now_ms += 200
     world.handle(TickPassed())
-    news = [piece for digest in find_digests(world) for piece in digest.news]
-    assert [piece.address for piece in news if isinstance(piece, Leaving)] == [OWN]
+    updates = [piece for digest in find_digests(world) for piece in digest.updates]
+    assert [piece.address for piece in updates if isinstance(piece, Leaving)] == [OWN]
 
 
 def test_news_of_a_leaving_endpoint_counts_before_the_list_shows_it() -> None:
--- a/tests/toucanyard/test_roster.py
+++ b/tests/toucanyard/test_node_directory.py
@@ -2,10 +2,10 @@
 
 from hypothesis import given, strategies as st
 
-from toucanyard.link_messages import NodeNews
+from toucanyard.link_messages import NodeUpdate
 from toucanyard.names import Address, DomainName, Incarnation, NodeName
+from toucanyard.node_directory import HUB_REPORT_TTL_MS, STATUS_TTL_MS, NodeDirectory
 from toucanyard.node_records import NodeRecord
-from toucanyard.roster import STATUS_KEPT_MS, TOLD_KEPT_MS, Roster
 
 ONE, TWO, FAR = (NodeName(name) for name in ("hub-1", "hub-2", "far"))
 
@@ -20,11 +20,11 @@
     )
 
 
-def build_roster() -> Roster:
-    roster = Roster(build_record(NodeName("own")), ())
+def build_roster() -> NodeDirectory:
+    node_directory = NodeDirectory(build_record(NodeName("own")), ())
     for name in (ONE, TWO, FAR):
-        roster.apply(build_record(name))
-    return roster
+        node_directory.apply(build_record(name))
+    return node_directory
 
 
 def test_node_that_one_hub_calls_stopping_is_not_named() -> None:
@@ -34,36 +34,36 @@
     order.
     """
     for first, second in ((True, False), (False, True)):
-        roster = build_roster()
-        roster.note_told(ONE, (NodeNews(FAR, first),), 0.0)
-        roster.note_told(TWO, (NodeNews(FAR, second),), 0.0)
-        assert roster.find_alive(1.0) == [FAR]
-        assert roster.find_addresses(1.0) == []
+        node_directory = build_roster()
+        node_directory.record_hub_report(ONE, (NodeUpdate(FAR, first),), 0.0)
+        node_directory.record_hub_report(TWO, (NodeUpdate(FAR, second),), 0.0)
+        assert node_directory.find_alive(1.0) == [FAR]
+        assert node_directory.find_addresses(1.0) == []
 
 
 def test_what_a_node_says_of_itself_goes_before_what_hubs_say() -> None:
-    roster = build_roster()
-    roster.note_told(ONE, (NodeNews(FAR, True),), 0.0)
-    assert roster.find_addresses(1.0) == ["far:1"]
-    assert roster.note_status(FAR, False, 2.0)
-    assert roster.find_addresses(3.0) == []
+    node_directory = build_roster()
+    node_directory.record_hub_report(ONE, (NodeUpdate(FAR, True),), 0.0)
+    assert node_directory.find_addresses(1.0) == ["far:1"]
+    assert node_directory.record_status(FAR, False, 2.0)
+    assert node_directory.find_addresses(3.0) == []
 
 
 def test_what_was_told_grows_old() -> None:
-    roster = build_roster()
-    assert roster.note_told(ONE, (NodeNews(FAR, True),), 0.0)
-    assert not roster.note_told(ONE, (NodeNews(FAR, True),), 10.0)
-    assert roster.find_alive(10.0 + TOLD_KEPT_MS) == [FAR]
-    assert roster.find_alive(11.0 + TOLD_KEPT_MS) == []
-    roster.note_status(FAR, True, 0.0)
-    assert roster.find_alive(STATUS_KEPT_MS + 1.0) == [FAR]
-    assert roster.find_alive(12.0 + TOLD_KEPT_MS) == []
+    node_directory = build_roster()
+    assert node_directory.record_hub_report(ONE, (NodeUpdate(FAR, True),), 0.0)
+    assert not node_directory.record_hub_report(ONE, (NodeUpdate(FAR, True),), 10.0)
+    assert node_directory.find_alive(10.0 + HUB_REPORT_TTL_MS) == [FAR]
+    assert node_directory.find_alive(11.0 + HUB_REPORT_TTL_MS) == []
+    node_directory.record_status(FAR, True, 0.0)
+    assert node_directory.find_alive(STATUS_TTL_MS + 1.0) == [FAR]
+    assert node_directory.find_alive(12.0 + HUB_REPORT_TTL_MS) == []
 
 
 def test_node_is_not_told_of_itself() -> None:
-    roster = build_roster()
-    roster.note_told(ONE, (NodeNews(NodeName("own"), True),), 0.0)
-    assert roster.find_alive(1.0) == []
+    node_directory = build_roster()
+    node_directory.record_hub_report(ONE, (NodeUpdate(NodeName("own"), True),), 0.0)
+    assert node_directory.find_alive(1.0) == []
 
 
 NAMES = (ONE, TWO, FAR)
@@ -72,24 +72,26 @@
         st.sampled_from(["status", "told", "remove", "links"]),
         st.sampled_from(NAMES),
         st.booleans(),
-        st.sampled_from([0.0, 250.0, STATUS_KEPT_MS, TOLD_KEPT_MS + 1.0]),
+        st.sampled_from([0.0, 250.0, STATUS_TTL_MS, HUB_REPORT_TTL_MS + 1.0]),
     ),
     max_size=12,
 )
 
 
-def take_step(roster: Roster, step: tuple[str, NodeName, bool], now_ms: float) -> None:
+def take_step(
+    node_directory: NodeDirectory, step: tuple[str, NodeName, bool], now_ms: float
+) -> None:
     kind, name, is_ready = step
     match kind:
         case "status":
-            roster.note_status(name, is_ready, now_ms)
+            node_directory.record_status(name, is_ready, now_ms)
         case "told":
-            told = [NodeNews(name, is_ready)] + [NodeNews(FAR, True)] * is_ready
-            roster.note_told(ONE, told, now_ms)
+            told = [NodeUpdate(name, is_ready)] + [NodeUpdate(FAR, True)] * is_ready
+            node_directory.record_hub_report(ONE, told, now_ms)
         case "remove":
-            roster.remove(name)
+            node_directory.remove(name)
         case "links":
-            roster.retain_linked([name])
+            node_directory.retain_linked([name])
 
 
 @given(STEPS)
@@ -106,8 +108,8 @@
     now_ms = 0.0
     for kind, name, is_ready, wait_ms in steps:
         now_ms += wait_ms
-        for roster in (asked, unasked):
-            take_step(roster, (kind, name, is_ready), now_ms)
+        for node_directory in (asked, unasked):
+            take_step(node_directory, (kind, name, is_ready), now_ms)
         asked.find_rank("orders", now_ms)
         asked.find_addresses(now_ms)
     now_ms += 1.0
--- a/tests/toucanyard/test_part_placement.py
+++ b/tests/toucanyard/test_part_placement.py
@@ -200,7 +200,7 @@
     favourite = find_name(pool.choose())
     known = next(each for each in pool.known if each.replica.name == favourite)
     for _ in range(3):
-        known.note_failure(1_000.0, is_dead=False)
+        known.record_failure(1_000.0, is_dead=False)
     assert find_name(pool.choose()) != favourite
 
 
--- a/tests/toucanyard/test_relay_core.py
+++ b/tests/toucanyard/test_relay_core.py
@@ -6,13 +6,13 @@
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.link_messages import decode_link_message
 from toucanyard.names import Address, Incarnation, NodeName
+from toucanyard.node_directory import STATUS_TTL_MS
 from toucanyard.node_records import NodeRecord
 from toucanyard.relay_events import (
     StopBegun,
     StoreFailed,
 )
-from toucanyard.replicas import DRAIN_MS, RETURN_SEEN_MS, SEND_MS
-from toucanyard.roster import STATUS_KEPT_MS
+from toucanyard.replicas import DRAIN_MS, RETURN_DETECTION_MS, SEND_MARGIN_MS
 from toucanyard.routes import RoutedCustomer
 from toucanyard.store_schedule import READ_MS, compute_wanted_age
 from toucanyard.weights_goals import WantedWeights
@@ -98,7 +98,7 @@
     now_ms = fleet.now_ms
     for name in "ab":
         directory = fleet.core(name).directory
-        end_ms = now_ms + DRAIN_MS - SEND_MS - RETURN_SEEN_MS
+        end_ms = now_ms + DRAIN_MS - SEND_MARGIN_MS - RETURN_DETECTION_MS
         assert len(directory.find_usable(DESK, end_ms - 1)) == 3
         assert len(directory.find_usable(DESK, end_ms)) == 2
 
@@ -144,7 +144,7 @@
     fleet.run(300.0)
     assert len(fleet.core("a").find_addresses(fleet.now_ms)) == 2
     fleet.cut = {"b"}
-    fleet.run(STATUS_KEPT_MS + 300.0)
+    fleet.run(STATUS_TTL_MS + 300.0)
     assert fleet.core("a").find_addresses(fleet.now_ms) == ["10.0.0.0:1"]
 
 
@@ -211,10 +211,10 @@
     fleet = Fleet("a")
     own = fleet.core("a").own_record
     fleet.read("a", Topic.NODES, KeyedRecord("a", 0, put(own)))
-    assert fleet.core("a").roster.find_peers(0.0) == []
+    assert fleet.core("a").node_directory.find_peers(0.0) == []
     other = NodeRecord(
         NodeName("b"), Incarnation("i"), own.domain, own.callers, Address("10.0.0.9:4")
     )
     fleet.read("a", Topic.NODES, KeyedRecord("b", 1, put(other)))
-    peers = fleet.core("a").roster.find_peers(0.0)
+    peers = fleet.core("a").node_directory.find_peers(0.0)
     assert [vm.name for vm in peers] == ["b"]
--- a/tests/toucanyard/test_relay_flow.py
+++ b/tests/toucanyard/test_relay_flow.py
@@ -11,6 +11,7 @@
 from toucanyard.call_placement import CallPlacement
 from toucanyard.errorcodes import Ending, ErrorKind
 from toucanyard.names import EndpointName, Incarnation, NodeName, RequestId
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.node_records import NodeRecord
 from toucanyard.part_sources import PartSources
 from toucanyard.plain_placement import OVERFILL
@@ -26,7 +27,6 @@
 from toucanyard.replicas import ReplicaDirectory
 from toucanyard.request_guard import RequestGuard
 from toucanyard.requests import EndingSeen, Refuse, Repeatability
-from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
 from toucanyard.weights_goals import WantedWeights, WeightsGoals
 
@@ -66,7 +66,7 @@
             LISTEN.callers,
             LISTEN.peers,
         )
-        sources = PartSources(self.directory, Roster(own, ()))
+        sources = PartSources(self.directory, NodeDirectory(own, ()))
         rng = random.Random(1)
         credits = ReplicaCredits(ReplicaLimits(rng))
         calls = CallPlacement(
--- a/tests/toucanyard/test_removed_replicas.py
+++ b/tests/toucanyard/test_removed_replicas.py
@@ -177,7 +177,7 @@
         assert view.confirmed_ms <= away_ms + 400.0
 
 
-class Troubles:
+class RandomFaults:
     """Cuts, refusals, outages and removals that are drawn from a seed."""
 
     def __init__(self, seed: int, way_ms: float) -> None:
@@ -197,7 +197,7 @@
             for name in self.fleet.cut_off:
                 self.cut_ms[name] = self.fleet.now_ms
 
-    def play_one(self) -> None:
+    def inject_fault(self) -> None:
         match self.rng.randrange(4):
             case 0:
                 self.fleet.cut_off = set(self.rng.sample(self.names, 2))
@@ -261,9 +261,9 @@
     Whatever the order, a node that was never cut off sends no call to a replica past
     its end, and finds one for each call.
     """
-    troubles = Troubles(seed, way_ms)
+    faults = RandomFaults(seed, way_ms)
     for _ in range(6):
-        troubles.play_one()
-    assert troubles.find_late() == []
-    unsent = [each for each in troubles.fleet.unsent if each[0] not in troubles.cut_ms]
+        faults.inject_fault()
+    assert faults.find_late() == []
+    unsent = [each for each in faults.fleet.unsent if each[0] not in faults.cut_ms]
     assert unsent == []
--- a/tests/toucanyard/test_replica_gossip.py
+++ b/tests/toucanyard/test_replica_gossip.py
@@ -2,22 +2,22 @@
 
 import random
 
-from toucanyard.link_messages import ReplicaNews
+from toucanyard.link_messages import ReplicaUpdate
 from toucanyard.names import EndpointName
 from toucanyard.part_book import PartBook
-from toucanyard.replica_gossip import SAME_PAUSE_MS, ReplicaGossip
+from toucanyard.replica_gossip import PAUSE_TOLERANCE_MS, ReplicaGossip
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 
 from .relay_examples import MODEL, build_replica
 
 NAME = EndpointName("r")
-WAY_MS = 5.0
+LATENCY_MS = 5.0
 """How long a message takes from one node to the next."""
-SLOW_MS = 200.0
+SLOW_LATENCY_MS = 200.0
 """The same on links that are full."""
 
 
-class Teller:
+class GossipNode:
     """What one node knows of one replica, and its gossip."""
 
     def __init__(self, number: int = 0) -> None:
@@ -27,8 +27,10 @@
         self.known: KnownReplica = known
         self.gossip = ReplicaGossip(directory, PartBook(), random.Random(number))
 
-    def tell(self, other: Teller, now_ms: float, way_ms: float = WAY_MS) -> bool:
-        news = tuple(self.gossip.list_news(now_ms))
+    def send_to(
+        self, other: GossipNode, now_ms: float, way_ms: float = LATENCY_MS
+    ) -> bool:
+        news = tuple(self.gossip.list_updates(now_ms))
         return other.gossip.apply(news, now_ms + way_ms)
 
 
@@ -38,18 +40,18 @@
     Each telling takes some milliseconds. If the pause ended that much later each time,
     the replica would never get a call again.
     """
-    one, two = Teller(), Teller()
+    one, two = GossipNode(), GossipNode()
     one.known.loading_until_ms = 600.0
-    one.gossip.note(NAME, 0.0)
-    assert one.tell(two, 0.0)
+    one.gossip.record_change(NAME, 0.0)
+    assert one.send_to(two, 0.0)
     now_ms = 0.0
     while now_ms < 3_000.0:
         now_ms += 25.0
-        assert not one.tell(two, now_ms)
-        assert not two.tell(one, now_ms)
-    for teller in (one, two):
-        assert teller.known.loading_until_ms <= 600.0 + SAME_PAUSE_MS
-        assert not teller.known.is_loading(600.0 + SAME_PAUSE_MS)
+        assert not one.send_to(two, now_ms)
+        assert not two.send_to(one, now_ms)
+    for node in (one, two):
+        assert node.known.loading_until_ms <= 600.0 + PAUSE_TOLERANCE_MS
+        assert not node.known.is_loading(600.0 + PAUSE_TOLERANCE_MS)
 
 
 def test_pause_that_goes_round_on_slow_links_ends() -> None:
@@ -58,34 +60,34 @@
     Each hears of its own pause again, 400 ms longer. Taken for a new one, it went on
     for as long as the links were slow, and the replica got no calls from any node.
     """
-    one, two = Teller(1), Teller(2)
+    one, two = GossipNode(1), GossipNode(2)
     one.known.loading_until_ms = 600.0
-    one.gossip.note(NAME, 0.0)
-    assert one.tell(two, 0.0, SLOW_MS)
+    one.gossip.record_change(NAME, 0.0)
+    assert one.send_to(two, 0.0, SLOW_LATENCY_MS)
     for now_ms in (250.0, 500.0, 750.0, 1_000.0, 1_250.0, 1_500.0):
-        two.tell(one, now_ms, SLOW_MS)
-        one.tell(two, now_ms, SLOW_MS)
+        two.send_to(one, now_ms, SLOW_LATENCY_MS)
+        one.send_to(two, now_ms, SLOW_LATENCY_MS)
     assert not one.known.is_loading(600.0)
-    assert not two.known.is_loading(600.0 + SLOW_MS)
+    assert not two.known.is_loading(600.0 + SLOW_LATENCY_MS)
 
 
 def test_pause_that_its_holder_renews_goes_on() -> None:
     """A node that orders weights renews the pause until the replica has them."""
-    one, two = Teller(1), Teller(2)
+    one, two = GossipNode(1), GossipNode(2)
     for now_ms in (0.0, 250.0, 500.0, 750.0, 1_000.0):
         one.known.loading_until_ms = now_ms + 1_500.0
-        one.gossip.note_changing({NAME}, now_ms)
-        one.tell(two, now_ms)
+        one.gossip.record_changing({NAME}, now_ms)
+        one.send_to(two, now_ms)
     assert two.known.is_loading(2_200.0)
 
 
 def test_longer_pause_is_news_again() -> None:
-    one, two = Teller(), Teller()
+    one, two = GossipNode(), GossipNode()
     one.known.loading_until_ms = 600.0
-    one.gossip.note(NAME, 0.0)
-    assert one.tell(two, 0.0)
+    one.gossip.record_change(NAME, 0.0)
+    assert one.send_to(two, 0.0)
     one.known.loading_until_ms = 2_000.0
-    assert one.tell(two, 100.0)
+    assert one.send_to(two, 100.0)
     assert two.known.is_loading(1_900.0)
 
 
@@ -94,15 +96,15 @@
 
     Taken for news, it would leave the first replica with new weights idle.
     """
-    teller = Teller()
-    teller.known.note_weights(MODEL, 2)
-    late = ReplicaNews(NAME, 1_000.0, ((MODEL, 1),))
-    assert not teller.gossip.apply((late,), 0.0)
-    assert not teller.known.is_loading(1.0)
+    node = GossipNode()
+    node.known.record_weights(MODEL, 2)
+    late = ReplicaUpdate(NAME, 1_000.0, ((MODEL, 1),))
+    assert not node.gossip.apply((late,), 0.0)
+    assert not node.known.is_loading(1.0)
 
 
 def test_new_weights_end_a_pause_and_are_news() -> None:
-    teller = Teller()
-    teller.known.loading_until_ms = 5_000.0
-    assert teller.gossip.apply((ReplicaNews(NAME, 0.0, ((MODEL, 2),)),), 100.0)
-    assert not teller.known.is_loading(100.0)
+    node = GossipNode()
+    node.known.loading_until_ms = 5_000.0
+    assert node.gossip.apply((ReplicaUpdate(NAME, 0.0, ((MODEL, 2),)),), 100.0)
+    assert not node.known.is_loading(100.0)
