--- a/tests/toucanyard/test_replica_lives.py
+++ b/tests/toucanyard/test_replica_incarnations.py
@@ -15,7 +15,11 @@
     ReplicaState,
     ReplicaStateRead,
 )
-from toucanyard.replica_lives import TOLD_MS, ReplicaLives, name_life
+from toucanyard.replica_incarnations import (
+    RESTART_GOSSIP_MS,
+    ReplicaIncarnations,
+    name_incarnation,
+)
 from toucanyard.replicas import Replica, ReplicaDirectory
 from toucanyard.store_contact import Absence
 
@@ -27,8 +31,8 @@
 LISTED = ReplicaId("r")
 
 
-def build_life(born_ms: int | None, **changes: object) -> Replica:
-    name = name_life(LISTED, born_ms)
+def build_incarnation(born_ms: int | None, **changes: object) -> Replica:
+    name = name_incarnation(LISTED, born_ms)
     return build_replica("r", name=name, born_ms=born_ms, **changes)
 
 
@@ -56,12 +60,14 @@
     would stand idle for good while callers are refused.
     """
     fleet = build_fleet("a")
-    fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE, is_draining=True)))
+    fleet.read(
+        "a", Topic.REPLICAS, record(0, build_incarnation(BEFORE, is_draining=True))
+    )
     known = fleet.core("a").directory.find_current(LISTED)
     assert known is not None
-    known.note_failure(0.0, is_dead=True)
+    known.record_failure(0.0, is_dead=True)
     assert list_usable(fleet) == []
-    fleet.read("a", Topic.REPLICAS, record(1, build_life(AFTER)))
+    fleet.read("a", Topic.REPLICAS, record(1, build_incarnation(AFTER)))
     assert list_usable(fleet) == ["r@2000"]
     known = fleet.core("a").directory.find_current(LISTED)
     assert known is not None
@@ -74,9 +80,9 @@
     Taken for one that has weights 3, it would refuse each call that is sent there.
     """
     fleet = build_fleet("a")
-    old = build_life(BEFORE, weights=((MODEL, 3),))
+    old = build_incarnation(BEFORE, weights=((MODEL, 3),))
     fleet.read("a", Topic.REPLICAS, record(0, old))
-    new = build_life(AFTER, weights=((MODEL, 2),))
+    new = build_incarnation(AFTER, weights=((MODEL, 2),))
     fleet.read("a", Topic.REPLICAS, record(1, new))
     known = fleet.core("a").directory.find_current(LISTED)
     assert known is not None
@@ -89,12 +95,12 @@
     Believed, it would take the new life out of use, or bring the old one back.
     """
     fleet = build_fleet("a")
-    fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE)))
-    fleet.read("a", Topic.REPLICAS, record(1, build_life(AFTER)))
-    late = build_life(BEFORE, is_draining=True)
+    fleet.read("a", Topic.REPLICAS, record(0, build_incarnation(BEFORE)))
+    fleet.read("a", Topic.REPLICAS, record(1, build_incarnation(AFTER)))
+    late = build_incarnation(BEFORE, is_draining=True)
     fleet.read("a", Topic.REPLICAS, record(2, late))
     assert list_usable(fleet) == ["r@2000"]
-    fleet.read("a", Topic.REPLICAS, record(3, build_life(AFTER)))
+    fleet.read("a", Topic.REPLICAS, record(3, build_incarnation(AFTER)))
     assert list_usable(fleet) == ["r@2000"]
 
 
@@ -105,8 +111,8 @@
     same, and one that is not listed must get no calls.
     """
     fleet = build_fleet("a")
-    fleet.read("a", Topic.REPLICAS, record(0, build_life(AFTER)))
-    fleet.read("a", Topic.REPLICAS, record(1, build_life(BEFORE)))
+    fleet.read("a", Topic.REPLICAS, record(0, build_incarnation(AFTER)))
+    fleet.read("a", Topic.REPLICAS, record(1, build_incarnation(BEFORE)))
     fleet.read("a", Topic.REPLICAS, record(2, None))
     assert list_usable(fleet) == []
 
@@ -116,10 +122,10 @@
     """Entries of two lives reach a node from the store and from peers, crossed."""
     directory = ReplicaDirectory()
     entries = [
-        build_life(BEFORE),
-        build_life(BEFORE, is_draining=True),
-        build_life(AFTER),
-        build_life(AFTER, weights=((MODEL, 2),)),
+        build_incarnation(BEFORE),
+        build_incarnation(BEFORE, is_draining=True),
+        build_incarnation(AFTER),
+        build_incarnation(AFTER, weights=((MODEL, 2),)),
     ]
     for number in order:
         directory.apply(entries[number], 0.0)
@@ -136,9 +142,9 @@
     """
     fleet = build_fleet("a", "b")
     fleet.cut = {"b"}
-    fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE)))
-    fleet.read("a", Topic.REPLICAS, record(1, build_life(AFTER)))
-    fleet.read("b", Topic.REPLICAS, record(2, build_life(BEFORE)), is_whole=True)
+    fleet.read("a", Topic.REPLICAS, record(0, build_incarnation(BEFORE)))
+    fleet.read("a", Topic.REPLICAS, record(1, build_incarnation(AFTER)))
+    fleet.read("b", Topic.REPLICAS, record(2, build_incarnation(BEFORE)), is_whole=True)
     assert list_usable(fleet, "b") == ["r@1000"]
     fleet.cut = set()
     fleet.run(300.0)
@@ -152,16 +158,16 @@
     """
     fleet = build_fleet("a")
     core = fleet.core("a")
-    fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE)))
-    fleet.read("a", Topic.REPLICAS, record(1, build_life(AFTER)))
+    fleet.read("a", Topic.REPLICAS, record(0, build_incarnation(BEFORE)))
+    fleet.read("a", Topic.REPLICAS, record(1, build_incarnation(AFTER)))
     old, new = EndpointName("r@1000"), EndpointName("r@2000")
     scope = f"{MODEL}/1/"
     peer = NodeId(NodeName("p"), Incarnation("i"))
     part = ReadPart(old, scope, "book", 2_000, 0.0)
     status: LinkMessage = NodeStatus(is_ready=True, views=(), parts=(part,))
     fleet.handle(NodeName("a"), LinkMessageRead(peer, status))
-    told = PartsChanged(old, (PartChange(scope, "book", 2_000),), is_reset=False)
-    fleet.handle(NodeName("a"), told)
+    event = PartsChanged(old, (PartChange(scope, "book", 2_000),), is_reset=False)
+    fleet.handle(NodeName("a"), event)
     parts = (Part("book", 2_000),)
     assert core.flow.book.count_leading(new, scope, parts, float("inf")) == 0
 
@@ -173,27 +179,29 @@
     """
     fleet = build_fleet("a")
     core = fleet.core("a")
-    fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE)))
+    fleet.read("a", Topic.REPLICAS, record(0, build_incarnation(BEFORE)))
     state = ReplicaState(((MODEL, 1),), False, 0, 0, 0, born_ms=AFTER)
     read = ReplicaStateRead(EndpointName("r@1000"), state, 0.0)
     fleet.handle(NodeName("a"), read)
     assert list_usable(fleet) == []
-    assert core.directory.is_over(EndpointName("r@1000"))
+    assert core.directory.is_superseded(EndpointName("r@1000"))
 
 
 def test_peers_are_told_of_restarts_for_a_while_only() -> None:
-    lives = ReplicaLives()
-    lives.note(LISTED, BEFORE, 0.0)
-    assert not list(lives.list_restarted(0.0))
-    lives.note(LISTED, AFTER, 10.0)
-    assert [each.born_ms for each in lives.list_restarted(10.0 + TOLD_MS)] == [AFTER]
-    assert not list(lives.list_restarted(10.1 + TOLD_MS))
+    incarnations = ReplicaIncarnations()
+    incarnations.record(LISTED, BEFORE, 0.0)
+    assert not list(incarnations.list_restarted(0.0))
+    incarnations.record(LISTED, AFTER, 10.0)
+    assert [
+        each.born_ms for each in incarnations.list_restarted(10.0 + RESTART_GOSSIP_MS)
+    ] == [AFTER]
+    assert not list(incarnations.list_restarted(10.1 + RESTART_GOSSIP_MS))
 
 
 def test_entry_without_a_start_after_one_with_it_is_not_its_own() -> None:
     directory = ReplicaDirectory()
-    directory.apply(build_life(BEFORE), 0.0)
-    assert directory.apply(build_life(None, is_draining=True), 0.0) is None
+    directory.apply(build_incarnation(BEFORE), 0.0)
+    assert directory.apply(build_incarnation(None, is_draining=True), 0.0) is None
     assert directory.find_usable(ENGINES, 0.0)
 
 
@@ -205,18 +213,18 @@
     """
     fleet = build_fleet("a")
     other = KeyedRecord("s", 0, put(build_replica("s")))
-    fleet.read("a", Topic.REPLICAS, other, record(1, build_life(BEFORE)))
+    fleet.read("a", Topic.REPLICAS, other, record(1, build_incarnation(BEFORE)))
     foreign = InvalidRecord(Topic.REPLICAS, "unknown state")
     fleet.read("a", Topic.REPLICAS, record(2, foreign))
     assert list_usable(fleet) == ["s"]
-    fleet.read("a", Topic.REPLICAS, record(3, build_life(BEFORE)))
+    fleet.read("a", Topic.REPLICAS, record(3, build_incarnation(BEFORE)))
     assert sorted(list_usable(fleet)) == ["r@1000", "s"]
 
 
 def test_foreign_entry_has_no_grace_while_the_store_is_in_trouble() -> None:
     fleet = build_fleet("a")
-    fleet.read("a", Topic.REPLICAS, record(0, build_life(BEFORE)))
-    fleet.core("a").directory.note_absence(Absence(-9_000.0, 0.0))
+    fleet.read("a", Topic.REPLICAS, record(0, build_incarnation(BEFORE)))
+    fleet.core("a").directory.record_absence(Absence(-9_000.0, 0.0))
     foreign = InvalidRecord(Topic.REPLICAS, "not JSON")
     fleet.read("a", Topic.REPLICAS, record(1, foreign))
     assert list_usable(fleet) == []
@@ -228,7 +236,7 @@
     Until then its process may be anybody's: new weights must not be loaded into it.
     """
     fleet = build_fleet("a")
-    stray = build_life(BEFORE, service="new", is_draining=False)
+    stray = build_incarnation(BEFORE, service="new", is_draining=False)
     fleet.read("a", Topic.REPLICAS, record(0, stray))
     directory = fleet.core("a").directory
     assert not directory.list_served(0.0)
--- a/tests/toucanyard/test_replica_limits.py
+++ b/tests/toucanyard/test_replica_limits.py
@@ -18,7 +18,7 @@
         return len(list(self.limits.on_answer(R, rate_per_s, now_ms)))
 
     def hear(self, other: Node, now_ms: float, latency_ms: float = 0.0) -> int:
-        news = list(other.limits.list_news(now_ms - latency_ms))
+        news = list(other.limits.list_updates(now_ms - latency_ms))
         return len(list(self.limits.apply(news, "other", now_ms)))
 
     @property
@@ -52,7 +52,7 @@
     a = Node(1)
     a.answer(1.5, 0.0)
     assert not any(a.answer(1.5, 10.0 * each) for each in range(1, 1_000))
-    assert not list(a.limits.list_news(10_000.0))
+    assert not list(a.limits.list_updates(10_000.0))
     assert a.rate_per_s == 1.5
 
 
@@ -72,7 +72,7 @@
     assert a.rate_per_s is None
     a.answer(1.5, 0.0)
     a.answer(None, 10.0)
-    assert not list(a.limits.list_news(UPDATE_TTL_MS + 20.0))
+    assert not list(a.limits.list_updates(UPDATE_TTL_MS + 20.0))
     assert not a.limits.list_limited()
 
 
--- a/tests/toucanyard/test_replica_probes.py
+++ b/tests/toucanyard/test_replica_probes.py
@@ -8,6 +8,7 @@
     Incarnation,
     NodeName,
 )
+from toucanyard.node_directory import MAX_MESH
 from toucanyard.node_records import NodeRecord
 from toucanyard.relay_events import (
     ReadReplicaState,
@@ -16,7 +17,6 @@
     TickPassed,
 )
 from toucanyard.replicas import MAX_PROBED_MS, PROBE_MS
-from toucanyard.roster import MAX_MESH
 
 from .relay_examples import DESK, ENGINES, MODEL, build_replica, build_table
 from .relay_fleet import Fleet, put
@@ -44,7 +44,7 @@
     def lose(self, name: str) -> None:
         known = self.core("a").directory.find(EndpointName(name))
         assert known is not None
-        known.note_failure(self.now_ms, is_dead=True)
+        known.record_failure(self.now_ms, is_dead=True)
 
     def run(self, for_ms: float) -> None:
         end_ms = self.now_ms + for_ms
@@ -110,7 +110,7 @@
             Address(f"10.0.1.{number}:1"),
             Address(f"10.0.1.{number}:2"),
         )
-        node.core("a").roster.apply(record)
+        node.core("a").node_directory.apply(record)
     node.lose("x")
     node.run(2_000.0)
     assert not node.asked
--- a/tests/toucanyard/test_replicas.py
+++ b/tests/toucanyard/test_replicas.py
@@ -4,13 +4,13 @@
 from toucanyard.names import EndpointName
 from toucanyard.replicas import (
     DRAIN_MS,
+    EXPIRY_GRACE_MS,
     FORGET_MS,
-    LAPSE_GRACE_MS,
-    MAX_REST_MS,
-    MIN_REST_MS,
-    REFUSED_MS,
-    RETURN_SEEN_MS,
-    SEND_MS,
+    MAX_BACKOFF_MS,
+    MIN_BACKOFF_MS,
+    REFUSAL_PAUSE_MS,
+    RETURN_DETECTION_MS,
+    SEND_MARGIN_MS,
     ReplicaDirectory,
 )
 from toucanyard.store_contact import Absence
@@ -56,9 +56,9 @@
     """
     for drain_ms in (2_000.0, 4_000.0):
         directory = build_directory("a", "b", "c", drain_ms=drain_ms)
-        directory.note_absence(Absence(-5_000.0, 0.0))
+        directory.record_absence(Absence(-5_000.0, 0.0))
         directory.remove([EndpointName("a")], 300.0, listed_ms=-5_000.0)
-        end_ms = min(LAPSE_GRACE_MS, drain_ms - SEND_MS - RETURN_SEEN_MS)
+        end_ms = min(EXPIRY_GRACE_MS, drain_ms - SEND_MARGIN_MS - RETURN_DETECTION_MS)
         assert list_usable(directory, end_ms - 1) == ["a", "b", "c"]
         assert list_usable(directory, end_ms) == ["b", "c"]
 
@@ -71,10 +71,10 @@
     By itself it takes the store to have been away; what the others say goes first.
     """
     directory = build_directory("a", "b", "c")
-    directory.note_absence(Absence(-3_000.0, 0.0))
+    directory.record_absence(Absence(-3_000.0, 0.0))
     directory.remove([EndpointName("a")], 100.0, listed_ms=-3_000.0)
     assert list_usable(directory, 200.0) == ["a", "b", "c"]
-    directory.note_absence(None)
+    directory.record_absence(None)
     assert list_usable(directory, 200.0) == ["b", "c"]
 
 
@@ -86,7 +86,7 @@
     """
     directory = build_directory("a", "b", "c")
     directory.remove([EndpointName("a")], 0.0, listed_ms=-400.0)
-    directory.note_absence(Absence(10_000.0, 15_000.0))
+    directory.record_absence(Absence(10_000.0, 15_000.0))
     assert list_usable(directory, 15_100.0) == ["b", "c"]
 
 
@@ -94,7 +94,7 @@
     directory = build_directory("a", "b", "c")
     directory.remove([EndpointName("a")], 0.0, listed_ms=-400.0)
     directory.remove_foreign(EndpointName("a"), 100.0)
-    directory.note_absence(Absence(-400.0, 5_000.0))
+    directory.record_absence(Absence(-400.0, 5_000.0))
     assert list_usable(directory, 5_100.0) == ["b", "c"]
 
 
@@ -103,7 +103,7 @@
     directory.remove([EndpointName("a"), EndpointName("b")], 0.0, listed_ms=-400.0)
     assert list_usable(directory, 1.0) == ["a", "b", "c"]
     directory.apply(build_replica("a"), 0.0)
-    assert list_usable(directory, LAPSE_GRACE_MS) == ["a", "c"]
+    assert list_usable(directory, EXPIRY_GRACE_MS) == ["a", "c"]
 
 
 def test_replicas_that_are_taken_away_together_are_not_used_when_they_end() -> None:
@@ -123,13 +123,13 @@
     directory = build_directory("a", "b")
     known = directory.find(EndpointName("a"))
     assert known is not None
-    known.note_failure(0.0, is_dead=True)
-    assert list_usable(directory, MIN_REST_MS - 1) == ["b"]
-    assert list_usable(directory, MIN_REST_MS) == ["a", "b"]
+    known.record_failure(0.0, is_dead=True)
+    assert list_usable(directory, MIN_BACKOFF_MS - 1) == ["b"]
+    assert list_usable(directory, MIN_BACKOFF_MS) == ["a", "b"]
     for _ in range(9):
-        known.note_failure(1_000.0, is_dead=True)
-    assert list_usable(directory, 1_000 + MAX_REST_MS - 1) == ["b"]
-    known.note_success()
+        known.record_failure(1_000.0, is_dead=True)
+    assert list_usable(directory, 1_000 + MAX_BACKOFF_MS - 1) == ["b"]
+    known.record_success()
     assert list_usable(directory, 1_000.0) == ["a", "b"]
 
 
@@ -142,10 +142,10 @@
     dead, loading = (directory.find(EndpointName(each)) for each in "ab")
     assert dead is not None
     assert loading is not None
-    dead.note_failure(0.0, is_dead=True)
-    loading.note_refusal(0.0)
+    dead.record_failure(0.0, is_dead=True)
+    loading.record_refused_call(0.0)
     assert list_usable(directory, 1.0) == []
-    assert list_usable(directory, REFUSED_MS) == ["a", "b"]
+    assert list_usable(directory, REFUSAL_PAUSE_MS) == ["a", "b"]
 
 
 def test_new_weights_end_the_pause_of_their_load() -> None:
@@ -167,14 +167,14 @@
     directory = build_directory("a")
     known = directory.find(EndpointName("a"))
     assert known is not None
-    assert known.note_weights(MODEL, 3)
+    assert known.record_weights(MODEL, 3)
     directory.apply(build_replica("a", weights=((MODEL, 2),)), 0.0)
     assert known.weights == {MODEL: 3}
 
 
 def test_replaced_and_old_replicas_are_forgotten() -> None:
     directory = build_directory("a", "b")
-    directory.note_replaced(EndpointName("a"), 10.0)
+    directory.record_replaced(EndpointName("a"), 10.0)
     assert list_usable(directory, 10.0) == ["b"]
     assert directory.prune(10.0 + FORGET_MS) == []
     assert directory.prune(11.0 + FORGET_MS) == ["a"]
--- a/tests/toucanyard/test_status_exchange.py
+++ b/tests/toucanyard/test_status_exchange.py
@@ -4,10 +4,10 @@
 
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.names import EndpointName, NodeName, RequestId
+from toucanyard.node_directory import MAX_ADDRESSES
 from toucanyard.part_sources import HEARD_MS, STORE_FOLLOWERS, name_store
 from toucanyard.relay_core import FAR_TICK_MS, REST_TICK_MS
 from toucanyard.relay_events import CallArrived, PartsChanged, StopBegun
-from toucanyard.roster import MAX_ADDRESSES
 from toucanyard.status_schedule import URGENT_MS
 
 from .relay_examples import (
@@ -20,7 +20,7 @@
 )
 from .relay_fleet import PlannedFleet, put
 
-FAR_MS = 1_200.0
+PROPAGATION_MS = 1_200.0
 """Time in which what one node does is known everywhere: three ways of a status."""
 
 
@@ -68,13 +68,13 @@
     fleet = build_fleet()
     names = list(fleet.cores)
     send_calls(fleet, names)
-    fleet.run(FAR_MS)
+    fleet.run(PROPAGATION_MS)
     assert {count_running(fleet, name) for name in names} == {len(names)}
     for name in names:
         request_id = RequestId(f"call-{name}")
         core = fleet.cores[name]
         list(core.flow.leave(request_id, fleet.now_ms))
-    fleet.run(FAR_MS)
+    fleet.run(PROPAGATION_MS)
     assert {count_running(fleet, name) for name in names} == {0}
 
 
@@ -88,7 +88,7 @@
     alive = [name for name in fleet.cores if name not in fleet.dead]
     fleet.run(6_000.0)
     send_calls(fleet, alive)
-    fleet.run(FAR_MS)
+    fleet.run(PROPAGATION_MS)
     assert {count_running(fleet, name) for name in alive} == {len(alive)}
 
 
@@ -96,15 +96,15 @@
     """A hub dies; who looks for the cause of odd placement sees it in the lines."""
     fleet = build_fleet()
     leaf = next(name for name in fleet.cores if name not in fleet.find_hubs())
-    primary = fleet.cores[leaf].roster.find_primary()
+    primary = fleet.cores[leaf].node_directory.find_primary()
     assert primary is not None
     fleet.notes.clear()
     fleet.dead = {primary}
     fleet.run(500.0)
     told = [
-        note.fields
-        for name, note in fleet.notes
-        if name == leaf and note.event == "hub_changed"
+        record_change.fields
+        for name, record_change in fleet.notes
+        if name == leaf and record_change.event == "hub_changed"
     ]
     assert [(each["before"], bool(each["hub"])) for each in told] == [(primary, True)]
 
@@ -153,7 +153,7 @@
     fleet = build_fleet()
     sender = list(fleet.cores)[-1]
     send_calls(fleet, [sender])
-    fleet.run(FAR_MS)
+    fleet.run(PROPAGATION_MS)
     dispatched = [
         name
         for name in "abcd"
@@ -239,11 +239,11 @@
     name, follower = name_store(STORE), next(iter(fleet.cores))
     parts = build_prompt().parts[:1]
     fleet.handle(follower, PartsChanged(name, (), is_reset=False, epoch=1))
-    fleet.run(FAR_MS)
+    fleet.run(PROPAGATION_MS)
     for core in fleet.cores.values():
         core.flow.book.note(name, "m/1/", parts, 0.0, STORE.memory_tokens)
     fleet.handle(follower, PartsChanged(name, (), is_reset=False, epoch=2))
-    fleet.run(FAR_MS)
+    fleet.run(PROPAGATION_MS)
     for core in fleet.cores.values():
         book = core.flow.book
         assert book.count_leading(name, "m/1/", parts, float("inf")) == 0
@@ -289,9 +289,9 @@
     now_ms = fleet.now_ms
     known = fleet.cores[sender].directory.find(EndpointName("a"))
     assert known is not None
-    known.note_refusal(now_ms)
-    fleet.cores[sender].gossip.note(EndpointName("a"), now_ms)
-    fleet.cores[sender].statuses.note_due()
+    known.record_refused_call(now_ms)
+    fleet.cores[sender].gossip.record_change(EndpointName("a"), now_ms)
+    fleet.cores[sender].statuses.mark_due()
     fleet.run(300.0)
     for core in fleet.cores.values():
         other = core.directory.find(EndpointName("a"))
@@ -317,9 +317,9 @@
     core = fleet.cores[sender]
     known = core.directory.find(EndpointName("a"))
     assert known is not None
-    known.note_refusal(fleet.now_ms)
-    core.gossip.note(EndpointName("a"), fleet.now_ms)
-    core.statuses.note_due()
+    known.record_refused_call(fleet.now_ms)
+    core.gossip.record_change(EndpointName("a"), fleet.now_ms)
+    core.statuses.mark_due()
     news_statuses = count_statuses(fleet, 400.0) - quiet_statuses
     hubs = len(fleet.find_hubs())
     assert news_statuses <= len(fleet.cores) + hubs * hubs
--- a/tests/toucanyard/test_status_schedule.py
+++ b/tests/toucanyard/test_status_schedule.py
@@ -15,7 +15,7 @@
     schedule = StatusSchedule()
     assert schedule.find_due(0.0, is_full_mesh=False) == AUDIENCES
     for audience in Audience:
-        schedule.note_sent(audience, 0.0)
+        schedule.record_sent(audience, 0.0)
     return schedule
 
 
@@ -40,14 +40,14 @@
 
 def test_news_goes_early_only_to_the_audience_that_lacks_it() -> None:
     schedule = start_schedule()
-    schedule.note_due(Audience.GROUP)
+    schedule.mark_due(Audience.GROUP)
     assert schedule.find_due(URGENT_MS - 1.0, is_full_mesh=False) == set()
     assert schedule.find_due(URGENT_MS, is_full_mesh=False) == {Audience.GROUP}
-    schedule.note_sent(Audience.GROUP, URGENT_MS)
+    schedule.record_sent(Audience.GROUP, URGENT_MS)
     assert schedule.find_due(2 * URGENT_MS, is_full_mesh=False) == set()
 
 
 def test_news_goes_at_once_in_a_mesh() -> None:
     schedule = start_schedule()
-    schedule.note_due(Audience.PEERS)
+    schedule.mark_due(Audience.PEERS)
     assert schedule.find_due(0.0, is_full_mesh=True) == {Audience.PEERS}
--- a/tests/toucanyard/test_usable_endpoints.py
+++ b/tests/toucanyard/test_usable_endpoints.py
@@ -5,7 +5,7 @@
 from hypothesis import example, given, settings, strategies as st
 
 from toucanyard.configuration import Endpoint
-from toucanyard.digests import Digest, Leaving, News, Recovered, Suspected
+from toucanyard.digests import Digest, GossipUpdate, Leaving, Recovered, Suspected
 from toucanyard.endpoint_directory import EndpointDirectory
 from toucanyard.membership import Membership
 from toucanyard.membership_events import DigestArrived
@@ -27,7 +27,7 @@
 )
 
 
-def work_out(
+def compute_usable(
     member: Membership, endpoints: tuple[Endpoint, ...], now_ms: float
 ) -> list[Endpoint]:
     """Return what the rules give, looking at every endpoint."""
@@ -50,7 +50,7 @@
 
 def take_step(fleet: Fleet, kind: str, number: int, source: NodeName) -> None:
     endpoint = fleet.endpoints[number]
-    news: News | None = None
+    news: GossipUpdate | None = None
     match kind:
         case "ok":
             fleet.report(0, number)
@@ -97,7 +97,7 @@
         take_step(fleet, kind, number, source)
         for endpoints in (fleet.endpoints, small):
             usable = member.find_usable(endpoints, fleet.now_ms)
-            assert list(usable) == work_out(member, endpoints, fleet.now_ms)
+            assert list(usable) == compute_usable(member, endpoints, fleet.now_ms)
             assert member.find_usable(endpoints, fleet.now_ms) is usable
 
 
--- a/tests/toucanyard/test_weights_rollout.py
+++ b/tests/toucanyard/test_weights_rollout.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from toucanyard.crash_watch import Reach
+from toucanyard.crash_detector import Reachability
 from toucanyard.failed_loads import HALT_MS, MAX_FAILED_LOADS
 from toucanyard.names import EndpointName, NodeName
 from toucanyard.relay_events import (
@@ -103,7 +103,7 @@
 
     def read(self, name: EndpointName) -> ReplicaStateRead:
         if name in self.back_ms:
-            return ReplicaStateRead(name, None, self.now_ms, Reach.NO_LISTENER)
+            return ReplicaStateRead(name, None, self.now_ms, Reachability.NO_LISTENER)
         if name in self.dead:
             return ReplicaStateRead(name, None, self.now_ms)
         state = ReplicaState(
@@ -240,8 +240,8 @@
     """
     fleet = Fleet(*"abcdef")
     for known in fleet.known[:2]:
-        known.note_failure(0.0, is_dead=True)
-        known.rest_until_ms = float("inf")
+        known.record_failure(0.0, is_dead=True)
+        known.backoff_until_ms = float("inf")
         fleet.dead.add(known.replica.name)
     assert count_at_once(fleet) == 1
     versions = [fleet.versions[name] for name in "cdef"]
@@ -261,7 +261,7 @@
     """
     fleet = Fleet(*"abcdef")
     for known in fleet.known[:2]:
-        known.rest_until_ms = float("inf")
+        known.backoff_until_ms = float("inf")
         fleet.dead.add(known.replica.name)
     fleet.pressure = Pressure(1_000.0)
     assert count_at_once(fleet) == POLICY.min_changing
--- a/tests/toucanyard_emulator/test_replayed_loads.py
+++ b/tests/toucanyard_emulator/test_replayed_loads.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from toucanyard.crash_ledger import GUILTY_CRASHES
+from toucanyard.crash_ledger import CONFIRMED_CRASHES
 from toucanyard.relay_policy import RelayPolicy
 from toucanyard_emulator.runner import play
 from toucanyard_emulator.scenario import Fault, Scenario, find_scenario, load_scenario
@@ -77,6 +77,6 @@
     for seed in SEEDS:
         now = play(scenario, RelayPolicy(), seed)
         then = play(scenario, other, seed)
-        assert now.counts.crashes <= GUILTY_CRASHES
+        assert now.counts.crashes <= CONFIRMED_CRASHES
         assert then.counts.crashes > now.counts.crashes
         assert now.worth > then.worth
--- a/tests/toucanyard_node/polling_fleet.py
+++ b/tests/toucanyard_node/polling_fleet.py
@@ -205,7 +205,7 @@
     def _link_once(self, now_ms: float) -> None:
         found: dict[NodeName, set[NodeName]] = {node.name: set() for node in self.nodes}
         for node in self.nodes:
-            for vm in node.core.roster.find_peers(now_ms):
+            for vm in node.core.node_directory.find_peers(now_ms):
                 other = NodeName(vm.name)
                 if self.unlinked.isdisjoint((node.name, other)):
                     found[node.name].add(other)
--- a/tests/toucanyard_node/test_relay_store.py
+++ b/tests/toucanyard_node/test_relay_store.py
@@ -20,7 +20,7 @@
 from toucanyard.relay_core import RelayCore
 from toucanyard.relay_events import RelayEvent, SendToPeer, StoreFailed
 from toucanyard.relay_options import RelayListen, RelayOptions
-from toucanyard.replicas import RETURN_SEEN_MS
+from toucanyard.replicas import RETURN_DETECTION_MS
 from toucanyard_node.relay_metrics import RelayMetrics
 from toucanyard_node.relay_ports import RecordsGoneError, StoreError, TopicPage
 from toucanyard_node.relay_store import StoreReader, keep_trying
@@ -206,7 +206,7 @@
             absence = world.core.exchange.views[Topic.REPLICAS].contact.find_absence()
             assert absence is not None
             seen_late_ms = absence.returned_ms - returned_ms
-            assert 0.0 <= seen_late_ms <= RETURN_SEEN_MS
+            assert 0.0 <= seen_late_ms <= RETURN_DETECTION_MS
         nursery.cancel_scope.cancel()
 
 
--- a/tests/toucanyard_platform/test_processes.py
+++ b/tests/toucanyard_platform/test_processes.py
@@ -19,7 +19,7 @@
 )
 from replica import CRASH_BODY
 
-from toucanyard.crash_ledger import GUILTY_CRASHES
+from toucanyard.crash_ledger import CONFIRMED_CRASHES
 from toucanyard_node.http_client import ConnectionFailedError
 
 HOST = ("Host", "h")
@@ -147,7 +147,7 @@
 
 REPEAT_S = 0.3
 DOWN_S = 1.0
-MAX_CRASHES = GUILTY_CRASHES + 3
+MAX_CRASHES = CONFIRMED_CRASHES + 3
 """Three replicas, and three retries until all nodes know."""
 
 
--- a/tests/toucanyard_platform/test_replica_client.py
+++ b/tests/toucanyard_platform/test_replica_client.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from toucanyard.crash_watch import Reach
+from toucanyard.crash_detector import Reachability
 from toucanyard.names import Address, EndpointName, NodeName, ReplicaId
 from toucanyard.relay_events import PartChange, WeightsOrder
 from toucanyard_node.relay_ports import StateAnswer
@@ -37,7 +37,7 @@
         answer = await ReplicaClient().read_state(address, ReplicaId("i-1"))
     state = answer.state
     assert state is not None
-    assert answer.reach is Reach.ANSWERED
+    assert answer.reach is Reachability.ANSWERED
     assert state.weights == (("m", 1),)
     assert state.is_busy
     assert state.order_count == 2
@@ -48,13 +48,13 @@
 @pytest.mark.parametrize(
     ("status", "body", "reach"),
     [
-        (421, b"", Reach.REPLACED),
-        (503, b"", Reach.ANSWERED),
-        (200, b"no report", Reach.ANSWERED),
+        (421, b"", Reachability.REPLACED),
+        (503, b"", Reachability.ANSWERED),
+        (200, b"no report", Reachability.ANSWERED),
     ],
 )
 async def test_no_report_tells_whether_the_replica_is_there(
-    status: int, body: bytes, reach: Reach
+    status: int, body: bytes, reach: Reachability
 ) -> None:
     async with serve(lambda _: (status, (), body)) as (address, _):
         answer = await ReplicaClient().read_state(address, ReplicaId("i-1"))
@@ -65,7 +65,7 @@
     async with serve(lambda _: (200, (), b"")) as (address, _):
         pass
     answer = await ReplicaClient().read_state(address, ReplicaId("i-1"))
-    assert answer == StateAnswer(Reach.NO_LISTENER)
+    assert answer == StateAnswer(Reachability.NO_LISTENER)
 
 
 async def test_order_names_what_it_depends_on() -> None:
