--- a/packages/toucanyard/src/toucanyard/crash_detector.py
+++ b/packages/toucanyard/src/toucanyard/crash_detector.py
@@ -1,8 +1,8 @@
-"""Tell a replica that crashed from one whose connections were lost.
+"""Distinguish a crashed replica from one whose connections were lost.
 
-A call whose connection was closed may have met a crash, a reset, a cut link or a
-planned stop. The replica has crashed if it was listed and not leaving, and if nothing
-listens at its address afterwards or another replica answers there.
+A connection that closes during a call may be due to a crash, a reset, a broken link or
+a planned stop. The replica has crashed if it was listed and not leaving, and if
+nothing listens at its address afterwards or another replica answers there.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
 from toucanyard.requests import EndingSeen
 
 LOSS_TTL_MS: Final = 5_000.0
-"""How long a lost call waits for word of its replica; the store drops a replica that
-crashed within that time."""
+"""How long a lost call is kept until the state of its replica is known; the store
+removes a crashed replica within that time."""
 PROBE_MS: Final = 250.0
-"""Time between two probes of a replica that has not answered the last one."""
+"""Interval between probes of a replica that has not answered the last one."""
 MAX_CLOSED_PROBES: Final = 2
-"""Probes in a row that were closed, after which a replica counts as ended."""
+"""Consecutive probes closed without an answer after which a replica counts as ended."""
 SURVIVAL_DELAY_MS: Final = 500.0
-"""How long a replica has to go on after an answer for the request to have survived:
-one that crashes while it cleans up has answered."""
+"""How long a replica must stay up after its answer for the request to count as
+survived: a replica may answer and then crash during cleanup."""
 MAX_ENDED: Final = 1_000
-"""Lives that ended lately and are remembered."""
+"""Recently ended incarnations that are kept."""
 
 
 class Reachability(enum.Enum):
-    """What a probe found at a replica's address."""
+    """Result of a probe of a replica's address."""
 
     ANSWERED = "answered"
     REPLACED = "replaced"
     """Another replica answers there."""
     NO_LISTENER = "no_listener"
     CLOSED = "closed"
-    """Something takes the connection and closes it without an answer: a proxy, or a
-    process that ends."""
+    """The connection was accepted and closed without an answer: by a proxy, or by a
+    process that is exiting."""
     NO_ANSWER = "no_answer"
 
 
@@ -56,7 +56,7 @@
 
 
 class AnsweredCall(msgspec.Struct, frozen=True):
-    """A call that a replica answered a moment ago."""
+    """A call that a replica has just answered."""
 
     replica: EndpointName
     fingerprint: Fingerprint
@@ -67,7 +67,8 @@
 class CrashDetector:
     """Lost calls whose replicas may have crashed.
 
-    Invariant: a loss is charged at most once, and only to the life that it was lost at.
+    Invariant: a lost call is attributed at most once, and only to the incarnation at
+    which it was lost.
     """
 
     __slots__ = (
@@ -83,14 +84,14 @@
         self._directory = directory
         self._losses: dict[EndpointName, list[LostCall]] = {}
         self._answered: deque[AnsweredCall] = deque()
-        """In the order of their ends."""
+        """Ordered by the time of the answer."""
         self._probed_ms: dict[EndpointName, float] = {}
         self._closed: dict[EndpointName, int] = {}
-        """Probes in a row that were closed, of lives with losses."""
+        """Consecutive closed probes of incarnations that have lost calls."""
         self._ended: dict[EndpointName, None] = {}
 
     def has_unresolved_loss(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a run of this request was cut and nobody knows yet by what."""
+        """Return whether a run of this request was cut off for a cause yet unknown."""
         return any(
             loss.is_closed and loss.fingerprint == fingerprint
             for losses in self._losses.values()
@@ -104,7 +105,7 @@
         sent_ms: float,
         now_ms: float,
     ) -> bool:
-        """Record how a dispatch ended; return whether its replica surely ended."""
+        """Record how a dispatch ended; return whether its replica certainly ended."""
         if outcome.has_no_listener or outcome.is_replaced:
             return True
         if outcome.ending is not EndingSeen.LOST or not fingerprint:
@@ -130,12 +131,12 @@
             self._answered.append(answered)
 
     def take_survivals(self, now_ms: float) -> Iterator[AnsweredCall]:
-        """Return the answers that their replicas have outlived, once."""
+        """Return and remove the answers that their replicas have survived."""
         while self._answered and now_ms - self._answered[0].at_ms >= SURVIVAL_DELAY_MS:
             yield self._answered.popleft()
 
     def take_answered(self, replica: EndpointName) -> list[AnsweredCall]:
-        """Return the last answers of a life that has ended, and drop them."""
+        """Return and remove the last answers of an incarnation that has ended."""
         found = [each for each in self._answered if each.replica == replica]
         if found:
             rest = (each for each in self._answered if each.replica != replica)
@@ -145,7 +146,7 @@
     def record_probe(
         self, replica: EndpointName, reach: Reachability, asked_ms: float
     ) -> bool:
-        """Record what a probe found; return whether the replica surely ended."""
+        """Record a probe's result; return whether the replica certainly ended."""
         match reach:
             case Reachability.NO_LISTENER | Reachability.REPLACED:
                 return True
@@ -157,34 +158,34 @@
         return False
 
     def mark_alive(self, replica: EndpointName, asked_ms: float) -> None:
-        """Record that a life has answered what it was asked at a time."""
+        """Record that an incarnation has answered a request sent at `asked_ms`."""
         self._ended.pop(replica, None)
         self._closed.pop(replica, None)
         losses = self._losses.get(replica)
         if losses:
-            # What was lost before a life answered was not lost by its end.
+            # Calls lost before the incarnation answered were not lost by its end.
             self._replace_losses(
                 replica, [each for each in losses if each.at_ms > asked_ms]
             )
 
     def mark_ended(self, replica: EndpointName) -> None:
-        """Record that a life of a replica is over."""
+        """Record that an incarnation of a replica has ended."""
         self._ended[replica] = None
         if len(self._ended) > MAX_ENDED:
             del self._ended[next(iter(self._ended))]
 
     def take_losses(self, replica: EndpointName) -> list[LostCall]:
-        """Return the losses at a life that has ended, and drop them."""
+        """Return and remove the calls lost at an incarnation that has ended."""
         self._probed_ms.pop(replica, None)
         self._closed.pop(replica, None)
         return self._losses.pop(replica, [])
 
     def find_replaced(self, now_ms: float) -> list[EndpointName]:
-        """Return lives with losses that another one has followed at their address."""
+        """Return incarnations with lost calls whose address another one now has."""
         return [name for name in self._losses if self._is_replaced(name, now_ms)]
 
     def take_probes(self, now_ms: float) -> Iterator[KnownReplica]:
-        """Return the replicas to probe now, and forget what is too old to matter."""
+        """Return the replicas to probe now, and drop expired losses."""
         for name, losses in list(self._losses.items()):
             fresh = [each for each in losses if now_ms - each.at_ms < LOSS_TTL_MS]
             self._replace_losses(name, fresh)
--- a/packages/toucanyard/src/toucanyard/crash_ledger.py
+++ b/packages/toucanyard/src/toucanyard/crash_ledger.py
@@ -1,8 +1,9 @@
-"""Know which requests were under way at replicas when these crashed.
+"""Record which requests were running on replicas when these crashed.
 
-A replica runs many requests at once, and a crash does not say which one caused it.
-What survived a run is cleared; what was under way at several crashes and survived none
-is taken for their cause. All nodes hear of the same crashes and judge in the same way.
+A replica runs many requests at once, and a crash does not show which one caused it.
+A request that a replica survived is cleared; one that was running at several crashes
+and that no replica survived is considered their cause. All nodes receive the same
+crashes by gossip and apply the same rules.
 """
 
 from __future__ import annotations
@@ -17,51 +18,53 @@
 from toucanyard.names import EndpointName, Fingerprint
 
 CONFIRMED_CRASHES: Final = 3
-"""Crashes, each of a run sent after the one before, by which a request is convicted."""
+"""Crashes that confirm a request as the cause, each of a run sent after the one before
+it."""
 SOLE_CAUSE_CRASHES: Final = 2
-"""The same for a request that alone was under way at all of them."""
+"""The same for a request that is the only one common to all of these crashes."""
 PROBATION_REPLICAS: Final = 3
-"""Replicas lost under copies of a request after which one node alone runs it."""
+"""Replicas lost while running copies of a request, after which one node alone runs
+it."""
 SETTLING_MS: Final = 500.0
-"""Time after a crash in which other nodes may still say what they had under way."""
+"""Time after a crash in which other nodes may still report what they had running."""
 GOSSIP_MS: Final = 400.0
-"""How long each piece of news is in statuses: at least one to each peer. What a link
-that breaks has lost is sent again once there is a new one."""
+"""How long an update is included in statuses: at least one to each peer. Updates lost
+with a broken link are sent again once there is a new one."""
 CRASH_TTL_MS: Final = 600_000.0
-"""How long a crash counts against the requests that were under way."""
+"""How long a crash is attributed to the requests that were running."""
 MAX_REQUESTS: Final = 16_384
-"""Requests of all crashes together; the oldest crashes go first."""
+"""Requests of all crashes together; the oldest crashes are dropped first."""
 MAX_SURVIVORS: Final = 8_192
-"""Requests that were answered lately and are remembered."""
+"""Recently answered requests that are kept."""
 MAX_CRASH_REQUESTS: Final = 256
-"""Requests of one crash; a replica runs half as many at once."""
+"""Requests per crash; a replica runs at most half as many at once."""
 
 
 class Suspicion(enum.Enum):
-    """What crashes say of a request."""
+    """How strongly crashes point to a request as their cause."""
 
     NONE = "none"
     POSSIBLE = "possible"
     PROBATION = "probation"
-    """Many replicas ended under copies that ran at the same time: it may have ended
-    them, or one event that it has nothing to do with."""
+    """Many replicas crashed while they ran copies of it at the same time: it may be the
+    cause, or all may have been lost to one unrelated event."""
     UNSETTLED = "unsettled"
-    """Nodes may still tell what else was under way at the last crash."""
+    """Other nodes may still report what else was running at the last crash."""
     CONFIRMED = "guilty"
 
 
 class _Crash(msgspec.Struct):
     at_ms: float
     sent_ms: dict[Fingerprint, float]
-    """When each request that was lost there had been sent."""
+    """When each request that was lost there was sent."""
     shared_until_ms: float
 
 
 class CrashLedger:
     """Crashes and survivals, from this node and its peers.
 
-    Invariants: a replica's life crashes once, at the time first heard of; a request is
-    charged only with crashes after its last survival; sizes are bounded.
+    Invariants: an incarnation of a replica crashes once, at the time reported first;
+    only crashes after its last survival are attributed to a request; sizes are bounded.
     """
 
     __slots__ = ("_by_request", "_crashes", "_request_count", "_shared", "_survived_ms")
@@ -70,32 +73,32 @@
         self._crashes: dict[EndpointName, _Crash] = {}
         self._by_request: dict[Fingerprint, set[EndpointName]] = {}
         self._survived_ms: dict[Fingerprint, float] = {}
-        """In the order of the last survivals."""
+        """Ordered by last survival."""
         self._shared: dict[Fingerprint, float] = {}
-        """Survivals that peers are told of, and until when."""
+        """Survivals that are sent to peers, and until when."""
         self._request_count = 0
 
     def find_crash_time(self, replica: EndpointName) -> float | None:
-        """Return when a replica's life crashed; None if it is not known to have."""
+        """Return when this incarnation crashed; None if no crash of it is known."""
         crash = self._crashes.get(replica)
         return None if crash is None else crash.at_ms
 
     def list_attributed_crashes(self, fingerprint: Fingerprint) -> list[EndpointName]:
-        """Return the replicas that crashed under a request since it last survived."""
+        """Return the replicas that crashed under a request since its last survival."""
         names = self._by_request.get(fingerprint, ())
         attributed = [name for name in names if self._is_attributed(fingerprint, name)]
         return sorted(attributed, key=lambda name: self._crashes[name].at_ms)
 
     def count_runs(self) -> int:
-        """Return how many lost runs are remembered, over all crashes."""
+        """Return the number of lost runs that are kept, over all crashes."""
         return self._request_count
 
     def has_survived(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a replica is known to have answered this request."""
+        """Return whether a replica is known to have survived this request."""
         return fingerprint in self._survived_ms
 
     def judge(self, fingerprint: Fingerprint, now_ms: float) -> Suspicion:
-        """Return what is to be believed of a request."""
+        """Return how strongly crashes point to a request."""
         if fingerprint not in self._by_request:
             return Suspicion.NONE
         crashed = self.list_attributed_crashes(fingerprint)
@@ -119,9 +122,9 @@
         *,
         is_shared: bool,
     ) -> list[Fingerprint]:
-        """Charge requests with a replica's crash; return those that are new to it.
+        """Attribute a replica's crash to requests; return those that were added.
 
-        `is_shared` tells whether peers are to hear of what is new.
+        `is_shared`: whether additions are sent to peers.
         """
         crash = self._crashes.get(replica)
         if crash is None:
@@ -147,9 +150,9 @@
     def record_survival(
         self, fingerprint: Fingerprint, at_ms: float, now_ms: float, *, is_shared: bool
     ) -> bool:
-        """Clear a request that a replica answered; return whether that is news.
+        """Clear a request that a replica survived; return whether it had crashes.
 
-        `is_shared` tells whether peers are to hear of it then.
+        `is_shared`: whether the survival is then sent to peers.
         """
         before_ms = self._survived_ms.get(fingerprint, float("-inf"))
         if at_ms <= before_ms:
@@ -166,20 +169,20 @@
         return True
 
     def clear(self, fingerprint: Fingerprint) -> None:
-        """Drop all charges against a request; it counts as one that never ran."""
+        """Drop all crashes attributed to a request, as if it had never run."""
         for replica in self._by_request.pop(fingerprint, ()):
             del self._crashes[replica].sent_ms[fingerprint]
             self._request_count -= 1
 
     def share_all(self, now_ms: float) -> None:
-        """Tell peers once more of all that counts; a new one has heard nothing."""
+        """Send all crashes and survivals again, for a peer that has none of them."""
         for crash in self._crashes.values():
             crash.shared_until_ms = now_ms + GOSSIP_MS
         for fingerprint in self._by_request:
             self._share_survival(fingerprint, now_ms)
 
     def list_crashes(self, now_ms: float) -> Iterator[ReplicaCrash]:
-        """Return the crashes that peers are to hear of now."""
+        """Return the crashes to send to peers now."""
         for replica, crash in self._crashes.items():
             if now_ms < crash.shared_until_ms:
                 runs = tuple(
@@ -190,7 +193,7 @@
                 yield ReplicaCrash(replica, now_ms - crash.at_ms, runs)
 
     def list_survivals(self, now_ms: float) -> Iterator[RequestSurvival]:
-        """Return the survivals that peers are to hear of now."""
+        """Return the survivals to send to peers now."""
         for fingerprint, until_ms in list(self._shared.items()):
             survived_ms = self._survived_ms.get(fingerprint)
             if now_ms >= until_ms or survived_ms is None:
@@ -199,7 +202,7 @@
             yield RequestSurvival(fingerprint, now_ms - survived_ms)
 
     def prune(self, now_ms: float) -> None:
-        """Forget crashes that no longer count."""
+        """Drop expired crashes."""
         old = [
             name
             for name, crash in self._crashes.items()
@@ -225,9 +228,9 @@
     def _count_serial(
         self, fingerprint: Fingerprint, crashed: list[EndpointName]
     ) -> int:
-        """Return the crashes of which each met a run sent after the one before.
+        """Return how many crashes each ended a run sent after the previous crash.
 
-        One event may have ended all replicas that ran copies at the same time.
+        A single event may have ended all replicas that ran copies at the same time.
         """
         count, last_ms = 0, float("-inf")
         for name in crashed:
--- a/packages/toucanyard/src/toucanyard/detectors.py
+++ b/packages/toucanyard/src/toucanyard/detectors.py
@@ -1,8 +1,9 @@
-"""Judge from answers and errors whether an endpoint is dead, in three ways.
+"""Detect failed endpoints from answers and errors, by three alternative rules.
 
-Each detector holds what one node has seen of one endpoint. `ErrorRun` is the one that
-membership uses; the others stand for comparison in `bench_detectors`, whose figures
-are in docs/design/membership.md. `SourceCount` joins the verdicts of several nodes.
+Each detector holds what one node has observed of one endpoint. Membership uses
+`ErrorRunDetector`; the others are there for comparison in `bench_detectors`, whose
+results are in docs/design/membership.md. `SourceQuorum` combines the suspicions of
+several nodes.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 
 
 class Detector(Protocol):
-    """What one node knows of the life of one endpoint."""
+    """Failure detector of one node for one endpoint."""
 
     def record_success(self, now_ms: float) -> None:
-        """Take in an answer."""
+        """Record an answer."""
 
     def record_error(self, now_ms: float) -> None:
-        """Take in a failed try."""
+        """Record a failed attempt."""
 
     def is_suspect(self, now_ms: float) -> bool:
-        """Tell whether the endpoint looks dead from here."""
+        """Return whether this node suspects the endpoint."""
 
 
 class TimeoutDetector:
-    """Suspect an endpoint from which nothing came for a fixed time."""
+    """Suspects an endpoint that has not answered for a fixed time."""
 
     __slots__ = ("_last_ok_ms", "_timeout_ms")
 
@@ -37,19 +38,19 @@
         self._last_ok_ms = now_ms
 
     def record_success(self, now_ms: float) -> None:
-        """Take in an answer."""
+        """Record an answer."""
         self._last_ok_ms = now_ms
 
     def record_error(self, now_ms: float) -> None:
-        """Pass over: only silence counts."""
+        """Do nothing: only the time without an answer counts."""
 
     def is_suspect(self, now_ms: float) -> bool:
-        """Tell whether the silence has lasted too long."""
+        """Return whether the last answer is older than the timeout."""
         return now_ms - self._last_ok_ms > self._timeout_ms
 
 
 class ErrorRunDetector:
-    """Suspect an endpoint after N errors within T and no answer in between.
+    """Suspects an endpoint after N errors within T and no answer in between.
 
     Invariant: `_errors_ms` holds only errors after the last answer, N at most.
     """
@@ -61,30 +62,31 @@
         self._window_ms = window_ms
 
     def record_success(self, now_ms: float) -> None:
-        """Take in an answer."""
+        """Record an answer."""
         self._errors_ms.clear()
 
     def record_error(self, now_ms: float) -> None:
-        """Take in a failed try."""
+        """Record a failed attempt."""
         self._errors_ms.append(now_ms)
 
     def is_suspect(self, now_ms: float) -> bool:
-        """Tell whether enough errors came together."""
+        """Return whether N errors occurred within the window."""
         errors = self._errors_ms
         if len(errors) < (errors.maxlen or 1):
             return False
         return errors[-1] - errors[0] <= self._window_ms
 
     def has_error(self) -> bool:
-        """Tell whether the last try failed."""
+        """Return whether the last attempt failed."""
         return bool(self._errors_ms)
 
 
 class AccrualDetector:
-    """Suspect an endpoint when its silence is improbable after its own history.
+    """Suspects an endpoint whose silence is improbable given its past gaps.
 
-    The gaps between answers are taken as normally distributed; phi is minus the
-    logarithm of the probability of a longer gap (Hayashibara and others, 2004).
+    The phi accrual failure detector (Hayashibara et al., 2004). Gaps between answers
+    are assumed to be normally distributed; phi is minus the decimal logarithm of the
+    probability of a longer gap.
     """
 
     __slots__ = ("_gaps_ms", "_last_ok_ms", "_min_deviation_ms", "_threshold")
@@ -97,9 +99,9 @@
         min_deviation_ms: float = 0.0,
         gaps: int = 32,
     ) -> None:
-        """Start as if answers had come every `interval_ms`.
+        """Initialize the history as if answers had come every `interval_ms`.
 
-        The deviation is taken as a quarter of the interval at least, or as more.
+        The deviation is at least a quarter of the interval and `min_deviation_ms`.
         """
         self._threshold = threshold
         self._gaps_ms: deque[float] = deque([interval_ms] * 4, maxlen=gaps)
@@ -107,35 +109,35 @@
         self._min_deviation_ms = max(interval_ms / 4, min_deviation_ms)
 
     def record_success(self, now_ms: float) -> None:
-        """Take in an answer."""
+        """Record an answer."""
         self._gaps_ms.append(now_ms - self._last_ok_ms)
         self._last_ok_ms = now_ms
 
     def record_error(self, now_ms: float) -> None:
-        """Pass over: only the gaps between answers count."""
+        """Do nothing: only the gaps between answers count."""
 
     def is_suspect(self, now_ms: float) -> bool:
-        """Tell whether phi is over the threshold."""
+        """Return whether phi exceeds the threshold."""
         return self.compute_phi(now_ms) > self._threshold
 
     def compute_phi(self, now_ms: float) -> float:
-        """Return minus the decimal logarithm of the chance of a longer gap."""
+        """Return minus the decimal logarithm of the probability of a longer gap."""
         count = len(self._gaps_ms)
         mean = sum(self._gaps_ms) / count
         variance = sum((gap - mean) ** 2 for gap in self._gaps_ms) / count
         deviation = max(math.sqrt(variance), self._min_deviation_ms)
         distance = (now_ms - self._last_ok_ms - mean) / deviation
         if distance > 30:
-            # The tail underflows; its leading term is exact enough out here.
+            # erfc underflows here; the leading term of the tail is accurate enough.
             return distance * distance / 2 / _LN_10
         return -math.log10(0.5 * math.erfc(distance / math.sqrt(2)))
 
 
 class SourceQuorum:
-    """Condemn an endpoint on the word of S sources within T.
+    """Condemns an endpoint that S sources suspect within T.
 
-    After the rule of MySQL Fabric's WL#7388, N reports from S sources within an
-    interval T; a source counts its own N before it reports, which saves messages.
+    Follows the rule of MySQL Fabric's WL#7388: N reports from S sources within an
+    interval T. Each source counts its own N before it reports, which saves messages.
     """
 
     __slots__ = ("_reports_ms", "_sources", "_window_ms")
@@ -146,19 +148,19 @@
         self._reports_ms: dict[str, float] = {}
 
     def record_report(self, source: str, at_ms: float) -> None:
-        """Take in that a source suspected the endpoint at a time."""
+        """Record that a source suspected the endpoint at `at_ms`."""
         self._reports_ms[source] = max(at_ms, self._reports_ms.get(source, at_ms))
 
     def withdraw(self, source: str) -> None:
-        """Forget what a source said."""
+        """Remove the report of a source."""
         self._reports_ms.pop(source, None)
 
     def clear(self) -> None:
-        """Forget every report."""
+        """Remove all reports."""
         self._reports_ms.clear()
 
     def find_sources(self, now_ms: float) -> list[str]:
-        """Return the sources whose word still counts."""
+        """Return the sources whose reports have not expired."""
         return [
             source
             for source, at_ms in self._reports_ms.items()
@@ -166,11 +168,11 @@
         ]
 
     def is_condemned(self, now_ms: float) -> bool:
-        """Tell whether enough sources agree."""
+        """Return whether enough sources suspect the endpoint."""
         return len(self.find_sources(now_ms)) >= self._sources
 
     def prune(self, now_ms: float) -> bool:
-        """Drop old reports; return whether none is left."""
+        """Drop expired reports; return whether none is left."""
         for source in set(self._reports_ms).difference(self.find_sources(now_ms)):
             del self._reports_ms[source]
         return not self._reports_ms
--- a/packages/toucanyard/src/toucanyard/digests.py
+++ b/packages/toucanyard/src/toucanyard/digests.py
@@ -1,9 +1,9 @@
-"""Give the messages in which nodes tell one another what they know.
+"""Define the membership messages that nodes exchange.
 
-A digest names the sender's configuration and carries news: leaving VMs, suspected
-and recovered endpoints, new incarnations. A piece of news is told once to each peer
-and passed on, so it crosses the fleet in a few intervals; its age travels in place of
-a time, since nodes' clocks aren't compared.
+A digest names the sender's configuration version and carries gossip updates: leaving
+VMs, suspected and recovered endpoints, new incarnations. An update is sent once to each
+peer and forwarded, so it reaches the whole fleet within a few intervals. It carries an
+age rather than a timestamp, since the clocks of nodes are not synchronized.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Suspected(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """A source's own detector suspects an endpoint."""
+    """The failure detector of the source node suspects an endpoint."""
 
     endpoint: EndpointName
     source: NodeName
@@ -23,7 +23,7 @@
 
 
 class Recovered(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """A source that suspected an endpoint has an answer from it again."""
+    """A source node that suspected an endpoint has received an answer from it."""
 
     endpoint: EndpointName
     source: NodeName
@@ -31,7 +31,7 @@
 
 
 class Leaving(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """The VM list calls the VM at an endpoint's address leaving."""
+    """The VM list marks the VM at an endpoint's address as leaving."""
 
     address: Address
     age_ms: int
@@ -49,10 +49,10 @@
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
-    """What one node tells a peer at regular intervals.
+    """What one node sends to a peer at regular intervals.
 
-    `sent_ms` is in the sender's time and comes back as `echo_ms`, so that a node can
-    tell how old a confirmation is without comparing clocks. `confirmed_age_ms` is
+    `sent_ms` is in the sender's time and is returned as `echo_ms`, so that a node can
+    bound the age of a confirmation without comparing clocks. `confirmed_age_ms` is
     negative when the sender has never confirmed its version.
     """
 
@@ -66,13 +66,13 @@
 
 
 class ConfigurationRequest(msgspec.Struct, frozen=True, tag="configuration_request"):
-    """Ask a peer for what it holds beyond a version."""
+    """Request the configuration changes after version `base`."""
 
     base: int
 
 
 class ConfigurationOffer(msgspec.Struct, frozen=True, tag="configuration_offer"):
-    """Give a peer the whole state, where the patches to it are no longer kept."""
+    """Send the whole state, where the patches since `base` are no longer kept."""
 
     checkpoint: CheckpointRecord
 
--- a/packages/toucanyard/src/toucanyard/evidence.py
+++ b/packages/toucanyard/src/toucanyard/evidence.py
@@ -1,7 +1,7 @@
-"""Hold what one node knows of the life of each endpoint, by itself and from others.
+"""Hold the failure evidence on each endpoint, from this node and from other nodes.
 
-Own evidence counts at once for this node's decisions. What others say counts where
-this node has no answer of its own, when several sources agree, and within a limit.
+Own evidence affects this node's decisions at once. Suspicions of other nodes count only
+where this node has no recent answer, when several sources agree, and up to a limit.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from toucanyard.options import MembershipTimings
 
 REFRESH_MS: Final = 10_000.0
-"""How often a lasting suspicion is told again."""
+"""Interval at which a lasting suspicion is gossiped again."""
 _REPORT_TTL_MS: Final = 25_000.0
-"""How long a source's word counts; longer than two refreshes."""
+"""How long a source's report counts; longer than two refreshes."""
 _SELF_SUSPECT_SHARE: Final = 0.5
 _MIN_SELF_SUSPECT_FAILURES: Final = 3
 _RETIRED_KEPT: Final = 4
@@ -26,9 +26,9 @@
 
 
 class _EndpointState(msgspec.Struct):
-    """What this node knows of one endpoint.
+    """Evidence on one endpoint.
 
-    `established_ms` is the last time at which the incarnation is known to have been
+    `established_ms` is the last time at which `incarnation` is known to have been
     the endpoint's.
     """
 
@@ -43,10 +43,10 @@
 
 
 class Evidence:
-    """Hold evidence on the endpoints of the configuration in force.
+    """Evidence on the endpoints of the configuration in force.
 
-    Invariants: only endpoints that `keep` named have an entry; news never brings back
-    an incarnation that was replaced; a node that suspects itself accuses nobody.
+    Invariants: only endpoints that `keep` named have an entry; gossip never restores an
+    incarnation that was replaced; a node that suspects itself reports no endpoint.
     """
 
     def __init__(self, node: NodeName, timings: MembershipTimings) -> None:
@@ -58,7 +58,7 @@
         self._suspected: set[EndpointName] = set()
 
     def keep(self, names: Iterable[EndpointName]) -> None:
-        """Hold entries for these endpoints and no others."""
+        """Keep entries for these endpoints and no others."""
         kept = set(names)
         for name in set(self._known) - kept:
             del self._known[name]
@@ -73,22 +73,22 @@
         self._suspected &= kept
 
     def find_incarnation(self, endpoint: EndpointName) -> Incarnation | None:
-        """Return the incarnation of an endpoint that was learned last."""
+        """Return the latest known incarnation of an endpoint."""
         known = self._known.get(endpoint)
         return None if known is None else known.incarnation
 
     def has_suspicions(self) -> bool:
-        """Tell whether anything speaks against any endpoint."""
+        """Return whether this node or any other suspects an endpoint."""
         return bool(self._failing or self._suspected)
 
     def is_avoided(self, endpoint: EndpointName, now_ms: float) -> bool:
-        """Tell whether own evidence speaks against an endpoint."""
+        """Return whether this node's own errors exclude an endpoint."""
         if endpoint not in self._failing:
             return False
         known = self._known[endpoint]
-        # A single error may be chance; waiting for the next poll costs nothing while
-        # others take the work. Where this node doesn't poll, the doubt ends by
-        # itself, or an endpoint that came back would never be tried again.
+        # A single error may be a coincidence; waiting for the next poll costs nothing
+        # while other endpoints take the work. The suspicion expires by itself, since a
+        # recovered endpoint that this node does not poll would never be tried again.
         suspicion_ms = self._timings.suspect_after_ms
         if known.error_run.is_suspect(now_ms):
             suspicion_ms = max(suspicion_ms, self._timings.condemn_window_ms)
@@ -97,20 +97,20 @@
     def find_avoided(
         self, names: KeysView[EndpointName], now_ms: float
     ) -> set[EndpointName]:
-        """Return the endpoints that own evidence speaks against."""
+        """Return the endpoints that this node's own errors exclude."""
         return {name for name in names & self._failing if self.is_avoided(name, now_ms)}
 
     def find_suspected(self, names: KeysView[EndpointName]) -> set[EndpointName]:
-        """Return the endpoints that anybody suspects."""
+        """Return the endpoints that any node suspects."""
         return names & self._suspected
 
     def find_condemned(
         self, names: Iterable[EndpointName], size: int, now_ms: float
     ) -> set[EndpointName]:
-        """Return the accused that others condemn and this node has no answer from.
+        """Return the endpoints that others condemn and that do not answer this node.
 
-        At most a share of `size`: more dead at once is rather a cut between nodes,
-        and the work would be heaped on the few that are left.
+        At most a share of `size`: more failures at once are more likely a network
+        partition, and all work would go to the few endpoints that are left.
         """
         suspected: list[EndpointName] = []
         for name in names:
@@ -123,7 +123,7 @@
         return set(suspected[:limit])
 
     def find_all_condemned(self, now_ms: float) -> list[EndpointName]:
-        """Return the endpoints on whose death enough sources agree."""
+        """Return the endpoints that enough sources suspect."""
         return [
             name
             for name in sorted(self._suspected)
@@ -131,7 +131,7 @@
         ]
 
     def is_self_suspect(self, now_ms: float) -> bool:
-        """Tell whether so much looks dead that this node's network is to blame."""
+        """Return whether so many endpoints fail that this node is likely at fault."""
         if len(self._failing) < _MIN_SELF_SUSPECT_FAILURES:
             return False
         since_ms = now_ms - _REPORT_TTL_MS
@@ -143,7 +143,7 @@
         return dead > _SELF_SUSPECT_SHARE * tried
 
     def record_success(self, endpoint: EndpointName, now_ms: float) -> bool:
-        """Take in an answer; return whether others must hear of the recovery."""
+        """Record an answer; return whether the recovery must be gossiped."""
         known = self._known.get(endpoint)
         if known is None:
             return False
@@ -158,7 +158,7 @@
         return True
 
     def record_error(self, endpoint: EndpointName, now_ms: float) -> None:
-        """Take in a failed try."""
+        """Record a failed attempt."""
         known = self._known.get(endpoint)
         if known is None:
             return
@@ -168,7 +168,7 @@
         self._failing.add(endpoint)
 
     def take_suspected(self, now_ms: float) -> list[EndpointName]:
-        """Return the endpoints of which others must hear now that they look dead."""
+        """Return the suspected endpoints that are due to be gossiped."""
         if not self._failing or self.is_self_suspect(now_ms):
             return []
         taken: list[EndpointName] = []
@@ -189,20 +189,20 @@
     def record_suspicion(
         self, endpoint: EndpointName, source: NodeName, at_ms: float
     ) -> None:
-        """Take in that a source suspects an endpoint."""
+        """Record that a source suspects an endpoint."""
         known = self._known.get(endpoint)
         if known is not None:
             known.sources.record_report(source, at_ms)
             self._suspected.add(endpoint)
 
     def withdraw(self, endpoint: EndpointName, source: NodeName) -> None:
-        """Take in that a source no longer suspects an endpoint."""
+        """Record that a source no longer suspects an endpoint."""
         known = self._known.get(endpoint)
         if known is not None:
             known.sources.withdraw(source)
 
     def prune(self, now_ms: float) -> None:
-        """Drop accusations that no longer count."""
+        """Drop expired suspicions."""
         for name in list(self._suspected):
             if self._known[name].sources.prune(now_ms):
                 self._suspected.discard(name)
@@ -210,10 +210,10 @@
     def learn_directly(
         self, endpoint: EndpointName, incarnation: Incarnation, asked_ms: float
     ) -> bool:
-        """Take in the incarnation in an answer; return whether it is another one.
+        """Apply the incarnation in an answer; return whether it has changed.
 
-        An answer to a request from before the present one was established may come
-        from a process that is gone since.
+        An answer to a request sent before the current incarnation was established is
+        ignored: it may come from a process that has exited since.
         """
         known = self._known.get(endpoint)
         if known is None or asked_ms < known.established_ms:
@@ -224,7 +224,7 @@
     def learn_from_gossip(
         self, endpoint: EndpointName, incarnation: Incarnation, at_ms: float
     ) -> bool:
-        """Take in an incarnation that a peer saw; return whether it is another one."""
+        """Apply an incarnation that a peer observed; return whether it has changed."""
         known = self._known.get(endpoint)
         if known is None or at_ms <= known.established_ms:
             return False
@@ -238,7 +238,7 @@
             return False
         if known.incarnation is not None:
             known.retired = (*known.retired, known.incarnation)[-_RETIRED_KEPT:]
-            # What was said of the dead incarnation doesn't hold for this one.
+            # Reports on the previous incarnation do not apply to this one.
             known.sources.clear()
         known.incarnation = incarnation
         return True
--- a/packages/toucanyard/src/toucanyard/gossip_queue.py
+++ b/packages/toucanyard/src/toucanyard/gossip_queue.py
@@ -1,7 +1,7 @@
-"""Pass news on to peers within a budget, each piece once to each peer.
+"""Queue gossip updates for peers and forward each one once to each peer.
 
-News on one subject replaces what was known before when it is newer; equal or older
-news is dropped, which ends its travel.
+A newer update on a subject replaces the one that is queued; an equal or older one is
+dropped and not forwarded, which ends its propagation.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 _MAX_UPDATES: Final = 4_096
 _FAN_OUT: Final = 4
-"""To how many peers news from a peer is passed on; all neighbours do the same."""
+"""Number of peers to which a peer's update is forwarded; all neighbors do the same."""
 _AGE_TOLERANCE_MS: Final = 500.0
-"""Ages of one piece of news may differ by this much after several hops."""
+"""Ages of the same update may differ by this much after several hops."""
 
 
 class _QueuedUpdate(msgspec.Struct):
@@ -27,15 +27,15 @@
     sent_to: set[NodeName]
     is_own: bool
     sends_left: int
-    """How many more peers are to be told; the refresh reaches those left out."""
+    """How many more peers get the update; the periodic refresh reaches the others."""
 
     def is_for(self, peer: NodeName) -> bool:
-        """Tell whether a peer is to be told."""
+        """Return whether the update is still to be sent to a peer."""
         return self.sends_left > 0 and peer not in self.sent_to
 
 
 def find_subject(update: GossipUpdate) -> tuple[str, str]:
-    """Return what a piece of news is about."""
+    """Return the subject of an update, within which newer replaces older."""
     match update:
         case Suspected() | Recovered():
             return update.endpoint, update.source
@@ -46,9 +46,9 @@
 
 
 class GossipQueue:
-    """Hold the newest piece on each subject and who has it.
+    """The newest update on each subject, and the peers that have it.
 
-    Invariant: at most _MAX_SUBJECTS pieces, each younger than `keep_ms`.
+    Invariant: at most _MAX_UPDATES updates, each younger than `ttl_ms`.
     """
 
     __slots__ = ("_queued", "_ttl_ms")
@@ -60,7 +60,7 @@
     def enqueue(
         self, update: GossipUpdate, now_ms: float, source: NodeName | None
     ) -> bool:
-        """Take in news from a peer or from this node; return whether it is new."""
+        """Add an update from a peer, or from this node; return whether it is new."""
         if not 0 <= update.age_ms <= self._ttl_ms:
             return False
         at_ms = now_ms - update.age_ms
@@ -74,7 +74,7 @@
             return False
         sent_to = set() if source is None else {source}
         is_own = source is None
-        # A leaving VM must be known everywhere at once, and there are few of them.
+        # Every node must learn of a leaving VM at once, and few VMs leave.
         is_for_all = is_own or isinstance(update, Leaving)
         sends_left = _MAX_UPDATES if is_for_all else _FAN_OUT
         self._queued[subject] = _QueuedUpdate(
@@ -85,9 +85,10 @@
     def take_for(
         self, peer: NodeName, now_ms: float, limit: int
     ) -> tuple[GossipUpdate, ...]:
-        """Return news for a peer and mark it as told; own first, then the newest.
+        """Return updates for a peer and mark them as sent: own first, then newest.
 
-        Nobody else may have own news yet, while news of others comes many ways.
+        Other nodes may not have this node's own updates yet, while those of other
+        nodes reach the peer over several paths.
         """
         waiting = [each for each in self._queued.values() if each.is_for(peer)]
         waiting.sort(key=lambda queued: (not queued.is_own, -queued.received_ms))
@@ -100,18 +101,18 @@
         return tuple(taken)
 
     def has_updates_for(self, peer: NodeName) -> bool:
-        """Tell whether something waits for a peer."""
+        """Return whether an update is queued for a peer."""
         return any(queued.is_for(peer) for queued in self._queued.values())
 
     def forget_peer(self, peer: NodeName) -> None:
-        """Tell everything again to a peer that comes back, since it may be empty."""
+        """Queue all updates again for a peer that reconnects; it may have restarted."""
         for queued in self._queued.values():
             if peer in queued.sent_to:
                 queued.sent_to.discard(peer)
                 queued.sends_left += 1
 
     def prune(self, now_ms: float) -> None:
-        """Drop what is too old to tell."""
+        """Drop updates that have expired."""
         old = [
             subject
             for subject, queued in self._queued.items()
--- a/packages/toucanyard/src/toucanyard/link_messages.py
+++ b/packages/toucanyard/src/toucanyard/link_messages.py
@@ -1,7 +1,7 @@
 """Messages between nodes that relay calls, and their encoding as CBOR.
 
-All of them may be lost or come twice: each says what is, not what changed, and the
-next status shows what is still missing.
+Any message may be lost or duplicated: each carries state rather than changes, and the
+next status shows what the receiver still lacks.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 )
 
 DurationMs = Annotated[float, msgspec.Meta(ge=-1e12, le=1e12)]
-"""A span of time, neither infinite nor no number: no reader could reckon with these."""
+"""A duration, neither infinite nor NaN: receivers could not compute with these."""
 
 
 class StoreReadUpdate(msgspec.Struct, frozen=True, array_like=True):
@@ -31,62 +31,62 @@
 
     read_id: int
     age_ms: DurationMs
-    """Time since it was asked for."""
+    """Time since the read was started."""
     steady_ms: DurationMs
-    """For how long before that the store is known to have answered without a break."""
+    """How long before that the store is known to have answered without interruption."""
 
 
 class ViewStatus(msgspec.Struct, frozen=True, array_like=True):
-    """How far a node knows one topic."""
+    """Up to which offset a node has read one topic."""
 
     topic: Topic
     end: int
     answer: StoreReadUpdate | None = None
-    """The store's newest answer, which held nothing beyond `end`."""
+    """The store's newest answer, which contained nothing beyond `end`."""
 
 
 class ReplicaUse(msgspec.Struct, frozen=True, array_like=True):
-    """What one node has under way at one replica."""
+    """The calls that one node has running at one replica."""
 
     replica: EndpointName
     running: int
     tokens: int
-    """Tokens in the replica's memory for them."""
+    """Tokens that they occupy in the replica's memory."""
     unread_tokens: int
-    """Prompt tokens still to be read there."""
+    """Prompt tokens that the replica has yet to read."""
 
 
 class ReplicaUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What the node that orders weights knows of a replica before the store does."""
+    """State of a replica that nodes know before the store shows it."""
 
     replica: EndpointName
     loading_left_ms: DurationMs
-    """How long it takes no new calls, since it loads weights; 0 if it does."""
+    """How long it accepts no new calls since it loads weights; 0 if it accepts them."""
     weights: tuple[tuple[str, int], ...]
     pause_id: int = 0
-    """Of the update that began the pause or renewed it; 0 without a pause."""
+    """Id of the update that began or renewed the pause; 0 without a pause."""
 
 
 class ReplicaLimitUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """The limit that a replica named in an answer, or that it names none any more."""
+    """The rate limit that a replica stated in an answer; None if it has none now."""
 
     replica: EndpointName
     rate_per_s: Annotated[float, msgspec.Meta(ge=0, le=1e9)] | None
     age_ms: DurationMs
-    """Time since the answer was seen."""
+    """Time since the answer was received."""
     update_id: int
 
 
 class ReplicaRestart(msgspec.Struct, frozen=True, array_like=True):
-    """A replica that has started again under its name."""
+    """A replica that has restarted under the same name."""
 
     listed_as: ReplicaId
     born_ms: int
-    """The start of its newest life, by its own clock."""
+    """Start of its newest incarnation, by its own clock."""
 
 
 class ReadPart(msgspec.Struct, frozen=True, array_like=True):
-    """A part of a prompt that a replica has just read, or is about to read."""
+    """A prompt block that a replica has just read, or is about to read."""
 
     replica: EndpointName
     scope: str
@@ -96,7 +96,7 @@
 
 
 class GoalAge(msgspec.Struct, frozen=True, array_like=True):
-    """How long a node has known that weights are wanted."""
+    """How long a node has known the target weights of a model."""
 
     model: str
     version: int
@@ -104,27 +104,27 @@
 
 
 class NodeUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A node that is alive, and whether it takes callers."""
+    """A node that is alive, and whether it accepts callers."""
 
     node: NodeName
     is_ready: bool
 
 
 class PromptStoreUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A store of prompts that answered a node lately."""
+    """A prompt store that has recently answered a node."""
 
     store: EndpointName
     heard_age_ms: DurationMs
     epoch: int
-    """Another one after each restart, with which the store is empty."""
+    """Changes with each restart, after which the store is empty."""
 
 
 class LostRun(msgspec.Struct, frozen=True, array_like=True):
-    """A request that was under way at a replica when this ended."""
+    """A request that was running at a replica when the replica ended."""
 
     fingerprint: Fingerprint
     ran_ms: DurationMs
-    """Time since it was sent there."""
+    """Time between its dispatch to the replica and the crash."""
 
 
 class ReplicaCrash(msgspec.Struct, frozen=True, array_like=True):
@@ -133,29 +133,29 @@
     replica: EndpointName
     age_ms: DurationMs
     runs: tuple[LostRun, ...]
-    """Those that were under way there, as far as the sender knows."""
+    """The requests that were running there, as far as the sender knows."""
 
 
 class RequestSurvival(msgspec.Struct, frozen=True, array_like=True):
-    """A request that a replica answered, though replicas crashed under it."""
+    """A request that a replica survived, though other replicas crashed running it."""
 
     fingerprint: Fingerprint
     age_ms: DurationMs
 
 
 class Coverage(enum.StrEnum):
-    """Whose calls the uses in a status count."""
+    """Whose calls the usage reports in a status include."""
 
     NOBODY = "n"
-    """The status says nothing of uses."""
+    """The status has no usage reports."""
     GROUP = "g"
-    """The sender's, and those of the nodes that report to it."""
+    """Those of the sender and of the nodes that report to it."""
     FLEET = "f"
-    """All nodes', the receiver's among them."""
+    """Those of all nodes, including the receiver."""
 
 
 class NodeStatus(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """What a node tells its peers, several times a second."""
+    """The status that a node sends to its peers several times a second."""
 
     is_ready: bool
     views: tuple[ViewStatus, ...]
@@ -166,17 +166,17 @@
     stores: tuple[PromptStoreUpdate, ...] = ()
     covers: Coverage = Coverage.GROUP
     nodes: tuple[NodeUpdate, ...] | None = None
-    """The nodes that are alive among those that it covers; None if it doesn't say."""
+    """The live nodes among those that it covers; None if the status has no list."""
     is_report: bool = False
-    """The receiver is the hub that the sender reports to."""
+    """Whether the receiver is the hub that the sender reports to."""
     restarts: tuple[ReplicaRestart, ...] = ()
-    """The newest lives of replicas that have started again lately."""
+    """The newest incarnations of replicas that have recently restarted."""
     crashes: tuple[ReplicaCrash, ...] = ()
     survivals: tuple[RequestSurvival, ...] = ()
     pledge: Pledge | None = None
-    """To whom the sender's group gives its shares of limits; None if it doesn't say."""
+    """To whom the sender's group delegates its shares of limits; None if unstated."""
     replica_limits: tuple[ReplicaLimitUpdate, ...] = ()
-    """Limits of replicas that have changed lately."""
+    """Limits of replicas that have recently changed."""
 
 
 class ViewRecords(msgspec.Struct, frozen=True, array_like=True, tag="v"):
@@ -198,32 +198,32 @@
 
 
 Credit = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
-"""An amount in the unit of a limit, neither infinite nor no number."""
+"""An amount in the unit of a limit, neither infinite nor NaN."""
 
 
 class CreditAsk(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """A node needs credit of a limit's home; passed on by one hub at most."""
+    """A request to a limit's coordinator for credit; relayed by one hub at most."""
 
     origin: NodeName
     number: int
     subject: str
     wanted: Credit
     least: Credit
-    """Cost of the first request; less is of no use."""
+    """Cost of the first waiting request; a smaller grant is useless."""
     returned: Credit
-    """Credit of before that was not used."""
+    """Unused credit of earlier grants."""
     kind: LimitKind = LimitKind.CUSTOMER
 
 
 class CreditAnswer(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """A home's answer to a node that asked for credit."""
+    """A coordinator's answer to a node that asked for credit."""
 
     origin: NodeName
     number: int
     subject: str
     granted: Credit
     closed_ms: DurationMs
-    """Time until the home grants anything again; 0 if it does now."""
+    """Time until the coordinator grants credit again; 0 if it does now."""
     retry_ms: DurationMs
     kind: LimitKind = LimitKind.CUSTOMER
 
@@ -232,11 +232,11 @@
 
 
 def encode_link_message(message: LinkMessage) -> bytes:
-    """Return the bytes of one message."""
+    """Encode one message."""
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
 def decode_link_message(data: bytes) -> LinkMessage:
-    """Return the message in some bytes, or raise MessageInvalidError."""
+    """Decode one message, or raise MessageInvalidError."""
     message: LinkMessage = decode_cbor(data, LinkMessage)
     return message
--- a/packages/toucanyard/src/toucanyard/link_plan.py
+++ b/packages/toucanyard/src/toucanyard/link_plan.py
@@ -1,9 +1,9 @@
-"""Choose whom a node links to in a fleet that is too large for a mesh.
+"""Choose the links of a node in a fleet that is too large for a full mesh.
 
 Each failure domain has a few hubs, and all hubs are linked to each other. Any other
-node is linked to two hubs of its domain: it reports to the first and stands by at the
-second. Nobody agrees on the hubs: every node orders the nodes that it knows in the same
-way and passes over those that it can't reach.
+node is linked to two hubs of its domain: it reports to the first and keeps the second
+as a standby. There is no election: every node ranks the nodes that it knows by the same
+rule and skips those that it cannot reach.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from toucanyard.vm_view import compute_rank
 
 LINKS: Final = 2
-"""Hubs that a node has a link to: the death of one doesn't cut it off."""
+"""Hubs to which a node is linked, so that the loss of one does not disconnect it."""
 MIN_HUBS: Final = 2
 NODES_PER_HUB: Final = 24
-"""Nodes of a domain for each of its hubs: what a hub tells so many takes a tenth of a
-link of 100 Mbit/s, and at 320 nodes in 5 domains the 15 hubs can still be meshed."""
+"""Nodes of a domain per hub: statuses to so many take a tenth of a hub's 100 Mbit/s
+link, and the 15 hubs of 320 nodes in 5 domains can still form a full mesh."""
 UNREACHABLE_AFTER_MS: Final = 1_500.0
-"""Time without a link after which a node counts as out of reach; a dial to one that
-lives takes a few milliseconds, and twice as long as a dial may wait passes first."""
+"""Time without a link after which a node counts as unreachable; connecting to a live
+node takes a few milliseconds, and this is twice the connect timeout."""
 RETRY_MS: Final = 6_000.0
-"""How long a node that was out of reach is passed over."""
+"""How long an unreachable node is skipped."""
 
 
 class LinkPlan:
-    """The links that one node wants.
+    """The links that one node should have.
 
     Invariant: `wanted` names known nodes, and never the node itself.
     """
@@ -45,10 +45,10 @@
         self.hubs: frozenset[NodeName] = frozenset()
         """All hubs of the fleet, as this node sees them."""
         self.wanted: tuple[NodeName, ...] = ()
-        """The most wanted first."""
+        """In order of preference."""
 
     def is_hub(self) -> bool:
-        """Tell whether this node is a hub."""
+        """Return whether this node is a hub."""
         return self._own.name in self.hubs
 
     def update(
@@ -57,7 +57,7 @@
         linked: Collection[NodeName],
         now_ms: float,
     ) -> None:
-        """Decide anew, knowing all other nodes and those that are linked."""
+        """Recompute the plan from all other nodes and the current links."""
         self._update_reachability(linked, now_ms)
         domains: dict[DomainName, list[NodeRecord]] = {}
         for node in (self._own, *others):
@@ -71,14 +71,14 @@
             near = hubs[self._own.domain]
             wanted = heapq.nsmallest(LINKS, near, lambda hub: self._rank(own, hub))
             if self._unreachable_ms and not set(wanted).intersection(linked):
-                # Most of its domain may be down; a hub of another one will do.
+                # Most of the domain may be down; fall back to hubs of other domains.
                 far = self.hubs.difference(near)
                 wanted += heapq.nsmallest(LINKS, far, lambda hub: self._rank(own, hub))
         self.wanted = tuple(wanted)
         self._prune_ranks({node.name for node in others})
 
     def find_primary(self, linked: Collection[NodeName]) -> NodeName | None:
-        """Return the hub that this node reports to; none if it is a hub itself."""
+        """Return the hub that this node reports to; None if it is a hub itself."""
         if self.is_hub():
             return None
         return next((hub for hub in self.wanted if hub in linked), None)
@@ -88,7 +88,7 @@
         best = heapq.nsmallest(
             count,
             (each for each in nodes if each.name not in self._unreachable_ms),
-            # What a hub sends grows with its domain; VMs with a faster link go first.
+            # A hub's traffic grows with its domain, so prefer VMs with faster links.
             key=lambda each: (-each.link_mbps, self._rank(each.domain, each.name)),
         )
         return [each.name for each in best]
--- a/packages/toucanyard/src/toucanyard/linked_peers.py
+++ b/packages/toucanyard/src/toucanyard/linked_peers.py
@@ -1,4 +1,4 @@
-"""Hold to which peers links stand, and tell membership and keys of each change."""
+"""Track the linked peers, and notify membership and the key decisions of changes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LinkedPeers:
-    """The peers to which links of this node stand."""
+    """The peers to which this node is linked."""
 
     __slots__ = ("_domain", "_linked", "_membership")
 
@@ -21,15 +21,15 @@
         self._linked: frozenset[NodeId] = frozenset()
 
     def list_all(self) -> tuple[NodeId, ...]:
-        """Return all of them in a fixed order."""
+        """Return all linked peers in a fixed order."""
         return tuple(sorted(self._linked, key=lambda peer: peer.node))
 
     def find_names(self) -> frozenset[NodeName]:
-        """Return their names."""
+        """Return the names of all linked peers."""
         return frozenset(peer.node for peer in self._linked)
 
     def change(self, peers: Sequence[NodeId], now_ms: float) -> PeersChanged:
-        """Take over which links stand; return what the decision on keys must know."""
+        """Apply the current links; return the event for the key decisions."""
         linked = frozenset(peers)
         for gone in self._linked - linked:
             self._membership.handle(PeerDown(gone.node), now_ms)
--- a/packages/toucanyard/src/toucanyard/membership.py
+++ b/packages/toucanyard/src/toucanyard/membership.py
@@ -1,8 +1,8 @@
-"""Judge which endpoints may get work, which nodes to talk to and what to tell them.
+"""Decide which endpoints are usable, which peers to link to and what to gossip.
 
-The caller feeds events and carries out the actions; there are no clocks or sockets
-here. Evidence on endpoints is in `evidence`, the VM list in `vm_view`, and what goes
-from node to node in `news`.
+The caller passes events in and carries out the returned actions; there are no clocks
+or sockets here. `evidence` holds the failure evidence on endpoints, `vm_view` the VM
+list, and `gossip_queue` the updates that nodes forward to each other.
 """
 
 from __future__ import annotations
@@ -50,13 +50,13 @@
 
 GOSSIP_TTL_MS: Final = 30_000.0
 _MIN_GAP_MS: Final = 100.0
-"""Least time between two digests to one peer, however urgent."""
+"""Minimum time between two digests to one peer, even if updates are urgent."""
 _NEWS_PER_INTERVAL: Final = 40
-"""News told in one interval over all peers; it bounds this node's bytes."""
+"""Updates sent per interval to all peers together; bounds this node's traffic."""
 _NEWS_PER_DIGEST: Final = 12
-"""News in one digest, so that the first peer doesn't take the whole budget."""
+"""Updates in one digest, so that the first peer does not use up the whole budget."""
 _URGENT_PER_INTERVAL: Final = 4
-"""Digests out of turn in one interval over all peers."""
+"""Digests sent ahead of schedule per interval to all peers together."""
 _FETCH_RETRY_MS: Final = 500.0
 _MAX_WATCHED_BY_ALL: Final = 64
 _WATCHERS: Final = 3
@@ -69,7 +69,7 @@
 
 
 class Membership:
-    """Hold one node's view of endpoints and nodes.
+    """One node's view of endpoints and nodes.
 
     Invariant: an endpoint that is leaving is never usable.
     """
@@ -108,18 +108,18 @@
 
     @property
     def vms(self) -> tuple[Vm, ...]:
-        """Return the VM list as last believed."""
+        """Return the last plausible VM list."""
         return self._view.vms
 
     def is_leaving(self, endpoint: Endpoint, now_ms: float) -> bool:
-        """Tell whether an endpoint may get no new work because its VM leaves."""
+        """Return whether an endpoint may not get new work since its VM is leaving."""
         address = endpoint.address
         if self._view.is_gone(address):
             return True
         return self.is_address_leaving(address, now_ms)
 
     def is_address_leaving(self, address: Address, now_ms: float) -> bool:
-        """Tell whether the VM at an address leaves, by the list or by news."""
+        """Return whether the VM at an address is leaving, by the list or by gossip."""
         if self._view.is_leaving(address):
             return True
         learned_ms = self._leave_learned_ms.get(address)
@@ -130,9 +130,10 @@
     ) -> Sequence[Endpoint]:
         """Return the endpoints of one pool or service that may get new work.
 
-        If every one that stays looks dead, all of them: a try costs less than a
-        refusal, and this node's own network may be what failed. The same object comes
-        back while nothing changes; the sequence given must not be changed afterwards.
+        If all endpoints that are not leaving look dead, all of these are returned: a
+        failed attempt costs less than a refusal, and this node's own network may be
+        what failed. Returns the same object while nothing changes. The caller must not
+        modify `endpoints` afterwards.
         """
         pool = self._pools.get(endpoints)
         return pool.exclude(self._find_unusable(pool, now_ms))
@@ -140,28 +141,31 @@
     def find_unusable(
         self, endpoints: Sequence[Endpoint], now_ms: float
     ) -> Set[EndpointName]:
-        """Return the names of those that `find_usable` leaves out."""
+        """Return the names of the endpoints that `find_usable` excludes."""
         return self._find_unusable(self._pools.get(endpoints), now_ms)
 
     def find_incarnation(self, endpoint: EndpointName) -> Incarnation | None:
-        """Return the incarnation of an endpoint that was learned last."""
+        """Return the latest known incarnation of an endpoint."""
         return self._evidence.find_incarnation(endpoint)
 
     def find_peers(self) -> list[Vm]:
-        """Return the nodes that this one should have a link to."""
+        """Return the nodes to which this node should be linked."""
         nodes = self._view.find_nodes()
-        # Asked for several times a second; choosing among 320 takes a thousand hashes.
+        # Called several times a second; choosing among 320 nodes takes 1,000 hashes.
         if nodes is not self._chosen_from:
             self._chosen_from = nodes
             self._chosen = choose_peers(self.node, nodes, self._timings.max_peers)
         return list(self._chosen)
 
     def find_nodes(self) -> tuple[Vm, ...]:
-        """Return the live VMs that run a node, by name; the same object for a list."""
+        """Return the live VMs that run a node, sorted by name.
+
+        Returns the same object until a new VM list is read.
+        """
         return self._view.find_nodes()
 
     def find_linked(self) -> list[NodeName]:
-        """Return the peers to which a link stands."""
+        """Return the peers to which this node is linked."""
         return list(self._peers)
 
     def find_watched(self, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
@@ -179,11 +183,11 @@
         return list(self._watched)
 
     def find_followed(self, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
-        """Return the endpoints whose cache events this node takes in: one node each.
+        """Return the endpoints whose cache events this node reads: one node for each.
 
-        Loads and deaths need several sources; a second reader of the same events would
-        only double their bytes. The next node on the ring follows once the list of VMs
-        has lost the first.
+        Load reports and failure detection need several sources; a second reader of the
+        same events would only double the traffic. When the first node drops out of the
+        VM list, the next node on the ring takes over.
         """
         if len(endpoints) <= _MAX_WATCHED_BY_ALL:
             return list(endpoints)
@@ -194,15 +198,15 @@
         ]
 
     def is_self_suspect(self, now_ms: float) -> bool:
-        """Tell whether so much looks dead that this node's network is to blame."""
+        """Return whether so many endpoints fail that this node is likely at fault."""
         return self._evidence.is_self_suspect(now_ms)
 
     def find_condemned(self, now_ms: float) -> list[EndpointName]:
-        """Return the endpoints on whose death enough sources agree."""
+        """Return the endpoints that enough sources suspect."""
         return self._evidence.find_all_condemned(now_ms)
 
     def handle(self, event: Event, now_ms: float) -> list[Action]:
-        """Take in one event; return what is to be done."""
+        """Handle one event; return the actions for the caller to carry out."""
         match event:
             case VmListRead():
                 self._apply_vm_list(event, now_ms)
@@ -262,7 +266,7 @@
             del queued_ms[address]
 
     def _queue_own_leave(self, now_ms: float) -> None:
-        """Tell peers that this node leaves, since the VM list may lag for seconds."""
+        """Announce that this node is leaving; the VM list may lag by seconds."""
         address = self._own_leaving
         if address is None:
             return
@@ -275,8 +279,8 @@
         self._peers.pop(event.peer, None)
         if isinstance(event, PeerDown):
             return
-        # The first digest comes at a random part of the interval, or nodes that
-        # started together would all send in the same moment for ever.
+        # Delay the first digest by a random part of the interval; otherwise nodes that
+        # started together would keep sending at the same moment.
         interval_ms = self._timings.digest_interval_ms
         self._peers[event.peer] = _Peer(now_ms - self._rng.random() * interval_ms)
         self._gossip_queue.forget_peer(event.peer)
@@ -322,8 +326,8 @@
             self._asked_ms = now_ms
             actions.append(FetchConfiguration(sender, self._version))
         if digest.echo_ms >= 0 and digest.confirmed_age_ms >= 0:
-            # The peer sent this after it got what this node sent at `echo_ms`, so
-            # its confirmation is at least that young, whatever the way took.
+            # The peer sent this after it received this node's digest of `echo_ms`, so
+            # that time bounds the confirmation's age whatever the latency was.
             confirmed_ms = min(digest.echo_ms, now_ms) - digest.confirmed_age_ms
             actions.append(
                 PeerConfirmed(
@@ -383,7 +387,7 @@
             return True
         if waited_ms < _MIN_GAP_MS or min(self._update_budget, self._urgent_budget) < 1:
             return False
-        # A new version, a leaving VM or a death shouldn't wait at every hop.
+        # A new version, a leaving VM or a failure must not wait an interval per hop.
         is_urgent = peer.version_sent != self._version
         if not is_urgent and not self._gossip_queue.has_updates_for(name):
             return False
--- a/packages/toucanyard/src/toucanyard/membership_events.py
+++ b/packages/toucanyard/src/toucanyard/membership_events.py
@@ -1,4 +1,4 @@
-"""List what membership is told and what it wants done."""
+"""Define the events that membership handles and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class EndpointError(msgspec.Struct, frozen=True):
-    """A try to reach an endpoint failed on this node."""
+    """An attempt of this node to reach an endpoint failed."""
 
     endpoint: EndpointName
 
@@ -38,13 +38,13 @@
 
 
 class PeerUp(msgspec.Struct, frozen=True):
-    """A link to a peer stands."""
+    """A link to a peer was established."""
 
     peer: NodeName
 
 
 class PeerDown(msgspec.Struct, frozen=True):
-    """The link to a peer is gone."""
+    """The link to a peer was lost."""
 
     peer: NodeName
 
@@ -63,13 +63,13 @@
 
 
 class NodeLeaves(msgspec.Struct, frozen=True):
-    """This node's planned stop has begun; `address` is where it serves callers."""
+    """This node's planned shutdown has begun; `address` is where it serves callers."""
 
     address: Address
 
 
 class Ticked(msgspec.Struct, frozen=True):
-    """Some time passed; wanted about every 100 ms."""
+    """Time has passed; expected about every 100 ms."""
 
 
 Event = (
@@ -94,21 +94,24 @@
 
 
 class EndpointRestarted(msgspec.Struct, frozen=True):
-    """Forget what was known of an endpoint's earlier incarnation."""
+    """Discard all state of an endpoint's earlier incarnation."""
 
     endpoint: EndpointName
     incarnation: Incarnation
 
 
 class FetchConfiguration(msgspec.Struct, frozen=True):
-    """Ask a peer for what it holds beyond `base`."""
+    """Request the configuration changes after version `base` from a peer."""
 
     peer: NodeName
     base: int
 
 
 class PeerConfirmed(msgspec.Struct, frozen=True):
-    """Tell the configuration's log what a peer knew at a time of this node."""
+    """Report to the configuration log which version a peer had confirmed, and when.
+
+    `confirmed_ms` is in this node's time.
+    """
 
     peer: NodeName
     version: int
--- a/packages/toucanyard/src/toucanyard/node_directory.py
+++ b/packages/toucanyard/src/toucanyard/node_directory.py
@@ -1,7 +1,7 @@
-"""Know the nodes: where each can be reached, which are alive and which take callers.
+"""Track the nodes: their addresses, which are alive and which accept callers.
 
-Where a node can be reached is in the platform's log. Whether it is alive shows on the
-link to it: a status comes several times a second.
+The addresses come from the platform's log. Whether a node is alive shows on the link to
+it, on which a status arrives several times a second.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from toucanyard.vm_view import UNNAMED, Vm, compute_rank
 
 STATUS_TTL_MS: Final = 1_500.0
-"""After this silence a node is not named to callers; six statuses were missed."""
+"""Time without a status after which a node is not named to callers: six missed ones."""
 MAX_MESH: Final = 16
-"""Other nodes up to which every node is linked to every other one."""
+"""Number of other nodes up to which every node is linked to every other one."""
 HUB_REPORT_TTL_MS: Final = 2_500.0
-"""How long what a hub said of nodes counts; it says it at least once a second."""
+"""How long a hub's list of live nodes is valid; it is sent at least once a second."""
 MAX_ADDRESSES: Final = 64
-"""Addresses that callers take from one answer."""
+"""Number of addresses that callers accept in one answer."""
 
 
 class _LastStatus(msgspec.Struct):
@@ -33,7 +33,7 @@
 
 
 class NodeDirectory:
-    """The nodes as one of them sees them. Invariant: it names itself first."""
+    """The nodes as one of them sees them. Invariant: it lists itself first."""
 
     __slots__ = (
         "_alive",
@@ -56,13 +56,13 @@
         self._known: dict[NodeName, NodeRecord] = {}
         self._last_statuses: dict[NodeName, _LastStatus] = {}
         self._hub_reports: dict[NodeName, tuple[float, dict[NodeName, bool]]] = {}
-        """By hub: when it said so, and of which nodes, whether each is ready."""
+        """By hub: when it reported, and which nodes are alive and whether ready."""
         self._alive: dict[NodeName, bool] = {}
-        """The other live nodes, and whether callers may go there, as merged last."""
+        """The other live nodes and whether they accept callers, as merged last."""
         self._alive_until_ms = float("-inf")
-        """When the first of them has been silent for too long."""
+        """When the first of the merged reports expires."""
         self._ranks: dict[str, int] = {}
-        """This node's rank in each matter among `_alive`."""
+        """This node's rank among `_alive` by subject."""
         self._linked: frozenset[NodeName] = frozenset()
         self.plan = LinkPlan(own)
         self.is_ready = False
@@ -73,22 +73,22 @@
         return self._own.name
 
     def apply_seeds(self, seeds: Sequence[Address]) -> None:
-        """Take over which addresses to try while their nodes are not known."""
+        """Set the addresses to connect to while their nodes are not known."""
         self._seeds = tuple(each for each in seeds if each != self._own.peers)
 
     def apply(self, record: NodeRecord) -> None:
-        """Take in where a node can be reached."""
+        """Apply the record of a node's addresses."""
         if record.name != self._own.name:
             self._known[record.name] = record
 
     def remove(self, name: NodeName) -> None:
-        """Take in that a node left for good."""
+        """Remove a node that has left permanently."""
         self._known.pop(name, None)
         if self._last_statuses.pop(name, None) is not None:
             self._invalidate_alive()
 
     def record_status(self, name: NodeName, is_ready: bool, now_ms: float) -> bool:
-        """Take in that a node is alive; return whether its readiness has changed."""
+        """Record a node's status; return whether its readiness has changed."""
         before = self._last_statuses.get(name)
         self._last_statuses[name] = _LastStatus(now_ms, is_ready)
         if self._alive.get(name) is not is_ready:
@@ -98,7 +98,7 @@
     def record_hub_report(
         self, hub: NodeName, nodes: Iterable[NodeUpdate], now_ms: float
     ) -> bool:
-        """Take in which nodes a hub says are alive; return whether they changed."""
+        """Record which nodes a hub reports as alive; return whether they changed."""
         before_ms, before = self._hub_reports.get(hub, (float("-inf"), {}))
         reported = {each.node: each.is_ready for each in nodes if self._is_other(each)}
         self._hub_reports[hub] = (now_ms, reported)
@@ -107,7 +107,7 @@
         return reported != before
 
     def retain_linked(self, names: Iterable[NodeName]) -> None:
-        """Drop what was heard from nodes without a link."""
+        """Drop the statuses of nodes that are no longer linked."""
         self._linked = frozenset(names)
         lost = [name for name in self._last_statuses if name not in self._linked]
         for name in lost:
@@ -116,7 +116,7 @@
             self._invalidate_alive()
 
     def find_peers(self, now_ms: float) -> list[Vm]:
-        """Return the nodes that this one should have a link to."""
+        """Return the nodes to which this node should be linked."""
         chosen = list(self._known.values())
         if not self.is_full_mesh():
             self.plan.update(chosen, self._linked, now_ms)
@@ -137,15 +137,15 @@
         return None if self.is_full_mesh() else self.plan.find_primary(self._linked)
 
     def find_alive(self, now_ms: float) -> list[NodeName]:
-        """Return the other nodes that were heard from, or of, lately."""
+        """Return the other live nodes, known by a status or from a hub."""
         return list(self._get_alive(now_ms))
 
     def is_alive(self, name: NodeName | None, now_ms: float) -> bool:
-        """Tell whether another node was heard from, or of, lately."""
+        """Return whether another node is alive, by a status or by a hub's report."""
         return name in self._get_alive(now_ms)
 
     def list_ready_linked(self) -> list[NodeName]:
-        """Return the linked nodes that said last that they take callers."""
+        """Return the linked nodes whose last status says that they accept callers."""
         return [
             name
             for name, last_status in self._last_statuses.items()
@@ -155,16 +155,16 @@
     def list_responsive(
         self, names: Iterable[NodeName], now_ms: float
     ) -> list[NodeUpdate]:
-        """Return those of some nodes that were heard from lately, and this one."""
-        news = [NodeUpdate(self._own.name, self.is_ready)]
+        """Return this node and those of `names` with a recent status."""
+        updates = [NodeUpdate(self._own.name, self.is_ready)]
         for name in names:
             last_status = self._last_statuses.get(name)
             if (
                 last_status is not None
                 and now_ms - last_status.received_ms <= STATUS_TTL_MS
             ):
-                news.append(NodeUpdate(name, last_status.is_ready))
-        return news
+                updates.append(NodeUpdate(name, last_status.is_ready))
+        return updates
 
     def list_alive(self, now_ms: float) -> list[NodeUpdate]:
         """Return all nodes that are alive, this one first."""
@@ -172,28 +172,28 @@
         return [own, *(NodeUpdate(*each) for each in self._get_alive(now_ms).items())]
 
     def count_nodes(self, now_ms: float) -> int:
-        """Return how many nodes there are, heard from or not, this one included."""
+        """Return the number of nodes, alive or not, including this one."""
         return max(self.count_alive(now_ms), 1 + len(self._known))
 
     def find_fleet_rank(self, subject: str) -> int:
-        """Return how many of all nodes go before this one in a matter."""
+        """Return how many of all known nodes rank before this one for a subject."""
         own = compute_rank(subject, self._own.name)
         return sum(compute_rank(subject, name) > own for name in self._known)
 
     def count_alive(self, now_ms: float) -> int:
-        """Return how many nodes are alive, this one included."""
+        """Return the number of live nodes, including this one."""
         return 1 + len(self._get_alive(now_ms))
 
     def is_full_mesh(self) -> bool:
-        """Tell whether every node has a link to every other one."""
+        """Return whether every node has a link to every other one."""
         return len(self._known) <= MAX_MESH
 
     def find_rank(self, subject: str, now_ms: float) -> int:
-        """Return how many live nodes go before this one in a matter.
+        """Return how many live nodes rank before this one for a subject.
 
-        Nodes that see the same others agree on the order without asking. One that
-        reports to a hub and was not told of the others yet counts all that are known;
-        who goes first may be dead, and those behind must not wait for it for long.
+        Nodes that see the same others agree on the order without communicating. One
+        that reports to a hub and has no report from it yet counts all known nodes; the
+        first of them may be dead, so callers must not wait for it for long.
         """
         if not self.is_full_mesh() and not self._hub_reports:
             return self.find_fleet_rank(subject)
@@ -210,7 +210,7 @@
         addresses = [self._own.callers] if self.is_ready else []
         ready = [name for name, is_ready in self._get_alive(now_ms).items() if is_ready]
         if len(ready) >= MAX_ADDRESSES:
-            # Each node leaves out others, so that all of them get callers.
+            # Each node omits different ones, so that all of them get callers.
             ready.sort(key=lambda name: compute_rank(self._own.name, name))
         for name in ready[: MAX_ADDRESSES - 1]:
             record = self._known.get(name)
@@ -219,10 +219,10 @@
         return addresses
 
     def _get_alive(self, now_ms: float) -> dict[NodeName, bool]:
-        """Return the other nodes that are alive, and whether callers may go there.
+        """Return the other live nodes and whether each accepts callers.
 
-        Merged only when it may have changed: a hub of 195 nodes asks for it some 200
-        times a second, and merging took most of the time of a status.
+        Merged only when it may have changed: a hub of 195 nodes needs it some 200 times
+        a second, and merging took most of the time of a status.
         """
         if now_ms > self._alive_until_ms:
             self._ranks.clear()
@@ -238,7 +238,7 @@
         for reported_ms, nodes in self._hub_reports.values():
             if self._is_fresh(reported_ms + HUB_REPORT_TTL_MS, now_ms):
                 for name, is_ready in nodes.items():
-                    # A hub that lags must not send callers to a node that is stopping.
+                    # A lagging hub must not direct callers to a node that is stopping.
                     found[name] = is_ready and found.get(name, True)
         for name, last_status in self._last_statuses.items():
             if self._is_fresh(last_status.received_ms + STATUS_TTL_MS, now_ms):
@@ -246,11 +246,11 @@
         return found
 
     def _is_fresh(self, until_ms: float, now_ms: float) -> bool:
-        """Tell whether something still counts, and merge again once it doesn't."""
+        """Return whether a report is still valid; schedule a merge for its expiry."""
         if now_ms > until_ms:
             return False
         self._alive_until_ms = min(self._alive_until_ms, until_ms)
         return True
 
-    def _is_other(self, news: NodeUpdate) -> bool:
-        return news.node != self._own.name
+    def _is_other(self, update: NodeUpdate) -> bool:
+        return update.node != self._own.name
--- a/packages/toucanyard/src/toucanyard/node_records.py
+++ b/packages/toucanyard/src/toucanyard/node_records.py
@@ -1,4 +1,4 @@
-"""Say where a node can be reached, as it registers itself in the platform's log."""
+"""Define the record with which a node registers itself in the platform's log."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """Where one incarnation of a node can be reached."""
+    """The addresses of one incarnation of a node."""
 
     name: NodeName
     incarnation: Incarnation
@@ -16,4 +16,4 @@
     callers: Address
     peers: Address
     link_mbps: float = 0.0
-    """What its VM can send; 0 from nodes that don't say."""
+    """Send bandwidth of its VM; 0 if the node does not report it."""
--- a/packages/toucanyard/src/toucanyard/quarantine.py
+++ b/packages/toucanyard/src/toucanyard/quarantine.py
@@ -1,8 +1,8 @@
-"""Keep the requests that no replica may run, since they crash replicas.
+"""Quarantine requests that crash replicas, so that no replica runs them.
 
-An entry is stored in the platform's log, so that it outlasts the nodes and reaches
-those that start later. It ends when the request has not come for its lifetime, when an
-operator releases it, or when a replica is found to have survived the request.
+An entry is stored in the platform's log, so that it outlives the nodes and reaches
+those that start later. It ends when the request has not arrived for the entry's
+lifetime, when an operator releases it, or when a replica has survived the request.
 """
 
 from __future__ import annotations
@@ -16,37 +16,37 @@
 from toucanyard.names import CustomerName, EndpointName, Fingerprint
 
 TTL_MS: Final = 3_600_000.0
-"""How long an entry lasts after the request came last, by the record in the log."""
+"""Lifetime of an entry after the request last arrived, by the record in the log."""
 RENEW_MS: Final = TTL_MS / 4
-"""Age of a record from which a node that gets the request writes it again."""
+"""Age of a record after which a node that receives the request writes it again."""
 MAX_ENTRIES: Final = 1_024
-"""Entries of one node; the one whose request came longest ago goes first."""
+"""Entries of one node; the one whose request arrived longest ago is evicted first."""
 WRITE_DELAY_MS: Final = 250.0
-"""Time from an entry to its record, in which a survival may still be heard of."""
+"""Delay before an entry is written, in which a survival may still be reported."""
 RANK_DELAY_MS: Final = 500.0
-"""How much later each further node writes what the log lacks."""
+"""Additional delay per rank before a node writes what the log lacks."""
 MAX_RANK: Final = 4
 TICK_MS: Final = 100.0
-"""Least time between two looks at all entries."""
+"""Minimum time between two scans of all entries."""
 RETRY_MS: Final = 2_000.0
-"""Time between two tries to write one record."""
+"""Time between two attempts to write one record."""
 ID_BITS: Final = 32
 
 
 class QuarantinedRequest(msgspec.Struct, frozen=True):
-    """One entry as it stands in the log."""
+    """One entry as stored in the log."""
 
     fingerprint: Fingerprint
     entry_id: str
-    """Another one for each quarantine of the same request."""
+    """Differs for each quarantine of the same request."""
     customer: CustomerName
     route: str
     replicas: tuple[EndpointName, ...]
-    """Lives that ended while they ran the request."""
+    """Incarnations of replicas that crashed while they ran the request."""
 
 
 class Release(msgspec.Struct, frozen=True):
-    """An operator's word that an entry is to end."""
+    """An operator's order to end an entry."""
 
     fingerprint: Fingerprint
     entry_id: str
@@ -70,9 +70,9 @@
     request: QuarantinedRequest
     begun_ms: float
     asked_ms: float
-    """When the request came last, or when the entry was learned of."""
+    """When the request last arrived, or when the entry was received."""
     stored_ms: float | None = None
-    """When its record was written or read; None until then."""
+    """When its record was written or read; None before that."""
     written_ms: float = float("-inf")
     """When this node last tried to write it."""
     refused: int = 0
@@ -111,7 +111,7 @@
         return self._entries.values()
 
     def record_refusal(self, entry: Entry, now_ms: float) -> None:
-        """Record that the request of an entry came again."""
+        """Record that the request of an entry was refused again."""
         entry.asked_ms = now_ms
         entry.refused += 1
 
@@ -123,7 +123,7 @@
         replicas: Iterable[EndpointName],
         now_ms: float,
     ) -> Entry:
-        """Put a request under quarantine."""
+        """Quarantine a request."""
         entry_id = f"{self._rng.getrandbits(ID_BITS):08x}"
         request = QuarantinedRequest(
             fingerprint, entry_id, customer, route, tuple(replicas)
@@ -131,7 +131,7 @@
         return self._add(Entry(request, now_ms, now_ms))
 
     def apply_record(self, request: QuarantinedRequest, now_ms: float) -> bool:
-        """Take over a record of the log; return whether it is news."""
+        """Apply a record from the log; return whether the entry is new."""
         if Release(request.fingerprint, request.entry_id) in self._released:
             self._erasing.setdefault(request.fingerprint, now_ms)
             return False
@@ -144,22 +144,22 @@
         return False
 
     def on_record_removed(self, fingerprint: Fingerprint) -> bool:
-        """Drop an entry that has left the log; return whether an entry ended."""
+        """Drop an entry whose record was removed; return whether there was one."""
         self._erasing.pop(fingerprint, None)
         return self._entries.pop(fingerprint, None) is not None
 
     def on_written(self, fingerprint: Fingerprint, now_ms: float) -> None:
-        """Record that the log holds this node's record."""
+        """Record that the log has stored this node's record."""
         entry = self._entries.get(fingerprint)
         if entry is not None:
             entry.stored_ms = now_ms
 
     def on_erased(self, fingerprint: Fingerprint) -> None:
-        """Record that the log has taken the removal of a record."""
+        """Record that the log has accepted the removal of a record."""
         self._erasing.pop(fingerprint, None)
 
     def end(self, fingerprint: Fingerprint, now_ms: float) -> bool:
-        """End an entry and have its record removed; return whether there was one."""
+        """End an entry and schedule its removal; return whether there was one."""
         entry = self._entries.pop(fingerprint, None)
         if entry is None:
             return False
@@ -168,7 +168,7 @@
         return True
 
     def release(self, release: Release, now_ms: float) -> bool:
-        """End the entry that an operator names; return whether there was one."""
+        """End the entry that an operator released; return whether there was one."""
         self._released.add(release)
         entry = self._entries.get(release.fingerprint)
         if entry is None or entry.request.entry_id != release.entry_id:
@@ -176,7 +176,7 @@
         return self.end(release.fingerprint, now_ms)
 
     def tick(self, now_ms: float) -> Iterator[WriteQuarantine | EraseQuarantine]:
-        """Write what the log lacks and remove from it what has ended."""
+        """Write entries that the log lacks, and remove those that have ended."""
         if now_ms - self._ticked_ms < TICK_MS:
             return
         self._ticked_ms = now_ms
@@ -214,5 +214,5 @@
 
 
 def _find_lifetime_start(entry: Entry) -> float:
-    """Return from when an entry's lifetime counts, the same on all nodes."""
+    """Return the start of an entry's lifetime, which is the same on all nodes."""
     return entry.begun_ms if entry.stored_ms is None else entry.stored_ms
--- a/packages/toucanyard/src/toucanyard/replica_gossip.py
+++ b/packages/toucanyard/src/toucanyard/replica_gossip.py
@@ -1,7 +1,7 @@
-"""Exchange what nodes know of replicas before the store says it.
+"""Exchange replica state that nodes know before the store shows it.
 
-A replica that is to load weights turns calls away, and one that has loaded them is
-wanted at once; the store shows both about half a second late.
+A replica that is about to load weights rejects calls, and one that has loaded them
+should get calls at once; the store shows both about half a second late.
 """
 
 from __future__ import annotations
@@ -19,23 +19,22 @@
 from toucanyard.seen_updates import SeenUpdates, new_update_id
 
 UPDATE_TTL_MS: Final = 5_000.0
-"""How long weights that a replica has taken are sent to peers; by then the store says
-the same."""
-
+"""How long a replica's new weights are sent to peers; after that the store shows
+them."""
 PAUSE_TOLERANCE_MS: Final = 300.0
-"""A pause that ends this much later is another one; holders renew theirs for longer."""
+"""A pause that ends this much later is a new one; holders renew theirs for longer."""
 MAX_SEEN_UPDATES: Final = 1_000
-"""Updates that are remembered: some seconds of a roll-out among 70 replicas."""
+"""Update ids that are kept: several seconds of a rollout to 70 replicas."""
 
 
 class _Pause(msgspec.Struct, frozen=True):
     pause_id: int
     until_ms: float
-    """In this node's time, when it was told or heard of."""
+    """In this node's time, as computed when the update was sent or received."""
 
 
 class ReplicaGossip:
-    """News of replicas, from this node and from its peers."""
+    """Updates on replicas, from this node and from its peers."""
 
     __slots__ = (
         "_book",
@@ -59,11 +58,11 @@
         self._changed_ms: dict[EndpointName, float] = {}
 
     def record_change(self, name: EndpointName, now_ms: float) -> None:
-        """Note that this node has seen what peers should know of a replica."""
+        """Record that this node has observed a change that peers should learn of."""
         self._changed_ms[name] = now_ms
 
     def record_changing(self, names: Set[EndpointName], now_ms: float) -> bool:
-        """Take over which replicas this node changes; return whether that is news."""
+        """Set which replicas this node is changing; return whether the set differs."""
         if names == self._changing:
             return False
         for name in names | self._changing:
@@ -72,7 +71,7 @@
         return True
 
     def list_updates(self, now_ms: float) -> Iterator[ReplicaUpdate]:
-        """Return what to tell peers, and forget what is old."""
+        """Return the updates to send to peers, and drop expired ones."""
         for name, changed_ms in list(self._changed_ms.items()):
             known = self._directory.find(name)
             is_old = now_ms - changed_ms > UPDATE_TTL_MS and name not in self._changing
@@ -89,52 +88,52 @@
             return ReplicaUpdate(name, 0.0, weights)
         pause = self._pauses.get(name)
         if pause is None or pause.until_ms != until_ms:
-            # Begun or renewed by this node since it last told or heard of it.
+            # Begun or renewed by this node since it last sent or received an update.
             pause = self._pauses[name] = _Pause(new_update_id(self._rng), until_ms)
             self._seen.add(pause.pause_id)
         return ReplicaUpdate(name, until_ms - now_ms, weights, pause.pause_id)
 
     def list_restarts(self, now_ms: float) -> Iterable[ReplicaRestart]:
-        """Return which replicas have started again lately."""
+        """Return the replicas that have recently restarted."""
         return self._directory.list_restarted(now_ms)
 
     def apply_restarts(self, received: Iterable[ReplicaRestart], now_ms: float) -> None:
-        """Take in which replicas have started again, as a peer knows them."""
-        for updates in received:
+        """Apply the restarts of replicas that a peer knows of."""
+        for restart in received:
             self._directory.record_incarnation(
-                updates.listed_as, updates.born_ms, now_ms
+                restart.listed_as, restart.born_ms, now_ms
             )
 
     def apply(self, received: Iterable[ReplicaUpdate], now_ms: float) -> bool:
-        """Take in what a peer knows; return whether others should be told of it."""
+        """Apply a peer's updates; return whether they should be forwarded."""
         has_changed = False
-        for updates in received:
-            known = self._directory.find(updates.replica)
-            if known is not None and self._apply_one(known, updates, now_ms):
-                self._changed_ms[updates.replica] = now_ms
+        for update in received:
+            known = self._directory.find(update.replica)
+            if known is not None and self._apply_one(known, update, now_ms):
+                self._changed_ms[update.replica] = now_ms
                 has_changed = True
         return has_changed
 
     def _apply_one(
-        self, known: KnownReplica, updates: ReplicaUpdate, now_ms: float
+        self, known: KnownReplica, update: ReplicaUpdate, now_ms: float
     ) -> bool:
         has_changed = False
         is_old = any(
-            version < known.weights.get(model, 0) for model, version in updates.weights
+            version < known.weights.get(model, 0) for model, version in update.weights
         )
-        until_ms = now_ms + updates.loading_left_ms
-        # A peer may not know yet, so what it doesn't say doesn't end a pause, and what
-        # it says from before new weights were in place doesn't begin one. Passed on
-        # from node to node a pause must not grow by the time on the way.
+        until_ms = now_ms + update.loading_left_ms
+        # A peer may not know of a pause yet, so an update without one does not end it,
+        # and an update from before new weights were loaded does not begin one. A pause
+        # that is forwarded from node to node must not grow by the links' latency.
         is_longer = until_ms > known.loading_until_ms + PAUSE_TOLERANCE_MS
-        is_new = updates.pause_id not in self._seen
-        if updates.loading_left_ms > 0 and is_longer and is_new and not is_old:
+        is_new = update.pause_id not in self._seen
+        if update.loading_left_ms > 0 and is_longer and is_new and not is_old:
             known.loading_until_ms = until_ms
-            self._pauses[updates.replica] = _Pause(updates.pause_id, until_ms)
-            self._seen.add(updates.pause_id)
+            self._pauses[update.replica] = _Pause(update.pause_id, until_ms)
+            self._seen.add(update.pause_id)
             has_changed = True
-        for model, version in updates.weights:
+        for model, version in update.weights:
             if known.record_weights(model, version):
-                self._book.forget(updates.replica)
+                self._book.forget(update.replica)
                 has_changed = True
         return has_changed
--- a/packages/toucanyard/src/toucanyard/replica_incarnations.py
+++ b/packages/toucanyard/src/toucanyard/replica_incarnations.py
@@ -1,9 +1,9 @@
-"""Tell the lives of a replica apart.
+"""Distinguish the incarnations of a replica.
 
-A replica that starts again may register under the id that it had. It then remembers
-nothing, so each start is a life with a name of its own, and all that is believed of a
-replica belongs to one life. What is said of an earlier one, by an entry that arrives
-late or by a node that lags, changes nothing.
+A replica that restarts may register under its previous id. It has then lost all state,
+so each start is an incarnation with a name of its own, and all knowledge of a replica
+belongs to one incarnation. Statements on an earlier one, from an entry that arrives
+late or a node that lags, are ignored.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from toucanyard.names import EndpointName, ReplicaId
 
 RESTART_GOSSIP_MS: Final = 30_000.0
-"""How long peers are told that a replica has started again: a node that starts, or one
-whose store lags, may have read an entry of the life before."""
+"""How long a restart is sent to peers: a node that starts, or one whose store lags, may
+have read an entry of the previous incarnation."""
 MAX_REPLICAS: Final = 20_000
-"""Replicas whose newest life is remembered; several times those of a large fleet."""
+"""Replicas whose newest incarnation is kept; several times those of a large fleet."""
 
 
 def name_incarnation(listed_as: ReplicaId, born_ms: int | None) -> EndpointName:
-    """Return the name of one life; the id itself where no start is known."""
+    """Return the name of an incarnation; the id itself if its start is unknown."""
     return EndpointName(listed_as if born_ms is None else f"{listed_as}@{born_ms}")
 
 
 class _Incarnation(msgspec.Struct):
     born_ms: int | None
     restarted_ms: float | None = None
-    """When this node learned that it follows another life."""
+    """When this node learned that it replaced another one; None if it did not."""
 
 
 class ReplicaIncarnations:
-    """The newest life of each replica. Invariant: its start never falls."""
+    """The newest incarnation of each replica. Invariant: its start never decreases."""
 
     __slots__ = ("_newest",)
 
@@ -43,14 +43,14 @@
         self._newest: dict[ReplicaId, _Incarnation] = {}
 
     def find_newest(self, listed_as: ReplicaId) -> EndpointName | None:
-        """Return the name of the newest life that is known."""
+        """Return the name of the newest known incarnation."""
         newest = self._newest.get(listed_as)
         return None if newest is None else name_incarnation(listed_as, newest.born_ms)
 
     def is_superseded(self, listed_as: ReplicaId, born_ms: int | None) -> bool:
-        """Tell whether a later life is known.
+        """Return whether a later incarnation is known.
 
-        Once a replica has said when it started, an entry that doesn't say so is not
+        Once a replica has reported when it started, an entry without a start is not
         its own.
         """
         newest = self._newest.get(listed_as)
@@ -59,7 +59,7 @@
         return born_ms is None or born_ms < newest.born_ms
 
     def record(self, listed_as: ReplicaId, born_ms: int | None, now_ms: float) -> bool:
-        """Take in a life that is not over; return whether it follows another one."""
+        """Record a current incarnation; return whether it replaces another one."""
         before = self._newest.get(listed_as)
         if before is not None and before.born_ms == born_ms:
             return False
@@ -72,7 +72,7 @@
         return is_restart
 
     def list_restarted(self, now_ms: float) -> Iterator[ReplicaRestart]:
-        """Return what peers should know of replicas that have started again."""
+        """Return the recent restarts of replicas, to be sent to peers."""
         for listed_as, newest in self._newest.items():
             if newest.restarted_ms is None or newest.born_ms is None:
                 continue
--- a/packages/toucanyard/src/toucanyard/replica_probes.py
+++ b/packages/toucanyard/src/toucanyard/replica_probes.py
@@ -1,4 +1,4 @@
-"""Ask replicas for a report whose calls were cut, or that could not be reached."""
+"""Probe replicas whose calls were cut off or that could not be reached."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
         self._is_probing_unreachable = is_probing_unreachable
 
     def probe_lost(self, now_ms: float) -> Iterator[ReadReplicaState]:
-        """Ask replicas whose calls were cut whether they still run."""
+        """Probe replicas whose calls were cut off, to learn whether they still run."""
         for known in self._guard.detector.take_probes(now_ms):
             yield _build_probe(known)
 
     def probe_unreachable(self, now_ms: float) -> Iterator[ReadReplicaState]:
-        """Ask replicas that could not be reached for a report.
+        """Request a report from replicas that could not be reached.
 
-        Not in a large fleet: the reports of all its nodes would cost the replicas and
-        the nodes more than the calls that they spare.
+        Not in a large fleet: reports to all its nodes would cost the replicas and the
+        nodes more than the failed calls that they avoid.
         """
         if not self._is_probing_unreachable():
             return
@@ -44,7 +44,7 @@
                 yield _build_probe(known)
 
     def on_read(self, read: ReplicaStateRead, now_ms: float) -> Iterator[Note]:
-        """Learn whether a replica answers; end its rest if it has reported."""
+        """Handle the result of a probe; end the backoff if the replica reported."""
         reach = read.reach if read.state is None else Reachability.ANSWERED
         self._guard.on_probe(read.replica, reach, read.asked_ms, now_ms)
         if read.state is None:
--- a/packages/toucanyard/src/toucanyard/replicas.py
+++ b/packages/toucanyard/src/toucanyard/replicas.py
@@ -1,8 +1,8 @@
-"""Know the replicas of each service: which may get work, and with which weights.
+"""Track the replicas of each service: which may get work, and with which weights.
 
-The platform's log says which replicas there are. What this node's own calls show goes
-first for a short while: a crashed replica stays listed for seconds, and a store that
-was away drops replicas that are alive.
+The platform's log lists the replicas. Observations from this node's own calls take
+precedence for a short time: a crashed replica stays listed for seconds, and a store
+that was unavailable drops replicas that are alive.
 """
 
 from __future__ import annotations
@@ -24,62 +24,63 @@
 from toucanyard.store_contact import Absence
 
 MIN_BACKOFF_MS: Final = 250.0
-"""First pause after a failure; a crashed process refuses connections for longer."""
+"""First backoff after a failure; a crashed process refuses connections for longer."""
 REFUSAL_PAUSE_MS: Final = 600.0
-"""Pause after a refusal; then one call shows whether it takes calls again."""
+"""Pause after a refusal; then one call tests whether it accepts calls again."""
 MAX_BACKOFF_MS: Final = 1_000.0
-"""Longest pause: replicas that come back are wanted at once."""
+"""Longest backoff: a replica that recovers should get calls at once."""
 CRASH_BACKOFF_MS: Final = 5_000.0
-"""How long a replica that crashed may stay listed."""
+"""How long a crashed replica may stay listed."""
 EXPIRY_GRACE_MS: Final = 2_500.0
-"""How long after the store's return a replica counts that left the list: one that lives
-is listed again within two seconds, and known here half a second later."""
+"""How long after the store's return a replica that left the list is still used: a live
+one is listed again within two seconds, and known here half a second later."""
 MASS_REMOVAL_SHARE: Final = 0.5
-"""Share of a service's replicas that, dropped at once, may have lapsed unseen."""
+"""Share of a service's replicas whose removal at once may be an expiry of their leases
+that this node did not see."""
 DRAIN_MS: Final = 2_000.0
-"""How long a replica runs after it has left the list, if nothing else is said."""
+"""How long a replica runs after it has left the list, by default."""
 SEND_MARGIN_MS: Final = 250.0
-"""How long before that it gets its last call: the wait for a connection, 150, and the
-way there on a busy node."""
+"""How long before that it gets its last call: 150 for the connect timeout, and the
+rest for the delay on a busy node."""
 RETURN_DETECTION_MS: Final = 400.0
-"""How long after the store's return it is asked first: the nodes that go first ask each
-300 ms, answered or not, and look each 50 whether to."""
+"""Longest time from the store's return to the first read: the nodes that read first do
+so every 300 ms, answered or not, and check every 50 ms whether a read is due."""
 PROBE_MS: Final = 500.0
-"""Time between two reports that are asked of a replica that could not be reached."""
+"""Time between two probes of a replica that could not be reached."""
 MAX_PROBED_MS: Final = 5_000.0
-"""How long a replica gets no calls because its reports stay out; then one call tries
-whether it serves without them."""
+"""How long a replica gets no calls because it does not answer probes; then one call
+tests whether it serves calls all the same."""
 FORGET_MS: Final = 30_000.0
-"""How long a replica that is gone is remembered."""
+"""How long a removed replica is kept."""
 FAILURE_HALF_LIFE_MS: Final = 3_000.0
-"""Time in which a failure loses half of its weight."""
+"""Half-life of the weight of a failure."""
 
 
 class Replica(msgspec.Struct, frozen=True):
-    """One life of one replica, as it registered itself."""
+    """One incarnation of a replica, as it registered itself."""
 
     name: EndpointName
-    """Of this life; `name_life` makes it."""
+    """Of this incarnation; made by `name_incarnation`."""
     listed_as: ReplicaId
-    """Under which it registers and answers, also after it has started again."""
+    """The id under which it registers and answers, unchanged by a restart."""
     service: ServiceName
     address: Address
     domain: DomainName
     slots: int
     is_draining: bool
     weights: tuple[tuple[str, int], ...] = ()
-    """Model and weights version, for each model that is loaded."""
+    """Model and weights version of each loaded model."""
     born_ms: int | None = None
-    """Start of this life by the replica's clock; None if it doesn't say."""
+    """Start of this incarnation by the replica's clock; None if not reported."""
 
 
 class Removal(msgspec.Struct, frozen=True):
     """How a replica left the list."""
 
     listed_ms: float
-    """When the store listed it last; it may have left right after."""
+    """When the store listed it last; it may have been removed right after."""
     is_mass: bool
-    """Half of its service went with it."""
+    """Whether at least half of its service was removed with it."""
 
 
 class KnownReplica:
@@ -107,31 +108,31 @@
         self.is_leaving = replica.is_draining
         self.gone_ms: float | None = None
         self.removal: Removal | None = None
-        """None while it is listed, and for what surely serves no more."""
+        """None while it is listed, and once it certainly no longer serves."""
         self.grace_until_ms = float("-inf")
         self.backoff_until_ms = float("-inf")
         self.loading_until_ms = float("-inf")
         self._backoff_ms = 0.0
         self._unreached_ms = float("inf")
-        """Since when it can't be reached."""
+        """Since when it has been unreachable."""
         self._probed_ms = float("-inf")
         self._failures = 0.0
         self._failures_ms = float("-inf")
 
     def update(self, replica: Replica) -> None:
-        """Take over what the replica says of itself; weights only grow."""
+        """Apply what the replica reports of itself; weights versions only grow."""
         self.replica = replica
         self.gone_ms = None
         self.removal = None
-        # A replica never takes its leave back: a stale entry must not give it work.
+        # A replica never revokes its leave: a stale entry must not give it work.
         self.is_leaving = self.is_leaving or replica.is_draining
         for model, version in replica.weights:
             self.record_weights(model, version)
 
     def record_weights(self, model: str, version: int) -> bool:
-        """Note weights that an answer or a report showed; return whether they rose.
+        """Record weights seen in an answer or a report; return whether they are newer.
 
-        Then the load is over, whoever said so first.
+        If so, the load is complete, whichever source showed it first.
         """
         if version <= self.weights.get(model, 0):
             return False
@@ -140,25 +141,25 @@
         return True
 
     def is_listed(self, now_ms: float) -> bool:
-        """Tell whether it may get work as far as the log says."""
+        """Return whether it may get work according to the log."""
         if self.is_leaving:
             return False
         return self.gone_ms is None or now_ms < self.grace_until_ms
 
     def compute_gone(self, now_ms: float) -> float | None:
-        """Return the time since it was dropped from the list; None if it is listed."""
+        """Return the time since it was removed from the list; None if it is listed."""
         return None if self.gone_ms is None else now_ms - self.gone_ms
 
     def is_backing_off(self, now_ms: float) -> bool:
-        """Tell whether it failed this node a moment ago."""
+        """Return whether it gets no calls since it recently failed one."""
         return now_ms < self.backoff_until_ms
 
     def is_loading(self, now_ms: float) -> bool:
-        """Tell whether it takes no new calls, since it loads weights."""
+        """Return whether it accepts no new calls since it loads weights."""
         return now_ms < self.loading_until_ms
 
     def record_failure(self, now_ms: float, *, is_dead: bool) -> None:
-        """Take in a failed call; `is_dead` if nothing there answered."""
+        """Record a failed call; `is_dead`: whether nothing answered at its address."""
         self._failures = self.compute_failures(now_ms) + 1.0
         self._failures_ms = now_ms
         if is_dead:
@@ -169,34 +170,35 @@
             self._unreached_ms = min(self._unreached_ms, now_ms)
 
     def record_crash(self, at_ms: float) -> None:
-        """Give it no calls until it has left the list, since it has crashed."""
+        """Back off until the crashed replica has left the list."""
         self.backoff_until_ms = max(self.backoff_until_ms, at_ms + CRASH_BACKOFF_MS)
 
     def is_probe_due(self, now_ms: float) -> bool:
-        """Tell whether to ask it for a report, to see whether it is back."""
+        """Return whether it should be probed to learn whether it has recovered."""
         return self.is_backing_off(now_ms) and now_ms - self._probed_ms >= PROBE_MS
 
     def record_probe(self, now_ms: float) -> None:
-        """Note that it is asked for a report; until the next one it rests."""
+        """Record a probe; back off until after the next one."""
         self._probed_ms = now_ms
         if now_ms - self._unreached_ms < MAX_PROBED_MS:
             self.backoff_until_ms = max(self.backoff_until_ms, now_ms + 2 * PROBE_MS)
 
     def record_refused_call(self, now_ms: float) -> None:
-        """Take in that it turned a call away: it is full, or is to load weights.
+        """Record that it refused a call: it is full, or about to load weights.
 
-        It then turns every call away until its own have ended, for a second or more.
+        It then refuses every call until its running ones have ended, for a second or
+        more.
         """
         self.loading_until_ms = max(self.loading_until_ms, now_ms + REFUSAL_PAUSE_MS)
 
     def record_success(self) -> None:
-        """Take in an answer."""
+        """Record an answer."""
         self._backoff_ms = 0.0
         self._unreached_ms = float("inf")
         self.backoff_until_ms = float("-inf")
 
     def compute_failures(self, now_ms: float) -> float:
-        """Return the decayed count of failures."""
+        """Return the exponentially decayed number of failures."""
         age_ms = max(now_ms - self._failures_ms, 0.0)
         return float(self._failures * 0.5 ** (age_ms / FAILURE_HALF_LIFE_MS))
 
@@ -204,8 +206,8 @@
 class ReplicaDirectory:
     """All replicas of all services, as one node sees them.
 
-    Invariants: `find_usable` never returns a replica that is leaving, nor two lives of
-    one replica.
+    Invariants: `find_usable` never returns a replica that is leaving, nor two
+    incarnations of one replica.
     """
 
     __slots__ = (
@@ -221,18 +223,18 @@
         """`drain_ms` is how long replicas run after they have left the list."""
         self._drain_ms = drain_ms
         self._absence: Absence | None = None
-        """When the store was last away for all nodes."""
+        """When the store was last unavailable to all nodes."""
         self._incarnations = ReplicaIncarnations()
         self._served: frozenset[ServiceName] = frozenset()
         self._known: dict[EndpointName, KnownReplica] = {}
         self._by_service: dict[ServiceName, list[KnownReplica]] = {}
 
     def find(self, name: EndpointName) -> KnownReplica | None:
-        """Return what is known of a replica."""
+        """Return the state of a replica."""
         return self._known.get(name)
 
     def find_current(self, listed_as: ReplicaId) -> KnownReplica | None:
-        """Return the newest life of a replica."""
+        """Return the newest incarnation of a replica."""
         name = self._incarnations.find_newest(listed_as)
         return None if name is None else self._known.get(name)
 
@@ -244,18 +246,18 @@
         return None
 
     def apply_services(self, names: Iterable[ServiceName]) -> None:
-        """Take over which services the configuration names."""
+        """Set the services that the configuration names."""
         self._served = frozenset(names)
 
     def list_all(self) -> Iterable[KnownReplica]:
-        """Return every replica that is remembered."""
+        """Return all replicas that are kept, listed or not."""
         return self._known.values()
 
     def list_served(self, now_ms: float) -> list[KnownReplica]:
         """Return the listed replicas of all services that the configuration names.
 
-        An entry of any other service may be another writer's: weights that were
-        ordered there would be loaded into a process that is none of ours.
+        An entry of any other service may belong to another writer: ordering weights
+        there would load them into a process that is not a replica of this router.
         """
         return [
             each
@@ -264,14 +266,14 @@
         ]
 
     def find_listed(self, service: ServiceName, now_ms: float) -> list[KnownReplica]:
-        """Return the replicas of a service that the log allows."""
+        """Return the listed replicas of a service."""
         known = self._by_service.get(service, ())
         return [each for each in known if each.is_listed(now_ms)]
 
     def find_usable(self, service: ServiceName, now_ms: float) -> list[KnownReplica]:
         """Return the replicas that may get new calls now.
 
-        None of those that failed this node a moment ago: while others load weights, a
+        Excludes those that recently failed a call: while the others load weights, a
         dead one would get every call, and each would fail within milliseconds.
         """
         return [
@@ -281,7 +283,7 @@
         ]
 
     def apply(self, replica: Replica, now_ms: float) -> KnownReplica | None:
-        """Take in what a replica says of itself; None if that life is over."""
+        """Apply a replica's entry; return None if that incarnation is superseded."""
         if not self.record_incarnation(replica.listed_as, replica.born_ms, now_ms):
             return None
         known = self._known.get(replica.name)
@@ -295,10 +297,10 @@
     def record_incarnation(
         self, listed_as: ReplicaId, born_ms: int | None, now_ms: float
     ) -> bool:
-        """Take in a life of a replica; return False if it is over.
+        """Record an incarnation of a replica; return False if it is superseded.
 
-        The life before ends at once: its memory, weights and calls are gone, and what
-        is sent by what was known of it would be refused or read anew.
+        The previous incarnation ends at once: its memory, weights and calls are lost,
+        and calls placed by its state would be refused, or their prompts read again.
         """
         if self._incarnations.is_superseded(listed_as, born_ms):
             return False
@@ -308,11 +310,11 @@
         return True
 
     def list_restarted(self, now_ms: float) -> Iterable[ReplicaRestart]:
-        """Return what peers should know of replicas that have started again."""
+        """Return the recent restarts of replicas, to be sent to peers."""
         return self._incarnations.list_restarted(now_ms)
 
     def is_superseded(self, name: EndpointName) -> bool:
-        """Tell whether a replica is known whose life was followed by another one."""
+        """Return whether a known replica was superseded by another incarnation."""
         known = self._known.get(name)
         if known is None:
             return False
@@ -320,10 +322,10 @@
         return self._incarnations.is_superseded(replica.listed_as, replica.born_ms)
 
     def remove_foreign(self, name: EndpointName, now_ms: float) -> None:
-        """Take in that another writer's entry stands in a replica's place.
+        """Record that another writer has overwritten a replica's entry.
 
-        It is not used until it has registered again, and has no grace meanwhile: the
-        store was not away, somebody has written there.
+        The replica is not used until it has registered again, and gets no grace period:
+        the store was available, as the other writer's entry shows.
         """
         known = self._known.get(name)
         if known is not None:
@@ -334,10 +336,11 @@
     def remove(
         self, names: Collection[EndpointName], now_ms: float, *, listed_ms: float
     ) -> None:
-        """Take in that the log lists some replicas no more.
+        """Record that the log no longer lists some replicas.
 
-        `listed_ms` is when it listed them last. Those that lapsed since the store was
-        away, or half of a service at once, may live and count for a while.
+        `listed_ms` is when it listed them last. Replicas whose entries expired while
+        the store was unavailable, or half of a service at once, may be alive and stay
+        usable for a grace period.
         """
         for known in self._by_service.values():
             gone = [each for each in known if each.replica.name in names]
@@ -349,9 +352,9 @@
                 each.grace_until_ms = self._find_grace_end(each.removal)
 
     def record_absence(self, absence: Absence | None) -> bool:
-        """Take in when the store was last away for all nodes; return whether it's new.
+        """Record the store's last outage for all nodes; return whether it is new.
 
-        Only then are graces reckoned anew: peers say the same in each status.
+        Grace periods are recomputed only then: peers repeat it in each status.
         """
         if absence == self._absence:
             return False
@@ -364,23 +367,23 @@
     def _find_grace_end(self, removal: Removal) -> float:
         """Return until when a replica that left the list may get calls.
 
-        Reckoned from when the store can have dropped it, not from when this node heard
-        of that: a replica that was taken away ends `drain_ms` after the former, and
-        calls reached it up to 1.9 s past that when they counted from the latter.
+        Counted from when the store may have removed it, not from when this node learned
+        of that: a removed replica ends `drain_ms` after the former, and when this was
+        counted from the latter, calls reached it up to 1.9 s past its end.
         """
         serves_ms = max(self._drain_ms - SEND_MARGIN_MS, 0.0)
         end_ms = float("-inf")
         if removal.is_mass:
             end_ms = removal.listed_ms + serves_ms
         absence = self._absence
-        # What had left before the store was away has not lapsed.
+        # A replica removed before the outage did not expire because of it.
         if absence is not None and removal.listed_ms >= absence.before_ms:
             grace_ms = min(EXPIRY_GRACE_MS, serves_ms - RETURN_DETECTION_MS)
             end_ms = max(end_ms, absence.returned_ms + grace_ms)
         return end_ms
 
     def record_replaced(self, name: EndpointName, now_ms: float) -> None:
-        """Take in that another replica answers at this one's address."""
+        """Record that another replica answers at this one's address."""
         known = self._known.get(name)
         if known is not None:
             known.is_leaving = True
@@ -389,7 +392,7 @@
             known.grace_until_ms = float("-inf")
 
     def prune(self, now_ms: float) -> list[EndpointName]:
-        """Forget replicas that went long ago; return their names."""
+        """Drop replicas that were removed long ago; return their names."""
         old = [
             name
             for name, known in self._known.items()
--- a/packages/toucanyard/src/toucanyard/request_fingerprint.py
+++ b/packages/toucanyard/src/toucanyard/request_fingerprint.py
@@ -1,6 +1,6 @@
-"""Identify requests that are the same though their ids differ.
+"""Identify repeats of a request, whose request ids differ.
 
-A caller that repeats a request gives it another id. Method, host, target, customer and
+A caller that repeats a request gives it a new id. Method, host, target, customer and
 body stay the same, and so does their fingerprint, on every node and after a restart.
 """
 
@@ -18,8 +18,8 @@
 def compute_fingerprint(
     method: str, host: str, target: str, customer: CustomerName, body: bytes
 ) -> Fingerprint:
-    """Return the fingerprint of a request; `host` may carry a port."""
-    # Cryptographic, so that nobody can make a request that passes for another's.
+    """Return the fingerprint of a request; `host` may include a port."""
+    # A cryptographic hash, so that no request can be forged to collide with another.
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (method, host.partition(":")[0].lower(), target, customer):
         encoded = text.encode()
--- a/packages/toucanyard/src/toucanyard/request_guard.py
+++ b/packages/toucanyard/src/toucanyard/request_guard.py
@@ -1,8 +1,8 @@
-"""Decide whether a request may be sent to a replica, by the crashes that it met.
+"""Decide whether a request may be sent to a replica, given the crashes during its runs.
 
-A request under which replicas crashed is a suspect: this node runs it once at a time,
-and not while it is unclear what a run of it was cut by. What surely crashes replicas is
-under quarantine and reaches none. All other requests pass.
+A request that was running when replicas crashed is a suspect: this node runs one copy
+at a time, and none while the cause that cut off a run is unknown. A request confirmed
+to crash replicas is quarantined and reaches none. All other requests pass.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 from toucanyard.requests import EndingSeen
 
 QUARANTINE_RETRY_MS: Final = 60_000
-"""When to ask again for a request under quarantine; by then it may be released."""
+"""Retry-After for a request under quarantine; by then it may be released."""
 SUSPECT_RETRY_MS: Final = 500
-"""When to ask again for a suspect that is being run; by then more is known of it."""
+"""Retry-After for a suspect that is being run; by then its run may have ended."""
 DEFAULT_POLICY: Final = GuardPolicy()
 MAX_LOGGED: Final = 8
-"""Fingerprints in a log line."""
+"""Maximum number of fingerprints in a log line."""
 
 
 class Rejection(msgspec.Struct, frozen=True):
@@ -47,7 +47,7 @@
 
 
 class RequestGuard:
-    """What one node believes of requests and crashes.
+    """What one node knows of requests and the crashes during their runs.
 
     Invariant: a request under quarantine passes no check until its entry has ended.
     """
@@ -84,7 +84,7 @@
     ) -> Rejection | None:
         """Return why a request may not be sent now; None if it may.
 
-        `is_running` tells whether this node runs the same request for another call.
+        `is_running`: whether this node runs the same request for another call.
         """
         if not self._policy.is_enforced:
             return None
@@ -103,7 +103,7 @@
         return Rejection(text, QUARANTINE_RETRY_MS)
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether more than one replica has crashed under a request."""
+        """Return whether more than one crash is attributed to a request."""
         return len(self.ledger.list_attributed_crashes(fingerprint)) > 1
 
     def on_dispatch_ended(
@@ -113,7 +113,7 @@
         sent_ms: float,
         now_ms: float,
     ) -> None:
-        """Learn from the end of a dispatch that was sent at `sent_ms`."""
+        """Record the outcome of a dispatch that was sent at `sent_ms`."""
         if outcome.ending is EndingSeen.COMPLETED:
             self.detector.record_answer(
                 outcome.replica, request.fingerprint, sent_ms, now_ms
@@ -126,7 +126,7 @@
     def on_probe(
         self, replica: EndpointName, reach: Reachability, asked_ms: float, now_ms: float
     ) -> None:
-        """Learn from what a probe of a replica found."""
+        """Record the result of a probe of a replica."""
         if self.detector.record_probe(replica, reach, asked_ms):
             self._attribute_losses(replica, now_ms)
 
@@ -139,9 +139,9 @@
         *,
         is_relayed: bool,
     ) -> bool:
-        """Merge what a peer knows; return whether it was news.
+        """Apply a peer's crashes and survivals; return whether any was new.
 
-        `is_relayed` tells whether this node is to tell its own peers of it.
+        `is_relayed`: whether this node forwards them to its own peers.
         """
         has_changed = False
         if not self._policy.shares:
@@ -167,25 +167,25 @@
     def apply_record(
         self, request: QuarantinedRequest, source: str, now_ms: float
     ) -> None:
-        """Take over an entry of the log."""
+        """Apply an entry from the log."""
         if self.quarantine.apply_record(request, now_ms):
             self._log("request_quarantined", request, source=source)
 
     def on_record_removed(self, request: QuarantinedRequest) -> None:
-        """End the entry whose record has left the log."""
+        """End the entry whose record was removed from the log."""
         if self.quarantine.on_record_removed(request.fingerprint):
             self.ledger.clear(request.fingerprint)
             self._log("quarantine_ended", request, reason="removed from the log")
 
     def release(self, release: Release, now_ms: float) -> None:
-        """End the entry that an operator releases."""
+        """End the entry that an operator released."""
         entry = self.quarantine.find(release.fingerprint)
         if self.quarantine.release(release, now_ms) and entry is not None:
             self.ledger.clear(release.fingerprint)
             self._log("quarantine_ended", entry.request, reason="released")
 
     def tick(self, now_ms: float) -> None:
-        """Find replicas that were replaced, and requests that have survived."""
+        """Find replicas that were replaced and requests that replicas survived."""
         for replica in self.detector.find_replaced(now_ms):
             self._attribute_losses(replica, now_ms)
         for each in self.detector.take_survivals(now_ms):
@@ -194,16 +194,16 @@
             )
 
     def has_updates(self) -> bool:
-        """Tell whether there is something to log or to tell peers."""
+        """Return whether there is anything to log or to send to peers."""
         return self._is_urgent or bool(self._notes)
 
     def take_urgent(self) -> bool:
-        """Tell whether peers should hear of something now, once."""
+        """Return whether a status should be sent at once, and reset that."""
         is_urgent, self._is_urgent = self._is_urgent, False
         return is_urgent
 
     def take_notes(self) -> Iterator[Note]:
-        """Return the log lines of what has changed."""
+        """Return and remove the pending log entries."""
         notes, self._notes = self._notes, []
         yield from notes
 
@@ -240,7 +240,7 @@
         return entry
 
     def _attribute_losses(self, replica: EndpointName, now_ms: float) -> None:
-        """Charge the requests that were lost at a life that is over."""
+        """Attribute the end of an incarnation to the requests that were lost there."""
         self.detector.mark_ended(replica)
         losses = self.detector.take_losses(replica)
         answered = self.detector.take_answered(replica)
@@ -250,7 +250,7 @@
         at_ms = min(each.at_ms for each in losses) if known_ms is None else known_ms
         sent = [(each.fingerprint, each.sent_ms) for each in losses]
         sent += [(each.fingerprint, each.sent_ms) for each in answered]
-        # What was sent later met no crash, only an address without its replica.
+        # Calls sent after the crash only found the replica's address unused.
         runs = [
             LostRun(fingerprint, at_ms - sent_ms)
             for fingerprint, sent_ms in sent
@@ -283,7 +283,7 @@
             known = self._directory.find(replica)
             if known is not None:
                 known.record_crash(at_ms)
-            # Peers may not know that a replica has answered one of them before.
+            # Peers may not know yet that a replica has survived one of them.
             self._is_urgent |= any(map(self.ledger.has_survived, added))
         return bool(added)
 
--- a/packages/toucanyard/src/toucanyard/seen_updates.py
+++ b/packages/toucanyard/src/toucanyard/seen_updates.py
@@ -1,8 +1,8 @@
 """Deduplicate gossip updates that come back over other peers.
 
-An update says how old it is without the latency of the links that it took. One that
-comes back to its sender and counts as news never expires: on slow links a list stays
-fresh and a replica's pause goes on for good.
+The age in an update does not include the latency of the links that it crossed. If an
+update that returns to its sender counted as new, it would never expire: on slow links
+a list would stay fresh, and a replica would stay paused, forever.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def new_update_id(rng: random.Random) -> int:
-    """Return a number that no other update has."""
+    """Return a random id for an update; 32 bits make a collision unlikely."""
     return rng.getrandbits(ID_BITS)
 
 
@@ -31,7 +31,7 @@
         return number in self._ids
 
     def add(self, number: int) -> None:
-        """Remember an id and forget the oldest one beyond the bound."""
+        """Add an id; drop the oldest one if there are too many."""
         self._ids[number] = None
         if len(self._ids) > self._capacity:
             del self._ids[next(iter(self._ids))]
--- a/packages/toucanyard/src/toucanyard/status_exchange.py
+++ b/packages/toucanyard/src/toucanyard/status_exchange.py
@@ -1,9 +1,9 @@
-"""Tell peers what this node knows and take in what they know, several times a second.
+"""Exchange statuses with peers several times a second.
 
-In a mesh every node tells every other one of its own calls. In a larger fleet a node
-reports to its hub; hubs tell each other of the nodes that report to them, and tell
-those nodes of the whole fleet. So each node knows what all have under way, each call is
-counted once, and a node's messages don't grow with the fleet.
+In a full mesh every node reports its own calls to every other one. In a larger fleet a
+node reports to its hub; hubs report their groups to each other, and the whole fleet to
+their groups. So each node knows the running calls of all nodes, each call is counted
+once, and a node's messages do not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -35,24 +35,24 @@
 from toucanyard.weights_goals import WeightsGoals
 
 MIN_SHARED_TOKENS: Final = 500
-"""Least tokens of a part that peers are told of in a fleet that is not meshed: there
-are thousands of small ones a second, and reading one again costs little."""
+"""Minimum size of a prompt block that is reported to peers in a fleet that is not a
+full mesh: there are thousands of small ones a second, and rereading one is cheap."""
 NODE_LIST_MS: Final = 1_000.0
-"""Time between two lists of the nodes that are alive, if none has changed."""
+"""Interval between lists of live nodes, if none has changed."""
 LINK_SHARE: Final = 0.15
-"""Share of a hub's link that its statuses may take; calls need the rest."""
+"""Share of a hub's link that its statuses may use; calls need the rest."""
 MAX_FULL_MS: Final = 1_000.0
-"""Longest time between two full statuses; uses are kept for half as long again."""
+"""Longest time between two full statuses; usage reports are kept 1.5 times as long."""
 BYTES_PER_MBPS_MS: Final = 125.0
 USAGE_BYTES: Final = 22
-"""Size of an entry as it is sent, by the mean of a large fleet."""
+"""Encoded size of an entry, as the mean in a large fleet."""
 
 
 class StatusExchange:
-    """What one node tells its peers, and what it was told.
+    """The statuses that one node sends to its peers and receives from them.
 
-    Invariant: a node's calls are reported to one hub at most, so that no sum over
-    nodes counts a call twice but for the moment in which it changes its hub.
+    Invariant: a node's calls are reported to one hub at most, so that no sum over nodes
+    counts a call twice, except for a moment while the node changes its hub.
     """
 
     def __init__(
@@ -81,38 +81,39 @@
         self._list_stores = list_stores
         self._link_mbps = link_mbps
         self._members: set[NodeName] = set()
-        """The nodes that report to this one."""
+        """The group of this node: the nodes that report to it."""
         self._remote_reports = PartReports()
-        """Parts of which other hubs told, for the nodes that report to this one."""
+        """Prompt blocks reported by other hubs, to be forwarded to the group."""
         self._schedule = StatusSchedule()
         self._full_ms = dict.fromkeys(Audience, float("-inf"))
         self._full_bytes = 0
         self._node_list_ms = dict.fromkeys(Audience, float("-inf"))
         self._peers: frozenset[NodeName] = frozenset()
-        """The linked peers that are told of this node's group."""
+        """The linked peers to which this node's group is reported."""
 
     def mark_due(self) -> None:
-        """Let the next status that tells of this node go out at once."""
+        """Make the next status on this node's group due at once."""
         self._schedule.mark_due(Audience.PEERS)
 
     def has_group(self) -> bool:
-        """Tell whether other nodes report to this one."""
+        """Return whether other nodes report to this one."""
         return bool(self._members)
 
     def count_group(self) -> int:
-        """Return how many nodes this one reports for, itself included."""
+        """Return the number of nodes that this one reports for, including itself."""
         return 1 + len(self._members)
 
     def record_links(self, names: Collection[NodeName]) -> None:
-        """Take in which peers are linked now."""
+        """Record the currently linked peers."""
         self._members.intersection_update(names)
-        # What a hub told of the fleet counts on while another one takes its place.
+        # A hub's report on the fleet stays valid until another hub takes over.
         for name in set(self._uses.list_peers()).difference(names, (FLEET,)):
             self._uses.forget_peer(name)
         peers = frozenset(
             name for name in names if self._find_audience(name) is Audience.PEERS
         )
-        # Each link that a hub gets while all nodes start is no news to other hubs.
+        # New links between a hub and its group, frequent while all nodes start, are no
+        # reason for a status to other hubs.
         if peers != self._peers:
             self._peers = peers
             self._schedule.mark_due(Audience.PEERS)
@@ -124,9 +125,9 @@
         *,
         is_polled: bool = False,
     ) -> list[NodeName]:
-        """Return the peers that need what came from a sender, or from the store.
+        """Return the peers to which records from a sender or the store are forwarded.
 
-        `is_polled` tells that peers, which poll for it too, have it at the same time.
+        `is_polled`: whether peers also poll for them and have them at the same time.
         """
         linked = self._views.linked
         if self._node_directory.is_full_mesh():
@@ -134,13 +135,13 @@
         if topic is Topic.OPERATOR and (
             is_polled or (sender is not None and not self._node_directory.plan.is_hub())
         ):
-            # Whoever can't poll shows in its status.
+            # A node that cannot poll is noticed by its status.
             return []
         if (
             sender in self._node_directory.plan.hubs
             and self._node_directory.plan.is_hub()
         ):
-            # Hubs are meshed: the sender has told the others.
+            # Hubs form a full mesh: the sender has sent them to the other hubs.
             return sorted(self._members - {sender})
         primary = self._node_directory.find_primary()
         return [
@@ -151,11 +152,11 @@
         ]
 
     def tick(self, is_ready: bool, now_ms: float) -> Iterator[SendToPeer]:
-        """Send what is due."""
+        """Send the statuses that are due."""
         is_full_mesh = self._node_directory.is_full_mesh()
         if not is_full_mesh:
             self._mark_urgent()
-        # Hubs report for others, whose calls end and begin all the time.
+        # Hubs report for others, whose calls begin and end all the time.
         is_quiet = not self._members and not self._uses.has_updates()
         audiences = self._schedule.find_due(
             now_ms, is_full_mesh=is_full_mesh, is_quiet=is_quiet
@@ -178,7 +179,7 @@
     ) -> Iterator[SendToPeer]:
         self._node_directory.is_ready = is_ready
         if Audience.PEERS in audiences:
-            # What peers are told of this node's group the group is told with it.
+            # A report to peers on this node's group is also sent to the group.
             audiences.add(Audience.GROUP)
         for each in audiences:
             self._schedule.record_sent(each, now_ms)
@@ -188,7 +189,7 @@
             yield from self._send_meshed(now_ms)
 
     def read(self, sender: NodeName, status: NodeStatus, now_ms: float) -> None:
-        """Take in what a peer says of nodes, their calls and the store."""
+        """Apply a peer's status: nodes, their calls, replicas and the store."""
         has_node_updates = self._node_directory.record_status(
             sender, status.is_ready, now_ms
         )
@@ -223,7 +224,7 @@
             self._forward_updates(sender, has_node_updates=has_node_updates)
 
     def _forward_updates(self, sender: NodeName, *, has_node_updates: bool) -> None:
-        """Let those be told at once who didn't hear it from where this node did."""
+        """Make a status due at once for peers that did not receive the update."""
         if self._node_directory.is_full_mesh():
             return
         match self._find_audience(sender):
@@ -232,7 +233,7 @@
             case Audience.GROUP:
                 others = [Audience.PEERS, Audience.GROUP]
             case Audience.STANDBY:
-                # The hub that the sender reports to tells all others.
+                # The hub that the sender reports to forwards it to all others.
                 return
         self._schedule.mark_due(*others)
         if has_node_updates:
@@ -286,7 +287,7 @@
     def _build_group(
         self, base: NodeStatus, parts: tuple[ReadPart, ...], now_ms: float
     ) -> NodeStatus:
-        """Return what peers are told of this node and those that report to it."""
+        """Build the status for peers on this node and those that report to it."""
         primary = self._node_directory.find_primary()
         full_ms = self._find_full_interval()
         changes: dict[str, object] = {"parts": parts, "is_report": primary is not None}
@@ -304,7 +305,7 @@
     def _build_fleet(
         self, base: NodeStatus, parts: tuple[ReadPart, ...], now_ms: float
     ) -> NodeStatus:
-        """Return what the nodes that report to this one are told of all nodes."""
+        """Build the status on the whole fleet for the nodes that report to this one."""
         full_ms = self._find_full_interval()
         changes: dict[str, object] = {"parts": parts}
         if _start_interval(self._node_list_ms, Audience.GROUP, NODE_LIST_MS, now_ms):
@@ -346,7 +347,7 @@
         return plan.is_hub() and name in plan.hubs
 
     def _find_full_interval(self) -> float:
-        """Return the time between two full statuses, which a hub's link must carry."""
+        """Return the time between two full statuses that a hub's link can carry."""
         bytes_per_ms = self._link_mbps * BYTES_PER_MBPS_MS * LINK_SHARE
         needed_ms = len(self._members) * self._full_bytes / max(bytes_per_ms, 1.0)
         return min(max(needed_ms, URGENT_MS), MAX_FULL_MS)
@@ -358,7 +359,7 @@
     interval_ms: float,
     now_ms: float,
 ) -> bool:
-    """Begin a new interval of an audience if its last one is over; tell whether so."""
+    """Start an audience's next interval if it is due; return whether it was."""
     is_due = now_ms - last_ms[audience] >= interval_ms
     if is_due:
         last_ms[audience] = now_ms
--- a/packages/toucanyard/src/toucanyard/status_schedule.py
+++ b/packages/toucanyard/src/toucanyard/status_schedule.py
@@ -1,8 +1,8 @@
 """Decide when each kind of peer is due a status.
 
-Statuses are most of what a node of a large fleet does. Sent to every peer at each piece
-of news, they would also go back to those who told it, and to nodes that only stand by,
-and keep hubs from their calls.
+Statuses are most of the work of a node in a large fleet. If every update triggered a
+status to every peer, statuses would also go back to the sender of the update and to
+standby nodes, and take hubs' time from calls.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from typing import Final
 
 STATUS_MS: Final = 250.0
-"""Time between two statuses to one peer."""
+"""Interval between statuses to one peer."""
 URGENT_MS: Final = 75.0
-"""Least time between two statuses in a fleet that is not meshed: while weights are
-loaded there is news of some replica all the time."""
+"""Minimum time between two statuses in a fleet that is not a full mesh: while weights
+are loaded, the state of some replica changes all the time."""
 QUIET_MS: Final = 375.0
-"""The same where a status only shows that the node lives: neither end reports to the
+"""Interval where a status only shows that the node is alive: neither end reports to the
 other, or the node has no call to report. A link counts as dead after three of them."""
 
 
 class Audience(enum.Enum):
-    """Peers that are told the same."""
+    """Peers that get the same status."""
 
     PEERS = enum.auto()
     """All others of a mesh; in a larger fleet the hub that this node reports to, or all
@@ -29,11 +29,11 @@
     GROUP = enum.auto()
     """The nodes that report to this one."""
     STANDBY = enum.auto()
-    """Nodes that this one has a link to in case that their hub dies."""
+    """Nodes linked to this one in case their hub fails."""
 
 
 class StatusSchedule:
-    """When each audience was sent its last status, and who is due one early."""
+    """When the last status was sent to each audience, and which are due one early."""
 
     __slots__ = ("_due", "_sent_ms")
 
@@ -42,20 +42,20 @@
         self._due: set[Audience] = set()
 
     def mark_due(self, *audiences: Audience) -> None:
-        """Let the next status to some audiences go out as soon as it may."""
+        """Make the next status to some audiences due as soon as allowed."""
         self._due.update(audiences)
 
     def record_sent(self, audience: Audience, now_ms: float) -> None:
-        """Note that an audience is being sent a status."""
+        """Record that a status is being sent to an audience."""
         self._sent_ms[audience] = now_ms
         self._due.discard(audience)
 
     def find_due(
         self, now_ms: float, *, is_full_mesh: bool, is_quiet: bool = False
     ) -> set[Audience]:
-        """Return whom to send a status now.
+        """Return the audiences that are due a status now.
 
-        `is_quiet` tells that peers have nothing to learn of this node's calls.
+        `is_quiet`: whether this node has no calls to report to peers.
         """
         quiet = {Audience.STANDBY} if is_full_mesh or not is_quiet else set(Audience)
         least_ms = 0.0 if is_full_mesh else URGENT_MS
--- a/packages/toucanyard/src/toucanyard/usable_endpoints.py
+++ b/packages/toucanyard/src/toucanyard/usable_endpoints.py
@@ -1,7 +1,7 @@
-"""Keep the usable endpoints of each pool at hand, at a cost of the unusable ones only.
+"""Cache the usable endpoints of each pool, at a cost proportional to the unusable ones.
 
-In a large pool nearly all endpoints are usable, and which are not changes seldom. So
-only suspects are looked at, and a pool is gone through when its unusable ones change.
+In a large pool nearly all endpoints are usable, and the set of unusable ones changes
+rarely. So only suspects are checked, and a pool is scanned only when that set changes.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class UsablePool:
-    """The endpoints of one pool, and those left when some are taken out.
+    """The endpoints of one pool, and those left when some are excluded.
 
     Invariant: `usable` is `endpoints` without those named in `unusable`, in order.
     """
@@ -47,7 +47,7 @@
         return {name for address in addresses for name in self._by_address[address]}
 
     def exclude(self, unusable: set[EndpointName]) -> Sequence[Endpoint]:
-        """Return the endpoints but for some; the same object while these are same."""
+        """Return all endpoints except `unusable`; the same object for the same set."""
         if unusable != self.unusable:
             self.unusable = unusable
             self.usable = tuple(
@@ -57,7 +57,7 @@
 
 
 class UsablePools:
-    """One UsablePool for each sequence of endpoints that was asked about."""
+    """A cache of one UsablePool for each sequence of endpoints."""
 
     __slots__ = ("_pools",)
 
@@ -65,7 +65,7 @@
         self._pools: dict[int, UsablePool] = {}
 
     def get(self, endpoints: Sequence[Endpoint]) -> UsablePool:
-        """Return the pool of a sequence, which must not be changed afterwards."""
+        """Return the pool of a sequence, which must not be modified afterwards."""
         pool = self._pools.get(id(endpoints))
         if pool is not None and pool.endpoints is endpoints:
             return pool
--- a/packages/toucanyard/src/toucanyard/vm_view.py
+++ b/packages/toucanyard/src/toucanyard/vm_view.py
@@ -1,7 +1,7 @@
-"""Hold the platform's VM list and what it says of nodes and endpoints.
+"""Hold the platform's VM list and derive the state of nodes and endpoints from it.
 
-The list lags, and may be empty or cut short when the platform is in trouble; an entry
-that vanishes counts only while most of the others are still there.
+The list lags, and may be empty or truncated when the platform has a fault; a missing
+entry counts as removed only while most of the others are still listed.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 _MIN_KEPT_SHARE: Final = 0.5
 _MAX_GONE: Final = 10_000
-"""Days of replaced VMs; configurations still naming the oldest are mended by then."""
+"""Enough for days of replaced VMs; configurations have dropped the oldest by then."""
 _RING_POINTS: Final = 16
 UNNAMED: Final = "unnamed"
-"""What a VM runs whose name shows only once it is linked to."""
+"""Value of `runs` for a VM whose name is unknown until it is linked to."""
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM as reported by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Vm(msgspec.Struct, frozen=True):
-    """One entry of the VM list; addresses are empty where it doesn't serve them."""
+    """One entry of the VM list; addresses that the VM does not serve are empty."""
 
     name: str
     domain: DomainName
@@ -45,7 +45,7 @@
 
 
 class VmView:
-    """Hold the last list that could be believed.
+    """The last plausible VM list.
 
     Invariant: `_gone` has only addresses that were once listed.
     """
@@ -65,14 +65,14 @@
         return self._vms
 
     def read(self, vms: Sequence[Vm], now_ms: float) -> None:
-        """Take in a list."""
+        """Apply a VM list; one that lost most entries only updates and adds entries."""
         before = {vm.endpoint for vm in self._vms if vm.endpoint}
         listed = {vm.endpoint for vm in vms if vm.endpoint}
         is_cut_short = len(before & listed) < _MIN_KEPT_SHARE * len(before)
         if self._vms and (not vms or is_cut_short):
-            # A list that lost most entries at once is the platform's failure, not
-            # the fleet's; following it would idle endpoints that answer well. States
-            # that it does give are followed.
+            # If most entries are missing at once, the platform has failed rather than
+            # the fleet; applying it would idle endpoints that work. The entries that it
+            # does have are applied.
             known = {vm.name: vm for vm in self._vms}
             known.update({vm.name: vm for vm in vms})
             self._store(known.values())
@@ -84,19 +84,22 @@
         self.read_ms = now_ms
 
     def is_gone(self, address: Address) -> bool:
-        """Tell whether an endpoint's VM was listed once and no longer is."""
+        """Return whether an endpoint's VM was listed before and no longer is."""
         return address in self._gone
 
     def find_leaving(self, addresses: KeysView[Address]) -> set[Address]:
-        """Return those of some addresses whose VM leaves or is gone."""
+        """Return the addresses whose VM is leaving or was removed."""
         return (addresses & self.leaving) | (addresses & self._gone)
 
     def is_leaving(self, address: Address) -> bool:
-        """Tell whether the list calls an endpoint's VM leaving."""
+        """Return whether the list marks an endpoint's VM as leaving."""
         return address in self.leaving
 
     def find_nodes(self) -> tuple[Vm, ...]:
-        """Return the live VMs that run a node, by name; the same object for a list."""
+        """Return the live VMs that run a node, sorted by name.
+
+        Returns the same object until a new list is read.
+        """
         return self._nodes
 
     def _store(self, vms: Iterable[Vm]) -> None:
@@ -120,9 +123,9 @@
 def choose_peers(node: NodeName, nodes: Sequence[Vm], max_peers: int) -> list[Vm]:
     """Return the nodes to connect to, so that each has about `max_peers` links.
 
-    All, where there are few. Otherwise each node chooses half as many, and is chosen
-    by as many on average: the next one on a ring of hashes, which keeps the fleet in
-    one piece, and others by rendezvous, which keep it a few steps wide.
+    All nodes if there are few. Otherwise each node chooses half as many, and is chosen
+    by as many on average: its successor on a hash ring, which keeps the fleet
+    connected, and others by rendezvous hashing, which keep its diameter small.
     """
     others = [vm for vm in nodes if vm.name != node]
     if len(others) <= max_peers:
@@ -141,12 +144,12 @@
 
 
 class WatchRing:
-    """Give each endpoint a few nodes that watch it, the same on every node.
+    """Assign each endpoint a few watching nodes, the same on every node.
 
-    Nodes stand at several points of a ring of hashes; an endpoint is watched by the
-    next ones from its own point. Finding them takes a binary search, where rendezvous
-    hashing would take a hash for each node: 1.4 million at 320 nodes and 4,400
-    endpoints, for every change of the list.
+    Each node has several points on a hash ring; an endpoint is watched by the nodes
+    that follow its own point. Finding them takes a binary search, where rendezvous
+    hashing would take a hash per node: 1.4 million for 320 nodes and 4,400 endpoints,
+    at every change of the list.
     """
 
     __slots__ = ("_names", "_points", "nodes")
