--- a/tests/toucanyard/crash_fleet.py
+++ b/tests/toucanyard/crash_fleet.py
@@ -1,7 +1,7 @@
-"""Run a fleet before replicas that end when they begin to run a certain request.
+"""Simulate a fleet whose replicas crash when they begin to run a certain request.
 
-A replica that ended is back some seconds later, at its address and under another name.
-The store drops the entry of the one before once its heartbeats have been missed.
+A crashed replica restarts some seconds later at the same address under another name.
+The store drops the previous entry once its heartbeats have been missed.
 """
 
 from __future__ import annotations
@@ -58,9 +58,9 @@
 TICK_MS = 25.0
 LATENCY_MS = 2.0
 START_MS = 30.0
-"""From a call's arrival at a replica until it begins to run."""
+"""Time from a call's arrival at a replica until it begins to run."""
 CRASH_MS = 60.0
-"""How long the request that crashes a replica runs there."""
+"""How long a request runs before it crashes the replica."""
 RUN_MS = 600.0
 BACK_MS = 2_500.0
 LAPSE_MS = 3_400.0
@@ -69,7 +69,7 @@
 
 
 class Engine:
-    """What listens at one address."""
+    """The replica that listens at one address."""
 
     def __init__(self, address: Address, name: str) -> None:
         self.address = address
@@ -92,7 +92,7 @@
 
 
 class Send:
-    """A call that reached a replica."""
+    """A call that was sent to and reached a replica."""
 
     def __init__(self, call: Call, replica: EndpointName, at_ms: float) -> None:
         self.call = call
@@ -101,7 +101,7 @@
 
 
 class CrashFleet(StoreFleet):
-    """Nodes, a store, replicas, and calls that last a while."""
+    """Nodes, a store, replicas, and calls with a duration."""
 
     def __init__(self, domains: int, nodes_each: int, replicas: int = 6) -> None:
         self.engines: dict[Address, Engine] = {}
@@ -110,7 +110,7 @@
         self.crashes: list[tuple[float, EndpointName]] = []
         self.probes = 0
         self.poison_answers = False
-        """Whether a replica has answered the request just before it crashes."""
+        """Whether a replica answers the request just before it crashes."""
         self.store_writes = 0
         self._numbers = count()
         self._due: list[tuple[float, int, Callable[[], None]]] = []
@@ -136,7 +136,7 @@
         self._append(name, put(replica))
 
     def crash(self, address: Address) -> None:
-        """End the replica at an address; its calls lose their connections."""
+        """Crash the replica at an address; its calls lose their connections."""
         engine = self.engines[address]
         if not engine.is_up:
             return
@@ -251,7 +251,7 @@
         fingerprint: Fingerprint,
         request: QuarantinedRequest | None,
     ) -> None:
-        """Write what a node wants kept, unless the store is away for it."""
+        """Write a quarantine record, unless the store is unavailable to the node."""
         if node in self.store_away:
             return
         self.store_writes += 1
@@ -296,7 +296,7 @@
     def call(
         self, node: NodeName, fingerprint: str, *, is_resumable: bool = True
     ) -> Call:
-        """Let a call arrive at a node."""
+        """Deliver a call to a node."""
         repeatability = (
             Repeatability.REPEATABLE if is_resumable else Repeatability.RUN_ONCE
         )
@@ -324,7 +324,7 @@
         harmless_ms: float = 85.0,
         is_resumable: bool = True,
     ) -> None:
-        """Let poisoned and harmless calls arrive at the nodes in turn for a while."""
+        """Send poisoned and harmless calls to the nodes in turn for `for_ms`."""
         names = [name for name in self.cores if name not in self.dead]
         begun_ms, end_ms = self.now_ms, self.now_ms + for_ms
         poisoned = harmless = 0
@@ -346,7 +346,7 @@
         heapq.heappush(self._due, (self.now_ms + delay_ms, next(self._numbers), act))
 
     def run_for(self, for_ms: float) -> None:
-        """Let time pass in small steps."""
+        """Advance time in small steps."""
         end_ms = self.now_ms + for_ms
         while self.now_ms < end_ms:
             if self.now_ms % self.DIAL_MS == 0:
@@ -362,7 +362,7 @@
                     self._read_nodes(name)
 
     def kill_and_restart_all(self) -> None:
-        """End all nodes at once and start new incarnations that know nothing."""
+        """Kill all nodes at once and start new incarnations without state."""
         for call in self.calls:
             if call.ending is None:
                 self._end(call, "node killed")
@@ -388,13 +388,13 @@
         self._read_at_start(name)
 
     def skip(self, for_ms: float) -> None:
-        """Let a long time pass in which nothing happens."""
+        """Advance time without any event."""
         self.now_ms += for_ms - for_ms % TICK_MS
 
     # Operators.
 
     def release(self, release: Release) -> None:
-        """Let all nodes read an operator's word that a quarantine is to end."""
+        """Deliver an operator's release of a quarantine to all nodes."""
         key = f"release/{release.fingerprint}"
         record = KeyedRecord(key, len(self._operator_records), put(release))
         self._operator_records.append(record)
@@ -402,7 +402,7 @@
             self.read(name, Topic.OPERATOR, record)
 
     def announce_leave(self, engine: Engine) -> None:
-        """Let a replica say that it drains."""
+        """Register a replica as draining."""
         leaving = build_replica(
             engine.name,
             service=DESK,
@@ -412,10 +412,10 @@
         )
         self._append(engine.name, put(leaving))
 
-    # What was seen.
+    # Observations.
 
     def list_quarantined(self) -> set[str]:
-        """Return the keys of the requests that the store holds under quarantine."""
+        """Return the keys of the quarantine records in the store."""
         newest = {each.key: each.value for each in self._node_records}
         return {
             key
@@ -424,18 +424,18 @@
         }
 
     def list_poisoned(self) -> list[Send]:
-        """Return the calls by which replicas were sent what crashes them."""
+        """Return the calls that sent replicas the request that crashes them."""
         return [s for s in self.reached if s.call.request.fingerprint == POISON]
 
     def list_late(self, bound_ms: float) -> list[Send]:
-        """Return those of them that came too long after the third crash."""
+        """Return the poisoned calls sent more than `bound_ms` after the third crash."""
         if len(self.crashes) < 3:
             return []
         third_ms = self.crashes[2][0]
         return [s for s in self.list_poisoned() if s.at_ms > third_ms + bound_ms]
 
     def find_served_share(self) -> float:
-        """Return the share of the harmless calls that were answered whole."""
+        """Return the share of the harmless calls that were answered completely."""
         harmless = [
             c for c in self.calls if c.ending and c.request.fingerprint != POISON
         ]
--- a/tests/toucanyard/membership_fakes.py
+++ b/tests/toucanyard/membership_fakes.py
@@ -1,4 +1,4 @@
-"""Give tests of membership a few nodes that exchange digests."""
+"""Simulate a few nodes that exchange digests, for tests of membership."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class Fleet:
-    """Hold nodes in a line, each linked to its neighbours only."""
+    """Nodes in a line, each linked to its neighbors only."""
 
     def __init__(self, nodes: int, endpoints: int) -> None:
         self.now_ms = 0.0
@@ -82,24 +82,24 @@
                     node.handle(PeerUp(self.names[other]), 0.0)
 
     def read_list(self, node: int, leaving: Sequence[str] = ()) -> None:
-        """Let one node read the VM list."""
+        """Pass the VM list to one node."""
         vms = build_vms(self.endpoints, self.names, leaving)
         self.nodes[node].handle(VmListRead(vms), self.now_ms)
 
     def report(self, node: int, endpoint: int, incarnation: str = "i") -> None:
-        """Let one node have an answer of an endpoint."""
+        """Pass an endpoint's answer to one node."""
         name = self.endpoints[endpoint].name
         event = EndpointReported(name, Incarnation(incarnation), self.now_ms)
         self.actions += self.nodes[node].handle(event, self.now_ms)
 
     def fail(self, node: int, endpoint: int, times: int = 1) -> None:
-        """Let tries of one node on an endpoint fail."""
+        """Let attempts of one node to reach an endpoint fail."""
         name = self.endpoints[endpoint].name
         for _ in range(times):
             self.nodes[node].handle(EndpointError(name), self.now_ms)
 
     def run(self, duration_ms: float) -> None:
-        """Let time pass and digests travel."""
+        """Advance time and deliver digests."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += STEP_MS
@@ -107,7 +107,7 @@
                 self.deliver(node, node.handle(Ticked(), self.now_ms))
 
     def deliver(self, node: Membership, actions: list[Action]) -> None:
-        """Carry out what one node wants done."""
+        """Carry out the actions of one node."""
         for action in actions:
             if not isinstance(action, SendDigest):
                 self.actions.append(action)
--- a/tests/toucanyard/test_crash_detector.py
+++ b/tests/toucanyard/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""What counts as a crash of a replica, and what does not."""
+"""Which failures count as a crash of a replica."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def test_frozen_replica_has_not_crashed() -> None:
-    """Guards against charging calls that were lost while a replica stood still."""
+    """Guards against attributing a crash to calls lost while a replica was frozen."""
     world = World()
     world.lose(100.0)
     for number in range(10):
@@ -70,7 +70,7 @@
 
 
 def test_replica_behind_a_proxy_has_crashed_once_probes_are_closed_in_a_row() -> None:
-    """Guards against a listener that outlives its replica and hides each crash."""
+    """Guards against a proxy that outlives its replica and hides each crash."""
     world = World()
     world.lose(100.0)
     found = [
@@ -80,7 +80,7 @@
 
 
 def test_probe_that_is_answered_clears_what_was_lost_before_it() -> None:
-    """Guards against a reset that is charged when the replica ends later."""
+    """Guards against attributing a later crash to a call lost by a reset before."""
     world = World()
     world.lose(100.0)
     world.detector.record_probe(ONE, Reachability.CLOSED, 101.0)
@@ -90,7 +90,7 @@
 
 
 def test_replica_that_was_taken_for_ended_counts_again_once_it_answers() -> None:
-    """Guards against charging each later loss at a replica that lives."""
+    """Guards against attributing a crash for each later loss at a live replica."""
     world = World()
     world.detector.mark_ended(ONE)
     assert world.lose(100.0)
@@ -100,7 +100,7 @@
 
 
 def test_life_that_another_one_follows_at_its_address_has_ended() -> None:
-    """Guards against a crash that no probe sees, since the replica is back at once."""
+    """Guards against a crash that no probe sees since the replica restarts at once."""
     world = World()
     world.lose(100.0)
     assert world.detector.find_replaced(100.0) == []
@@ -125,7 +125,7 @@
 
 
 def test_answer_counts_once_its_replica_has_outlived_it() -> None:
-    """Guards against a request that is answered just before its replica crashes."""
+    """Guards against clearing a request answered just before its replica crashes."""
     world = World()
     world.detector.record_answer(ONE, BODY, 90.0, 100.0)
     assert list(world.detector.take_survivals(100.0 + SURVIVAL_DELAY_MS - 1)) == []
--- a/tests/toucanyard/test_crash_ledger.py
+++ b/tests/toucanyard/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which requests are convicted by crashes, whatever order nodes hear of them in."""
+"""Which requests crashes confirm as their cause, in any order of reports."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def test_two_requests_of_the_same_crashes_are_told_apart_by_who_survives() -> None:
-    """Guards against convicting the call that met the cause twice."""
+    """Guards against blaming a request that ran beside the cause at both crashes."""
     ledger = CrashLedger()
     add(ledger, "r1", 1_000.0, BAD, "a")
     add(ledger, "r2", 2_000.0, BAD, "a")
@@ -63,7 +63,7 @@
 
 
 def test_nothing_is_judged_before_other_nodes_could_speak() -> None:
-    """Guards against a verdict on what one node saw of a crash."""
+    """Guards against a verdict from one node's observations alone."""
     ledger = CrashLedger()
     add(ledger, "r1", 1_000.0, BAD)
     add(ledger, "r2", 2_000.0, BAD)
@@ -72,7 +72,7 @@
 
 
 def test_copies_that_ran_at_the_same_time_count_once() -> None:
-    """Guards against taking the loss of a rack for crashes by what ran on it."""
+    """Guards against blaming a request for the loss of the rack that ran its copies."""
     ledger = CrashLedger()
     for number in range(6):
         add(ledger, f"r{number}", 1_000.0 + number, "popular", ran_ms=400.0)
@@ -92,7 +92,7 @@
 
 
 def test_many_crashes_neither_fill_memory_nor_hide_the_latest() -> None:
-    """Guards against an abuser with many requests that crash replicas."""
+    """Guards against an attacker with many different requests that crash replicas."""
     ledger = CrashLedger()
     for number in range(200):
         bodies = [f"b{number}-{each}" for each in range(2 * MAX_CRASH_REQUESTS)]
@@ -124,7 +124,7 @@
 def test_nodes_judge_alike_in_whatever_order_they_hear(
     reports: list[tuple[str, str]], rng: object
 ) -> None:
-    """Guards against nodes that disagree for good on what is under quarantine."""
+    """Guards against nodes that permanently disagree on what is under quarantine."""
     at_ms = {"r1": 1_000.0, "r2": 2_000.0, "r3": 3_000.0, "r4": 3_020.0}
     shuffled = list(reports)
     rng.shuffle(shuffled)  # type: ignore[attr-defined]
--- a/tests/toucanyard/test_crashing_requests.py
+++ b/tests/toucanyard/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that crashes the replicas that run it is not sent on without end."""
+"""A request that crashes the replicas that run it is not retried without bound."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .relay_fleet import put
 
 STABLE_MS = 3_000.0
-"""Time by which nodes in touch must have learned of the third crash."""
+"""Time within which connected nodes must learn of the third crash."""
 MAX_RETRIES = 3
 SIZES = pytest.mark.parametrize("nodes_each", [3, 23], ids=["mesh", "hubs"])
 POPULAR = "popular"
@@ -26,19 +26,19 @@
     before = len(fleet.crashes)
     fleet.call_in_turn(2_000.0)
     assert len(fleet.crashes) - before <= CONFIRMED_CRASHES
-    # By now a record is written and all nodes have read it.
+    # After this a record is written and all nodes have read it.
     fleet.run_for(4_000.0)
 
 
 def call_everywhere(fleet: CrashFleet, fingerprint: str = POISON) -> list[Call]:
-    """Let a request arrive at each node, and wait until all have ended."""
+    """Send a request to each node, and wait until all calls have ended."""
     calls = [fleet.call(name, fingerprint) for name in fleet.cores]
     fleet.run_for(1_000.0)
     return calls
 
 
 def list_rejected(calls: list[Call]) -> list[str]:
-    """Return why calls were turned away for the crashes of their request."""
+    """Return the reasons of calls that were refused as quarantined."""
     return [
         call.refusal.text
         for call in calls
@@ -61,7 +61,7 @@
 def test_repeats_of_a_request_that_crashes_replicas_end(
     nodes_each: int, is_resumable: bool
 ) -> None:
-    """Guards against counting attempts for one arrival only: each repeat was new."""
+    """Guards against counting attempts per call: each repeat counted as new."""
     fleet = CrashFleet(3, nodes_each)
     fleet.call_in_turn(10_000.0, is_resumable=is_resumable)
     assert len(fleet.list_late(STABLE_MS)) <= MAX_RETRIES
@@ -72,7 +72,7 @@
 def test_request_costs_no_more_replicas_than_it_takes_to_tell(
     nodes_each: int, is_resumable: bool
 ) -> None:
-    """Guards against waiting for the bound where the cause is clear before."""
+    """Guards against waiting for the bound when the cause is already clear."""
     fleet = CrashFleet(3, nodes_each)
     fleet.call_in_turn(10_000.0, is_resumable=is_resumable)
     assert len(fleet.crashes) <= CONFIRMED_CRASHES
@@ -82,14 +82,14 @@
 def test_harmless_calls_are_served_beside_a_request_that_crashes_replicas(
     nodes_each: int,
 ) -> None:
-    """Guards against one caller with three requests a second stopping all others."""
+    """Guards against one caller with three requests a second blocking all others."""
     fleet = CrashFleet(3, nodes_each)
     fleet.call_in_turn(10_000.0)
     assert fleet.find_served_share() >= 0.97
 
 
 def test_request_that_is_answered_before_it_crashes_its_replica_is_known() -> None:
-    """Guards against a crash in what a replica does after its answer."""
+    """Guards against missing a crash in a replica's cleanup after its answer."""
     fleet = CrashFleet(3, 3)
     fleet.poison_answers = True
     fleet.call_in_turn(10_000.0)
@@ -97,7 +97,7 @@
 
 
 def test_call_under_quarantine_is_answered_at_once_and_truthfully() -> None:
-    """Guards against callers that wait for, or repeat at once, what can't be served."""
+    """Guards against callers that wait for, or retry at once, what cannot be served."""
     fleet = CrashFleet(3, 3)
     crash_until_quarantined(fleet)
     for call in call_everywhere(fleet):
@@ -113,7 +113,7 @@
 def test_copies_that_arrive_at_once_do_not_crash_replicas_for_ever(
     nodes_each: int,
 ) -> None:
-    """Guards against a burst of copies on all nodes before anybody has learned."""
+    """Guards against a burst of copies on all nodes before any crash is known."""
     fleet = CrashFleet(3, nodes_each)
     for _ in range(40):
         for name in list(fleet.cores)[:9]:
@@ -136,7 +136,7 @@
 
 
 def test_node_that_starts_later_knows_the_quarantine() -> None:
-    """Guards against a replaced node that begins to send the request again."""
+    """Guards against a replacement node that sends the request again."""
     fleet = CrashFleet(3, 3)
     crash_until_quarantined(fleet)
     name = next(iter(fleet.cores))
@@ -150,7 +150,7 @@
 
 @SIZES
 def test_quarantine_begins_and_holds_while_the_store_is_away(nodes_each: int) -> None:
-    """Guards against a quarantine that needs the store to be agreed on."""
+    """Guards against a quarantine that takes effect only through the store."""
     fleet = CrashFleet(3, nodes_each)
     fleet.store_away = set(fleet.cores)
     fleet.call_in_turn(10_000.0)
@@ -162,7 +162,7 @@
 
 
 def test_nothing_is_written_to_the_store_without_a_quarantine() -> None:
-    """Guards against a price in calm times, and on days when replicas crash alone."""
+    """Guards against store writes when no request is the cause of a crash."""
     fleet = CrashFleet(3, 3)
     for address in list(fleet.engines)[:3]:
         fleet.call_in_turn(2_000.0, poison_ms=None)
@@ -172,7 +172,7 @@
 
 
 def test_one_record_is_written_for_a_quarantine() -> None:
-    """Guards against a write by each node that is asked for the request."""
+    """Guards against a write by each node that receives the request."""
     fleet = CrashFleet(3, 3)
     fleet.call_in_turn(10_000.0)
     assert fleet.store_writes == 1
@@ -182,7 +182,7 @@
 def test_popular_request_is_served_while_replicas_crash_one_after_another(
     nodes_each: int,
 ) -> None:
-    """Guards against a quarantine of what merely ran on each replica that ended."""
+    """Guards against quarantining a request that merely ran on each crashed replica."""
     fleet = CrashFleet(3, nodes_each)
     names = list(fleet.cores)
     calls = []
@@ -200,7 +200,7 @@
 def test_popular_request_is_served_after_many_replicas_were_lost_at_once(
     nodes_each: int,
 ) -> None:
-    """Guards against taking a lost rack for crashes by what ran on all its replicas."""
+    """Guards against blaming a request that ran on all replicas of a lost rack."""
     fleet = CrashFleet(3, nodes_each)
     names = list(fleet.cores)
     for number in range(24):
@@ -214,7 +214,7 @@
 
 
 def test_first_run_of_many_replicas_is_no_cause_of_their_loss() -> None:
-    """Guards against the same where no run of the request had ended before."""
+    """Guards against the same when no run of the request had completed before."""
     fleet = CrashFleet(3, 3)
     names = list(fleet.cores)
     for number in range(18):
@@ -231,7 +231,7 @@
 
 
 def test_closed_connection_to_a_living_replica_is_no_crash() -> None:
-    """Guards against convicting a request whose connections were reset."""
+    """Guards against quarantining a request whose connections were reset."""
     fleet = CrashFleet(3, 3)
     name = next(iter(fleet.cores))
     for _ in range(6):
@@ -251,7 +251,7 @@
 
 
 def test_replica_that_was_to_leave_has_not_crashed() -> None:
-    """Guards against charging the calls that a planned stop cuts."""
+    """Guards against attributing a crash to calls cut off by a planned stop."""
     fleet = CrashFleet(3, 3)
     name = next(iter(fleet.cores))
     for _ in range(CONFIRMED_CRASHES):
@@ -271,14 +271,14 @@
 
 
 def test_request_that_waits_is_rejected_once_its_copies_have_crashed_replicas() -> None:
-    """Guards against a check at the arrival only: calls wait and go elsewhere."""
+    """Guards against a check on arrival only: calls may wait or be retried later."""
     fleet = CrashFleet(3, 1, replicas=3)
     names = list(fleet.cores)
     fleet.call(names[0], POISON, is_resumable=False)
     fleet.run_for(400.0)
     fleet.call(names[1], POISON, is_resumable=False)
     fleet.run_for(80.0)
-    # The third and last replica ends too, so this one has to wait.
+    # The third and last replica crashes too, so this call has to wait.
     fleet.crash(next(a for a, e in fleet.engines.items() if e.is_up))
     fleet.run_for(20.0)
     waiting = fleet.call(names[2], POISON, is_resumable=False)
@@ -288,7 +288,7 @@
 
 
 def test_request_that_was_beside_the_cause_is_served() -> None:
-    """Guards against convicting the calls that met the same crashes."""
+    """Guards against quarantining calls that ran beside the cause at its crashes."""
     fleet = CrashFleet(3, 3)
     names = list(fleet.cores)
     beside = [f"beside-{number}" for number in range(12)]
@@ -304,7 +304,7 @@
 
 
 def test_operator_releases_one_quarantine_and_not_a_later_one() -> None:
-    """Guards against a release that stays in force, or comes back with a restart."""
+    """Guards against a release that stays in force or recurs after a restart."""
     fleet = CrashFleet(3, 3)
     crash_until_quarantined(fleet)
     entry = find_entry(fleet)
@@ -322,7 +322,7 @@
 
 
 def test_quarantine_ends_when_the_request_has_stayed_away() -> None:
-    """Guards against records that stay in the store for good."""
+    """Guards against records that stay in the store forever."""
     fleet = CrashFleet(3, 1)
     crash_until_quarantined(fleet)
     fleet.skip(TTL_MS)
@@ -334,7 +334,7 @@
 
 
 def test_quarantine_goes_on_while_the_request_comes() -> None:
-    """Guards against a trial of the request each time that a lifetime is over."""
+    """Guards against running the request again whenever an entry's lifetime ends."""
     fleet = CrashFleet(3, 1)
     crash_until_quarantined(fleet)
     before = len(fleet.list_poisoned())
@@ -346,7 +346,7 @@
 
 
 def test_record_of_an_unknown_request_is_taken_over_and_refused() -> None:
-    """Guards against a node that needs to have seen the crashes itself."""
+    """Guards against a node that refuses only requests whose crashes it knows."""
     fleet = CrashFleet(3, 1)
     name = next(iter(fleet.cores))
     request = QuarantinedRequest(POISON, "1", CustomerName("c"), "r", ())
--- a/tests/toucanyard/test_gossip_queue.py
+++ b/tests/toucanyard/test_gossip_queue.py
@@ -18,8 +18,8 @@
 
 
 def test_own_news_goes_to_all_and_before_that_of_others() -> None:
-    """Many endpoints die together and the budget is short. What this node alone knows
-    must not wait behind what comes on other ways as well."""
+    """Many endpoints fail together and the budget is limited. Updates that only this
+    node has must not wait behind those that also arrive over other paths."""
     queue = build_queue()
     queue.enqueue(Suspected(EndpointName("own"), NodeName("me"), 0), 0.0, None)
     queue.enqueue(Suspected(ENDPOINT, NodeName("other"), 0), 1.0, PEERS[0])
@@ -29,8 +29,8 @@
 
 
 def test_news_of_others_is_passed_to_some_and_of_leaving_to_all() -> None:
-    """If everyone told everything to everyone, the budget of a small fleet would last
-    ten times as long as needed. A leaving VM must reach every node at once, though."""
+    """If every node forwarded every update to all peers, a small fleet would need ten
+    times as long with its budget. A leaving VM must still reach every node at once."""
     queue = build_queue()
     queue.enqueue(Suspected(ENDPOINT, NodeName("other"), 0), 0.0, PEERS[0])
     assert count_sent(queue) == 4
--- a/tests/toucanyard/test_link_plan.py
+++ b/tests/toucanyard/test_link_plan.py
@@ -52,10 +52,10 @@
 
 
 def test_hub_out_of_reach_is_passed_over_and_tried_again() -> None:
-    """A node's hub loses power; the node's dials go unanswered.
+    """A node's hub loses power, and the node's connection attempts time out.
 
-    It reports to its second hub at once and finds a third one; when the first is back,
-    it takes it up again.
+    The node reports to its second hub at once and links to a third one; when the first
+    hub is back, it is used again.
     """
     leaf, others = build_plan(30)
     leaf.update(others, (), 0.0)
@@ -74,8 +74,8 @@
 def test_node_whose_domain_is_out_of_reach_reports_to_another_one() -> None:
     """All other nodes of a domain lose power.
 
-    The node that is left would try them in turn for half a minute, and know nothing of
-    other nodes' calls meanwhile.
+    Without links to other domains, the remaining node would try them in turn for half a
+    minute, without knowing other nodes' calls meanwhile.
     """
     leaf, others = build_plan(30)
     leaf.update(others, (), 0.0)
--- a/tests/toucanyard/test_membership.py
+++ b/tests/toucanyard/test_membership.py
@@ -19,8 +19,8 @@
 
 
 def test_leaving_endpoint_gets_no_work_though_the_list_lags() -> None:
-    """One node's reading of the VM list is ahead of the others'. Within the bound no
-    node, four links away, may give the leaving endpoint work."""
+    """One node reads the VM list before the others. Within the bound even the node four
+    links away must stop using the leaving endpoint."""
     fleet = Fleet(5, 3)
     fleet.read_list(0, leaving=["e1"])
     fleet.run(TIMINGS.max_leaving_ms)
@@ -29,8 +29,8 @@
 
 
 def test_urgent_news_does_not_wait_for_the_interval_at_every_hop() -> None:
-    """Eleven links lie between two nodes. At one interval each, the news of a leaving
-    VM would come too late."""
+    """Two nodes are eleven links apart. If each hop took one interval, the update on a
+    leaving VM would arrive too late."""
     fleet = Fleet(12, 3)
     fleet.read_list(0, leaving=["e1"])
     fleet.run(2 * TIMINGS.digest_interval_ms)
@@ -38,8 +38,8 @@
 
 
 def test_leaving_news_ends_when_nobody_confirms_it() -> None:
-    """An address is given to a new VM. Old news of the one before must not keep it
-    idle for good."""
+    """An address is reused by a new VM. Old updates on the previous VM must not keep it
+    idle forever."""
     fleet = Fleet(2, 3)
     fleet.read_list(0, leaving=["e1"])
     fleet.run(1_000)
@@ -59,8 +59,8 @@
 
 
 def test_doubt_without_polls_ends_by_itself() -> None:
-    """Only callers' traffic reaches an endpoint from this node. If an error excluded
-    it for good, no traffic would ever show that it is back."""
+    """This node reaches an endpoint only by callers' traffic. If an error excluded the
+    endpoint forever, no traffic would ever show that it has recovered."""
     fleet = Fleet(1, 3)
     fleet.fail(0, 1, times=9)
     fleet.run(TIMINGS.condemn_window_ms + 200)
@@ -68,8 +68,8 @@
 
 
 def test_one_source_condemns_nobody_and_two_do() -> None:
-    """A node whose own network is bad reports what it sees. Alone it must not take
-    an endpoint away from others; a second source makes the difference."""
+    """A node with a faulty network suspects endpoints that work. It must not exclude an
+    endpoint for other nodes until a second source suspects it."""
     fleet = Fleet(4, 9)
     fleet.fail(0, 1, times=3)
     fleet.run(2_000)
@@ -93,8 +93,8 @@
 
 
 def test_condemning_is_limited_to_a_share_of_the_pool() -> None:
-    """Two nodes behind a broken switch call half of the pool dead. The rest of the
-    fleet, which has not tried them, must not heap all work on the other half."""
+    """Two nodes behind a broken switch suspect half of the pool. The rest of the fleet,
+    which has not tried these endpoints, must not overload the other half."""
     fleet = Fleet(3, 12)
     for node in (0, 1):
         for endpoint in range(12):
@@ -106,8 +106,8 @@
 
 
 def test_node_that_sees_everyone_dead_accuses_nobody_and_still_tries() -> None:
-    """Two nodes lose their own networks. All endpoints look dead from there; were it
-    believed, the third node would give up endpoints that serve well."""
+    """Two nodes lose their own networks and all endpoints fail for them. If they
+    reported this, the third node would stop using endpoints that work."""
     fleet = Fleet(3, 9)
     for node in (0, 1):
         for endpoint in range(9):
@@ -138,8 +138,8 @@
 
 
 def test_late_answer_of_a_dead_incarnation_is_not_believed() -> None:
-    """A load report asked before the crash arrives after one of the new process.
-    Believing it would bring back the view of a cache that is gone."""
+    """A load report requested before a crash arrives after one of the new process.
+    Applying it would restore the state of a cache that is lost."""
     fleet = Fleet(1, 1)
     node, name = fleet.nodes[0], fleet.endpoints[0].name
     node.handle(EndpointReported(name, Incarnation("new"), 500.0), 600.0)
@@ -149,8 +149,8 @@
 
 
 def test_list_that_lost_most_entries_idles_nobody() -> None:
-    """The platform's list comes back empty or cut short. Endpoints that answer must
-    stay in use, while a single one that vanished must not."""
+    """The platform's list is empty or truncated. Endpoints that answer must stay in
+    use, while a single endpoint that is missing must not."""
     fleet = Fleet(1, 6)
     node = fleet.nodes[0]
     node.handle(VmListRead(()), 0.0)
@@ -161,8 +161,8 @@
 
 
 def test_delayed_digest_confirms_only_from_the_echo_on() -> None:
-    """A digest waits 9 s in a buffer. The sender's word that it was current then says
-    nothing of the time since; trusting its arrival would hide a cut."""
+    """A digest is delayed by 9 s in a buffer. Its confirmation does not cover the time
+    since; counting it from its arrival would hide a network partition."""
     fleet = Fleet(2, 1)
     digest = Digest(NodeName("n1"), 5.0, 1_000.0, 3, 7, 200.0)
     actions = fleet.nodes[0].handle(DigestArrived(NodeName("n1"), digest), 10_000.0)
@@ -242,8 +242,8 @@
 
 
 def test_watching_follows_the_nodes_and_the_configuration() -> None:
-    """A node leaves and its endpoints must find other watchers, and an endpoint that
-    is new must find some, though each node keeps what it worked out before."""
+    """When a node leaves, its endpoints must get other watchers, and a new endpoint
+    must get some, although each node caches its assignment."""
     fleet = Fleet(4, 80)
     shares = [len(node.find_watched(fleet.endpoints)) for node in fleet.nodes]
     assert sum(shares) == 80 * 3
@@ -255,9 +255,9 @@
 
 
 def test_one_node_follows_the_events_of_each_endpoint_and_another_takes_over() -> None:
-    """Three nodes would take in the same cache events three times over. The one that
-    does vanishes from the list, and its endpoints must not stay without a follower;
-    where endpoints are few, every node goes on following all of them."""
+    """Three nodes would read the same cache events three times. If the one that reads
+    them drops out of the list, another must take over its endpoints; where endpoints
+    are few, every node still follows all of them."""
     fleet = Fleet(5, 80)
     followed = [node.find_followed(fleet.endpoints) for node in fleet.nodes]
     assert sorted(each.name for share in followed for each in share) == sorted(
--- a/tests/toucanyard/test_node_directory.py
+++ b/tests/toucanyard/test_node_directory.py
@@ -28,9 +28,9 @@
 
 
 def test_node_that_one_hub_calls_stopping_is_not_named() -> None:
-    """A node stops; one hub knows it, another one, or an old list, does not yet.
+    """A node is stopping; one hub knows it, another hub or an old list does not yet.
 
-    Callers that are sent to it lose their calls, so the worse word counts, in either
+    Callers directed to it lose their calls, so the worse report counts, in either
     order.
     """
     for first, second in ((True, False), (False, True)):
@@ -98,11 +98,11 @@
 def test_asking_often_changes_no_answer(
     steps: list[tuple[str, NodeName, bool, float]],
 ) -> None:
-    """Who is alive is merged only when it may have changed.
+    """The set of live nodes is merged only when it may have changed.
 
-    A node whose death or return were missed would be sent callers, or none, for good,
-    and would go first in a matter that nobody then sees to. So a roster that is asked
-    after each step answers like one that is asked once.
+    If a node's failure or return were missed, callers would be directed to a dead node
+    or never to a live one, and a dead node might stay first for a subject. So a
+    directory queried after each step must answer like one that is queried once.
     """
     asked, unasked = build_roster(), build_roster()
     now_ms = 0.0
--- a/tests/toucanyard/test_removed_replicas.py
+++ b/tests/toucanyard/test_removed_replicas.py
@@ -1,4 +1,4 @@
-"""Removed replicas get no calls past the bound; lapsed ones still do."""
+"""Removed replicas get no calls past the bound; live ones that expired still do."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 SMALL_MS = 2_000.0
 """How long a replica of a small deployment runs after it has left the list."""
 LARGE_MS = 3_000.0
-"""The same of a large one."""
+"""The same in a large deployment."""
 SEND_MS = RetryPolicy().connect_ms
-"""What a call that has been placed may need until it is sent."""
+"""How long a placed call may take until it is sent."""
 
 
 def build_fleet(
@@ -31,7 +31,7 @@
 
 
 def find_longest_use(fleet: StoreFleet, removed_ms: float, cut: NodeName) -> float:
-    """Return how long after its removal nodes in touch sent calls to a replica."""
+    """Return how long after its removal connected nodes sent calls to a replica."""
     sent = fleet.list_sent_to("a", without=[cut])
     return max(each.at_ms for each in sent) - removed_ms
 
@@ -42,16 +42,16 @@
 def test_removed_replica_gets_no_calls_since_another_node_was_away(
     nodes_each: int, bound_ms: float
 ) -> None:
-    """One node, which reads the list for all, is cut off for two seconds and returns.
+    """The node that reads the list for all is cut off for two seconds, then returns.
 
-    It tells the others that the store failed it. Then a replica is removed, which runs
-    for two more seconds on a small deployment and for three on a large one; the store
-    was well all the time. Each node that doubted the store counted the replica for two
-    seconds from when it heard of the removal, and sent it calls until then:
+    It reports a store failure to the others. Then a replica is removed, which runs for
+    two more seconds in a small deployment and three in a large one; the store was up
+    throughout. Each node that had received that report kept using the replica for two
+    seconds after it learned of the removal, and sent a call 2,067 ms after the removal:
 
         event=store_doubted source=edge-3 age_ms=318
         event=replica_gone is_doubtful=true counts_ms=2000 list_age_ms=442
-        event=sent gone_ms=1737   (2,067 ms after the removal)
+        event=sent gone_ms=1737
     """
     fleet = build_fleet(nodes_each, bound_ms)
     reader = fleet.find_reader()
@@ -71,10 +71,10 @@
 def test_removed_replica_gets_no_calls_while_the_store_refuses_some(
     nodes_each: int, bound_ms: float
 ) -> None:
-    """The store answers two thirds of the nodes; the others fail again and again.
+    """The store answers two thirds of the nodes; reads of the others keep failing.
 
-    The first reader is among those. What others read shows that the store is well, so
-    a replica that goes meanwhile was taken away.
+    The first reader is among the latter. The other nodes' reads show that the store is
+    up, so a replica that leaves the list meanwhile was removed.
     """
     fleet = build_fleet(nodes_each, bound_ms)
     fleet.store_away = set(list(fleet.cores)[::3]) | {fleet.find_reader()}
@@ -87,10 +87,10 @@
 
 @pytest.mark.parametrize("nodes_each", [3, 23], ids=["mesh", "hubs"])
 def test_service_is_not_emptied_while_the_store_was_away(nodes_each: int) -> None:
-    """The store answers nobody for five seconds, in which all entries lapse.
+    """The store answers no node for five seconds, in which all entries expire.
 
-    Its return shows an empty list. The replicas live, and register again within two
-    seconds; until then calls go where the list before says, and none is refused.
+    When it returns, its list is empty. The replicas are alive and register again within
+    two seconds; until then calls use the previous list, and none is refused.
     """
     fleet = build_fleet(nodes_each)
     fleet.store_away = set(fleet.cores)
@@ -110,10 +110,10 @@
 def test_replica_that_leaves_as_the_store_returns_gets_no_calls_past_the_bound(
     nodes_each: int, bound_ms: float
 ) -> None:
-    """The store is away for all; on its return all entries have lapsed.
+    """The store is unavailable to all nodes; on its return all entries have expired.
 
-    One replica has been taken away at that moment and never registers again. It counts
-    like the others, since nothing tells it from them, but no longer than it runs.
+    One replica is removed at that moment and never registers again. It cannot be
+    distinguished from the others and is used like them, but no longer than it runs.
     """
     fleet = build_fleet(nodes_each, bound_ms)
     fleet.store_away = set(fleet.cores)
@@ -130,10 +130,10 @@
 
 
 def test_node_that_alone_was_cut_off_learns_that_the_store_was_well() -> None:
-    """One node is cut off for four seconds; a replica goes just before it returns.
+    """One node is cut off for four seconds; a replica is removed before it returns.
 
-    By itself the node takes the store to have been away and the replica to have lapsed.
-    Its peers have read all the time, which shows in their next statuses.
+    By itself the node would conclude that the store was down and the replica's entry
+    expired. Its peers read the store throughout, which shows in their next statuses.
     """
     fleet = build_fleet(3)
     reader = fleet.find_reader()
@@ -150,7 +150,7 @@
 
 
 def test_silent_store_is_asked_at_a_bounded_rate_by_all_nodes() -> None:
-    """Two nodes ask each 300 ms; the others wait until a read is given up."""
+    """Two nodes read every 300 ms; the others wait until a read times out."""
     fleet = build_fleet(3)
     fleet.store_away = set(fleet.cores)
     fleet.run(2_000.0)
@@ -162,10 +162,10 @@
 
 
 def test_age_of_the_list_grows_on_slow_links() -> None:
-    """The store answers nobody, and messages between nodes take 300 ms.
+    """The store answers no node, and messages between nodes take 300 ms.
 
-    Each node hears from the others what it has told them itself. Taken for news, it
-    keeps the list young for ever, and nobody sees how long the store has been away.
+    Each node receives its own updates back from the others. If these counted as new,
+    the list would seem fresh forever, and the outage would go unnoticed.
     """
     fleet = build_fleet(3, way_ms=300.0)
     fleet.run(3_000.0)
@@ -178,7 +178,7 @@
 
 
 class RandomFaults:
-    """Cuts, refusals, outages and removals that are drawn from a seed."""
+    """Partitions, refusals, outages and removals at random from a seed."""
 
     def __init__(self, seed: int, way_ms: float) -> None:
         self.rng = random.Random(seed)
@@ -187,7 +187,7 @@
         self.listed = list(REPLICAS)
         self.removed_ms: dict[str, float] = {}
         self.cut_ms: dict[NodeName, float] = {}
-        """When each node was cut off last."""
+        """When each node was last cut off."""
         self.started = 0
 
     def run(self, for_ms: float) -> None:
@@ -212,11 +212,11 @@
                 self.let_lapse()
         self.run(self.rng.uniform(0.0, 600.0))
         self.replace()
-        # What goes as the store does is known to nobody before the store is back.
+        # No node learns of a removal during an outage before the store is back.
         self.run(1_600.0)
 
     def replace(self) -> None:
-        """Take a replica away and start another one."""
+        """Remove a replica and start another one."""
         gone = self.rng.choice(self.listed)
         self.listed.remove(gone)
         self.removed_ms[gone] = self.fleet.now_ms
@@ -229,7 +229,7 @@
         self.fleet.register(self.listed[-1:])
 
     def let_lapse(self) -> None:
-        """Let the store be away while all entries lapse; one replica never returns."""
+        """Stop the store until all entries expire; one replica never returns."""
         self.fleet.store_away = set(self.names)
         self.run(self.rng.uniform(3_600.0, 6_000.0))
         self.fleet.remove(self.listed)
@@ -242,7 +242,7 @@
         self.start()
 
     def find_late(self) -> list[tuple[NodeName, str, float]]:
-        """Return the calls that nodes in touch sent past the bound."""
+        """Return the calls that connected nodes sent past the bound."""
         late = []
         for each in self.fleet.sent:
             age_ms = each.at_ms - self.removed_ms.get(each.replica, each.at_ms)
@@ -256,10 +256,10 @@
 def test_no_mix_of_troubles_uses_a_removed_replica_or_empties_a_service(
     seed: int, way_ms: float
 ) -> None:
-    """Nodes are cut off, the store refuses some or all, entries lapse, replicas change.
+    """Nodes are cut off, the store refuses some or all, entries and replicas change.
 
-    Whatever the order, a node that was never cut off sends no call to a replica past
-    its end, and finds one for each call.
+    In any order, a node that was never cut off sends no call to a replica past its end,
+    and finds a replica for each call.
     """
     faults = RandomFaults(seed, way_ms)
     for _ in range(6):
--- a/tests/toucanyard/test_replica_gossip.py
+++ b/tests/toucanyard/test_replica_gossip.py
@@ -12,13 +12,13 @@
 
 NAME = EndpointName("r")
 LATENCY_MS = 5.0
-"""How long a message takes from one node to the next."""
+"""Latency of a message between two nodes."""
 SLOW_LATENCY_MS = 200.0
-"""The same on links that are full."""
+"""The same on congested links."""
 
 
 class GossipNode:
-    """What one node knows of one replica, and its gossip."""
+    """One node's state of one replica, and its gossip."""
 
     def __init__(self, number: int = 0) -> None:
         directory = ReplicaDirectory()
@@ -35,9 +35,9 @@
 
 
 def test_pause_that_goes_round_does_not_grow() -> None:
-    """A replica refuses a call; two nodes tell each other of its pause for seconds.
+    """A replica refuses a call; two nodes send each other its pause for seconds.
 
-    Each telling takes some milliseconds. If the pause ended that much later each time,
+    Each message takes some milliseconds. If each one extended the pause by that time,
     the replica would never get a call again.
     """
     one, two = GossipNode(), GossipNode()
@@ -55,10 +55,10 @@
 
 
 def test_pause_that_goes_round_on_slow_links_ends() -> None:
-    """A replica refuses one call; two nodes tell each other of it over full links.
+    """A replica refuses one call; two nodes exchange the pause over congested links.
 
-    Each hears of its own pause again, 400 ms longer. Taken for a new one, it went on
-    for as long as the links were slow, and the replica got no calls from any node.
+    Each receives its own pause again, 400 ms longer. When it counted as a new one, the
+    pause lasted as long as the links were slow, and no node sent calls to the replica.
     """
     one, two = GossipNode(1), GossipNode(2)
     one.known.loading_until_ms = 600.0
@@ -72,7 +72,7 @@
 
 
 def test_pause_that_its_holder_renews_goes_on() -> None:
-    """A node that orders weights renews the pause until the replica has them."""
+    """The node that orders weights renews the pause until the replica has them."""
     one, two = GossipNode(1), GossipNode(2)
     for now_ms in (0.0, 250.0, 500.0, 750.0, 1_000.0):
         one.known.loading_until_ms = now_ms + 1_500.0
@@ -92,9 +92,9 @@
 
 
 def test_pause_from_before_new_weights_is_over() -> None:
-    """A node that lags says that a replica pauses; it has its new weights already.
+    """A lagging node sends a replica's pause after the replica loaded its new weights.
 
-    Taken for news, it would leave the first replica with new weights idle.
+    If it were applied, the first replica with new weights would stay idle.
     """
     node = GossipNode()
     node.known.record_weights(MODEL, 2)
--- a/tests/toucanyard/test_replica_incarnations.py
+++ b/tests/toucanyard/test_replica_incarnations.py
@@ -27,7 +27,7 @@
 from .relay_fleet import Fleet, put
 
 BEFORE, AFTER = 1_000, 2_000
-"""Starts of two lives of one replica."""
+"""Start times of two incarnations of one replica."""
 LISTED = ReplicaId("r")
 
 
@@ -54,10 +54,10 @@
 
 
 def test_replica_that_starts_again_is_used_again() -> None:
-    """A replica drains, ends, and starts again under its name.
+    """A replica drains, exits and restarts under the same name.
 
-    Its leave and its failures are of the life before; believed of the new one, it
-    would stand idle for good while callers are refused.
+    Its draining state and its failures belong to the previous incarnation; applied to
+    the new one, they would keep it idle forever while callers are refused.
     """
     fleet = build_fleet("a")
     fleet.read(
@@ -75,9 +75,9 @@
 
 
 def test_new_life_has_the_weights_that_it_says() -> None:
-    """A replica with weights 3 starts again with weights 2, which it had on its disk.
+    """A replica with weights 3 restarts with weights 2 from its disk.
 
-    Taken for one that has weights 3, it would refuse each call that is sent there.
+    If it were still considered to have weights 3, it would refuse each call sent there.
     """
     fleet = build_fleet("a")
     old = build_incarnation(BEFORE, weights=((MODEL, 3),))
@@ -90,9 +90,9 @@
 
 
 def test_entry_of_an_older_life_changes_nothing() -> None:
-    """The entry with which the old life took its leave is written after the new one's.
+    """The draining entry of the old incarnation is written after the new one's entry.
 
-    Believed, it would take the new life out of use, or bring the old one back.
+    If it were applied, the new incarnation would go unused, or the old one be restored.
     """
     fleet = build_fleet("a")
     fleet.read("a", Topic.REPLICAS, record(0, build_incarnation(BEFORE)))
@@ -105,10 +105,10 @@
 
 
 def test_removal_after_a_late_entry_ends_the_present_life() -> None:
-    """An old entry is written late, and then the key's lease runs out.
+    """An old entry is written late, and then the key's lease expires.
 
-    The view then holds the old life's entry; the removal is of the replica all the
-    same, and one that is not listed must get no calls.
+    The view then holds the old incarnation's entry, but the removal still applies to
+    the replica, and one that is not listed must get no calls.
     """
     fleet = build_fleet("a")
     fleet.read("a", Topic.REPLICAS, record(0, build_incarnation(AFTER)))
@@ -119,7 +119,7 @@
 
 @given(st.permutations(range(4)))
 def test_any_order_of_arrival_ends_with_the_newest_life(order: list[int]) -> None:
-    """Entries of two lives reach a node from the store and from peers, crossed."""
+    """Entries of two incarnations arrive from the store and from peers in any order."""
     directory = ReplicaDirectory()
     entries = [
         build_incarnation(BEFORE),
@@ -137,8 +137,8 @@
 def test_restarted_node_hears_of_the_newest_life_from_a_peer() -> None:
     """The store lost its history and holds an old entry; a node starts and reads it.
 
-    It must learn from its peers that this life is over, or it sends calls and orders
-    by what the entry says until the replica's next one.
+    It must learn from its peers that this incarnation is superseded; otherwise it sends
+    calls and orders by the old entry until the replica writes its next one.
     """
     fleet = build_fleet("a", "b")
     fleet.cut = {"b"}
@@ -152,9 +152,10 @@
 
 
 def test_peers_words_of_the_old_life_are_not_of_the_new_one() -> None:
-    """A peer that lags tells of parts that the old life held, and of weights.
+    """A lagging peer reports prompt blocks and weights of the old incarnation.
 
-    Memory ends with a life. A prompt sent there for a part that is gone is read anew.
+    A restart clears a replica's memory: a prompt sent there for a lost block would have
+    to be read again.
     """
     fleet = build_fleet("a")
     core = fleet.core("a")
@@ -173,9 +174,9 @@
 
 
 def test_report_of_another_life_is_not_taken() -> None:
-    """An order is being prepared; the replica starts again and reports no orders yet.
+    """While an order is being prepared, the replica restarts and reports no orders.
 
-    With that count an order meant for the old life would be accepted by the new one.
+    With that count, an order for the old incarnation would be accepted by the new one.
     """
     fleet = build_fleet("a")
     core = fleet.core("a")
@@ -206,10 +207,10 @@
 
 
 def test_foreign_entry_names_no_replica_and_others_hold() -> None:
-    """Another writer overwrites the entry of one of two replicas; the store is well.
+    """Another writer overwrites the entry of one of two replicas; the store is up.
 
-    What stands there may send calls to a process that is none of ours, so nobody is
-    used by it. The replica's next own entry brings it back, with what it remembers.
+    The foreign entry may name a process that is not a replica, so it is not used. The
+    replica's next own entry restores it with its previous state.
     """
     fleet = build_fleet("a")
     other = KeyedRecord("s", 0, put(build_replica("s")))
@@ -231,9 +232,9 @@
 
 
 def test_replica_of_a_service_without_a_route_gets_no_orders_and_waits() -> None:
-    """An entry names a service that no configuration names; a later one does.
+    """An entry names a service that is not in the configuration, but is in a later one.
 
-    Until then its process may be anybody's: new weights must not be loaded into it.
+    Until then its process may belong to others: new weights must not be loaded into it.
     """
     fleet = build_fleet("a")
     stray = build_incarnation(BEFORE, service="new", is_draining=False)
@@ -248,7 +249,7 @@
 
 
 def test_bad_configuration_leaves_the_one_before_in_force_and_with_peers() -> None:
-    """A configuration that can't be read stands in the store; a node starts.
+    """A node starts while the store holds a configuration that cannot be parsed.
 
     It must get the routes in force from its peers rather than serve none.
     """
--- a/tests/toucanyard/test_replica_probes.py
+++ b/tests/toucanyard/test_replica_probes.py
@@ -25,7 +25,7 @@
 
 
 class Node(Fleet):
-    """One node with two engines and a plain replica, and what it asks of them."""
+    """One node with two engines and a plain replica, and the probes it sends."""
 
     def __init__(self) -> None:
         super().__init__("a")
@@ -64,10 +64,10 @@
 
 
 def test_replica_that_is_away_is_asked_and_gets_no_calls() -> None:
-    """A replica falls silent; its entry stands for seconds.
+    """A replica stops answering; its entry stays listed for seconds.
 
-    Found out by a call of each node each second, 200 of 1,000 calls waited for a
-    connection until they were late. Reports find it out instead.
+    When each node tested it with one call a second, 200 of 1,000 calls waited for a
+    connection until they were late. It is probed for reports instead.
     """
     node = Node()
     node.lose("x")
@@ -92,7 +92,7 @@
 
 
 def test_replica_whose_reports_stay_out_is_tried_by_a_call_in_the_end() -> None:
-    """Its reports fail while it serves calls; it must not stand idle for good."""
+    """Its reports fail while it serves calls; it must not stay idle forever."""
     node = Node()
     node.lose("x")
     node.run(MAX_PROBED_MS + 3 * PROBE_MS)
@@ -100,7 +100,7 @@
 
 
 def test_large_fleet_asks_for_no_reports() -> None:
-    """Hundreds of nodes know of one replica that is away; each would ask it."""
+    """Hundreds of nodes know one unreachable replica; each of them would probe it."""
     node = Node()
     for number in range(MAX_MESH + 1):
         record = NodeRecord(
--- a/tests/toucanyard/test_replicas.py
+++ b/tests/toucanyard/test_replicas.py
@@ -31,9 +31,9 @@
 
 
 def test_leaving_replica_never_comes_back() -> None:
-    """A replica says that it leaves; an older entry of it arrives late from a peer.
+    """A replica announces its leave; an older entry of it arrives late from a peer.
 
-    Believed, the entry would give it new calls until the process exits in mid-call.
+    If the entry were applied, the replica would get new calls until it exits.
     """
     directory = build_directory("a", "b")
     directory.apply(build_replica("a", is_draining=True), 0.0)
@@ -48,11 +48,11 @@
 
 
 def test_entries_that_lapsed_while_the_store_was_away_count_a_while() -> None:
-    """The store is down; leases of replicas that live run out meanwhile.
+    """The store is down, and leases of live replicas expire meanwhile.
 
     On its return the list is empty, and each call would be refused until the replicas
     have registered again. One that is still missing then is dead, and one that was
-    taken away meanwhile ends; both count from the store's return.
+    removed meanwhile ends; both grace periods start at the store's return.
     """
     for drain_ms in (2_000.0, 4_000.0):
         directory = build_directory("a", "b", "c", drain_ms=drain_ms)
@@ -66,9 +66,9 @@
 def test_removed_replica_counts_no_more_once_the_store_proves_to_have_been_well() -> (
     None
 ):
-    """A node hears nothing for a while, reads a removal, then what its peers have read.
+    """A cut-off node reads a removal, then learns what its peers have read.
 
-    By itself it takes the store to have been away; what the others say goes first.
+    By itself it concludes that the store was down; its peers' reads take precedence.
     """
     directory = build_directory("a", "b", "c")
     directory.record_absence(Absence(-3_000.0, 0.0))
@@ -79,10 +79,10 @@
 
 
 def test_replica_that_went_before_the_store_was_away_stays_gone() -> None:
-    """A replica is taken away; ten seconds later the store is away for a while.
+    """A replica is removed; ten seconds later the store is down for a while.
 
-    Its return must not bring the replica back: calls reached one that had been gone
-    for 19 s.
+    The store's return must not restore the replica: calls were sent to one that had
+    been removed for 19 s.
     """
     directory = build_directory("a", "b", "c")
     directory.remove([EndpointName("a")], 0.0, listed_ms=-400.0)
@@ -107,10 +107,10 @@
 
 
 def test_replicas_that_are_taken_away_together_are_not_used_when_they_end() -> None:
-    """Two of three replicas are released; their entries go in one read of the list.
+    """Two of three replicas are released; their entries vanish in one read of the list.
 
-    Nothing was wrong with the store. They run for 2 s from then on, and this node may
-    learn of it a second late; calls that it sends after that reach a process that ends.
+    The store was up. The replicas run for 2 s from then on, and this node may learn of
+    the removal a second late; calls sent after that would reach an exiting process.
     """
     directory = build_directory("a", "b", "c")
     learned_late_ms = compute_wanted_age(Topic.REPLICAS, 2)
@@ -136,7 +136,7 @@
 def test_no_call_goes_to_a_dead_replica_while_the_others_load() -> None:
     """One replica has crashed and is still listed; all others load weights.
 
-    Sent to the dead one for want of others, each call fails within milliseconds.
+    If it were used for lack of others, each call would fail within milliseconds.
     """
     directory = build_directory("a", "b")
     dead, loading = (directory.find(EndpointName(each)) for each in "ab")
@@ -149,9 +149,10 @@
 
 
 def test_new_weights_end_the_pause_of_their_load() -> None:
-    """A peer announces a load; the store says that it is over before the peer does.
+    """A peer announces a load; the store shows its completion before the peer does.
 
-    With the pause kept, the replica idles for a second and the dead ones get its calls.
+    If the pause remained, the replica would idle for a second and its calls go to dead
+    replicas.
     """
     directory = build_directory("a")
     known = directory.find(EndpointName("a"))
--- a/tests/toucanyard/test_status_exchange.py
+++ b/tests/toucanyard/test_status_exchange.py
@@ -21,7 +21,7 @@
 from .relay_fleet import PlannedFleet, put
 
 PROPAGATION_MS = 1_200.0
-"""Time in which what one node does is known everywhere: three ways of a status."""
+"""Time in which a change on one node is known everywhere: three hops of a status."""
 
 
 def build_fleet(domains: int = 3, nodes_each: int = 12) -> PlannedFleet:
@@ -62,8 +62,8 @@
 def test_every_node_knows_the_calls_of_all_and_counts_each_once() -> None:
     """Each node of a large fleet sends one call.
 
-    Nodes that saw only a few others would all send the next calls to replicas that are
-    full; calls that are counted twice make free replicas look full.
+    Nodes that knew only some of the calls would send the next ones to replicas that are
+    full; calls counted twice would make free replicas look full.
     """
     fleet = build_fleet()
     names = list(fleet.cores)
@@ -81,7 +81,7 @@
 def test_calls_are_known_again_after_all_hubs_died() -> None:
     """All hubs of a fleet lose power at once while calls run.
 
-    The nodes that are left find others to report to, by themselves.
+    The remaining nodes choose other hubs to report to by themselves.
     """
     fleet = build_fleet()
     fleet.dead = set(fleet.find_hubs())
@@ -93,7 +93,7 @@
 
 
 def test_log_tells_to_whom_a_node_reports() -> None:
-    """A hub dies; who looks for the cause of odd placement sees it in the lines."""
+    """A hub fails; the log must show it to whoever looks into unexpected placement."""
     fleet = build_fleet()
     leaf = next(name for name in fleet.cores if name not in fleet.find_hubs())
     primary = fleet.cores[leaf].node_directory.find_primary()
@@ -110,10 +110,10 @@
 
 
 def test_part_that_is_being_read_is_known_to_all_soon() -> None:
-    """A replica begins to read a long part.
+    """A replica begins to read a long prompt block.
 
-    With the next full status of each hop it would be known after it has been read, and
-    every node would have sent it elsewhere meanwhile.
+    If it were reported with the next full status of each hop, the block would be known
+    only after it has been read, and every node would have sent it elsewhere meanwhile.
     """
     fleet = build_fleet()
     sender = list(fleet.cores)[-1]
@@ -132,23 +132,24 @@
     """One of 36 nodes sends a long prompt to an idle replica.
 
     Reading it takes the replica 80 ms or more. Nodes that learned of it with the next
-    status of each hop, half a second later, would take the replica for idle and send
-    their long prompts there as well; the last one would miss its target.
+    status of each hop, half a second later, would consider the replica idle and also
+    send their long prompts there; the last one would miss its target.
     """
     fleet = build_fleet()
     for core in fleet.cores.values():
         # The next regular statuses are 250 ms away.
         list(core.statuses.send(core.is_ready(), fleet.now_ms))
-    # What others could fetch of it is small, so only its own length makes it news.
+    # The shared block is small, so only the call's own length triggers an early status.
     send_calls(fleet, [list(fleet.cores)[-1]], shared_tokens=600, own_tokens=4_000)
     fleet.run(3 * URGENT_MS)
     assert {count_running(fleet, name) for name in fleet.cores} == {1}
 
 
 def test_part_that_is_read_is_known_to_all() -> None:
-    """A replica was sent to read a part by a node in one domain.
+    """A node in one domain has a replica read a prompt block.
 
-    Whoever does not know of it sends the next call elsewhere, where it is read again.
+    A node that does not know this sends the next call elsewhere, where the block is
+    read again.
     """
     fleet = build_fleet()
     sender = list(fleet.cores)[-1]
@@ -169,7 +170,7 @@
 def test_callers_are_told_of_all_nodes_but_those_that_stop() -> None:
     """A node that reports to a hub is stopped.
 
-    Callers keep an address for three seconds, so all must leave it out at once.
+    Callers cache an address for three seconds, so all nodes must omit it at once.
     """
     fleet = build_fleet()
     everyone = {core.own_record.callers for core in fleet.cores.values()}
@@ -204,7 +205,7 @@
 
 
 def test_store_that_two_nodes_ask_is_known_to_all_and_forgotten_as_it_ends() -> None:
-    """Two nodes of a large fleet ask a store of prompts, which then falls silent.
+    """Two nodes of a large fleet query a prompt store, which then stops answering.
 
     Every node may use it while it answers; fetching from a dead store costs each call
     some hundred ms, so all must stop.
@@ -263,9 +264,9 @@
 
 
 def test_bytes_of_a_node_do_not_grow_with_the_fleet() -> None:
-    """Twice the nodes, with nothing under way.
+    """The fleet has twice the nodes, without calls.
 
-    Where each node told each other one, its bytes would double.
+    If each node sent a status to every other one, its traffic would double.
     """
     means = []
     for nodes_each in (10, 20):
@@ -279,10 +280,10 @@
 
 
 def test_paused_replica_is_told_to_all_and_ends_once() -> None:
-    """A replica refuses one node's call, since it is to load weights.
+    """A replica refuses one node's call, since it is about to load weights.
 
-    All nodes send elsewhere. What they tell each other must not make the pause longer:
-    it would go round the hubs for good.
+    All nodes send their calls elsewhere. Forwarding the pause must not extend it, or it
+    would circulate among the hubs forever.
     """
     fleet = build_fleet()
     sender = list(fleet.cores)[-1]
@@ -305,11 +306,12 @@
 
 
 def test_news_goes_to_each_node_once_and_not_back_to_its_teller() -> None:
-    """One of 195 nodes has a call refused by a replica that is to load weights.
+    """One of 195 nodes has a call refused by a replica that is about to load weights.
 
-    The node tells its hub, which tells its group and the other hubs, which tell theirs.
-    If each node that hears it told its own hubs again, a roll-out of weights over 64
-    replicas would keep every hub busy with statuses, and calls there would wait.
+    The node sends this to its hub, which forwards it to its group and the other hubs,
+    which forward it to theirs. If each receiver sent it to its own hubs again, a
+    rollout of weights to 64 replicas would keep all hubs busy with statuses and delay
+    calls there.
     """
     fleet = build_fleet(5, 39)
     quiet_statuses = count_statuses(fleet, 400.0)
@@ -326,7 +328,7 @@
 
 
 def count_statuses(fleet: PlannedFleet, for_ms: float) -> int:
-    """Return how many statuses all nodes send in some time."""
+    """Return the number of statuses that all nodes send in `for_ms`."""
     before = fleet.sent_statuses
     fleet.run(for_ms)
     return fleet.sent_statuses - before
@@ -335,8 +337,8 @@
 def test_nodes_that_have_nothing_to_do_rest_between_statuses() -> None:
     """In a fleet of 36 nodes one has a call, and six are hubs.
 
-    Their ticks keep statuses, queues and orders on time; those of all others were most
-    of what the whole fleet spent while it had no calls.
+    These need short ticks to keep statuses, queues and orders on time; the ticks of all
+    other nodes were most of the cost of a fleet without calls.
     """
     fleet = build_fleet()
     hubs = set(fleet.find_hubs())
--- a/tests/toucanyard/test_usable_endpoints.py
+++ b/tests/toucanyard/test_usable_endpoints.py
@@ -1,4 +1,4 @@
-"""Usable endpoints kept from call to call against those worked out from nothing."""
+"""Check the cached usable endpoints against a computation from scratch."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def compute_usable(
     member: Membership, endpoints: tuple[Endpoint, ...], now_ms: float
 ) -> list[Endpoint]:
-    """Return what the rules give, looking at every endpoint."""
+    """Return the usable endpoints by applying the rules to every endpoint."""
     evidence = member._evidence
     staying = [each for each in endpoints if not member.is_leaving(each, now_ms)]
     reachable = [each for each in staying if not evidence.is_avoided(each.name, now_ms)]
@@ -90,7 +90,7 @@
     steps: list[tuple[str, int, NodeName]],
 ) -> None:
     """Errors, answers, suspicions, leaving VMs and time come in any order. An endpoint
-    kept as usable after it left would get new work; one that is forgotten idles."""
+    cached as usable after it left would get new work; one that is missed would idle."""
     fleet = Fleet(2, ENDPOINTS)
     member, small = fleet.nodes[0], fleet.endpoints[:3]
     for kind, number, source in steps:
@@ -102,8 +102,8 @@
 
 
 def test_refused_endpoint_rests_and_comes_back() -> None:
-    """An engine that loads weights turns requests away. It rests for a moment, and
-    the sequence that placement goes by is the same object before and after."""
+    """An engine that loads weights rejects requests. It is excluded for a moment, and
+    placement gets the same sequence object before and after."""
     fleet = Fleet(1, 3)
     directory = EndpointDirectory(fleet.nodes[0])
     before = directory.find_usable(fleet.endpoints, 0.0)
