--- a/packages/toucanyard/src/toucanyard/crash_ledger.py
+++ b/packages/toucanyard/src/toucanyard/crash_ledger.py
@@ -97,7 +97,7 @@
         """Return whether a replica is known to have survived this request."""
         return fingerprint in self._survived_ms
 
-    def judge(self, fingerprint: Fingerprint, now_ms: float) -> Suspicion:
+    def assess(self, fingerprint: Fingerprint, now_ms: float) -> Suspicion:
         """Return how strongly crashes point to a request."""
         if fingerprint not in self._by_request:
             return Suspicion.NONE
@@ -106,12 +106,12 @@
             return Suspicion.NONE
         count = self._count_serial(fingerprint, crashed)
         if count < SOLE_CAUSE_CRASHES:
-            return self._judge_copies(fingerprint, len(crashed))
+            return self._assess_copies(fingerprint, len(crashed))
         if now_ms - self._crashes[crashed[-1]].at_ms < SETTLING_MS:
             return Suspicion.UNSETTLED
         if count >= CONFIRMED_CRASHES or self._is_sole_cause(fingerprint, crashed):
             return Suspicion.CONFIRMED
-        return self._judge_copies(fingerprint, len(crashed))
+        return self._assess_copies(fingerprint, len(crashed))
 
     def add_crash(
         self,
@@ -219,7 +219,7 @@
         survived_ms = self._survived_ms.get(fingerprint, float("-inf"))
         return self._crashes[replica].at_ms > survived_ms
 
-    def _judge_copies(self, fingerprint: Fingerprint, replicas: int) -> Suspicion:
+    def _assess_copies(self, fingerprint: Fingerprint, replicas: int) -> Suspicion:
         is_known = self.has_survived(fingerprint)
         if replicas >= PROBATION_REPLICAS and not is_known:
             return Suspicion.PROBATION
--- a/packages/toucanyard/src/toucanyard/request_guard.py
+++ b/packages/toucanyard/src/toucanyard/request_guard.py
@@ -91,7 +91,7 @@
         fingerprint = request.fingerprint
         entry = self.quarantine.find(fingerprint)
         if entry is None:
-            suspicion = self.ledger.judge(fingerprint, now_ms)
+            suspicion = self.ledger.assess(fingerprint, now_ms)
             if suspicion is Suspicion.NONE:
                 return None
             if suspicion is not Suspicion.CONFIRMED:
@@ -307,7 +307,7 @@
         }
         self._notes.append(Note("suspect_survived", fields))
         entry = self.quarantine.find(fingerprint)
-        is_cleared = self.ledger.judge(fingerprint, now_ms) is not Suspicion.CONFIRMED
+        is_cleared = self.ledger.assess(fingerprint, now_ms) is not Suspicion.CONFIRMED
         if entry is not None and is_cleared:
             self.quarantine.end(fingerprint, now_ms)
             self._log("quarantine_ended", entry.request, reason="a replica survived it")
--- a/tests/toucanyard/crash_fleet.py
+++ b/tests/toucanyard/crash_fleet.py
@@ -91,7 +91,7 @@
         self.ended_ms = 0.0
 
 
-class Send:
+class SentCall:
     """A call that was sent to and reached a replica."""
 
     def __init__(self, call: Call, replica: EndpointName, at_ms: float) -> None:
@@ -106,7 +106,7 @@
     def __init__(self, domains: int, nodes_each: int, replicas: int = 6) -> None:
         self.engines: dict[Address, Engine] = {}
         self.calls: list[Call] = []
-        self.reached: list[Send] = []
+        self.reached: list[SentCall] = []
         self.crashes: list[tuple[float, EndpointName]] = []
         self.probes = 0
         self.poison_answers = False
@@ -182,7 +182,7 @@
             self.handle(call.node, DispatchEnded(outcome))
             return
         engine.calls[request_id] = call
-        self.reached.append(Send(call, engine.name, self.now_ms))
+        self.reached.append(SentCall(call, engine.name, self.now_ms))
         if call.request.fingerprint == POISON:
             if self.poison_answers:
                 self.after(START_MS, lambda: self._complete(call, engine))
@@ -423,11 +423,11 @@
             if key.startswith("quarantine/") and value is not None
         }
 
-    def list_poisoned(self) -> list[Send]:
+    def list_poisoned(self) -> list[SentCall]:
         """Return the calls that sent replicas the request that crashes them."""
         return [s for s in self.reached if s.call.request.fingerprint == POISON]
 
-    def list_late(self, bound_ms: float) -> list[Send]:
+    def list_late(self, bound_ms: float) -> list[SentCall]:
         """Return the poisoned calls sent more than `bound_ms` after the third crash."""
         if len(self.crashes) < 3:
             return []
--- a/tests/toucanyard/limit_fleet.py
+++ b/tests/toucanyard/limit_fleet.py
@@ -29,7 +29,7 @@
 from toucanyard.requests import Repeatability
 from toucanyard.routes import RoutedCustomer
 
-from .crash_fleet import CALL_MS, STEP_MS, Call, CrashFleet, Send
+from .crash_fleet import CALL_MS, STEP_MS, Call, CrashFleet, SentCall
 from .relay_examples import MODEL, build_request, build_table
 from .relay_fleet import put
 
@@ -237,7 +237,7 @@
 
     # What was seen.
 
-    def list_runs(self, customer: CustomerName = LARGE) -> list[Send]:
+    def list_runs(self, customer: CustomerName = LARGE) -> list[SentCall]:
         """Return the sends of a customer that reached a replica."""
         return [s for s in self.reached if s.call.request.customer == customer]
 
--- a/tests/toucanyard/test_crash_ledger.py
+++ b/tests/toucanyard/test_crash_ledger.py
@@ -27,8 +27,8 @@
     ledger.add_crash(EndpointName(replica), at_ms, runs, at_ms, is_shared=True)
 
 
-def judge(ledger: CrashLedger, body: str, now_ms: float = LATER_MS) -> Suspicion:
-    return ledger.judge(Fingerprint(body), now_ms)
+def assess(ledger: CrashLedger, body: str, now_ms: float = LATER_MS) -> Suspicion:
+    return ledger.assess(Fingerprint(body), now_ms)
 
 
 def survive(ledger: CrashLedger, body: str, at_ms: float) -> bool:
@@ -38,10 +38,10 @@
 def test_sole_request_of_two_crashes_is_convicted() -> None:
     ledger = CrashLedger()
     add(ledger, "r1", 1_000.0, BAD, "a")
-    assert judge(ledger, BAD) is Suspicion.POSSIBLE
+    assert assess(ledger, BAD) is Suspicion.POSSIBLE
     add(ledger, "r2", 2_000.0, BAD, "b")
-    assert judge(ledger, BAD) is Suspicion.CONFIRMED
-    assert judge(ledger, "a") is judge(ledger, "b") is Suspicion.POSSIBLE
+    assert assess(ledger, BAD) is Suspicion.CONFIRMED
+    assert assess(ledger, "a") is assess(ledger, "b") is Suspicion.POSSIBLE
 
 
 def test_two_requests_of_the_same_crashes_are_told_apart_by_who_survives() -> None:
@@ -49,17 +49,17 @@
     ledger = CrashLedger()
     add(ledger, "r1", 1_000.0, BAD, "a")
     add(ledger, "r2", 2_000.0, BAD, "a")
-    assert judge(ledger, BAD) is judge(ledger, "a") is Suspicion.POSSIBLE
+    assert assess(ledger, BAD) is assess(ledger, "a") is Suspicion.POSSIBLE
     assert survive(ledger, "a", 3_000.0)
-    assert judge(ledger, "a") is Suspicion.NONE
-    assert judge(ledger, BAD) is Suspicion.CONFIRMED
+    assert assess(ledger, "a") is Suspicion.NONE
+    assert assess(ledger, BAD) is Suspicion.CONFIRMED
 
 
 def test_third_crash_convicts_whatever_ran_beside() -> None:
     ledger = CrashLedger()
     for number in range(CONFIRMED_CRASHES):
         add(ledger, f"r{number}", 1_000.0 * number, BAD, "a")
-    assert judge(ledger, BAD) is Suspicion.CONFIRMED
+    assert assess(ledger, BAD) is Suspicion.CONFIRMED
 
 
 def test_nothing_is_judged_before_other_nodes_could_speak() -> None:
@@ -67,8 +67,8 @@
     ledger = CrashLedger()
     add(ledger, "r1", 1_000.0, BAD)
     add(ledger, "r2", 2_000.0, BAD)
-    assert judge(ledger, BAD, 2_000.0 + SETTLING_MS - 1) is Suspicion.UNSETTLED
-    assert judge(ledger, BAD, 2_000.0 + SETTLING_MS) is Suspicion.CONFIRMED
+    assert assess(ledger, BAD, 2_000.0 + SETTLING_MS - 1) is Suspicion.UNSETTLED
+    assert assess(ledger, BAD, 2_000.0 + SETTLING_MS) is Suspicion.CONFIRMED
 
 
 def test_copies_that_ran_at_the_same_time_count_once() -> None:
@@ -76,9 +76,9 @@
     ledger = CrashLedger()
     for number in range(6):
         add(ledger, f"r{number}", 1_000.0 + number, "popular", ran_ms=400.0)
-    assert judge(ledger, "popular") is Suspicion.PROBATION
+    assert assess(ledger, "popular") is Suspicion.PROBATION
     survive(ledger, "popular", 500.0)
-    assert judge(ledger, "popular") is Suspicion.POSSIBLE
+    assert assess(ledger, "popular") is Suspicion.POSSIBLE
 
 
 def test_survivor_is_charged_with_later_crashes_only() -> None:
@@ -86,9 +86,9 @@
     add(ledger, "r1", 1_000.0, BAD)
     survive(ledger, BAD, 1_500.0)
     add(ledger, "r2", 2_000.0, BAD)
-    assert judge(ledger, BAD) is Suspicion.POSSIBLE
+    assert assess(ledger, BAD) is Suspicion.POSSIBLE
     add(ledger, "r3", 3_000.0, BAD)
-    assert judge(ledger, BAD) is Suspicion.CONFIRMED
+    assert assess(ledger, BAD) is Suspicion.CONFIRMED
 
 
 def test_many_crashes_neither_fill_memory_nor_hide_the_latest() -> None:
@@ -99,7 +99,7 @@
         add(ledger, f"r{number}", 1_000.0 * number, *bodies)
     add(ledger, "x1", 300_000.0, BAD)
     add(ledger, "x2", 301_000.0, BAD)
-    assert judge(ledger, BAD, 400_000.0) is Suspicion.CONFIRMED
+    assert assess(ledger, BAD, 400_000.0) is Suspicion.CONFIRMED
     kept = list(ledger.list_crashes(200_000.0))
     assert all(len(each.runs) <= MAX_CRASH_REQUESTS for each in kept)
     assert ledger.count_runs() <= MAX_REQUESTS
@@ -110,7 +110,7 @@
     add(ledger, "r1", 1_000.0, BAD)
     add(ledger, "r2", 2_000.0, BAD)
     ledger.prune(2_001.0 + CRASH_TTL_MS)
-    assert judge(ledger, BAD, 2_001.0 + CRASH_TTL_MS) is Suspicion.NONE
+    assert assess(ledger, BAD, 2_001.0 + CRASH_TTL_MS) is Suspicion.NONE
     assert ledger.count_runs() == 0
 
 
@@ -133,7 +133,7 @@
         for replica, body in order:
             add(ledger, replica, at_ms[replica], body)
     for body in ("a", "b", "c"):
-        assert judge(one, body) is judge(other, body)
+        assert assess(one, body) is assess(other, body)
 
 
 @given(REPORTS, BODIES)
@@ -144,4 +144,4 @@
     for number, (replica, each) in enumerate(reports):
         add(ledger, replica, 100.0 * number, each)
     survive(ledger, body, 5_000.0)
-    assert judge(ledger, body) is Suspicion.NONE
+    assert assess(ledger, body) is Suspicion.NONE
--- a/tests/toucanyard/test_membership.py
+++ b/tests/toucanyard/test_membership.py
@@ -198,10 +198,12 @@
     echo_ms: float,
     age_ms: float,
     version: int,
-    news: list[GossipUpdate],
+    updates: list[GossipUpdate],
 ) -> None:
     fleet = Fleet(2, 1)
-    digest = Digest(NodeName("n1"), sent_ms, echo_ms, version, 0, age_ms, tuple(news))
+    digest = Digest(
+        NodeName("n1"), sent_ms, echo_ms, version, 0, age_ms, tuple(updates)
+    )
     node, now_ms = fleet.nodes[0], 1_000.0
     for action in node.handle(DigestArrived(NodeName("n1"), digest), now_ms):
         if isinstance(action, PeerConfirmed):
--- a/tests/toucanyard/test_node_directory.py
+++ b/tests/toucanyard/test_node_directory.py
@@ -69,7 +69,7 @@
 NAMES = (ONE, TWO, FAR)
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["status", "told", "remove", "links"]),
+        st.sampled_from(["status", "report", "remove", "links"]),
         st.sampled_from(NAMES),
         st.booleans(),
         st.sampled_from([0.0, 250.0, STATUS_TTL_MS, HUB_REPORT_TTL_MS + 1.0]),
@@ -85,9 +85,9 @@
     match kind:
         case "status":
             node_directory.record_status(name, is_ready, now_ms)
-        case "told":
-            told = [NodeUpdate(name, is_ready)] + [NodeUpdate(FAR, True)] * is_ready
-            node_directory.record_hub_report(ONE, told, now_ms)
+        case "report":
+            reported = [NodeUpdate(name, is_ready)] + [NodeUpdate(FAR, True)] * is_ready
+            node_directory.record_hub_report(ONE, reported, now_ms)
         case "remove":
             node_directory.remove(name)
         case "links":
--- a/tests/toucanyard/test_removed_replicas.py
+++ b/tests/toucanyard/test_removed_replicas.py
@@ -209,7 +209,7 @@
                 self.run(self.rng.uniform(400.0, 5_000.0))
                 self.fleet.store_away = set()
             case 2:
-                self.let_lapse()
+                self.expire_all()
         self.run(self.rng.uniform(0.0, 600.0))
         self.replace()
         # No node learns of a removal during an outage before the store is back.
@@ -228,7 +228,7 @@
         self.listed.append(f"new-{self.started}")
         self.fleet.register(self.listed[-1:])
 
-    def let_lapse(self) -> None:
+    def expire_all(self) -> None:
         """Stop the store until all entries expire; one replica never returns."""
         self.fleet.store_away = set(self.names)
         self.run(self.rng.uniform(3_600.0, 6_000.0))
--- a/tests/toucanyard/test_replica_gossip.py
+++ b/tests/toucanyard/test_replica_gossip.py
@@ -30,8 +30,8 @@
     def send_to(
         self, other: GossipNode, now_ms: float, way_ms: float = LATENCY_MS
     ) -> bool:
-        news = tuple(self.gossip.list_updates(now_ms))
-        return other.gossip.apply(news, now_ms + way_ms)
+        updates = tuple(self.gossip.list_updates(now_ms))
+        return other.gossip.apply(updates, now_ms + way_ms)
 
 
 def test_pause_that_goes_round_does_not_grow() -> None:
--- a/tests/toucanyard/test_status_exchange.py
+++ b/tests/toucanyard/test_status_exchange.py
@@ -101,12 +101,14 @@
     fleet.notes.clear()
     fleet.dead = {primary}
     fleet.run(500.0)
-    told = [
-        record_change.fields
-        for name, record_change in fleet.notes
-        if name == leaf and record_change.event == "hub_changed"
+    entries = [
+        note.fields
+        for name, note in fleet.notes
+        if name == leaf and note.event == "hub_changed"
+    ]
+    assert [(each["before"], bool(each["hub"])) for each in entries] == [
+        (primary, True)
     ]
-    assert [(each["before"], bool(each["hub"])) for each in told] == [(primary, True)]
 
 
 def test_part_that_is_being_read_is_known_to_all_soon() -> None:
@@ -225,8 +227,8 @@
     assert len(followers) == STORE_FOLLOWERS
     for _ in range(8):
         for name in followers:
-            heard = PartsChanged(name_store(STORE), (), is_reset=False, epoch=1)
-            fleet.handle(name, heard)
+            event = PartsChanged(name_store(STORE), (), is_reset=False, epoch=1)
+            fleet.handle(name, event)
         fleet.run(250.0)
     for core in fleet.cores.values():
         assert core.sources.find_stores(core.index, fleet.now_ms)
@@ -322,9 +324,9 @@
     known.record_refused_call(fleet.now_ms)
     core.gossip.record_change(EndpointName("a"), fleet.now_ms)
     core.statuses.mark_due()
-    news_statuses = count_statuses(fleet, 400.0) - quiet_statuses
+    update_statuses = count_statuses(fleet, 400.0) - quiet_statuses
     hubs = len(fleet.find_hubs())
-    assert news_statuses <= len(fleet.cores) + hubs * hubs
+    assert update_statuses <= len(fleet.cores) + hubs * hubs
 
 
 def count_statuses(fleet: PlannedFleet, for_ms: float) -> int:
--- a/tests/toucanyard/test_usable_endpoints.py
+++ b/tests/toucanyard/test_usable_endpoints.py
@@ -50,18 +50,18 @@
 
 def take_step(fleet: Fleet, kind: str, number: int, source: NodeName) -> None:
     endpoint = fleet.endpoints[number]
-    news: GossipUpdate | None = None
+    update: GossipUpdate | None = None
     match kind:
         case "ok":
             fleet.report(0, number)
         case "error":
             fleet.fail(0, number)
         case "suspect":
-            news = Suspected(endpoint.name, source, 0)
+            update = Suspected(endpoint.name, source, 0)
         case "recover":
-            news = Recovered(endpoint.name, source, 0)
+            update = Recovered(endpoint.name, source, 0)
         case "leave":
-            news = Leaving(endpoint.address, 0)
+            update = Leaving(endpoint.address, 0)
         case "list":
             fleet.read_list(0, leaving=[endpoint.name])
         case "gone":
@@ -70,8 +70,8 @@
             fleet.nodes[0]._view.read(vms, fleet.now_ms)
         case _:
             fleet.run(number * 900.0)
-    if news is not None:
-        digest = Digest(NodeName("n1"), fleet.now_ms, -1.0, 1, 7, -1.0, (news,))
+    if update is not None:
+        digest = Digest(NodeName("n1"), fleet.now_ms, -1.0, 1, 7, -1.0, (update,))
         arrived = DigestArrived(NodeName("n1"), digest)
         fleet.nodes[0].handle(arrived, fleet.now_ms)
 
