--- a/packages/toucanyard/src/toucanyard/evidence.py
+++ b/packages/toucanyard/src/toucanyard/evidence.py
@@ -21,7 +21,7 @@
 """How long a source's report counts; longer than two refreshes."""
 _SELF_SUSPECT_SHARE: Final = 0.5
 _MIN_SELF_SUSPECT_FAILURES: Final = 3
-_RETIRED_KEPT: Final = 4
+_MAX_RETIRED: Final = 4
 _NEVER: Final = float("-inf")
 
 
@@ -207,7 +207,7 @@
             if self._known[name].sources.prune(now_ms):
                 self._suspected.discard(name)
 
-    def learn_directly(
+    def learn_from_answer(
         self, endpoint: EndpointName, incarnation: Incarnation, asked_ms: float
     ) -> bool:
         """Apply the incarnation in an answer; return whether it has changed.
@@ -237,7 +237,7 @@
         if incarnation == known.incarnation:
             return False
         if known.incarnation is not None:
-            known.retired = (*known.retired, known.incarnation)[-_RETIRED_KEPT:]
+            known.retired = (*known.retired, known.incarnation)[-_MAX_RETIRED:]
             # Reports on the previous incarnation do not apply to this one.
             known.sources.clear()
         known.incarnation = incarnation
--- a/packages/toucanyard/src/toucanyard/membership.py
+++ b/packages/toucanyard/src/toucanyard/membership.py
@@ -51,11 +51,11 @@
 GOSSIP_TTL_MS: Final = 30_000.0
 _MIN_GAP_MS: Final = 100.0
 """Minimum time between two digests to one peer, even if updates are urgent."""
-_NEWS_PER_INTERVAL: Final = 40
+_UPDATES_PER_INTERVAL: Final = 40
 """Updates sent per interval to all peers together; bounds this node's traffic."""
-_NEWS_PER_DIGEST: Final = 12
+_UPDATES_PER_DIGEST: Final = 12
 """Updates in one digest, so that the first peer does not use up the whole budget."""
-_URGENT_PER_INTERVAL: Final = 4
+_URGENT_DIGESTS_PER_INTERVAL: Final = 4
 """Digests sent ahead of schedule per interval to all peers together."""
 _FETCH_RETRY_MS: Final = 500.0
 _MAX_WATCHED_BY_ALL: Final = 64
@@ -101,9 +101,9 @@
         self._version = 0
         self._digest = 0
         self._confirmed_ms: float | None = None
-        self._asked_ms = float("-inf")
-        self._update_budget = float(_NEWS_PER_INTERVAL)
-        self._urgent_budget = float(_URGENT_PER_INTERVAL)
+        self._fetch_requested_ms = float("-inf")
+        self._update_budget = float(_UPDATES_PER_INTERVAL)
+        self._urgent_budget = float(_URGENT_DIGESTS_PER_INTERVAL)
         self._budget_ms: float | None = None
 
     @property
@@ -292,7 +292,9 @@
         if self._evidence.record_success(name, now_ms):
             self._gossip_queue.enqueue(Recovered(name, self.node, 0), now_ms, None)
         before = self._evidence.find_incarnation(name)
-        if not self._evidence.learn_directly(name, event.incarnation, event.asked_ms):
+        if not self._evidence.learn_from_answer(
+            name, event.incarnation, event.asked_ms
+        ):
             return []
         if before is not None:
             self._gossip_queue.enqueue(
@@ -321,9 +323,9 @@
             return []
         peer.last_echo_ms = digest.sent_ms
         actions: list[Action] = []
-        is_asked = now_ms - self._asked_ms < _FETCH_RETRY_MS
-        if digest.version > self._version and not is_asked:
-            self._asked_ms = now_ms
+        is_requested = now_ms - self._fetch_requested_ms < _FETCH_RETRY_MS
+        if digest.version > self._version and not is_requested:
+            self._fetch_requested_ms = now_ms
             actions.append(FetchConfiguration(sender, self._version))
         if digest.echo_ms >= 0 and digest.confirmed_age_ms >= 0:
             # The peer sent this after it received this node's digest of `echo_ms`, so
@@ -374,10 +376,10 @@
     def _refill(self, now_ms: float) -> None:
         if self._budget_ms is not None:
             share = (now_ms - self._budget_ms) / self._timings.digest_interval_ms
-            refilled = self._update_budget + share * _NEWS_PER_INTERVAL
-            self._update_budget = min(float(_NEWS_PER_INTERVAL), refilled)
-            urgent = self._urgent_budget + share * _URGENT_PER_INTERVAL
-            self._urgent_budget = min(float(_URGENT_PER_INTERVAL), urgent)
+            refilled = self._update_budget + share * _UPDATES_PER_INTERVAL
+            self._update_budget = min(float(_UPDATES_PER_INTERVAL), refilled)
+            urgent = self._urgent_budget + share * _URGENT_DIGESTS_PER_INTERVAL
+            self._urgent_budget = min(float(_URGENT_DIGESTS_PER_INTERVAL), urgent)
         self._budget_ms = now_ms
 
     def _is_digest_due(self, name: NodeName, now_ms: float) -> bool:
@@ -398,7 +400,7 @@
         peer = self._peers[name]
         peer.last_sent_ms = now_ms
         peer.version_sent = self._version
-        limit = min(_NEWS_PER_DIGEST, max(0, int(self._update_budget)))
+        limit = min(_UPDATES_PER_DIGEST, max(0, int(self._update_budget)))
         updates = self._gossip_queue.take_for(name, now_ms, limit)
         self._update_budget -= len(updates)
         confirmed_ms = self._confirmed_ms
--- a/packages/toucanyard/src/toucanyard/node_directory.py
+++ b/packages/toucanyard/src/toucanyard/node_directory.py
@@ -38,13 +38,13 @@
     __slots__ = (
         "_alive",
         "_alive_until_ms",
-        "_last_statuses",
+        "_hub_reports",
         "_known",
+        "_last_statuses",
         "_linked",
         "_own",
         "_ranks",
         "_seeds",
-        "_hub_reports",
         "is_ready",
         "plan",
     )
@@ -193,7 +193,7 @@
 
         Nodes that see the same others agree on the order without communicating. One
         that reports to a hub and has no report from it yet counts all known nodes; the
-        first of them may be dead, so callers must not wait for it for long.
+        first may be dead, and nodes ranked after it must not wait for it for long.
         """
         if not self.is_full_mesh() and not self._hub_reports:
             return self.find_fleet_rank(subject)
@@ -206,7 +206,7 @@
         return rank
 
     def find_addresses(self, now_ms: float) -> list[Address]:
-        """Return where callers may connect."""
+        """Return the addresses to which callers may connect."""
         addresses = [self._own.callers] if self.is_ready else []
         ready = [name for name, is_ready in self._get_alive(now_ms).items() if is_ready]
         if len(ready) >= MAX_ADDRESSES:
--- a/packages/toucanyard/src/toucanyard/replicas.py
+++ b/packages/toucanyard/src/toucanyard/replicas.py
@@ -84,21 +84,21 @@
 
 
 class KnownReplica:
-    """What this node knows of one replica."""
+    """The state of one replica, as this node knows it."""
 
     __slots__ = (
+        "_backoff_ms",
         "_failures",
         "_failures_ms",
         "_probed_ms",
-        "_backoff_ms",
         "_unreached_ms",
-        "grace_until_ms",
+        "backoff_until_ms",
         "gone_ms",
+        "grace_until_ms",
         "is_leaving",
         "loading_until_ms",
         "removal",
         "replica",
-        "backoff_until_ms",
         "weights",
     )
 
@@ -211,11 +211,11 @@
     """
 
     __slots__ = (
+        "_absence",
         "_by_service",
         "_drain_ms",
-        "_absence",
-        "_known",
         "_incarnations",
+        "_known",
         "_served",
     )
 
--- a/packages/toucanyard/src/toucanyard/request_guard.py
+++ b/packages/toucanyard/src/toucanyard/request_guard.py
@@ -58,9 +58,9 @@
         "_is_urgent",
         "_notes",
         "_policy",
+        "detector",
         "ledger",
         "quarantine",
-        "detector",
     )
 
     def __init__(
--- a/packages/toucanyard/src/toucanyard/seen_updates.py
+++ b/packages/toucanyard/src/toucanyard/seen_updates.py
@@ -21,7 +21,7 @@
 class SeenUpdates:
     """The ids added last; there are never more than `capacity`."""
 
-    __slots__ = ("_ids", "_capacity")
+    __slots__ = ("_capacity", "_ids")
 
     def __init__(self, capacity: int) -> None:
         self._ids: dict[int, None] = {}
--- a/packages/toucanyard/src/toucanyard/status_exchange.py
+++ b/packages/toucanyard/src/toucanyard/status_exchange.py
@@ -135,7 +135,7 @@
         if topic is Topic.OPERATOR and (
             is_polled or (sender is not None and not self._node_directory.plan.is_hub())
         ):
-            # A node that cannot poll is noticed by its status.
+            # A node that cannot poll shows that in its status.
             return []
         if (
             sender in self._node_directory.plan.hubs
