--- a/packages/toucanyard/src/toucanyard/known_facts.py
+++ b/packages/toucanyard/src/toucanyard/known_facts.py
@@ -11,13 +11,13 @@
 from toucanyard.keyed_view import Change, InvalidRecord, Topic
 from toucanyard.log_rate_limit import LogRateLimit
 from toucanyard.names import EndpointName, ReplicaId
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.node_records import NodeRecord
 from toucanyard.quarantine import QuarantinedRequest, Release
 from toucanyard.relay_events import LogEntry
 from toucanyard.relay_flow import RelayFlow
 from toucanyard.replicas import Replica, ReplicaDirectory
 from toucanyard.request_guard import RequestGuard
-from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex, RouteTable
 from toucanyard.target_weights import TargetWeightsTable, WantedWeights
 
@@ -47,14 +47,14 @@
         self,
         directory: ReplicaDirectory,
         weight_targets: TargetWeightsTable,
-        roster: Roster,
+        node_directory: NodeDirectory,
         flow: RelayFlow,
         guard: RequestGuard,
     ) -> None:
         self.index = RouteIndex(RouteTable())
         self._directory = directory
         self._weight_targets = weight_targets
-        self._roster = roster
+        self._roster = node_directory
         self._flow = flow
         self._guard = guard
         self._invalid = LogRateLimit("record_invalid")
--- a/packages/toucanyard/src/toucanyard/limit_coordinators.py
+++ b/packages/toucanyard/src/toucanyard/limit_coordinators.py
@@ -19,8 +19,8 @@
     find_partition,
 )
 from toucanyard.names import NodeName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.relay_policy import LimitStrategy
-from toucanyard.roster import Roster
 
 UPDATE_MS: Final = 100.0
 """Interval between updates of the candidates for coordinator."""
@@ -38,13 +38,13 @@
 
     def __init__(
         self,
-        roster: Roster,
+        node_directory: NodeDirectory,
         count_group: Callable[[], int],
         knows_nodes: Callable[[], bool],
         strategy: LimitStrategy,
     ) -> None:
-        self._roster = roster
-        self.own = roster.own_name
+        self._roster = node_directory
+        self.own = node_directory.own_name
         self._count_group = count_group
         self._knows_nodes = knows_nodes
         self._strategy = strategy
--- a/packages/toucanyard/src/toucanyard/limit_events.py
+++ b/packages/toucanyard/src/toucanyard/limit_events.py
@@ -34,7 +34,7 @@
         yield from self._shares.tick(now_ms)
         if self._shares.list_coordinators() != coordinators:
             # A coordinator grants nothing until it knows what is delegated to it.
-            self._statuses.note_due()
+            self._statuses.mark_due()
 
     def settle(self, now_ms: float) -> Iterator[RelayAction]:
         """Use newly granted credit, and request what is missing from coordinators."""
@@ -81,4 +81,4 @@
 
     def _announce_changes(self, before: int) -> None:
         if self._replica_limits.change_count != before:
-            self._statuses.note_due()
+            self._statuses.mark_due()
--- a/packages/toucanyard/src/toucanyard/prompt_block_sources.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_sources.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from toucanyard.link_messages import StoreNews
+from toucanyard.link_messages import PromptStoreUpdate
 from toucanyard.names import Address, DomainName, EndpointName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.rendezvous import compute_seed, compute_weight
 from toucanyard.replicas import ReplicaDirectory
-from toucanyard.roster import Roster
 from toucanyard.routes import PromptStore, RouteIndex
 
 SPARE_FOLLOWERS: Final = 2
@@ -72,9 +72,11 @@
 
     __slots__ = ("_directory", "_last_answers", "_roster")
 
-    def __init__(self, directory: ReplicaDirectory, roster: Roster) -> None:
+    def __init__(
+        self, directory: ReplicaDirectory, node_directory: NodeDirectory
+    ) -> None:
         self._directory = directory
-        self._roster = roster
+        self._roster = node_directory
         self._last_answers: dict[EndpointName, _LastAnswer] = {}
 
     def record_answer(
@@ -91,12 +93,16 @@
         """Record that a holder did not answer."""
         self._last_answers.pop(holder, None)
 
-    def list_stores(self, index: RouteIndex, now_ms: float) -> Iterable[StoreNews]:
+    def list_stores(
+        self, index: RouteIndex, now_ms: float
+    ) -> Iterable[PromptStoreUpdate]:
         """Return the updates to send to other nodes about the reachable stores."""
         for store in self.find_stores(index, now_ms):
             name = compute_store_name(store)
             last_answer = self._last_answers[name]
-            yield StoreNews(name, now_ms - last_answer.answered_ms, last_answer.epoch)
+            yield PromptStoreUpdate(
+                name, now_ms - last_answer.answered_ms, last_answer.epoch
+            )
 
     def find_followed(
         self, index: RouteIndex, now_ms: float
--- a/packages/toucanyard/src/toucanyard/prompt_block_updates.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_updates.py
@@ -38,7 +38,7 @@
         if isinstance(event, HolderLost):
             self._sources.record_lost(event.holder)
             return
-        if self._directory.is_over(event.holder):
+        if self._directory.is_superseded(event.holder):
             # Sent by the previous incarnation of the replica, whose blocks are all
             # lost.
             return
--- a/packages/toucanyard/src/toucanyard/relay_core.py
+++ b/packages/toucanyard/src/toucanyard/relay_core.py
@@ -24,6 +24,7 @@
     ViewRecords,
 )
 from toucanyard.names import Address, NodeId, NodeName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.node_records import NodeRecord
 from toucanyard.prompt_block_sources import PromptBlockSources
 from toucanyard.prompt_block_updates import PromptBlockUpdates
@@ -61,7 +62,6 @@
 from toucanyard.request_guard import RequestGuard
 from toucanyard.requests import DispatchEnding
 from toucanyard.rollout_leader import RolloutLeader
-from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
 from toucanyard.shared_limits import SharedLimits
 from toucanyard.status_exchange import StatusExchange
@@ -114,9 +114,9 @@
             listen.peers,
             options.link_mbps,
         )
-        self.roster = Roster(self.own_record, options.seeds)
-        self.exchange = ViewExchange(decode, self.roster.is_full_mesh, rng)
-        self.sources = PromptBlockSources(self.directory, self.roster)
+        self.node_directory = NodeDirectory(self.own_record, options.seeds)
+        self.exchange = ViewExchange(decode, self.node_directory.is_full_mesh, rng)
+        self.sources = PromptBlockSources(self.directory, self.node_directory)
         self.replica_limits = ReplicaLimits(rng)
         self.credits = ReplicaCredits(
             self.replica_limits, compute_first_request_number(identity.incarnation)
@@ -130,12 +130,14 @@
             rng,
         )
         self.guard = RequestGuard(
-            self.directory, self.roster.find_rank, rng, options.policy.guard
+            self.directory, self.node_directory.find_rank, rng, options.policy.guard
         )
         self.probes = ReplicaProbes(
             self.directory,
             self.guard,
-            lambda: options.policy.retries.probes and self.roster.is_full_mesh(),
+            lambda: (
+                options.policy.retries.probes and self.node_directory.is_full_mesh()
+            ),
         )
         self.limits = CallLimits(
             options.limits, options.policy.limits, identity.incarnation
@@ -151,7 +153,11 @@
             rng,
         )
         self.facts = KnownFacts(
-            self.directory, self.weight_targets, self.roster, self.flow, self.guard
+            self.directory,
+            self.weight_targets,
+            self.node_directory,
+            self.flow,
+            self.guard,
         )
         self.parts = PromptBlockUpdates(
             self.flow.block_index, self.sources, self.directory, self.facts
@@ -162,12 +168,12 @@
             options.weights,
             self.directory,
             self.weight_targets,
-            self.roster,
+            self.node_directory,
             self.flow.usage,
             options.policy.rollout,
         )
         self.statuses = StatusExchange(
-            self.roster,
+            self.node_directory,
             self.exchange,
             self.flow.usage,
             self.flow.reports,
@@ -180,7 +186,7 @@
             lambda: self.shares.delegation,
         )
         coordinators = LimitCoordinators(
-            self.roster,
+            self.node_directory,
             self.statuses.count_group,
             lambda: self.exchange.views[Topic.NODES].end > 0,
             options.policy.limits.strategy,
@@ -191,12 +197,12 @@
         self._limit_events = LimitEvents(
             self.shares, self.replica_limits, self.flow, self.statuses
         )
-        self.reads = StoreReads(self.roster, self.exchange)
+        self.reads = StoreReads(self.node_directory, self.exchange)
         self.topics = TopicUpdates(
             self.exchange,
             self.facts,
             self.directory,
-            self.roster,
+            self.node_directory,
             self.statuses,
             options.weights.deadline_ms,
         )
@@ -215,12 +221,12 @@
 
     def find_addresses(self, now_ms: float) -> list[Address]:
         """Return the addresses that callers may connect to."""
-        self.roster.is_ready = self.is_ready()
-        return self.roster.find_addresses(now_ms)
+        self.node_directory.is_ready = self.is_ready()
+        return self.node_directory.find_addresses(now_ms)
 
     def compute_tick(self) -> float:
         """Return the time until this node needs its next tick, in ms."""
-        if self.roster.is_full_mesh():
+        if self.node_directory.is_full_mesh():
             return TICK_MS
         is_busy = self.flow.count_pending() > 0 or self.rollout.is_busy()
         return (
@@ -233,7 +239,7 @@
         """Handle one event and return the actions to carry out now, in order."""
         self.flow.set_view_confirmed(self.exchange.views[Topic.REPLICAS].confirmed_ms)
         actions = list(self._handle(event, now_ms))
-        if self.guard.has_news():
+        if self.guard.has_updates():
             actions += self._settle_guard(now_ms)
         actions += self._limit_events.settle(now_ms)
         return actions
@@ -283,25 +289,25 @@
                 yield from self._limit_events.on_seen(event, now_ms)
             case DispatchEnded(outcome=outcome):
                 yield from self.flow.end_dispatch(outcome, now_ms)
-                yield from self.probes.ask_lost(now_ms)
+                yield from self.probes.probe_lost(now_ms)
                 if outcome.ending is DispatchEnding.REFUSED:
                     # Otherwise each node would learn of it from refusals of its own
                     # calls, some of which may be sent only once.
-                    self.gossip.note(outcome.replica, now_ms)
+                    self.gossip.record_change(outcome.replica, now_ms)
                     yield from self._send_status_now(now_ms)
 
     def _handle_rollout(
         self, event: RolloutEvent, now_ms: float
     ) -> Iterator[RelayAction]:
         if isinstance(event, OrderAnswered) and event.status == MISDIRECTED_STATUS:
-            self.directory.note_replaced(event.order.replica, now_ms)
+            self.directory.record_replaced(event.order.replica, now_ms)
         if isinstance(event, ReplicaStateRead):
             yield from self.probes.on_read(event, now_ms)
         self.rollout.handle(event, now_ms)
         yield from self._tick_rollout(now_ms)
 
     def _tick(self, now_ms: float) -> Iterator[RelayAction]:
-        yield from self.probes.ask_resting(now_ms)
+        yield from self.probes.probe_unreachable(now_ms)
         yield from self._tick_guard(now_ms)
         yield from self._limit_events.tick(now_ms)
         yield from self.flow.tick(now_ms)
@@ -343,13 +349,15 @@
 
     def _tick_guard(self, now_ms: float) -> Iterator[RelayAction]:
         self.guard.tick(now_ms)
-        yield from self.probes.ask_lost(now_ms)
+        yield from self.probes.probe_lost(now_ms)
         yield from self.guard.quarantine.tick(now_ms)
 
     def _log_hub_change(self) -> Iterator[RelayAction]:
         """Log the hub that this node reports to whenever it changes."""
-        is_hub = not self.roster.is_full_mesh() and self.roster.plan.is_hub()
-        hub = self.identity.node if is_hub else self.roster.find_primary()
+        is_hub = (
+            not self.node_directory.is_full_mesh() and self.node_directory.plan.is_hub()
+        )
+        hub = self.identity.node if is_hub else self.node_directory.find_primary()
         if hub != self._hub:
             before, self._hub = self._hub, hub
             yield LogEntry(
@@ -361,11 +369,11 @@
         yield from self.rollout.tick(now_ms, is_leaving=self.is_stopping)
         if not self.options.policy.rollout.announces:
             return
-        if self.gossip.note_changing(set(self.rollout.list_changing()), now_ms):
+        if self.gossip.record_changing(set(self.rollout.list_changing()), now_ms):
             yield from self._send_status_now(now_ms)
 
     def _send_status_now(self, now_ms: float) -> Iterator[RelayAction]:
-        self.statuses.note_due()
+        self.statuses.mark_due()
         yield from self.statuses.tick(self.is_ready(), now_ms)
 
     def _read_message(
@@ -384,7 +392,7 @@
     ) -> Iterator[RelayAction]:
         self.statuses.read(sender, status, now_ms)
         yield from self._limit_events.read_status(sender, status, now_ms)
-        self.flow.apply_node_count(self.roster.count_nodes(now_ms))
+        self.flow.apply_node_count(self.node_directory.count_nodes(now_ms))
         for store in status.stores:
             heard_ms = now_ms - store.heard_age_ms
             if self.sources.record_answer(store.store, heard_ms, store.epoch):
@@ -395,8 +403,8 @@
     def _link(self, names: list[NodeName], now_ms: float) -> Iterator[RelayAction]:
         before = set(self.exchange.linked)
         self.exchange.linked = tuple(names)
-        self.roster.retain_linked(names)
-        self.statuses.note_links(names)
+        self.node_directory.retain_linked(names)
+        self.statuses.record_links(names)
         self.shares.update_links(names, now_ms)
         for name in before - set(names):
             yield LogEntry("peer_lost", {"peer": name})
--- a/packages/toucanyard/src/toucanyard/relay_flow.py
+++ b/packages/toucanyard/src/toucanyard/relay_flow.py
@@ -331,18 +331,18 @@
             self._record_weights(known, prompt.model, outcome.weights_version)
         match outcome.ending:
             case DispatchEnding.COMPLETED:
-                known.note_success()
+                known.record_success()
             case DispatchEnding.NOT_SENT | DispatchEnding.LOST:
                 is_dead = outcome.is_dead and self._policy.retries.rests
                 known.record_failure(now_ms, is_dead=is_dead)
             case DispatchEnding.FAILED:
                 known.record_failure(now_ms, is_dead=False)
             case DispatchEnding.REFUSED if outcome.is_replaced:
-                self._directory.note_replaced(outcome.replica, now_ms)
+                self._directory.record_replaced(outcome.replica, now_ms)
             case DispatchEnding.REFUSED if outcome.has_other_weights:
                 self._assume_target_weights(known, pending)
             case DispatchEnding.REFUSED:
-                known.note_refusal(now_ms)
+                known.record_refused_call(now_ms)
 
     def _record_sends(
         self, pending: PendingCall, outcome: RelayOutcome, now_ms: float
@@ -364,7 +364,7 @@
             self._record_weights(known, prompt.model, target.version)
 
     def _record_weights(self, known: KnownReplica, model: str, version: int) -> None:
-        if known.note_weights(model, version):
+        if known.record_weights(model, version):
             # Loading weights discards everything cached under the previous ones.
             self.block_index.forget(known.replica.name)
 
--- a/packages/toucanyard/src/toucanyard/replica_gossip.py
+++ b/packages/toucanyard/src/toucanyard/replica_gossip.py
@@ -1,7 +1,7 @@
-"""Exchange what nodes know of replicas before the store says it.
+"""Exchange replica state that nodes know before the store shows it.
 
-A replica that is to load weights turns calls away, and one that has loaded them is
-wanted at once; the store shows both about half a second late.
+A replica that is about to load weights rejects calls, and one that has loaded them
+should get calls at once; the store shows both about half a second late.
 """
 
 from __future__ import annotations
@@ -12,30 +12,29 @@
 
 import msgspec
 
-from toucanyard.link_messages import LifeNews, ReplicaNews
+from toucanyard.link_messages import ReplicaRestart, ReplicaUpdate
 from toucanyard.names import EndpointName
 from toucanyard.prompt_block_index import PromptBlockIndex
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
 from toucanyard.seen_updates import SeenUpdates, new_update_id
 
 UPDATE_TTL_MS: Final = 5_000.0
-"""How long weights that a replica has taken are sent to peers; by then the store says
-the same."""
-
-SAME_PAUSE_MS: Final = 300.0
-"""A pause that ends this much later is another one; holders renew theirs for longer."""
-MAX_SEEN: Final = 1_000
-"""Updates that are remembered: some seconds of a roll-out among 70 replicas."""
+"""How long a replica's new weights are sent to peers; after that the store shows
+them."""
+PAUSE_TOLERANCE_MS: Final = 300.0
+"""A pause that ends this much later is a new one; holders renew theirs for longer."""
+MAX_SEEN_UPDATES: Final = 1_000
+"""Update ids that are kept: several seconds of a rollout to 70 replicas."""
 
 
 class _Pause(msgspec.Struct, frozen=True):
     pause_id: int
     until_ms: float
-    """In this node's time, when it was told or heard of."""
+    """In this node's time, as computed when the update was sent or received."""
 
 
 class ReplicaGossip:
-    """News of replicas, from this node and from its peers."""
+    """Updates on replicas, from this node and from its peers."""
 
     __slots__ = (
         "_book",
@@ -54,25 +53,25 @@
         self._book = book
         self._rng = rng
         self._pauses: dict[EndpointName, _Pause] = {}
-        self._seen = SeenUpdates(MAX_SEEN)
+        self._seen = SeenUpdates(MAX_SEEN_UPDATES)
         self._changing: set[EndpointName] = set()
         self._changed_ms: dict[EndpointName, float] = {}
 
-    def note(self, name: EndpointName, now_ms: float) -> None:
-        """Note that this node has seen what peers should know of a replica."""
+    def record_change(self, name: EndpointName, now_ms: float) -> None:
+        """Record that this node has observed a change that peers should learn of."""
         self._changed_ms[name] = now_ms
 
-    def note_changing(self, names: Set[EndpointName], now_ms: float) -> bool:
-        """Take over which replicas this node changes; return whether that is news."""
+    def record_changing(self, names: Set[EndpointName], now_ms: float) -> bool:
+        """Set which replicas this node is changing; return whether the set differs."""
         if names == self._changing:
             return False
         for name in names | self._changing:
-            self.note(name, now_ms)
+            self.record_change(name, now_ms)
         self._changing = set(names)
         return True
 
-    def list_news(self, now_ms: float) -> Iterator[ReplicaNews]:
-        """Return what to tell peers, and forget what is old."""
+    def list_updates(self, now_ms: float) -> Iterator[ReplicaUpdate]:
+        """Return the updates to send to peers, and drop expired ones."""
         for name, changed_ms in list(self._changed_ms.items()):
             known = self._directory.find(name)
             is_old = now_ms - changed_ms > UPDATE_TTL_MS and name not in self._changing
@@ -82,55 +81,59 @@
                 continue
             yield self._build(known, now_ms)
 
-    def _build(self, known: KnownReplica, now_ms: float) -> ReplicaNews:
+    def _build(self, known: KnownReplica, now_ms: float) -> ReplicaUpdate:
         name, weights = known.replica.name, tuple(known.weights.items())
         until_ms = known.loading_until_ms
         if until_ms <= now_ms:
-            return ReplicaNews(name, 0.0, weights)
+            return ReplicaUpdate(name, 0.0, weights)
         pause = self._pauses.get(name)
         if pause is None or pause.until_ms != until_ms:
-            # Begun or renewed by this node since it last told or heard of it.
+            # Begun or renewed by this node since it last sent or received an update.
             pause = self._pauses[name] = _Pause(new_update_id(self._rng), until_ms)
             self._seen.add(pause.pause_id)
-        return ReplicaNews(name, until_ms - now_ms, weights, pause.pause_id)
+        return ReplicaUpdate(name, until_ms - now_ms, weights, pause.pause_id)
 
-    def list_lives(self, now_ms: float) -> Iterable[LifeNews]:
-        """Return which replicas have started again lately."""
+    def list_restarts(self, now_ms: float) -> Iterable[ReplicaRestart]:
+        """Return the replicas that have recently restarted."""
         return self._directory.list_restarted(now_ms)
 
-    def apply_lives(self, all_news: Iterable[LifeNews], now_ms: float) -> None:
-        """Take in which replicas have started again, as a peer knows them."""
-        for news in all_news:
-            self._directory.note_life(news.listed_as, news.born_ms, now_ms)
-
-    def apply(self, all_news: Iterable[ReplicaNews], now_ms: float) -> bool:
-        """Take in what a peer knows; return whether others should be told of it."""
-        is_news = False
-        for news in all_news:
-            known = self._directory.find(news.replica)
-            if known is not None and self._apply_one(known, news, now_ms):
-                self._changed_ms[news.replica] = now_ms
-                is_news = True
-        return is_news
-
-    def _apply_one(self, known: KnownReplica, news: ReplicaNews, now_ms: float) -> bool:
-        is_news = False
+    def apply_restarts(self, received: Iterable[ReplicaRestart], now_ms: float) -> None:
+        """Apply the restarts of replicas that a peer knows of."""
+        for restart in received:
+            self._directory.record_incarnation(
+                restart.listed_as, restart.born_ms, now_ms
+            )
+
+    def apply(self, received: Iterable[ReplicaUpdate], now_ms: float) -> bool:
+        """Apply a peer's updates; return whether they should be forwarded."""
+        has_changed = False
+        for update in received:
+            known = self._directory.find(update.replica)
+            if known is not None and self._apply_one(known, update, now_ms):
+                self._changed_ms[update.replica] = now_ms
+                has_changed = True
+        return has_changed
+
+    def _apply_one(
+        self, known: KnownReplica, update: ReplicaUpdate, now_ms: float
+    ) -> bool:
+        has_changed = False
         is_old = any(
-            version < known.weights.get(model, 0) for model, version in news.weights
+            version < known.weights.get(model, 0) for model, version in update.weights
         )
-        until_ms = now_ms + news.loading_left_ms
-        # A peer may not know yet, so what it doesn't say doesn't end a pause, and what
-        # it says from before new weights were in place doesn't begin one. Passed on
-        # from node to node a pause must not grow by the time on the way.
-        is_longer = until_ms > known.loading_until_ms + SAME_PAUSE_MS
-        is_new = news.pause_id not in self._seen
-        if news.loading_left_ms > 0 and is_longer and is_new and not is_old:
+        until_ms = now_ms + update.loading_left_ms
+        # A peer may not know of a pause yet, so an update without one does not end it,
+        # and an update from before new weights were loaded does not begin one. A pause
+        # that is forwarded from node to node must not grow by the links' latency.
+        is_longer = until_ms > known.loading_until_ms + PAUSE_TOLERANCE_MS
+        is_new = update.pause_id not in self._seen
+        if update.loading_left_ms > 0 and is_longer and is_new and not is_old:
             known.loading_until_ms = until_ms
-            self._pauses[news.replica] = _Pause(news.pause_id, until_ms)
-            self._seen.add(news.pause_id)
-            is_news = True
-        for model, version in news.weights:
-            if known.note_weights(model, version):
-                self._book.forget(news.replica)
-                is_news = True
-        return is_news
+            self._pauses[update.replica] = _Pause(update.pause_id, until_ms)
+            self._seen.add(update.pause_id)
+            has_changed = True
+        for model, version in update.weights:
+            if known.record_weights(model, version):
+                self._book.forget(update.replica)
+                has_changed = True
+        return has_changed
--- a/packages/toucanyard/src/toucanyard/replica_limits.py
+++ b/packages/toucanyard/src/toucanyard/replica_limits.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Final
 
-from toucanyard.link_messages import ReplicaLimitNews
+from toucanyard.link_messages import ReplicaLimitUpdate
 from toucanyard.log_entries import LogEntry
 from toucanyard.log_rate_limit import LogRateLimit
 from toucanyard.names import EndpointName
@@ -92,17 +92,19 @@
         """Log a limit that can't be parsed; the known limit is kept."""
         yield from self._invalid.log({"replica": replica, "value": text}, now_ms)
 
-    def list_news(self, now_ms: float) -> Iterator[ReplicaLimitNews]:
+    def list_updates(self, now_ms: float) -> Iterator[ReplicaLimitUpdate]:
         """Return the updates for peers, and drop limits that ended a while ago."""
         for name, known in list(self._known.items()):
             if now_ms - known.changed_ms <= UPDATE_TTL_MS:
                 age_ms = now_ms - known.seen_ms
-                yield ReplicaLimitNews(name, known.rate_per_s, age_ms, known.update_id)
+                yield ReplicaLimitUpdate(
+                    name, known.rate_per_s, age_ms, known.update_id
+                )
             elif known.rate_per_s is None:
                 del self._known[name]
 
     def apply(
-        self, updates: Iterable[ReplicaLimitNews], source: str, now_ms: float
+        self, updates: Iterable[ReplicaLimitUpdate], source: str, now_ms: float
     ) -> Iterator[LogEntry]:
         """Apply a peer's updates."""
         for update in updates:
--- a/packages/toucanyard/src/toucanyard/replica_usage.py
+++ b/packages/toucanyard/src/toucanyard/replica_usage.py
@@ -151,7 +151,7 @@
             for name, calls in self._own.items()
         )
 
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Return whether this node has calls in progress or last reported some."""
         return bool(self._own or self._reported)
 
--- a/packages/toucanyard/src/toucanyard/request_guard.py
+++ b/packages/toucanyard/src/toucanyard/request_guard.py
@@ -1,8 +1,8 @@
-"""Decide whether a request may be sent to a replica, by the crashes that it met.
+"""Decide whether a request may be sent to a replica, given the crashes during its runs.
 
-A request under which replicas crashed is a suspect: this node runs it once at a time,
-and not while it is unclear what a run of it was cut by. What surely crashes replicas is
-under quarantine and reaches none. All other requests pass.
+A request that was running when replicas crashed is a suspect: this node runs one copy
+at a time, and none while the cause that cut off a run is unknown. A request confirmed
+to crash replicas is quarantined and reaches none. All other requests pass.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 import msgspec
 
+from toucanyard.crash_detector import CrashDetector, Reachability
 from toucanyard.crash_ledger import CrashLedger, Suspicion
-from toucanyard.crash_watch import CrashWatch, Reach
 from toucanyard.link_messages import LostRun, ReplicaCrash, RequestSurvival
 from toucanyard.log_entries import LogEntry
 from toucanyard.names import EndpointName, Fingerprint
@@ -31,12 +31,12 @@
 from toucanyard.requests import DispatchEnding
 
 QUARANTINE_RETRY_MS: Final = 60_000
-"""When to ask again for a request under quarantine; by then it may be released."""
+"""Retry-After for a request under quarantine; by then it may be released."""
 SUSPECT_RETRY_MS: Final = 500
-"""When to ask again for a suspect that is being run; by then more is known of it."""
-WATCHFUL: Final = GuardPolicy()
-MAX_NOTED: Final = 8
-"""Fingerprints in a log line."""
+"""Retry-After for a suspect that is being run; by then its run may have ended."""
+DEFAULT_POLICY: Final = GuardPolicy()
+MAX_LOGGED: Final = 8
+"""Maximum number of fingerprints in a log line."""
 
 
 class Rejection(msgspec.Struct, frozen=True):
@@ -47,7 +47,7 @@
 
 
 class RequestGuard:
-    """What one node believes of requests and crashes.
+    """What one node knows of requests and the crashes during their runs.
 
     Invariant: a request under quarantine passes no check until its entry has ended.
     """
@@ -58,9 +58,9 @@
         "_is_urgent",
         "_notes",
         "_policy",
+        "detector",
         "ledger",
         "quarantine",
-        "watch",
     )
 
     def __init__(
@@ -68,13 +68,13 @@
         directory: ReplicaDirectory,
         find_rank: FindRank,
         rng: random.Random,
-        policy: GuardPolicy = WATCHFUL,
+        policy: GuardPolicy = DEFAULT_POLICY,
     ) -> None:
         self._policy = policy
         self._directory = directory
         self._find_rank = find_rank
         self.ledger = CrashLedger()
-        self.watch = CrashWatch(directory)
+        self.detector = CrashDetector(directory)
         self.quarantine = Quarantine(find_rank, rng)
         self._notes: list[LogEntry] = []
         self._is_urgent = False
@@ -84,27 +84,27 @@
     ) -> Rejection | None:
         """Return why a request may not be sent now; None if it may.
 
-        `is_running` tells whether this node runs the same request for another call.
+        `is_running`: whether this node runs the same request for another call.
         """
         if not self._policy.is_enforced:
             return None
         fingerprint = request.fingerprint
         entry = self.quarantine.find(fingerprint)
         if entry is None:
-            suspicion = self.ledger.judge(fingerprint, now_ms)
+            suspicion = self.ledger.assess(fingerprint, now_ms)
             if suspicion is Suspicion.NONE:
                 return None
-            if suspicion is not Suspicion.GUILTY:
+            if suspicion is not Suspicion.CONFIRMED:
                 return self._check_suspect(fingerprint, suspicion, is_running, now_ms)
-            entry = self._begin(request, now_ms)
+            entry = self._begin_quarantine(request, now_ms)
         self.quarantine.record_refusal(entry, now_ms)
         count = len(entry.request.replicas)
         text = f"{fingerprint} is under quarantine: {count} replicas crashed under it"
         return Rejection(text, QUARANTINE_RETRY_MS)
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether more than one replica has crashed under a request."""
-        return len(self.ledger.list_charges(fingerprint)) > 1
+        """Return whether more than one crash is attributed to a request."""
+        return len(self.ledger.list_attributed_crashes(fingerprint)) > 1
 
     def on_dispatch_ended(
         self,
@@ -113,20 +113,22 @@
         sent_ms: float,
         now_ms: float,
     ) -> None:
-        """Learn from the end of a dispatch that was sent at `sent_ms`."""
+        """Record the outcome of a dispatch that was sent at `sent_ms`."""
         if outcome.ending is DispatchEnding.COMPLETED:
-            self.watch.record_answer(
+            self.detector.record_answer(
                 outcome.replica, request.fingerprint, sent_ms, now_ms
             )
-        elif self.watch.record_outcome(outcome, request.fingerprint, sent_ms, now_ms):
-            self._charge_losses(outcome.replica, now_ms)
+        elif self.detector.record_outcome(
+            outcome, request.fingerprint, sent_ms, now_ms
+        ):
+            self._attribute_losses(outcome.replica, now_ms)
 
     def on_probe(
-        self, replica: EndpointName, reach: Reach, asked_ms: float, now_ms: float
+        self, replica: EndpointName, reach: Reachability, asked_ms: float, now_ms: float
     ) -> None:
-        """Learn from what a probe of a replica found."""
-        if self.watch.record_probe(replica, reach, asked_ms):
-            self._charge_losses(replica, now_ms)
+        """Record the result of a probe of a replica."""
+        if self.detector.record_probe(replica, reach, asked_ms):
+            self._attribute_losses(replica, now_ms)
 
     def apply_gossip(
         self,
@@ -137,16 +139,16 @@
         *,
         is_relayed: bool,
     ) -> bool:
-        """Merge what a peer knows; return whether it was news.
+        """Apply a peer's crashes and survivals; return whether any was new.
 
-        `is_relayed` tells whether this node is to tell its own peers of it.
+        `is_relayed`: whether this node forwards them to its own peers.
         """
-        is_news = False
+        has_changed = False
         if not self._policy.shares:
-            return is_news
+            return has_changed
         for crash in crashes:
             at_ms = now_ms - crash.age_ms
-            is_news |= self._add_crash(
+            has_changed |= self._add_crash(
                 crash.replica,
                 at_ms,
                 crash.runs,
@@ -154,54 +156,54 @@
                 now_ms,
                 is_shared=is_relayed,
             )
-            self._charge_losses(crash.replica, now_ms)
+            self._attribute_losses(crash.replica, now_ms)
         for survival in survivals:
             at_ms = now_ms - survival.age_ms
-            is_news |= self._record_survival(
+            has_changed |= self._record_survival(
                 survival.fingerprint, at_ms, source, now_ms, is_shared=is_relayed
             )
-        return is_news
+        return has_changed
 
     def apply_record(
         self, request: QuarantinedRequest, source: str, now_ms: float
     ) -> None:
-        """Take over an entry of the log."""
+        """Apply an entry from the log."""
         if self.quarantine.apply_record(request, now_ms):
             self._log("request_quarantined", request, source=source)
 
     def on_record_removed(self, request: QuarantinedRequest) -> None:
-        """End the entry whose record has left the log."""
+        """End the entry whose record was removed from the log."""
         if self.quarantine.on_record_removed(request.fingerprint):
-            self.ledger.acquit(request.fingerprint)
+            self.ledger.clear(request.fingerprint)
             self._log("quarantine_ended", request, reason="removed from the log")
 
     def release(self, release: Release, now_ms: float) -> None:
-        """End the entry that an operator releases."""
+        """End the entry that an operator released."""
         entry = self.quarantine.find(release.fingerprint)
         if self.quarantine.release(release, now_ms) and entry is not None:
-            self.ledger.acquit(release.fingerprint)
+            self.ledger.clear(release.fingerprint)
             self._log("quarantine_ended", entry.request, reason="released")
 
     def tick(self, now_ms: float) -> None:
-        """Find replicas that were replaced, and requests that have survived."""
-        for replica in self.watch.find_replaced(now_ms):
-            self._charge_losses(replica, now_ms)
-        for each in self.watch.take_survivals(now_ms):
+        """Find replicas that were replaced and requests that replicas survived."""
+        for replica in self.detector.find_replaced(now_ms):
+            self._attribute_losses(replica, now_ms)
+        for each in self.detector.take_survivals(now_ms):
             self._is_urgent |= self._record_survival(
                 each.fingerprint, each.at_ms, "own", now_ms, is_shared=True
             )
 
-    def has_news(self) -> bool:
-        """Tell whether there is something to log or to tell peers."""
+    def has_updates(self) -> bool:
+        """Return whether there is anything to log or to send to peers."""
         return self._is_urgent or bool(self._notes)
 
     def take_urgent(self) -> bool:
-        """Tell whether peers should hear of something now, once."""
+        """Return whether a status should be sent at once, and reset that."""
         is_urgent, self._is_urgent = self._is_urgent, False
         return is_urgent
 
     def take_log_entries(self) -> Iterator[LogEntry]:
-        """Return the log lines of what has changed."""
+        """Return and remove the pending log entries."""
         notes, self._notes = self._notes, []
         yield from notes
 
@@ -216,7 +218,7 @@
             text = f"replicas have just ended under {fingerprint}"
         elif self.ledger.has_survived(fingerprint):
             return None
-        elif self.watch.has_open_loss(fingerprint):
+        elif self.detector.has_unresolved_loss(fingerprint):
             text = f"a replica may just have ended under {fingerprint}"
         elif suspicion is Suspicion.PROBATION and self._find_rank(fingerprint, now_ms):
             text = f"replicas ended under {fingerprint}, which another node runs again"
@@ -226,29 +228,29 @@
             return None
         return Rejection(text, SUSPECT_RETRY_MS)
 
-    def _begin(self, request: RelayRequest, now_ms: float) -> Entry:
+    def _begin_quarantine(self, request: RelayRequest, now_ms: float) -> Entry:
         entry = self.quarantine.begin(
             request.fingerprint,
             request.customer,
             request.route,
-            self.ledger.list_charges(request.fingerprint),
+            self.ledger.list_attributed_crashes(request.fingerprint),
             now_ms,
         )
         self._log("request_quarantined", entry.request, source="own")
         return entry
 
-    def _charge_losses(self, replica: EndpointName, now_ms: float) -> None:
-        """Charge the requests that were lost at a life that is over."""
-        self.watch.mark_ended(replica)
-        losses = self.watch.take_losses(replica)
-        answered = self.watch.take_answered(replica)
+    def _attribute_losses(self, replica: EndpointName, now_ms: float) -> None:
+        """Attribute the end of an incarnation to the requests that were lost there."""
+        self.detector.mark_ended(replica)
+        losses = self.detector.take_losses(replica)
+        answered = self.detector.take_answered(replica)
         known_ms = self.ledger.find_crash_time(replica)
         if known_ms is None and not losses:
             return
         at_ms = min(each.at_ms for each in losses) if known_ms is None else known_ms
         sent = [(each.fingerprint, each.sent_ms) for each in losses]
         sent += [(each.fingerprint, each.sent_ms) for each in answered]
-        # What was sent later met no crash, only an address without its replica.
+        # Calls sent after the crash only found the replica's address unused.
         runs = [
             LostRun(fingerprint, at_ms - sent_ms)
             for fingerprint, sent_ms in sent
@@ -274,14 +276,14 @@
                 "replica": replica,
                 "age_ms": round(now_ms - at_ms),
                 "count": len(added),
-                "requests": ",".join(added[:MAX_NOTED]),
+                "requests": ",".join(added[:MAX_LOGGED]),
                 "source": source,
             }
             self._notes.append(LogEntry("replica_crashed", fields))
             known = self._directory.find(replica)
             if known is not None:
                 known.record_crash(at_ms)
-            # Peers may not know that a replica has answered one of them before.
+            # Peers may not know yet that a replica has survived one of them.
             self._is_urgent |= any(map(self.ledger.has_survived, added))
         return bool(added)
 
@@ -305,7 +307,7 @@
         }
         self._notes.append(LogEntry("suspect_survived", fields))
         entry = self.quarantine.find(fingerprint)
-        is_cleared = self.ledger.judge(fingerprint, now_ms) is not Suspicion.GUILTY
+        is_cleared = self.ledger.assess(fingerprint, now_ms) is not Suspicion.CONFIRMED
         if entry is not None and is_cleared:
             self.quarantine.end(fingerprint, now_ms)
             self._log("quarantine_ended", entry.request, reason="a replica survived it")
@@ -317,6 +319,6 @@
             "entry": request.entry_id,
             "customer": request.customer,
             "route": request.route,
-            "replicas": ",".join(request.replicas[-MAX_NOTED:]),
+            "replicas": ",".join(request.replicas[-MAX_LOGGED:]),
         }
         self._notes.append(LogEntry(event, known | fields))
--- a/packages/toucanyard/src/toucanyard/rollout_leader.py
+++ b/packages/toucanyard/src/toucanyard/rollout_leader.py
@@ -10,6 +10,7 @@
 from toucanyard.leases import MAX_FOLLOWERS, Leases
 from toucanyard.log_entries import LogEntry
 from toucanyard.names import EndpointName, NodeId
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.relay_events import (
     AppendLease,
     LeaseAppended,
@@ -24,7 +25,6 @@
 from toucanyard.relay_policy import RolloutPolicy
 from toucanyard.replica_usage import ReplicaUsage
 from toucanyard.replicas import KnownReplica, ReplicaDirectory
-from toucanyard.roster import Roster
 from toucanyard.target_weights import TargetWeights, TargetWeightsTable
 from toucanyard.weights_rollout import (
     ANNOUNCE_MS,
@@ -77,7 +77,7 @@
         timings: WeightsTimings,
         directory: ReplicaDirectory,
         weight_targets: TargetWeightsTable,
-        roster: Roster,
+        node_directory: NodeDirectory,
         uses: ReplicaUsage,
         policy: RolloutPolicy,
     ) -> None:
@@ -86,7 +86,7 @@
         self._identity = identity
         self._directory = directory
         self._weight_targets = weight_targets
-        self._roster = roster
+        self._roster = node_directory
         self._uses = uses
         self._leases = Leases(identity, float(timings.lease_ms))
         self._rollouts: dict[str, WeightsRollout] = {}
@@ -221,7 +221,7 @@
         replica, born_ms = known.replica, read.state.born_ms
         if replica.born_ms is None or replica.born_ms == born_ms:
             return False
-        self._directory.note_life(replica.listed_as, born_ms, now_ms)
+        self._directory.record_incarnation(replica.listed_as, born_ms, now_ms)
         return True
 
     def _find_behind(self, now_ms: float) -> list[KnownReplica]:
--- a/packages/toucanyard/src/toucanyard/store_reads.py
+++ b/packages/toucanyard/src/toucanyard/store_reads.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from toucanyard.keyed_view import Topic
-from toucanyard.roster import Roster
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.store_schedule import (
     MAX_READ_LATENESS_MS,
     MAX_RETRY_RANK,
@@ -25,8 +25,8 @@
 
     __slots__ = ("_asked_ms", "_exchange", "_outdated", "_roster")
 
-    def __init__(self, roster: Roster, exchange: ViewExchange) -> None:
-        self._roster = roster
+    def __init__(self, node_directory: NodeDirectory, exchange: ViewExchange) -> None:
+        self._roster = node_directory
         self._exchange = exchange
         self._asked_ms = dict.fromkeys(Topic, float("-inf"))
         self._outdated: set[Topic] = set()
--- a/packages/toucanyard/src/toucanyard/topic_updates.py
+++ b/packages/toucanyard/src/toucanyard/topic_updates.py
@@ -13,9 +13,9 @@
 from toucanyard.known_facts import KnownFacts
 from toucanyard.link_messages import ViewRecords, ViewStatus
 from toucanyard.names import NodeName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.relay_events import LogEntry, RelayAction, TopicRead
 from toucanyard.replicas import ReplicaDirectory
-from toucanyard.roster import Roster
 from toucanyard.status_exchange import StatusExchange
 from toucanyard.view_exchange import ViewExchange
 
@@ -45,14 +45,14 @@
         exchange: ViewExchange,
         facts: KnownFacts,
         directory: ReplicaDirectory,
-        roster: Roster,
+        node_directory: NodeDirectory,
         statuses: StatusExchange,
         weights_deadline_ms: float,
     ) -> None:
         self._exchange = exchange
         self._facts = facts
         self._directory = directory
-        self._roster = roster
+        self._roster = node_directory
         self._statuses = statuses
         self._assumed_age_ms = weights_deadline_ms / 2
         """Assumed age of wanted weights that were in the store before this node's
@@ -64,7 +64,7 @@
         before, listed_ms = view.end, view.confirmed_ms
         if read.topic is Topic.REPLICAS and not self._roster.is_full_mesh():
             # All nodes depend on the reader to confirm that the list is unchanged.
-            self._statuses.note_due()
+            self._statuses.mark_due()
         changes = self._exchange.apply_read(
             read.topic,
             read.records,
@@ -113,7 +113,7 @@
     def _update_availability(self) -> Iterator[RelayAction]:
         """Pass the store's availability to the directory, for replicas off the list."""
         outage = self._exchange.views[Topic.REPLICAS].availability.find_outage()
-        if not self._directory.note_absence(outage):
+        if not self._directory.record_absence(outage):
             return
         if outage is None:
             yield LogEntry("store_was_there", {})
--- a/tests/toucanyard/crash_fleet.py
+++ b/tests/toucanyard/crash_fleet.py
@@ -1,7 +1,7 @@
-"""Run a fleet before replicas that end when they begin to run a certain request.
+"""Simulate a fleet whose replicas crash when they begin to run a certain request.
 
-A replica that ended is back some seconds later, at its address and under another name.
-The store drops the entry of the one before once its heartbeats have been missed.
+A crashed replica restarts some seconds later at the same address under another name.
+The store drops the previous entry once its heartbeats have been missed.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from toucanyard.crash_watch import Reach
+from toucanyard.crash_detector import Reachability
 from toucanyard.keyed_view import KeyedRecord, Topic
 from toucanyard.names import (
     Address,
@@ -56,11 +56,11 @@
 
 STEP_MS = 5.0
 TICK_MS = 25.0
-WAY_MS = 2.0
+LATENCY_MS = 2.0
 START_MS = 30.0
-"""From a call's arrival at a replica until it begins to run."""
+"""Time from a call's arrival at a replica until it begins to run."""
 CRASH_MS = 60.0
-"""How long the request that crashes a replica runs there."""
+"""How long a request runs before it crashes the replica."""
 RUN_MS = 600.0
 BACK_MS = 2_500.0
 LAPSE_MS = 3_400.0
@@ -69,7 +69,7 @@
 
 
 class Engine:
-    """What listens at one address."""
+    """The replica that listens at one address."""
 
     def __init__(self, address: Address, name: str) -> None:
         self.address = address
@@ -91,8 +91,8 @@
         self.ended_ms = 0.0
 
 
-class Send:
-    """A call that reached a replica."""
+class SentCall:
+    """A call that was sent to and reached a replica."""
 
     def __init__(self, call: Call, replica: EndpointName, at_ms: float) -> None:
         self.call = call
@@ -101,16 +101,16 @@
 
 
 class CrashFleet(StoreFleet):
-    """Nodes, a store, replicas, and calls that last a while."""
+    """Nodes, a store, replicas, and calls with a duration."""
 
     def __init__(self, domains: int, nodes_each: int, replicas: int = 6) -> None:
         self.engines: dict[Address, Engine] = {}
         self.calls: list[Call] = []
-        self.reached: list[Send] = []
+        self.reached: list[SentCall] = []
         self.crashes: list[tuple[float, EndpointName]] = []
         self.probes = 0
         self.poison_answers = False
-        """Whether a replica has answered the request just before it crashes."""
+        """Whether a replica answers the request just before it crashes."""
         self.store_writes = 0
         self._numbers = count()
         self._due: list[tuple[float, int, Callable[[], None]]] = []
@@ -136,14 +136,14 @@
         self._append(name, put(replica))
 
     def crash(self, address: Address) -> None:
-        """End the replica at an address; its calls lose their connections."""
+        """Crash the replica at an address; its calls lose their connections."""
         engine = self.engines[address]
         if not engine.is_up:
             return
         engine.is_up = False
         self.crashes.append((self.now_ms, engine.name))
         for call in list(engine.calls.values()):
-            self.after(WAY_MS, lambda call=call: self.lose(call, engine.name))  # type: ignore[misc]
+            self.after(LATENCY_MS, lambda call=call: self.lose(call, engine.name))  # type: ignore[misc]
         engine.calls.clear()
         self.after(BACK_MS, lambda: self._start(address))
         self.after(LAPSE_MS, lambda: self._append(engine.name, None))
@@ -162,7 +162,7 @@
         )
         self.handle(call.node, DispatchEnded(outcome))
 
-    def _reach(self, call: Call, dispatch: RelayDispatch) -> None:
+    def _deliver_call(self, call: Call, dispatch: RelayDispatch) -> None:
         engine = self.engines[dispatch.address]
         outcome = None
         request_id = call.request.request_id
@@ -182,7 +182,7 @@
             self.handle(call.node, DispatchEnded(outcome))
             return
         engine.calls[request_id] = call
-        self.reached.append(Send(call, engine.name, self.now_ms))
+        self.reached.append(SentCall(call, engine.name, self.now_ms))
         if call.request.fingerprint == POISON:
             if self.poison_answers:
                 self.after(START_MS, lambda: self._complete(call, engine))
@@ -226,11 +226,11 @@
             case RelayReply(request_id=request_id, verdict=verdict):
                 call = self._by_id.get(request_id)
                 if call is not None and call.ending is None:
-                    self._take(call, verdict)
+                    self._apply_verdict(call, verdict)
             case ReadReplicaState():
                 self.probes += 1
                 asked_ms = self.now_ms
-                self.after(WAY_MS, lambda: self._report(name, action, asked_ms))
+                self.after(LATENCY_MS, lambda: self._report(name, action, asked_ms))
             case WriteQuarantine(request=request):
                 self._put(name, request.fingerprint, request)
             case EraseQuarantine(fingerprint=fingerprint):
@@ -238,11 +238,11 @@
 
     def _report(self, node: NodeName, read: ReadReplicaState, asked_ms: float) -> None:
         engine = self.engines[read.address]
-        state, reach = None, Reach.NO_LISTENER
+        state, reach = None, Reachability.NO_LISTENER
         if engine.is_up:
-            reach = Reach.REPLACED
+            reach = Reachability.REPLACED
         if engine.is_up and str(engine.name) == str(read.listed_as):
-            state, reach = ReplicaState((), False, 0, 0, 0), Reach.ANSWERED
+            state, reach = ReplicaState((), False, 0, 0, 0), Reachability.ANSWERED
         self.handle(node, ReplicaStateRead(read.replica, state, asked_ms, reach))
 
     def _put(
@@ -251,7 +251,7 @@
         fingerprint: Fingerprint,
         request: QuarantinedRequest | None,
     ) -> None:
-        """Write what a node wants kept, unless the store is away for it."""
+        """Write a quarantine record, unless the store is unavailable to the node."""
         if node in self.store_away:
             return
         self.store_writes += 1
@@ -264,7 +264,7 @@
             if request is None
             else QuarantineWritten(fingerprint)
         )
-        self.after(WAY_MS, lambda: self.handle(node, written))
+        self.after(LATENCY_MS, lambda: self.handle(node, written))
 
     def _read_nodes(self, name: NodeName) -> None:
         core = self.cores[name]
@@ -276,11 +276,11 @@
         end = len(self._node_records)
         self.handle(name, TopicRead(Topic.NODES, records, end, False, self.now_ms))
 
-    def _take(self, call: Call, verdict: object) -> None:
+    def _apply_verdict(self, call: Call, verdict: object) -> None:
         match verdict:
             case RelayDispatch():
                 call.sends += 1
-                self.after(WAY_MS, lambda: self._reach(call, verdict))
+                self.after(LATENCY_MS, lambda: self._deliver_call(call, verdict))
             case Refuse():
                 call.refusal = verdict
                 self._end(call, "refused")
@@ -296,7 +296,7 @@
     def call(
         self, node: NodeName, fingerprint: str, *, is_resumable: bool = True
     ) -> Call:
-        """Let a call arrive at a node."""
+        """Deliver a call to a node."""
         repeatability = (
             Repeatability.REPEATABLE if is_resumable else Repeatability.RUN_ONCE
         )
@@ -324,7 +324,7 @@
         harmless_ms: float = 85.0,
         is_resumable: bool = True,
     ) -> None:
-        """Let poisoned and harmless calls arrive at the nodes in turn for a while."""
+        """Send poisoned and harmless calls to the nodes in turn for `for_ms`."""
         names = [name for name in self.cores if name not in self.dead]
         begun_ms, end_ms = self.now_ms, self.now_ms + for_ms
         poisoned = harmless = 0
@@ -346,7 +346,7 @@
         heapq.heappush(self._due, (self.now_ms + delay_ms, next(self._numbers), act))
 
     def run_for(self, for_ms: float) -> None:
-        """Let time pass in small steps."""
+        """Advance time in small steps."""
         end_ms = self.now_ms + for_ms
         while self.now_ms < end_ms:
             if self.now_ms % self.DIAL_MS == 0:
@@ -362,7 +362,7 @@
                     self._read_nodes(name)
 
     def kill_and_restart_all(self) -> None:
-        """End all nodes at once and start new incarnations that know nothing."""
+        """Kill all nodes at once and start new incarnations without state."""
         for call in self.calls:
             if call.ending is None:
                 self._end(call, "node killed")
@@ -388,13 +388,13 @@
         self._read_at_start(name)
 
     def skip(self, for_ms: float) -> None:
-        """Let a long time pass in which nothing happens."""
+        """Advance time without any event."""
         self.now_ms += for_ms - for_ms % TICK_MS
 
     # Operators.
 
     def release(self, release: Release) -> None:
-        """Let all nodes read an operator's word that a quarantine is to end."""
+        """Deliver an operator's release of a quarantine to all nodes."""
         key = f"release/{release.fingerprint}"
         record = KeyedRecord(key, len(self._operator_records), put(release))
         self._operator_records.append(record)
@@ -402,7 +402,7 @@
             self.read(name, Topic.OPERATOR, record)
 
     def announce_leave(self, engine: Engine) -> None:
-        """Let a replica say that it drains."""
+        """Register a replica as draining."""
         leaving = build_replica(
             engine.name,
             service=DESK,
@@ -412,10 +412,10 @@
         )
         self._append(engine.name, put(leaving))
 
-    # What was seen.
+    # Observations.
 
     def list_quarantined(self) -> set[str]:
-        """Return the keys of the requests that the store holds under quarantine."""
+        """Return the keys of the quarantine records in the store."""
         newest = {each.key: each.value for each in self._node_records}
         return {
             key
@@ -423,19 +423,19 @@
             if key.startswith("quarantine/") and value is not None
         }
 
-    def list_poisoned(self) -> list[Send]:
-        """Return the calls by which replicas were sent what crashes them."""
+    def list_poisoned(self) -> list[SentCall]:
+        """Return the calls that sent replicas the request that crashes them."""
         return [s for s in self.reached if s.call.request.fingerprint == POISON]
 
-    def list_late(self, bound_ms: float) -> list[Send]:
-        """Return those of them that came too long after the third crash."""
+    def list_late(self, bound_ms: float) -> list[SentCall]:
+        """Return the poisoned calls sent more than `bound_ms` after the third crash."""
         if len(self.crashes) < 3:
             return []
         third_ms = self.crashes[2][0]
         return [s for s in self.list_poisoned() if s.at_ms > third_ms + bound_ms]
 
     def find_served_share(self) -> float:
-        """Return the share of the harmless calls that were answered whole."""
+        """Return the share of the harmless calls that were answered completely."""
         harmless = [
             c for c in self.calls if c.ending and c.request.fingerprint != POISON
         ]
--- a/tests/toucanyard/test_call_placement.py
+++ b/tests/toucanyard/test_call_placement.py
@@ -4,6 +4,7 @@
 
 from toucanyard.call_placement import CallPlacement
 from toucanyard.names import EndpointName, Incarnation, NodeName
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.node_records import NodeRecord
 from toucanyard.pending_call import PendingCall
 from toucanyard.prompt_block_sources import PromptBlockSources, compute_store_name
@@ -11,7 +12,6 @@
 from toucanyard.replica_credits import ReplicaCredits
 from toucanyard.replica_limits import ReplicaLimits
 from toucanyard.replicas import ReplicaDirectory
-from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
 from toucanyard.target_weights import TargetWeightsTable, WantedWeights
 
@@ -46,7 +46,7 @@
             LISTEN.callers,
             LISTEN.peers,
         )
-        sources = PromptBlockSources(directory, Roster(own, ()))
+        sources = PromptBlockSources(directory, NodeDirectory(own, ()))
         sources.record_answer(STORE_NAME, 0.0, 1)
         rng = random.Random(1)
         credits = ReplicaCredits(ReplicaLimits(rng))
--- a/tests/toucanyard/test_limit_exchange.py
+++ b/tests/toucanyard/test_limit_exchange.py
@@ -78,7 +78,7 @@
     core = fleet.cores[leaf]
     fleet.partition_network([leaf])
     fleet.run_for(SILENCE_MS + 500.0)
-    assert core.roster.find_primary() is None
+    assert core.node_directory.find_primary() is None
     assert core.shares.delegation is None
     fleet.run_for(2_000.0)
     assert core.shares.delegation is not None
--- a/tests/toucanyard/test_relay_flow.py
+++ b/tests/toucanyard/test_relay_flow.py
@@ -11,6 +11,7 @@
 from toucanyard.call_placement import CallPlacement
 from toucanyard.errorcodes import Ending, ErrorKind
 from toucanyard.names import EndpointName, Incarnation, NodeName, RequestId
+from toucanyard.node_directory import NodeDirectory
 from toucanyard.node_records import NodeRecord
 from toucanyard.plain_placement import MAX_OVERCOMMIT
 from toucanyard.prompt_block_sources import PromptBlockSources
@@ -26,7 +27,6 @@
 from toucanyard.replicas import ReplicaDirectory
 from toucanyard.request_guard import RequestGuard
 from toucanyard.requests import DispatchEnding, Refuse, Repeatability
-from toucanyard.roster import Roster
 from toucanyard.routes import RouteIndex
 from toucanyard.target_weights import TargetWeightsTable, WantedWeights
 
@@ -66,7 +66,7 @@
             LISTEN.callers,
             LISTEN.peers,
         )
-        sources = PromptBlockSources(self.directory, Roster(own, ()))
+        sources = PromptBlockSources(self.directory, NodeDirectory(own, ()))
         rng = random.Random(1)
         credits = ReplicaCredits(ReplicaLimits(rng))
         calls = CallPlacement(
--- a/tests/toucanyard/test_usable_endpoints.py
+++ b/tests/toucanyard/test_usable_endpoints.py
@@ -1,11 +1,11 @@
-"""Usable endpoints kept from call to call against those worked out from nothing."""
+"""Check the cached usable endpoints against a computation from scratch."""
 
 from __future__ import annotations
 
 from hypothesis import example, given, settings, strategies as st
 
 from toucanyard.configuration import Endpoint
-from toucanyard.digests import Digest, Leaving, News, Recovered, Suspected
+from toucanyard.digests import Digest, GossipUpdate, Leaving, Recovered, Suspected
 from toucanyard.endpoint_directory import EndpointDirectory
 from toucanyard.membership import Membership
 from toucanyard.membership_events import DigestArrived
@@ -27,10 +27,10 @@
 )
 
 
-def work_out(
+def compute_usable(
     member: Membership, endpoints: tuple[Endpoint, ...], now_ms: float
 ) -> list[Endpoint]:
-    """Return what the rules give, looking at every endpoint."""
+    """Return the usable endpoints by applying the rules to every endpoint."""
     evidence = member._evidence
     staying = [each for each in endpoints if not member.is_leaving(each, now_ms)]
     reachable = [each for each in staying if not evidence.is_avoided(each.name, now_ms)]
@@ -50,18 +50,18 @@
 
 def take_step(fleet: Fleet, kind: str, number: int, source: NodeName) -> None:
     endpoint = fleet.endpoints[number]
-    news: News | None = None
+    update: GossipUpdate | None = None
     match kind:
         case "ok":
             fleet.report(0, number)
         case "error":
             fleet.fail(0, number)
         case "suspect":
-            news = Suspected(endpoint.name, source, 0)
+            update = Suspected(endpoint.name, source, 0)
         case "recover":
-            news = Recovered(endpoint.name, source, 0)
+            update = Recovered(endpoint.name, source, 0)
         case "leave":
-            news = Leaving(endpoint.address, 0)
+            update = Leaving(endpoint.address, 0)
         case "list":
             fleet.read_list(0, leaving=[endpoint.name])
         case "gone":
@@ -70,8 +70,8 @@
             fleet.nodes[0]._view.read(vms, fleet.now_ms)
         case _:
             fleet.run(number * 900.0)
-    if news is not None:
-        digest = Digest(NodeName("n1"), fleet.now_ms, -1.0, 1, 7, -1.0, (news,))
+    if update is not None:
+        digest = Digest(NodeName("n1"), fleet.now_ms, -1.0, 1, 7, -1.0, (update,))
         arrived = DigestArrived(NodeName("n1"), digest)
         fleet.nodes[0].handle(arrived, fleet.now_ms)
 
@@ -90,20 +90,20 @@
     steps: list[tuple[str, int, NodeName]],
 ) -> None:
     """Errors, answers, suspicions, leaving VMs and time come in any order. An endpoint
-    kept as usable after it left would get new work; one that is forgotten idles."""
+    cached as usable after it left would get new work; one that is missed would idle."""
     fleet = Fleet(2, ENDPOINTS)
     member, small = fleet.nodes[0], fleet.endpoints[:3]
     for kind, number, source in steps:
         take_step(fleet, kind, number, source)
         for endpoints in (fleet.endpoints, small):
             usable = member.find_usable(endpoints, fleet.now_ms)
-            assert list(usable) == work_out(member, endpoints, fleet.now_ms)
+            assert list(usable) == compute_usable(member, endpoints, fleet.now_ms)
             assert member.find_usable(endpoints, fleet.now_ms) is usable
 
 
 def test_refused_endpoint_rests_and_comes_back() -> None:
-    """An engine that loads weights turns requests away. It rests for a moment, and
-    the sequence that placement goes by is the same object before and after."""
+    """An engine that loads weights rejects requests. It is excluded for a moment, and
+    placement gets the same sequence object before and after."""
     fleet = Fleet(1, 3)
     directory = EndpointDirectory(fleet.nodes[0])
     before = directory.find_usable(fleet.endpoints, 0.0)
