--- a/packages/toucanyard-node/src/toucanyard_node/gathered_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/aggregated_answer.py
@@ -44,7 +44,7 @@
     usage: Usage | None
 
 
-def render_gathered(
+def render_aggregated_answer(
     api: ApiKind,
     request_id: RequestId,
     first: Chunk | None,
--- a/packages/toucanyard-node/src/toucanyard_node/attempts.py
+++ b/packages/toucanyard-node/src/toucanyard_node/attempts.py
@@ -62,11 +62,11 @@
         """Tell whether the request may be executed more than once."""
         return self.request.repeatability is Repeatability.REPEATABLE
 
-    def begin(self) -> None:
+    def start_attempt(self) -> None:
         """Note that a dispatch begins."""
         self.started_ms = trio.current_time() * 1000
 
-    def note_sending(self) -> None:
+    def record_send(self) -> None:
         """Note that bytes of a dispatch are about to leave, or forbid it.
 
         Raise DispatchFailedError when the caller has been refused: a keyed try runs on
@@ -94,7 +94,7 @@
         The wait is shielded: a verdict that reached nobody would hold a place at an
         endpoint for ever. It is bounded by the request's deadline.
         """
-        self._settle(ending)
+        self._record_ending(ending)
         request = self.request
         outcome = Outcome(
             request.request_id,
@@ -107,20 +107,20 @@
         end_s = max(request.deadline_ms / 1000, now_s + _MIN_REPORT_S)
         with trio.CancelScope(deadline=end_s, shield=True):
             verdict = await self._core.report(outcome)
-            return self._check(verdict, text)
-        self._core.tell_cancelled(
+            return self._check_verdict(verdict, text)
+        self._core.report_without_reply(
             Outcome(request.request_id, dispatch.endpoint, DispatchEnding.CANCELLED)
         )
         return self.build_deadline_refusal()
 
     def report_end(self, outcome: Outcome) -> None:
         """Report a dispatch that needs no further verdict."""
-        self._settle(outcome.ending)
-        self._core.tell_cancelled(outcome)
+        self._record_ending(outcome.ending)
+        self._core.report_without_reply(outcome)
 
-    def tell_first_token(self) -> None:
+    def report_first_token(self) -> None:
         """Tell the core that the first byte of the answer came."""
-        self._core.tell_first_token(self.request.request_id, self.find_elapsed_ms())
+        self._core.report_first_token(self.request.request_id, self.find_elapsed_ms())
 
     def check_refusal(self, refusal: Refuse) -> Refuse:
         """Return a refusal that claims no more than is proved.
@@ -140,7 +140,7 @@
         """Return the final answer for a request whose deadline has passed."""
         self._is_refused = True
         text = "the deadline has passed"
-        if not self.may_have_run and self._may_another_try_have_run():
+        if not self.may_have_run and self._may_other_attempt_have_run():
             # No verdict came, so nothing is known of the key: another node may have
             # run it, and "not run" would make the caller hold a second seat.
             return self._build(ErrorKind.DEADLINE_EXCEEDED, Ending.UNKNOWN, text)
@@ -154,18 +154,18 @@
         """Return the final event of a stream that was begun and can't go on."""
         return self._build(ErrorKind.STREAM_INCOMPLETE, Ending.UNKNOWN, text)
 
-    def _may_another_try_have_run(self) -> bool:
+    def _may_other_attempt_have_run(self) -> bool:
         request = self.request
         if request.repeatability is not Repeatability.KEYED:
             return False
         return compute_unclaimed_ending(request.key_age_ms) is Ending.UNKNOWN
 
-    def _settle(self, ending: DispatchEnding) -> None:
+    def _record_ending(self, ending: DispatchEnding) -> None:
         self._is_in_flight = False
         if ending not in PROVEN_NOT_RUN:
             self._may_have_run = True
 
-    def _check(
+    def _check_verdict(
         self, verdict: Dispatch | Refuse | Replay | None, text: str
     ) -> Dispatch | Refuse | Replay:
         match verdict:
--- a/packages/toucanyard-node/src/toucanyard_node/caller_context.py
+++ b/packages/toucanyard-node/src/toucanyard_node/caller_context.py
@@ -82,7 +82,7 @@
         headers = (("Content-Type", content_type), *self.headers)
         await self.responder.send(status, headers, body)
 
-    async def finish(self, result: Refuse | Replay | Response) -> None:
+    async def send_result(self, result: Refuse | Replay | Response) -> None:
         """Send whatever a request came to."""
         match result:
             case Refuse():
@@ -100,7 +100,7 @@
     return Refuse(request_id, error.kind, ending, error.text, error.retry_after_ms or 0)
 
 
-def limit_to_key(refusal: Refuse, http: HttpRequest) -> Refuse:
+def qualify_keyed_refusal(refusal: Refuse, http: HttpRequest) -> Refuse:
     """Return a refusal that says of a request's key no more than is known.
 
     A try refused before its key was looked up did not run, but an earlier one may have,
@@ -151,7 +151,7 @@
 
 
 def find_repeatability(
-    http: HttpRequest, key: str, otherwise: Repeatability
+    http: HttpRequest, key: str, fallback: Repeatability
 ) -> Repeatability:
     """Return whether a request may run more than once, or raise BAD_REQUEST."""
     if key:
@@ -160,7 +160,7 @@
         case "true":
             return Repeatability.RUN_ONCE
         case "false":
-            return otherwise
+            return fallback
         case _:
             # A misspelt mark must not let a call run twice.
             raise RouterError(
--- a/packages/toucanyard-node/src/toucanyard_node/callers_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/client_server.py
@@ -19,7 +19,7 @@
 from toucanyard_node.caller_context import (
     CallerContext,
     build_refusal,
-    limit_to_key,
+    qualify_keyed_refusal,
 )
 from toucanyard_node.connection_pool import ConnectionPool
 from toucanyard_node.core_messages import CoreClient
@@ -36,10 +36,10 @@
     ServerLimits,
 )
 from toucanyard_node.locate_answer import LocateAnswer, NodeIdentity
-from toucanyard_node.model_face import ModelFace
+from toucanyard_node.model_handler import ModelHandler
 from toucanyard_node.model_requests import ApiKind
 from toucanyard_node.refusals import render_refusal
-from toucanyard_node.service_face import ServiceFace
+from toucanyard_node.service_handler import ServiceHandler
 from toucanyard_node.silence_watch import SilenceWatch
 
 _SERVICES: Final = "/v1/services/"
@@ -64,7 +64,7 @@
     object: str = "list"
 
 
-class CallersFace:
+class ClientServer:
     """Answer callers' requests.
 
     `run` must be running: it holds the tasks that outlive a caller's connection.
@@ -89,8 +89,8 @@
         self._nursery: trio.Nursery | None = None
         self.pool = ConnectionPool(options.streams, connect)
         self._watch = SilenceWatch()
-        self._models = ModelFace(core, options, self.pool, self._watch, self._spawn)
-        self._services = ServiceFace(core, options, self.pool, self._spawn)
+        self._models = ModelHandler(core, options, self.pool, self._watch, self._spawn)
+        self._services = ServiceHandler(core, options, self.pool, self._spawn)
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -151,11 +151,11 @@
             await self._route(context)
         except RouterError as error:
             refusal = build_refusal(error, context.request_id)
-            self._core.tell_turned_away(
+            self._core.report_rejection(
                 RequestTurnedAway(
                     context.customer.name,
                     context.configuration.version,
-                    limit_to_key(refusal, context.http),
+                    qualify_keyed_refusal(refusal, context.http),
                 )
             )
             raise
@@ -199,8 +199,8 @@
     ) -> None:
         if request.method != "GET":
             raise RouterError(ErrorKind.METHOD_NOT_ALLOWED, "expected GET")
-        is_staying = request.query.get("stay") == "true"
-        body = msgspec.json.encode(self._locate(is_staying))
+        prefers_this_node = request.query.get("stay") == "true"
+        body = msgspec.json.encode(self._locate(prefers_this_node))
         await responder.send(200, (("Content-Type", _JSON), *headers), body)
 
     async def _send_models(self, context: CallerContext) -> None:
@@ -219,7 +219,7 @@
         if responder.is_started:
             # The server closes the connection, which tells that it was cut.
             return
-        refusal = limit_to_key(build_refusal(error, request_id), request)
+        refusal = qualify_keyed_refusal(build_refusal(error, request_id), request)
         rendered = render_refusal(refusal)
         await responder.send(
             rendered.status, (*rendered.headers, *headers), rendered.body
--- a/packages/toucanyard-node/src/toucanyard_node/configuration_diff.py
+++ b/packages/toucanyard-node/src/toucanyard_node/configuration_diff.py
@@ -22,13 +22,13 @@
     """Return what changed from `old` to `new`; rules count as changed as a whole."""
     has_same_rules = old.rules == new.rules
     put = Put(
-        customers=_find_put(old.customers, new.customers),
-        operators=_find_put(old.operators, new.operators),
-        pools=_find_put(old.pools, new.pools),
-        services=_find_put(old.services, new.services),
+        customers=_find_changed(old.customers, new.customers),
+        operators=_find_changed(old.operators, new.operators),
+        pools=_find_changed(old.pools, new.pools),
+        services=_find_changed(old.services, new.services),
         rules=() if has_same_rules else new.rules,
     )
-    gone_models = {rule.model for rule in old.rules} - {
+    removed_models = {rule.model for rule in old.rules} - {
         rule.model for rule in new.rules
     }
     remove = Remove(
@@ -36,12 +36,12 @@
         operators=_find_removed(old.operators, new.operators),
         pools=_find_removed(old.pools, new.pools),
         services=_find_removed(old.services, new.services),
-        rules=tuple(sorted(gone_models)),
+        rules=tuple(sorted(removed_models)),
     )
     return DiffReply(old.version, new.version, put, remove)
 
 
-def _find_put(old: Sequence[T], new: Sequence[T]) -> tuple[T, ...]:
+def _find_changed(old: Sequence[T], new: Sequence[T]) -> tuple[T, ...]:
     known = {each.name: each for each in old}
     return tuple(each for each in new if known.get(each.name) != each)
 
--- a/packages/toucanyard-node/src/toucanyard_node/core_messages.py
+++ b/packages/toucanyard-node/src/toucanyard_node/core_messages.py
@@ -77,7 +77,7 @@
             await self._inbox.send(Decide(request, send))
             verdict = await receive.receive()
         except trio.Cancelled:
-            self._tell_now(Abandon(request.request_id))
+            self._post(Abandon(request.request_id))
             raise
         assert verdict is not None
         return verdict
@@ -88,20 +88,20 @@
         await self._inbox.send(Report(outcome, send))
         return await receive.receive()
 
-    def tell_first_token(self, request_id: RequestId, after_ms: float) -> None:
+    def report_first_token(self, request_id: RequestId, after_ms: float) -> None:
         """Tell the core about a first byte without waiting."""
-        self._tell_now(FirstToken(request_id, after_ms))
+        self._post(FirstToken(request_id, after_ms))
 
-    def tell_turned_away(self, event: RequestTurnedAway) -> None:
+    def report_rejection(self, event: RequestTurnedAway) -> None:
         """Tell the core that a face refused a request, to be asked about later."""
-        self._tell_now(event)
+        self._post(event)
 
-    def tell_cancelled(self, outcome: Outcome) -> None:
+    def report_without_reply(self, outcome: Outcome) -> None:
         """Tell the core from a cancelled task that a dispatch is over."""
         send, _ = trio.open_memory_channel[Verdict | None](1)
-        self._tell_now(Report(outcome, send))
+        self._post(Report(outcome, send))
 
-    def _tell_now(self, message: CoreMessage) -> None:
+    def _post(self, message: CoreMessage) -> None:
         # The inbox has no bound, so this never blocks or drops; it is bounded by
         # the limit on connections, since each has at most two messages under way.
         self._inbox.send_nowait(message)
--- a/packages/toucanyard-node/src/toucanyard_node/core_task.py
+++ b/packages/toucanyard-node/src/toucanyard_node/core_task.py
@@ -79,7 +79,7 @@
         self.core = NodeCore(options, incarnation, random.Random())
         self._outputs = outputs
         self._replies: dict[RequestId, trio.MemorySendChannel[Verdict | None]] = {}
-        self._patches: dict[str, list[trio.MemorySendChannel[PatchAnswered]]] = {}
+        self._patch_replies: dict[str, list[trio.MemorySendChannel[PatchAnswered]]] = {}
         # Without a bound, so that a cancelled task can still tell how its dispatch
         # ended; callers' connections bound it, each has at most two messages here.
         self.inbox, self._receive = trio.open_memory_channel[CoreInput](2**31)
@@ -100,17 +100,17 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._tick)
             async for message in self._receive:
-                self._take(message, trio.current_time() * 1000)
+                self._handle_input(message, trio.current_time() * 1000)
 
     async def _tick(self) -> None:
         while True:
             await trio.sleep(_TICK_MS / 1000)
             self.inbox.send_nowait(TickPassed())
 
-    def _take(self, message: CoreInput, now_ms: float) -> None:
+    def _handle_input(self, message: CoreInput, now_ms: float) -> None:
         version = self.core.configuration.version
         for action in self.core.handle(self._to_event(message), now_ms):
-            self._carry_out(action)
+            self._execute(action)
         if self.core.configuration.version != version:
             _LOG.info("configuration_in_force", version=self.core.configuration.version)
 
@@ -128,17 +128,19 @@
                 self._replies.pop(request_id, None)
                 return CallerLeft(request_id)
             case SubmitPatch(event=event, reply=reply_patch):
-                self._patches.setdefault(event.patch.patch_id, []).append(reply_patch)
+                self._patch_replies.setdefault(event.patch.patch_id, []).append(
+                    reply_patch
+                )
                 return event
             case _:
                 return message
 
-    def _carry_out(self, action: CoreAction) -> None:
+    def _execute(self, action: CoreAction) -> None:
         match action:
             case Reply(request_id=request_id, verdict=verdict):
                 self._reply(request_id, verdict)
             case PatchAnswered(patch_id=patch_id):
-                for reply in self._patches.pop(patch_id, []):
+                for reply in self._patch_replies.pop(patch_id, []):
                     reply.send_nowait(action)
             case AppendToLog():
                 self._outputs.log.send_nowait(action)
--- a/packages/toucanyard-node/src/toucanyard_node/credentials.py
+++ b/packages/toucanyard-node/src/toucanyard_node/credentials.py
@@ -9,7 +9,7 @@
 from toucanyard.errorcodes import ErrorKind, RouterError
 
 _SCHEME: Final = "bearer"
-_COME_BACK_MS: Final = 500
+_RETRY_AFTER_MS: Final = 500
 
 
 def compute_key_hash(key: str) -> str:
@@ -23,7 +23,7 @@
     return key.strip() if scheme.lower() == _SCHEME else ""
 
 
-def check_known(configuration: Configuration) -> None:
+def check_configuration_available(configuration: Configuration) -> None:
     """Raise NO_CONFIGURATION for the empty one of a node that has just started.
 
     Called an unknown key, callers would give up on a good one; told to come back,
@@ -33,7 +33,7 @@
         raise RouterError(
             ErrorKind.NO_CONFIGURATION,
             "this node has no configuration yet, from neither a peer nor the log",
-            _COME_BACK_MS,
+            _RETRY_AFTER_MS,
         )
 
 
@@ -56,18 +56,18 @@
 
         Raise NO_CONFIGURATION where no key can be judged.
         """
-        check_known(configuration)
+        check_configuration_available(configuration)
         key = find_bearer_key(headers)
         if not key:
             raise RouterError(ErrorKind.UNAUTHENTICATED, "no bearer API key")
         if configuration is not self._configuration:
-            self._fill(configuration)
+            self._rebuild(configuration)
         customer = self._by_hash.get(compute_key_hash(key))
         if customer is None:
             raise RouterError(ErrorKind.UNAUTHENTICATED, "unknown API key")
         return customer
 
-    def _fill(self, configuration: Configuration) -> None:
+    def _rebuild(self, configuration: Configuration) -> None:
         self._by_hash = {
             key_hash: customer
             for customer in configuration.customers
--- a/packages/toucanyard-node/src/toucanyard_node/endpoint_answers.py
+++ b/packages/toucanyard-node/src/toucanyard_node/endpoint_responses.py
@@ -42,7 +42,7 @@
     hashes: tuple[str, ...]
 
 
-class AnswerInvalidError(Exception):
+class InvalidResponseError(Exception):
     """An endpoint's answer can't be used."""
 
 
@@ -58,7 +58,7 @@
         report.age_ms,
     )
     if not report.incarnation:
-        raise AnswerInvalidError("found no incarnation")
+        raise InvalidResponseError("found no incarnation")
     return report
 
 
@@ -82,23 +82,23 @@
 
 def _decode(response: Response, kind: type[T]) -> T:
     if response.status != 200:
-        raise AnswerInvalidError(f"found status {response.status}")
+        raise InvalidResponseError(f"found status {response.status}")
     try:
         return msgspec.json.decode(response.body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise AnswerInvalidError(str(error)) from error
+        raise InvalidResponseError(str(error)) from error
 
 
 def _check_numbers(*numbers: float) -> None:
     if min(numbers) < 0 or max(numbers) >= _MAX_NUMBER:
-        raise AnswerInvalidError("found a number out of range")
+        raise InvalidResponseError("found a number out of range")
 
 
 def _parse_hashes(hashes: Sequence[str]) -> tuple[int, ...]:
     try:
         blocks = tuple(int(each, _HEX) for each in hashes)
     except ValueError as error:
-        raise AnswerInvalidError("found a hash that is not hexadecimal") from error
+        raise InvalidResponseError("found a hash that is not hexadecimal") from error
     if blocks and (min(blocks) < 0 or max(map(len, hashes)) > _HASH_DIGITS):
-        raise AnswerInvalidError(f"found a hash not of {_HASH_DIGITS} digits")
+        raise InvalidResponseError(f"found a hash not of {_HASH_DIGITS} digits")
     return blocks
--- a/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
@@ -26,12 +26,12 @@
 from toucanyard.options import MembershipTimings
 from toucanyard_node.boot_clock import find_now_ms
 from toucanyard_node.bounded_fetch import exchange_bounded, fetch_bounded
-from toucanyard_node.endpoint_answers import (
-    AnswerInvalidError,
+from toucanyard_node.endpoint_responses import (
+    InvalidResponseError,
     decode_dump,
     decode_load,
 )
-from toucanyard_node.event_follower import EventFollower, compute_answer_bytes
+from toucanyard_node.event_follower import EventFollower, estimate_response_bytes
 from toucanyard_node.http_client import (
     BodyTooLargeError,
     Connect,
@@ -43,10 +43,10 @@
 
 _LOG: Final = structlog.get_logger()
 _REFRESH_MS: Final = 200
-_FIRST_REFRESH_MS: Final = 10
+_STARTUP_REFRESH_MS: Final = 10
 """Until there is anything to watch: a node that starts places requests without a view
 of any cache, and after a herd restart all nodes heap them on the same few endpoints."""
-_FIRST_REFRESHES: Final = 1_000
+_MAX_STARTUP_REFRESHES: Final = 1_000
 """Looks at that rate, 10 s in all; a node that waits for its first configuration for
 longer would spend 3.5% of a core on them."""
 _MAX_LOAD_BYTES: Final = 65_536
@@ -54,14 +54,14 @@
 _DUMP_TIMEOUT_MS: Final = 5_000
 _FULL_RATE_POLLS: Final = 24
 _MAX_DOUBLINGS: Final = 3
-_FAILING_POLLS_SHARE: Final = 4
+_FAILING_POLLS_FACTOR: Final = 4
 """How many times the polls of answering endpoints those that fail may take."""
 
 WatchEvent = LoadRead | EndpointPollFailed | CacheEventsRead | CacheDumpRead
 Emit = Callable[[WatchEvent], Awaitable[None]]
 
 
-class Watched(msgspec.Struct, frozen=True):
+class WatchedEndpoint(msgspec.Struct, frozen=True):
     """One endpoint to watch; only engines have caches."""
 
     endpoint: Endpoint
@@ -102,7 +102,7 @@
     doublings = min(failures // _FULL_RATE_POLLS, _MAX_DOUBLINGS)
     rate = timings.max_polls_per_s
     if is_shared:
-        rate = timings.max_shared_polls_per_s * _FAILING_POLLS_SHARE
+        rate = timings.max_shared_polls_per_s * _FAILING_POLLS_FACTOR
     return max(float(timings.load_poll_ms * 2**doublings), failing * 1000 / rate)
 
 
@@ -115,7 +115,7 @@
 
     def __init__(
         self,
-        find_watched: Callable[[], tuple[Sequence[Watched], int]],
+        find_watched: Callable[[], tuple[Sequence[WatchedEndpoint], int]],
         timings: MembershipTimings,
         emit: Emit,
         connect_to: Connect = connect,
@@ -126,7 +126,7 @@
         self._timings = timings
         self._emit = emit
         self._connect = connect_to
-        self._scopes: dict[Watched, trio.CancelScope] = {}
+        self._scopes: dict[WatchedEndpoint, trio.CancelScope] = {}
         self._addresses: dict[EndpointName, Address] = {}
         self._wait_ms = float(timings.load_poll_ms)
         self._is_shared = False
@@ -137,14 +137,14 @@
 
     async def run(self) -> None:
         """Watch until cancelled."""
-        refreshes_left = _FIRST_REFRESHES
+        refreshes_left = _MAX_STARTUP_REFRESHES
         async with trio.open_nursery() as nursery:
             while True:
                 self._refresh(nursery)
-                is_first = not self._scopes and refreshes_left > 0
-                refreshes_left -= is_first
+                is_starting = not self._scopes and refreshes_left > 0
+                refreshes_left -= is_starting
                 await trio.sleep(
-                    (_FIRST_REFRESH_MS if is_first else _REFRESH_MS) / 1000
+                    (_STARTUP_REFRESH_MS if is_starting else _REFRESH_MS) / 1000
                 )
 
     async def read_dump(self, endpoint: EndpointName) -> None:
@@ -158,11 +158,11 @@
             response = await fetch_bounded(
                 address, "/v1/cache/dump", _DUMP_TIMEOUT_MS, max_bytes, self._connect
             )
-            size_bytes = compute_answer_bytes(response)
+            size_bytes = estimate_response_bytes(response)
             self._budget.spend(size_bytes, find_now_ms())
             self._dump_sizes.record_complete(endpoint, size_bytes)
             dump = decode_dump(response)
-        except (ConnectionFailedError, AnswerInvalidError) as error:
+        except (ConnectionFailedError, InvalidResponseError) as error:
             if isinstance(error, BodyTooLargeError):
                 self._budget.spend(max_bytes, find_now_ms())
                 self._dump_sizes.record_truncated(endpoint, max_bytes)
@@ -189,7 +189,7 @@
                 scope = self._scopes[watched] = trio.CancelScope()
                 nursery.start_soon(self._watch, watched, scope)
 
-    async def _watch(self, watched: Watched, scope: trio.CancelScope) -> None:
+    async def _watch(self, watched: WatchedEndpoint, scope: trio.CancelScope) -> None:
         with scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._poll_load, watched)
@@ -203,7 +203,7 @@
                     )
                     nursery.start_soon(follower.run)
 
-    async def _poll_load(self, watched: Watched) -> None:
+    async def _poll_load(self, watched: WatchedEndpoint) -> None:
         endpoint = watched.endpoint
         poller = _Poller(endpoint.address, self._timings, self._connect)
         target = "/v1/load" if watched.is_engine else "/load"
@@ -214,7 +214,7 @@
                 wait_ms = self._wait_ms
                 try:
                     report = decode_load(await poller.get(target))
-                except (ConnectionFailedError, AnswerInvalidError) as error:
+                except (ConnectionFailedError, InvalidResponseError) as error:
                     _LOG.debug("load_unread", endpoint=endpoint.name, error=str(error))
                     await self._emit(EndpointPollFailed(endpoint.name))
                     self._failing.add(endpoint.name)
@@ -246,39 +246,39 @@
         self._address = address
         self._timeout_ms = timings.poll_timeout_ms
         self._connect = connect_to
-        self._kept: HttpConnection | None = None
+        self._idle: HttpConnection | None = None
 
     async def get(self, target: str) -> Response:
         """Get one answer, or raise ConnectionFailedError."""
-        kept, self._kept = self._kept, None
-        if kept is not None:
+        idle, self._idle = self._idle, None
+        if idle is not None:
             try:
-                return await self._try(kept, target)
+                return await self._exchange(idle, target)
             except ConnectionFailedError:
                 # Something between may have lost track of this connection while new
                 # ones work; only a failure on a new one speaks against the endpoint.
                 pass
-        fresh = await self._connect(self._address, self._timeout_ms)
-        return await self._try(fresh, target)
+        new = await self._connect(self._address, self._timeout_ms)
+        return await self._exchange(new, target)
 
     async def close(self) -> None:
         """Close the kept connection."""
-        if self._kept is not None:
-            await self._kept.close()
+        if self._idle is not None:
+            await self._idle.close()
 
-    async def _try(self, connection: HttpConnection, target: str) -> Response:
-        is_kept = False
+    async def _exchange(self, connection: HttpConnection, target: str) -> Response:
+        can_reuse = False
         try:
             with trio.fail_after(self._timeout_ms / 1000):
                 response = await exchange_bounded(
                     connection, "GET", target, _MAX_LOAD_BYTES
                 )
-            is_kept = connection.is_reusable()
+            can_reuse = connection.is_reusable()
         except trio.TooSlowError as error:
             raise ConnectionFailedError("no answer", is_sent=True) from error
         finally:
-            if not is_kept:
+            if not can_reuse:
                 with trio.CancelScope(shield=True):
                     await connection.close()
-        self._kept = connection
+        self._idle = connection
         return response
--- a/packages/toucanyard-node/src/toucanyard_node/engine_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/engine_client.py
@@ -13,11 +13,11 @@
 from toucanyard.requests import Dispatch, DispatchEnding
 from toucanyard_node.connection_pool import ConnectionPool
 from toucanyard_node.exchange import (
-    REFUSING_STATUSES,
+    REFUSAL_STATUSES,
     DispatchFailedError,
-    check_echo,
+    check_response_id,
     find_incarnation,
-    is_bare_refusal,
+    is_refusal_without_id,
 )
 from toucanyard_node.http_client import (
     ConnectionFailedError,
@@ -28,7 +28,7 @@
 from toucanyard_node.silence_watch import SilenceTimer, SilenceWatch
 from toucanyard_node.sse import Event, EventCutter, EventError
 
-_PAUSES: Final = 1.5
+_PAUSE_FACTOR: Final = 1.5
 """How many of its longest pauses a stream is waited for before it is probed."""
 
 
@@ -41,16 +41,16 @@
     """
 
     __slots__ = (
-        "_broken",
+        "_stream_fault",
         "_connection",
         "_cutter",
         "_dispatch",
         "_head_timeout_ms",
-        "_is_used",
+        "_is_reused",
         "_limits",
         "_on_send",
         "_pool",
-        "_resumes",
+        "_resume_count",
         "_timer",
         "_watch",
         "incarnation",
@@ -82,9 +82,9 @@
         self._dispatch = dispatch
         self._connection: HttpConnection | None = None
         self._cutter = EventCutter()
-        self._is_used = False
-        self._resumes = 0
-        self._broken = ""
+        self._is_reused = False
+        self._resume_count = 0
+        self._stream_fault = ""
         self.longest_pause_ms = 0.0
         self.request_id = request_id
         self.incarnation: Incarnation | None = None
@@ -105,7 +105,7 @@
             # No word at all in time: ask on a new connection for what it has.
             await self._resume("no answer")
             return ResponseHead(200, {"content-type": "text/event-stream"})
-        self._check_head(head, self._is_used)
+        self._check_head(head, self._is_reused)
         return head
 
     async def _send(
@@ -117,7 +117,7 @@
             # What may run once only never meets a connection that was idle: when
             # that one turns out dead, nobody could tell whether the request ran.
             if is_repeatable:
-                self._connection, self._is_used = await self._pool.acquire(address)
+                self._connection, self._is_reused = await self._pool.acquire(address)
             else:
                 self._connection = await self._pool.open(address)
         except ConnectionFailedError as error:
@@ -125,7 +125,7 @@
         try:
             return await self._try_send(path, headers, body)
         except ConnectionFailedError as error:
-            if not self._is_used:
+            if not self._is_reused:
                 ending = (
                     DispatchEnding.LOST if error.is_sent else DispatchEnding.NOT_SENT
                 )
@@ -134,7 +134,7 @@
         # the endpoint itself is under no suspicion yet.
         await self.abandon()
         try:
-            self._is_used = False
+            self._is_reused = False
             self._connection = await self._pool.open(address)
             return await self._try_send(path, headers, body)
         except ConnectionFailedError as error:
@@ -158,10 +158,10 @@
             return await self._connection.read_head()
         return None
 
-    def _check_head(self, head: ResponseHead, is_used: bool) -> None:
-        if not is_bare_refusal(head) or is_used:
-            check_echo(head, self.request_id)
-        if head.status in REFUSING_STATUSES:
+    def _check_head(self, head: ResponseHead, is_reused: bool) -> None:
+        if not is_refusal_without_id(head) or is_reused:
+            check_response_id(head, self.request_id)
+        if head.status in REFUSAL_STATUSES:
             self.is_sent = False
             raise DispatchFailedError(DispatchEnding.REFUSED, f"status {head.status}")
         if head.status >= 500:
@@ -180,21 +180,21 @@
         """
         asked_s = trio.current_time()
         while True:
-            if self._broken or self._connection is None:
+            if self._stream_fault or self._connection is None:
                 # Without a connection: whoever read before was cancelled while it
                 # connected, since its caller left.
-                reason, self._broken = self._broken or "interrupted", ""
+                reason, self._stream_fault = self._stream_fault or "interrupted", ""
                 self._check_sent(reason)
                 await self._resume(reason)
             timer = self._timer or self._start_timer()
             timer.waiting_since_s = trio.current_time()
             try:
-                part = await timer.connection.read_part()
+                chunk = await timer.connection.read_part()
                 # While the caller is slow nobody reads, and that is no silence.
                 timer.waiting_since_s = math.inf
-                if part is not None:
-                    self._note_pause(asked_s)
-                    return self._take(part)
+                if chunk is not None:
+                    self._record_pause(asked_s)
+                    return self._accept_chunk(chunk)
                 reason = "ended early"
             except (ConnectionFailedError, EventError) as error:
                 reason = "silent" if timer.has_expired else str(error)
@@ -213,18 +213,20 @@
         assert self._connection is not None
         # An engine that is merely slower than its history is probed ever more rarely;
         # at one fixed bound its probes would run out within a few bounds.
-        silence_ms = max(self._dispatch.silence_ms, _PAUSES * self.longest_pause_ms)
-        silence_ms *= 2**self._resumes
+        silence_ms = max(
+            self._dispatch.silence_ms, _PAUSE_FACTOR * self.longest_pause_ms
+        )
+        silence_ms *= 2**self._resume_count
         bound_ms = max(self._limits.max_silence_ms, self._dispatch.silence_ms)
         self._timer = SilenceTimer(self._connection, min(silence_ms, bound_ms))
         self._watch.add(self._timer)
         return self._timer
 
-    def _note_pause(self, asked_s: float) -> None:
+    def _record_pause(self, asked_s: float) -> None:
         pause_ms = (trio.current_time() - asked_s) * 1000
         self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
 
-    def _take_connection(self) -> HttpConnection | None:
+    def _detach_connection(self) -> HttpConnection | None:
         """Return the connection, which this stream reads no longer."""
         if self._timer is not None:
             self._watch.discard(self._timer)
@@ -232,16 +234,16 @@
         connection, self._connection = self._connection, None
         return connection
 
-    def doubt_end(self) -> None:
+    def retry_end(self) -> None:
         """Let the next read ask again for what follows the last number."""
         self.is_done = False
-        self._broken = "an end without the last event"
+        self._stream_fault = "an end without the last event"
 
-    def _take(self, part: bytes) -> list[Event]:
+    def _accept_chunk(self, chunk: bytes) -> list[Event]:
         """Return the events that are new, or raise EventError for a gap."""
         first = self.last_number
         new: list[Event] = []
-        for event in self._cutter.feed(part):
+        for event in self._cutter.feed(chunk):
             if event.is_done():
                 self.is_done = True
                 new.append(event)
@@ -251,13 +253,13 @@
                 raise EventError(problem)
             if problem:
                 # What came before it is good; the next read asks for the rest.
-                self._broken = problem
+                self._stream_fault = problem
                 break
             if event.number == self.last_number + 1:
                 self.last_number += 1
                 new.append(event)
         if self.last_number != first:
-            self._resumes = 0
+            self._resume_count = 0
         return new
 
     def _find_problem(self, event: Event) -> str:
@@ -276,8 +278,8 @@
         """
         address = self._dispatch.address
         while True:
-            self._resumes += 1
-            if self._resumes > self._limits.max_resumes:
+            self._resume_count += 1
+            if self._resume_count > self._limits.max_resumes:
                 raise DispatchFailedError(DispatchEnding.LOST, f"{reason}, not resumed")
             await self._pool.distrust(address)
             await self.abandon()
@@ -285,20 +287,20 @@
             try:
                 self._connection = await self._pool.open(address)
                 with trio.fail_after(self._dispatch.silence_ms / 1000):
-                    head = await self._ask_again(self._connection)
+                    head = await self._send_resume(self._connection)
             except (ConnectionFailedError, trio.TooSlowError):
                 continue
             self._check_resumed(head, reason)
             return
 
-    async def _ask_again(self, connection: HttpConnection) -> ResponseHead:
+    async def _send_resume(self, connection: HttpConnection) -> ResponseHead:
         headers = (("Last-Event-ID", str(self.last_number)),)
         target = f"/v1/streams/{self.request_id}"
         await connection.send("GET", target, headers)
         return await connection.read_head()
 
     def _check_resumed(self, head: ResponseHead, reason: str) -> None:
-        check_echo(head, self.request_id)
+        check_response_id(head, self.request_id)
         if head.status != 200:
             text = f"{reason}, then status {head.status}"
             raise DispatchFailedError(DispatchEnding.LOST, text)
@@ -316,7 +318,7 @@
             raise DispatchFailedError(DispatchEnding.LOST, text)
         self.weights_version = version
 
-    async def read_rest(self) -> bytes:
+    async def read_plain_body(self) -> bytes:
         """Return a whole plain body, or raise DispatchFailedError."""
         assert self._connection is not None
         try:
@@ -328,7 +330,7 @@
 
     async def close(self) -> None:
         """Lend the connection back if its answer was whole, else close it."""
-        connection = self._take_connection()
+        connection = self._detach_connection()
         if connection is None:
             return
         if self.is_done and not connection.is_reusable():
@@ -352,7 +354,7 @@
 
     async def abandon(self) -> None:
         """Close the connection; it is never used again."""
-        connection = self._take_connection()
+        connection = self._detach_connection()
         if connection is not None:
             await connection.close()
 
--- a/packages/toucanyard-node/src/toucanyard_node/event_follower.py
+++ b/packages/toucanyard-node/src/toucanyard_node/event_follower.py
@@ -20,7 +20,7 @@
 )
 from toucanyard_node.boot_clock import find_now_ms
 from toucanyard_node.bounded_fetch import fetch_bounded
-from toucanyard_node.endpoint_answers import AnswerInvalidError, decode_events
+from toucanyard_node.endpoint_responses import InvalidResponseError, decode_events
 from toucanyard_node.http_client import (
     BodyTooLargeError,
     Connect,
@@ -32,21 +32,21 @@
 _MAX_EVENTS_BYTES: Final = 4_000_000
 _WAIT_MS: Final = 1_000
 _TIMEOUT_MS: Final = 2_500
-_AGAIN_MS: Final = 500
+_RETRY_INTERVAL_MS: Final = 500
 _MIN_PAUSE_MS: Final = 30_000.0
 _MAX_PAUSE_MS: Final = 60_000.0
 _FROM_OLDEST: Final = -1
-_BEYOND_ALL: Final = 2**53 - 1
+_AFTER_LATEST: Final = 2**53 - 1
 """A number that no event has: the answer tells the next one, and brings no events."""
-_FRAME_BYTES: Final = 256
+_HEADER_BYTES: Final = 256
 """The head of an answer, about."""
 
 EmitEvents = Callable[[CacheEventsRead], Awaitable[None]]
 
 
-def compute_answer_bytes(response: Response) -> int:
+def estimate_response_bytes(response: Response) -> int:
     """Return about how many bytes an answer took on its way."""
-    return len(response.body) + _FRAME_BYTES
+    return len(response.body) + _HEADER_BYTES
 
 
 class EventFollower:
@@ -78,12 +78,12 @@
             await self._wait_for_budget()
             try:
                 events = await self._read()
-            except (ConnectionFailedError, AnswerInvalidError) as error:
+            except (ConnectionFailedError, InvalidResponseError) as error:
                 name = self._endpoint.name
                 _LOG.debug("events_unread", endpoint=name, error=str(error))
                 if isinstance(error, BodyTooLargeError):
-                    self._after = _BEYOND_ALL
-                await trio.sleep(_AGAIN_MS / 1000)
+                    self._after = _AFTER_LATEST
+                await trio.sleep(_RETRY_INTERVAL_MS / 1000)
                 continue
             if self._incarnation not in (None, events.incarnation):
                 # Numbers begin anew after a restart: what came is cut off by `after`.
@@ -91,7 +91,7 @@
                 self._incarnation = events.incarnation
                 continue
             self._incarnation = events.incarnation
-            if self._after == _BEYOND_ALL:
+            if self._after == _AFTER_LATEST:
                 self._after = events.next - 1
             self._after = max(self._after, events.next - 1)
             await self._emit(CacheEventsRead(self._endpoint.name, events))
@@ -99,7 +99,7 @@
     def _find_start(self) -> int:
         """Return the event to begin after: take all that is kept, if affordable."""
         is_affordable = self._budget.burst_bytes >= _MAX_EVENTS_BYTES
-        return _FROM_OLDEST if is_affordable else _BEYOND_ALL
+        return _FROM_OLDEST if is_affordable else _AFTER_LATEST
 
     async def _wait_for_budget(self) -> None:
         """Wait until something may be taken in; skip ahead if that takes long."""
@@ -109,7 +109,7 @@
             # than all of them a bit at a time: a view with gaps is doubtful for long.
             pause_ms = self._rng.uniform(_MIN_PAUSE_MS, _MAX_PAUSE_MS)
             wait_ms = max(wait_ms, pause_ms)
-            self._after = _BEYOND_ALL
+            self._after = _AFTER_LATEST
         if wait_ms > 0:
             await trio.sleep(wait_ms / 1000)
 
@@ -118,7 +118,7 @@
         max_bytes = min(
             max(int(self._budget.burst_bytes), MIN_ANSWER_BYTES), _MAX_EVENTS_BYTES
         )
-        wait_ms = 0 if self._after == _BEYOND_ALL else _WAIT_MS
+        wait_ms = 0 if self._after == _AFTER_LATEST else _WAIT_MS
         size_bytes = 0
         self._spend(ANSWER_BYTES)
         try:
@@ -129,7 +129,7 @@
                 max_bytes,
                 self._connect,
             )
-            size_bytes = compute_answer_bytes(response)
+            size_bytes = estimate_response_bytes(response)
         except BodyTooLargeError:
             size_bytes = max_bytes
             raise
--- a/packages/toucanyard-node/src/toucanyard_node/event_splitter.py
+++ b/packages/toucanyard-node/src/toucanyard_node/event_splitter.py
@@ -4,8 +4,8 @@
 
 from typing import Final
 
-_ENDS: Final = (b"\n\n", b"\r\n\r\n")
-_ID: Final = b"id:"
+_EVENT_ENDS: Final = (b"\n\n", b"\r\n\r\n")
+_ID_FIELD: Final = b"id:"
 
 
 class EventSplitter:
@@ -15,30 +15,30 @@
     sees half of one. Invariant: what was returned ends with a whole event.
     """
 
-    __slots__ = ("_rest", "last_id")
+    __slots__ = ("_partial_event", "last_id")
 
     def __init__(self, last_id: str) -> None:
-        self._rest = b""
+        self._partial_event = b""
         self.last_id = last_id
         """Id of the last whole event."""
 
     def push(self, data: bytes) -> bytes:
         """Take in bytes and return the whole events that they complete."""
-        data = self._rest + data
-        ends = [data.rfind(mark) + len(mark) for mark in _ENDS if mark in data]
+        data = self._partial_event + data
+        ends = [data.rfind(mark) + len(mark) for mark in _EVENT_ENDS if mark in data]
         end = max(ends, default=0)
-        self._rest = data[end:]
+        self._partial_event = data[end:]
         whole = data[:end]
-        begin = max(whole.rfind(b"\n" + _ID) + 1, 0)
-        if whole.startswith(_ID, begin):
+        begin = max(whole.rfind(b"\n" + _ID_FIELD) + 1, 0)
+        if whole.startswith(_ID_FIELD, begin):
             line = whole[begin:].split(b"\n", 1)[0]
-            self.last_id = line[len(_ID) :].strip().decode("latin-1")
+            self.last_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
         return whole
 
-    def drop_rest(self) -> None:
+    def discard_partial_event(self) -> None:
         """Drop the event that was cut; whoever goes on sends it whole."""
-        self._rest = b""
+        self._partial_event = b""
 
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Tell whether an event has begun and not ended."""
-        return bool(self._rest.strip())
+        return bool(self._partial_event.strip())
--- a/packages/toucanyard-node/src/toucanyard_node/exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/exchange.py
@@ -8,7 +8,7 @@
 from toucanyard.requests import DispatchEnding
 from toucanyard_node.http_client import ResponseHead
 
-REFUSING_STATUSES: Final = frozenset((412, 429, 503))
+REFUSAL_STATUSES: Final = frozenset((412, 429, 503))
 """Statuses with which an endpoint says that it did not run a request."""
 
 
@@ -21,7 +21,7 @@
         self.text = text
 
 
-def check_echo(head: ResponseHead, request_id: RequestId) -> None:
+def check_response_id(head: ResponseHead, request_id: RequestId) -> None:
     """Raise DispatchFailedError when an answer belongs to another request.
 
     A late or crossed answer would give one caller the words meant for another. The
@@ -33,13 +33,13 @@
         raise DispatchFailedError(DispatchEnding.LOST, text)
 
 
-def is_bare_refusal(head: ResponseHead) -> bool:
+def is_refusal_without_id(head: ResponseHead) -> bool:
     """Tell whether an answer is a refusal without an echoed id.
 
     Servers refuse some requests before they read who asks. On a new connection that
     can only mean the one request on it.
     """
-    return head.status in REFUSING_STATUSES and "x-request-id" not in head.headers
+    return head.status in REFUSAL_STATUSES and "x-request-id" not in head.headers
 
 
 def find_incarnation(head: ResponseHead) -> Incarnation | None:
--- a/packages/toucanyard-node/src/toucanyard_node/locator.py
+++ b/packages/toucanyard-node/src/toucanyard_node/locator.py
@@ -38,12 +38,12 @@
         self._drain = drain
         self._rng = rng
 
-    def locate(self, is_staying: bool) -> LocateAnswer:
+    def locate(self, prefers_this_node: bool) -> LocateAnswer:
         """Return the node to use; `is_staying` asks for this one if it may be named."""
         nodes = self._find_nodes()
         self._rng.shuffle(nodes)
-        own = self._build_own()
-        if is_staying and not self._drain.is_draining():
+        own = self._build_own_address()
+        if prefers_this_node and not self._drain.is_draining():
             chosen = own
         else:
             chosen = nodes[0] if nodes else own
@@ -61,10 +61,10 @@
         nodes = find_live_nodes(self._core.membership, now_ms)
         nodes = [each for each in nodes if each.node != self._options.name]
         if not self._drain.is_draining():
-            nodes.append(self._build_own())
+            nodes.append(self._build_own_address())
         return nodes
 
-    def _build_own(self) -> NodeAddress:
+    def _build_own_address(self) -> NodeAddress:
         options = self._options
         return NodeAddress(options.name, self._address, options.domain)
 
--- a/packages/toucanyard-node/src/toucanyard_node/log_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_client.py
@@ -26,7 +26,7 @@
 
 _REFUSED_STATUSES: Final = frozenset({400, 404, 413, 429, 503})
 """Statuses with which the service says that it appended nothing."""
-_OVER_RATE_STATUS: Final = 429
+_RATE_LIMITED_STATUS: Final = 429
 READ_MARGIN_MS: Final = 1_000.0
 MAX_PAGE_BYTES: Final = 16_000_000
 _MAX_OFFSET: Final = 2**53
@@ -36,7 +36,7 @@
     """The log did not give an answer that can be used."""
 
 
-class LogSilentError(LogUnavailableError):
+class LogTimeoutError(LogUnavailableError):
     """The log took the question and did not answer in time."""
 
 
@@ -57,7 +57,7 @@
     """What is known of one append, and whether it was refused for its rate only."""
 
     result: AppendResult
-    is_over_rate: bool = False
+    is_rate_limited: bool = False
 
 
 class LogPage(msgspec.Struct, frozen=True):
@@ -96,8 +96,8 @@
     if answer.status == 200:
         return AppendAnswer(AppendResult.DONE)
     if answer.status in _REFUSED_STATUSES:
-        is_over_rate = answer.status == _OVER_RATE_STATUS
-        return AppendAnswer(AppendResult.REFUSED, is_over_rate)
+        is_rate_limited = answer.status == _RATE_LIMITED_STATUS
+        return AppendAnswer(AppendResult.REFUSED, is_rate_limited)
     return AppendAnswer(AppendResult.UNKNOWN)
 
 
@@ -123,7 +123,7 @@
     except BodyTooLargeError as error:
         raise PageTooLargeError(str(error)) from error
     except ConnectionFailedError as error:
-        kind = LogSilentError if error.is_sent else LogUnavailableError
+        kind = LogTimeoutError if error.is_sent else LogUnavailableError
         raise kind(str(error)) from error
     return decode_page(answer, start)
 
@@ -137,17 +137,17 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise LogUnavailableError(str(error)) from error
     if answer.status == 410:
-        _check_order((start, body.oldest, body.next + 1))
+        _check_offsets((start, body.oldest, body.next + 1))
         raise LogExpiredError(body.oldest, body.next)
     offsets = [each.offset for each in body.records]
-    _check_order((start - 1, *offsets, body.next))
+    _check_offsets((start - 1, *offsets, body.next))
     records = tuple(
         LogRecord(each.offset, each.at_ms, each.data) for each in body.records
     )
     return LogPage(records, body.next)
 
 
-def _check_order(offsets: Sequence[int]) -> None:
+def _check_offsets(offsets: Sequence[int]) -> None:
     """Raise LogUnavailableError unless offsets rise and are in range.
 
     Reading goes on behind the last one. Offsets that fall would make a node read the
--- a/packages/toucanyard-node/src/toucanyard_node/log_reader.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_reader.py
@@ -17,25 +17,25 @@
     READ_MARGIN_MS,
     LogExpiredError,
     LogPage,
-    LogSilentError,
+    LogTimeoutError,
     LogUnavailableError,
     PageTooLargeError,
     read_records,
 )
 
-_LIMIT: Final = 1_000
-_SHRINK: Final = 10
-_AGAIN_MS: Final = 250
-_MARGIN_MS: Final = READ_MARGIN_MS
+_PAGE_RECORDS: Final = 1_000
+_PAGE_SHRINK_FACTOR: Final = 10
+_RETRY_INTERVAL_MS: Final = 250
+_INITIAL_MARGIN_MS: Final = READ_MARGIN_MS
 """How long an answer may take beyond its wait at first."""
-_SEARCH_ABOVE: Final = 10_000
+_MIN_SEARCH_RECORDS: Final = 10_000
 """Records that are read sooner than a place among them is found."""
 _LOG: Final = structlog.get_logger()
 
 LogEvent = LogRead | LogExpired | LogReadRestarted | LogStateSeen
 
 
-class LateStart(msgspec.Struct, frozen=True):
+class StartWindow(msgspec.Struct, frozen=True):
     """How far back to read, and how the reader learns that this was not enough."""
 
     span_ms: float
@@ -46,7 +46,7 @@
     address: Address,
     wait_ms: int,
     emit: Callable[[LogEvent], None],
-    late_start: LateStart | None = None,
+    start_window: StartWindow | None = None,
     append_log_timeout: AdaptiveLogTimeout | None = None,
 ) -> None:
     """Read the log until cancelled, from its first record on or from a late start.
@@ -54,11 +54,11 @@
     `append_patience` learns from reads how slow the log is, before an append has to be
     given up to find out.
     """
-    reader = _Reader(address, wait_ms, emit, late_start, append_log_timeout)
+    reader = _LogFollower(address, wait_ms, emit, start_window, append_log_timeout)
     await reader.run()
 
 
-class _Reader:
+class _LogFollower:
     """Where reading stands and whether the log answers.
 
     Invariant: after LogExpired and LogReread, reads follow each other without a gap.
@@ -69,20 +69,20 @@
         address: Address,
         wait_ms: int,
         emit: Callable[[LogEvent], None],
-        late_start: LateStart | None,
+        start_window: StartWindow | None,
         append_log_timeout: AdaptiveLogTimeout | None,
     ) -> None:
         self._address = address
         self._append_log_timeout = append_log_timeout
         self._wait_ms = wait_ms
         self._emit = emit
-        self._late_start = late_start
-        self._start: int | None = 0 if late_start is None else None
-        self._limit = _LIMIT
-        self._is_up: bool | None = None
+        self._start_window = start_window
+        self._start: int | None = 0 if start_window is None else None
+        self._limit = _PAGE_RECORDS
+        self._is_log_available: bool | None = None
         self._delay_ms = 0.0
         """How much later than its wait the last answer without records came."""
-        self._log_timeout = AdaptiveLogTimeout(_MARGIN_MS)
+        self._log_timeout = AdaptiveLogTimeout(_INITIAL_MARGIN_MS)
 
     async def run(self) -> None:
         """Read on until cancelled."""
@@ -95,40 +95,40 @@
                 self._emit(LogExpired(error.oldest))
                 self._start = error.oldest
             except LogUnavailableError as error:
-                if self._is_up is not False:
+                if self._is_log_available is not False:
                     _LOG.warning("log_unavailable", error=str(error)[:200])
                     self._emit(LogStateSeen(False))
-                self._is_up = False
-                await trio.sleep(_AGAIN_MS / 1000)
+                self._is_log_available = False
+                await trio.sleep(_RETRY_INTERVAL_MS / 1000)
 
     async def _find_start(self) -> int:
         """Return where to begin; a place behind the oldest record is told as a gap."""
-        assert self._late_start is not None
+        assert self._start_window is not None
         oldest, head = await self._find_range()
-        if head - oldest <= _SEARCH_ABOVE:
-            self._late_start = None
+        if head - oldest <= _MIN_SEARCH_RECORDS:
+            self._start_window = None
             return 0
-        newest = (await self._ask(head - 1, 1, 0)).records
+        newest = (await self._fetch_page(head - 1, 1, 0)).records
         if not newest:
             raise LogUnavailableError("found no record before the log's end")
-        search = StartSearch(oldest, newest[0], self._late_start.span_ms)
+        search = StartSearch(oldest, newest[0], self._start_window.span_ms)
         while (probe := search.find_probe()) is not None:
             try:
-                records = (await self._ask(probe, 1, 0)).records
+                records = (await self._fetch_page(probe, 1, 0)).records
             except LogExpiredError as error:
                 search.raise_oldest(error.oldest)
                 continue
             search.apply_probe(probe, records[0].at_ms if records else None)
         _LOG.info("log_start_found", offset=search.start, oldest=oldest, head=head)
         if search.start == oldest:
-            self._late_start = None
+            self._start_window = None
             return 0
         self._emit(LogExpired(search.start))
         return search.start
 
     async def _find_range(self) -> tuple[int, int]:
         try:
-            page = await self._ask(0, 1, 0)
+            page = await self._fetch_page(0, 1, 0)
         except LogExpiredError as error:
             return error.oldest, error.head
         return 0, page.head
@@ -137,23 +137,25 @@
         asked_ms = trio.current_time() * 1000
         # A version is confirmed from the time of asking on. Where the log is slow, its
         # wait on top of the delay would make it stale between two answers.
-        wait_ms = max(0, self._wait_ms - int(self._delay_ms)) if self._is_up else 0
+        wait_ms = (
+            max(0, self._wait_ms - int(self._delay_ms)) if self._is_log_available else 0
+        )
         try:
-            page = await self._ask(start, self._limit, wait_ms)
+            page = await self._fetch_page(start, self._limit, wait_ms)
         except PageTooLargeError:
-            self._shrink(start, asked_ms)
+            self._reduce_page_size(start, asked_ms)
             return
-        self._limit = _LIMIT
-        self._take(start, page, asked_ms)
+        self._limit = _PAGE_RECORDS
+        self._process_page(start, page, asked_ms)
 
-    async def _ask(self, start: int, limit: int, wait_ms: int) -> LogPage:
+    async def _fetch_page(self, start: int, limit: int, wait_ms: int) -> LogPage:
         log_timeout = self._log_timeout
         began_ms = trio.current_time() * 1000
         try:
             page = await read_records(
                 self._address, start, limit, wait_ms, log_timeout.timeout_ms
             )
-        except LogSilentError:
+        except LogTimeoutError:
             # A slow log must not be given up after the same time again and again.
             log_timeout.record_timeout()
             raise
@@ -165,38 +167,38 @@
                 self._append_log_timeout.record_other_answer(self._delay_ms)
         return page
 
-    def _take(self, start: int, page: LogPage, asked_ms: float) -> None:
+    def _process_page(self, start: int, page: LogPage, asked_ms: float) -> None:
         end = page.records[-1].offset + 1 if page.records else start
         self._emit(LogRead(start, end, page.records, page.head, asked_ms))
         self._start = end
         if end < page.head:
             return
-        if not self._is_up:
-            self._is_up = True
+        if not self._is_log_available:
+            self._is_log_available = True
             _LOG.info("log_available", offset=end)
             self._emit(LogStateSeen(True))
-        self._read_older()
+        self._restart_if_incomplete()
 
-    def _read_older(self) -> None:
+    def _restart_if_incomplete(self) -> None:
         """Begin again at the first record if the span held no checkpoint.
 
         None was written, say because a record of an unknown kind halted all nodes.
         Without its older patches this node would have no configuration at all.
         """
-        if self._late_start is None or not self._late_start.needs_older():
+        if self._start_window is None or not self._start_window.needs_older():
             return
         _LOG.warning("log_read_again")
-        self._late_start = None
+        self._start_window = None
         self._start = 0
-        self._is_up = None
+        self._is_log_available = None
         # Claims can't be read back meanwhile, so keyed requests are refused at once.
         self._emit(LogStateSeen(False))
         self._emit(LogReadRestarted())
 
-    def _shrink(self, start: int, asked_ms: float) -> None:
+    def _reduce_page_size(self, start: int, asked_ms: float) -> None:
         _LOG.warning("log_page_too_large", offset=start, limit=self._limit)
         if self._limit == 1:
             # No record of use is that large. Where the log ends is not known yet.
             self._emit(LogRead(start, start + 1, (), start + 2, asked_ms))
             self._start = start + 1
-        self._limit = max(1, self._limit // _SHRINK)
+        self._limit = max(1, self._limit // _PAGE_SHRINK_FACTOR)
--- a/packages/toucanyard-node/src/toucanyard_node/log_writer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_writer.py
@@ -15,7 +15,7 @@
 from toucanyard.platform_log import AppendResult
 from toucanyard_node.log_client import AppendAnswer, append_records
 
-_MAX_TRIES: Final = 3
+_MAX_ATTEMPTS: Final = 3
 
 
 async def write_log(
@@ -30,14 +30,14 @@
     if log_timeout is None:
         log_timeout = AdaptiveLogTimeout(float(limits.append_timeout_ms))
     while True:
-        await _gather(batcher, outbox)
+        await _collect_records(batcher, outbox)
         batch = batcher.pop_due(trio.current_time() * 1000)
         if batch is not None:
             answer = await _append(address, limits, batch, log_timeout)
             emit(AppendSettled(batch.record_ids, answer.result))
 
 
-async def _gather(
+async def _collect_records(
     batcher: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
 ) -> None:
     """Take records in until a batch is due."""
@@ -46,10 +46,10 @@
     while (due_ms := batcher.find_due_ms()) > trio.current_time() * 1000:
         with trio.move_on_at(due_ms / 1000):
             batcher.add(await outbox.receive(), trio.current_time() * 1000)
-    _take_waiting(batcher, outbox)
+    _drain_outbox(batcher, outbox)
 
 
-def _take_waiting(
+def _drain_outbox(
     batcher: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
 ) -> None:
     while True:
@@ -68,8 +68,8 @@
 ) -> AppendAnswer:
     """Append one batch, again after a refusal that only the rate caused."""
     answer = await _append_once(address, batch, log_timeout)
-    for _ in range(_MAX_TRIES - 1):
-        if not answer.is_over_rate:
+    for _ in range(_MAX_ATTEMPTS - 1):
+        if not answer.is_rate_limited:
             break
         await trio.sleep(1 / limits.max_appends_per_s)
         answer = await _append_once(address, batch, log_timeout)
--- a/packages/toucanyard-node/src/toucanyard_node/metrics.py
+++ b/packages/toucanyard-node/src/toucanyard_node/metrics.py
@@ -23,7 +23,7 @@
 
 MAX_GROUPS: Final = 32
 """Customers and classes that are sent; the busiest since the node started."""
-_MAX_NAME: Final = 48
+_MAX_NAME_CHARACTERS: Final = 48
 _HASH_CHARACTERS: Final = 6
 _RESERVED: Final = re.compile(r"[^A-Za-z0-9_-]")
 _MAX_DATAGRAM_BYTES: Final = 1_400
@@ -73,11 +73,11 @@
     Invariant: a total that was sent is never sent again.
     """
 
-    __slots__ = ("_client", "_sent")
+    __slots__ = ("_client", "_sent_totals")
 
     def __init__(self, client: statsd.StatsClient) -> None:
         self._client = client
-        self._sent: dict[str, int] = {}
+        self._sent_totals: dict[str, int] = {}
 
     async def send(self, metrics: list[Metric]) -> None:
         """Send metrics; a server that is not there is not noticed, as UDP has it."""
@@ -87,8 +87,8 @@
                 case Gauge(name=name, value=value):
                     pipeline.gauge(name, round(value, 3))
                 case Counter(name=name, total=total):
-                    added = total - self._sent.get(name, 0)
-                    self._sent[name] = total
+                    added = total - self._sent_totals.get(name, 0)
+                    self._sent_totals[name] = total
                     if added:
                         pipeline.incr(name, added)
         # The library's socket blocks while the kernel's buffer is full; in a thread
@@ -113,10 +113,10 @@
     apart that would then be the same.
     """
     cleaned = _RESERVED.sub("_", name)
-    if cleaned == name and len(name) <= _MAX_NAME:
+    if cleaned == name and len(name) <= _MAX_NAME_CHARACTERS:
         return name
     digest = hashlib.sha256(name.encode()).hexdigest()[:_HASH_CHARACTERS]
-    return f"{cleaned[:_MAX_NAME]}_{digest}"
+    return f"{cleaned[:_MAX_NAME_CHARACTERS]}_{digest}"
 
 
 def _collect_node(core: NodeCore, now_ms: float) -> Iterator[Metric]:
@@ -150,20 +150,20 @@
 
 
 def _collect_group(group: GroupStatistics) -> Iterator[Metric]:
-    begin = f"customers.{clean_name(group.customer)}.{group.priority}"
-    yield Counter(f"{begin}.prompt_tokens", group.prompt_tokens)
-    yield Counter(f"{begin}.cached_tokens", group.cached_tokens)
-    yield Counter(f"{begin}.answers", group.answers)
-    yield Gauge(f"{begin}.hit_percent", group.hit_rate * 100)
-    yield from _collect_quantiles(f"{begin}.first_token_ms", group.first_token_ms)
-    yield from _collect_quantiles(f"{begin}.token_gap_ms", group.token_gap_ms)
-    yield from _collect_quantiles(f"{begin}.recomputed", group.recomputed_tokens)
+    name_prefix = f"customers.{clean_name(group.customer)}.{group.priority}"
+    yield Counter(f"{name_prefix}.prompt_tokens", group.prompt_tokens)
+    yield Counter(f"{name_prefix}.cached_tokens", group.cached_tokens)
+    yield Counter(f"{name_prefix}.answers", group.answers)
+    yield Gauge(f"{name_prefix}.hit_percent", group.hit_rate * 100)
+    yield from _collect_quantiles(f"{name_prefix}.first_token_ms", group.first_token_ms)
+    yield from _collect_quantiles(f"{name_prefix}.token_gap_ms", group.token_gap_ms)
+    yield from _collect_quantiles(f"{name_prefix}.recomputed", group.recomputed_tokens)
 
 
-def _collect_quantiles(begin: str, quantiles: Quantiles) -> Iterator[Metric]:
+def _collect_quantiles(name_prefix: str, quantiles: Quantiles) -> Iterator[Metric]:
     if not quantiles.count:
         return
-    yield Gauge(f"{begin}.p50", quantiles.p50)
-    yield Gauge(f"{begin}.p95", quantiles.p95)
-    yield Gauge(f"{begin}.p99", quantiles.p99)
-    yield Gauge(f"{begin}.max", quantiles.max)
+    yield Gauge(f"{name_prefix}.p50", quantiles.p50)
+    yield Gauge(f"{name_prefix}.p95", quantiles.p95)
+    yield Gauge(f"{name_prefix}.p99", quantiles.p99)
+    yield Gauge(f"{name_prefix}.max", quantiles.max)
--- a/packages/toucanyard-node/src/toucanyard_node/model_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_handler.py
@@ -16,19 +16,19 @@
     Repeatability,
     Replay,
 )
+from toucanyard_node.aggregated_answer import render_aggregated_answer
 from toucanyard_node.attempts import Attempts
 from toucanyard_node.caller_context import (
     CallerContext,
 )
 from toucanyard_node.connection_pool import ConnectionPool
 from toucanyard_node.core_messages import CoreClient
-from toucanyard_node.gathered_answer import render_gathered
 from toucanyard_node.http_client import Response
-from toucanyard_node.kept_streams import KeptStreams
 from toucanyard_node.model_requests import ApiKind, ModelCall, parse_model_call
 from toucanyard_node.sheltered import Spawn, run_sheltered
 from toucanyard_node.silence_watch import SilenceWatch
 from toucanyard_node.stream_relay import EVENT_STREAM, StreamRelay
+from toucanyard_node.stream_store import StreamStore
 
 _JSON: Final = "application/json"
 _MAX_ID_DIGITS: Final = 15
@@ -41,10 +41,10 @@
 Work = Callable[[StreamRelay], Awaitable[Result | None]]
 
 
-class ModelFace:
+class ModelHandler:
     """Serve calls of models."""
 
-    __slots__ = ("_core", "_kept", "_options", "_pool", "_spawn", "_watch")
+    __slots__ = ("_core", "_streams", "_options", "_pool", "_spawn", "_watch")
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._options = options
         self._pool = pool
         self._spawn = spawn
-        self._kept = KeptStreams(options.streams, spawn)
+        self._streams = StreamStore(options.streams, spawn)
 
     async def serve(self, context: CallerContext, api: ApiKind) -> None:
         """Answer one call."""
@@ -84,7 +84,7 @@
 
     async def resume(self, context: CallerContext, stream_id: str) -> None:
         """Send a stream again after the event that the caller names."""
-        stream = self._kept.find(RequestId(stream_id), context.customer.name)
+        stream = self._streams.find(RequestId(stream_id), context.customer.name)
         after = _find_last_event_id(context)
         if stream is None or stream.relay.buffer.find_after(after) is None:
             text = "the stream or the events after that one are not kept here"
@@ -99,22 +99,22 @@
             )
             return
         await context.responder.start(200, (*_STREAM_HEADERS, *context.headers))
-        await self._kept.send(stream, context.responder, after)
+        await self._streams.send(stream, context.responder, after)
 
     async def _serve_stream(self, context: CallerContext, relay: StreamRelay) -> None:
         """Answer with events; the deadline bounds the wait for the answer's begin."""
         result = await self._run_until_deadline(relay, self._open)
         if result is not None:
-            await context.finish(result)
+            await context.send_result(result)
             return
-        stream = self._kept.add(relay, context.customer.name)
+        stream = self._streams.add(relay, context.customer.name)
         try:
             headers = (*_STREAM_HEADERS, *context.headers)
             await context.responder.start(200, headers)
         except BaseException:
-            self._kept.let_go(stream)
+            self._streams.release_stream(stream)
             raise
-        await self._kept.send(stream, context.responder, -1)
+        await self._streams.send(stream, context.responder, -1)
 
     async def _serve_plain(
         self, context: CallerContext, relay: StreamRelay, call: ModelCall
@@ -122,11 +122,11 @@
         """Answer at once when the answer is whole; the deadline bounds all of it."""
 
         async def run(relay: StreamRelay) -> Result:
-            return await self._gather(relay, call)
+            return await self._aggregate(relay, call)
 
         result = await self._run_until_deadline(relay, run)
         assert result is not None
-        await context.finish(result)
+        await context.send_result(result)
 
     async def _run_until_deadline(
         self, relay: StreamRelay, work: Work
@@ -140,28 +140,28 @@
                 return await work(relay)
             except Exception:
                 # A fault here must not leave the request's place taken for ever.
-                relay.give_up("internal error")
+                relay.abort("internal error")
                 raise
 
-        async def drain(result: Result | None) -> None:
+        async def store_unclaimed(result: Result | None) -> None:
             # Reached when a caller hung up before its events began.
             if result is None:
-                self._kept.let_go(
-                    self._kept.add(relay, attempts.request.customer),
+                self._streams.release_stream(
+                    self._streams.add(relay, attempts.request.customer),
                 )
 
         try:
             with trio.CancelScope(deadline=attempts.request.deadline_ms / 1000):
                 if is_keyed:
-                    return await run_sheltered(self._spawn, run, drain)
+                    return await run_sheltered(self._spawn, run, store_unclaimed)
                 return await run()
             refusal = attempts.build_deadline_refusal()
         except trio.Cancelled:
             if not is_keyed:
-                relay.give_up("the caller went away")
+                relay.abort("the caller went away")
             raise
         if not is_keyed:
-            relay.give_up(refusal.text)
+            relay.abort(refusal.text)
         return refusal
 
     async def _open(self, relay: StreamRelay) -> Result | None:
@@ -173,7 +173,7 @@
             await relay.close()
         return result
 
-    async def _gather(self, relay: StreamRelay, call: ModelCall) -> Result:
+    async def _aggregate(self, relay: StreamRelay, call: ModelCall) -> Result:
         result = await self._open(relay)
         while not relay.is_over:
             await relay.read()
@@ -183,7 +183,7 @@
         if relay.refusal is not None:
             return relay.attempts.check_refusal(relay.refusal)
         usage = relay.last_chunk.usage if relay.last_chunk is not None else None
-        body = render_gathered(
+        body = render_aggregated_answer(
             call.api,
             relay.attempts.request.request_id,
             relay.first_chunk,
@@ -191,7 +191,7 @@
             relay.finish_reason,
             usage,
         )
-        relay.report_gathered(CachedAnswer(200, _JSON, body))
+        relay.report_aggregated(CachedAnswer(200, _JSON, body))
         return Response(200, {"content-type": _JSON}, body)
 
 
--- a/packages/toucanyard-node/src/toucanyard_node/model_requests.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_requests.py
@@ -17,11 +17,11 @@
 _ADAPTER_SEPARATOR: Final = ":"
 _NULL: Final = msgspec.Raw(b"null")
 _FALSE: Final = msgspec.Raw(b"false")
-_EMPTY: Final = msgspec.Raw(b'""')
+_EMPTY_STRING: Final = msgspec.Raw(b'""')
 _ONE: Final = msgspec.Raw(b"1")
 # What an answer gathered from token events can't carry; requests that use it are
 # read as one plain answer from the engine.
-_PLAIN_ONLY: Final = {
+_PLAIN_ONLY_FIELDS: Final = {
     "tools": _NULL,
     "functions": _NULL,
     "logprobs": _FALSE,
@@ -81,7 +81,7 @@
     adapter: str
     pool_model: str
     is_stream: bool
-    is_plain_only: bool
+    requires_plain_answer: bool
     """True when its answer can't be gathered from token events."""
     choices: int
     """How many texts the answer has; 0 when that can't be told."""
@@ -123,9 +123,9 @@
         affinity_keys=chains.compute_affinity_keys(),
         chains=chains,
     )
-    is_plain_only = any(
+    requires_plain_answer = any(
         bytes(fields.get(name, ordinary)) not in (bytes(ordinary), b"null")
-        for name, ordinary in _PLAIN_ONLY.items()
+        for name, ordinary in _PLAIN_ONLY_FIELDS.items()
     ) or isinstance(getattr(parsed, "prompt", ""), list)
     return ModelCall(
         api=api,
@@ -133,8 +133,8 @@
         adapter=adapter,
         pool_model=pool.model,
         is_stream=bool(parsed.stream),
-        is_plain_only=is_plain_only,
-        choices=_find_choices(parsed, fields),
+        requires_plain_answer=requires_plain_answer,
+        choices=_count_choices(parsed, fields),
         fields=fields,
         target=target,
         priority=priority,
@@ -160,15 +160,15 @@
     """Build the body for an engine; `generated` text is added to the prompt."""
     fields = dict(call.fields)
     if call.model != call.pool_model and not call.adapter:
-        fields["model"] = _raw(call.pool_model)
-    fields["stream"] = _raw(is_stream)
+        fields["model"] = _encode_raw(call.pool_model)
+    fields["stream"] = _encode_raw(is_stream)
     if is_stream:
-        fields["stream_options"] = _raw({"include_usage": True})
+        fields["stream_options"] = _encode_raw({"include_usage": True})
     else:
         fields.pop("stream_options", None)
     if generated:
         _extend_prompt(fields, call.api, generated)
-        _lower_limits(fields, tokens)
+        _reduce_token_limits(fields, tokens)
     return msgspec.json.encode(fields)
 
 
@@ -176,23 +176,23 @@
     fields: dict[str, msgspec.Raw], api: ApiKind, generated: str
 ) -> None:
     if api is ApiKind.COMPLETION:
-        prompt = msgspec.json.decode(fields.get("prompt", _EMPTY), type=str)
-        fields["prompt"] = _raw(prompt + generated)
+        prompt = msgspec.json.decode(fields.get("prompt", _EMPTY_STRING), type=str)
+        fields["prompt"] = _encode_raw(prompt + generated)
         return
     messages = msgspec.json.decode(fields["messages"], type=list[msgspec.Raw])
-    messages.append(_raw({"role": "assistant", "content": generated}))
-    fields["messages"] = _raw(messages)
+    messages.append(_encode_raw({"role": "assistant", "content": generated}))
+    fields["messages"] = _encode_raw(messages)
 
 
-def _lower_limits(fields: dict[str, msgspec.Raw], tokens: int) -> None:
+def _reduce_token_limits(fields: dict[str, msgspec.Raw], tokens: int) -> None:
     """Take what was generated off the limits, so that the whole keeps to them."""
     for name in ("max_tokens", "max_completion_tokens"):
         limit = msgspec.json.decode(fields.get(name, _NULL))
         if isinstance(limit, int):
-            fields[name] = _raw(max(1, limit - tokens))
+            fields[name] = _encode_raw(max(1, limit - tokens))
 
 
-def _raw(value: object) -> msgspec.Raw:
+def _encode_raw(value: object) -> msgspec.Raw:
     return msgspec.Raw(msgspec.json.encode(value))
 
 
@@ -218,7 +218,7 @@
     return DEFAULT_MAX_TOKENS if limit is None else limit
 
 
-def _find_choices(
+def _count_choices(
     body: CompletionBody | ChatBody, fields: dict[str, msgspec.Raw]
 ) -> int:
     """Return how many texts the answer has; 0 when that can't be told."""
--- a/packages/toucanyard-node/src/toucanyard_node/node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/node.py
@@ -23,11 +23,11 @@
 from toucanyard.options import Options
 from toucanyard.order_messages import ReadState, SendOrder
 from toucanyard.vm_view import Vm
-from toucanyard_node.callers_face import CallersFace, find_server_limits
+from toucanyard_node.client_server import ClientServer, find_server_limits
 from toucanyard_node.core_links import CORE_LINKS
 from toucanyard_node.core_task import CoreOutputs, CoreTask
 from toucanyard_node.drain import DrainState, drain, wait_handed_over
-from toucanyard_node.endpoint_watch import EndpointWatch, Watched
+from toucanyard_node.endpoint_watch import EndpointWatch, WatchedEndpoint
 from toucanyard_node.http_client import split_address
 from toucanyard_node.http_server import (
     HttpServer,
@@ -36,15 +36,15 @@
 )
 from toucanyard_node.locate_answer import NodeIdentity
 from toucanyard_node.locator import Locator
-from toucanyard_node.log_reader import LateStart, follow_log
+from toucanyard_node.log_reader import StartWindow, follow_log
 from toucanyard_node.log_writer import write_log
 from toucanyard_node.metrics import send_metrics
-from toucanyard_node.operators_face import OperatorsFace
+from toucanyard_node.operator_server import OperatorServer
 from toucanyard_node.order_sender import OrderSender
 from toucanyard_node.peer_links import PeerLinks
 from toucanyard_node.vm_list import poll_vm_list
 
-_OUTBOX: Final = 10_000
+_OUTBOX_CAPACITY: Final = 10_000
 _INCARNATION_BYTES: Final = 5
 _LOG: Final = structlog.get_logger()
 
@@ -64,7 +64,7 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(node.run)
         nursery.start_soon(_watch_signals, node.drain_state, nursery.cancel_scope)
-        _announce(options, listeners)
+        _print_addresses(options, listeners)
         await node.wait_drained()
         nursery.cancel_scope.cancel()
     _LOG.info("stopped")
@@ -79,10 +79,12 @@
         self._rng = random.Random()
         self.drain_state = DrainState()
         log_send, self._appends = trio.open_memory_channel[AppendToLog](2**31)
-        peer_send, self._messages = trio.open_memory_channel[SendMessage](_OUTBOX)
-        dump_send, self._dumps = trio.open_memory_channel[ReadDump](_OUTBOX)
+        peer_send, self._messages = trio.open_memory_channel[SendMessage](
+            _OUTBOX_CAPACITY
+        )
+        dump_send, self._dumps = trio.open_memory_channel[ReadDump](_OUTBOX_CAPACITY)
         order_send, self._orders = trio.open_memory_channel[SendOrder | ReadState](
-            _OUTBOX
+            _OUTBOX_CAPACITY
         )
         incarnation = Incarnation(secrets.token_hex(_INCARNATION_BYTES))
         outputs = CoreOutputs(log_send, peer_send, dump_send, order_send)
@@ -96,15 +98,17 @@
             self.drain_state,
             self._rng,
         )
-        self._face = CallersFace(
+        self._client_server = ClientServer(
             self._task.client,
             options,
             identity,
             locator.locate,
             self.drain_state,
         )
-        self._server = HttpServer(self._face.handle, find_server_limits(options))
-        operators = OperatorsFace(self._task, options, self.drain_state)
+        self._server = HttpServer(
+            self._client_server.handle, find_server_limits(options)
+        )
+        operators = OperatorServer(self._task, options, self.drain_state)
         self._operators = HttpServer(operators.handle, find_server_limits(options))
         self._links = PeerLinks(
             self._core.identity,
@@ -115,8 +119,8 @@
             self._rng,
             CORE_LINKS,
         )
-        self._watched_of: tuple[Configuration | None, tuple[Vm, ...]] = (None, ())
-        self._watched: tuple[list[Watched], int] = ([], 0)
+        self._watched_inputs: tuple[Configuration | None, tuple[Vm, ...]] = (None, ())
+        self._watched: tuple[list[WatchedEndpoint], int] = ([], 0)
         self._watch = EndpointWatch(self._find_watched, options.membership, self._emit)
 
     async def run(
@@ -127,14 +131,14 @@
         platform = options.platform
         log_timeout = AdaptiveLogTimeout(float(options.claims.append_timeout_ms))
         async with trio.open_nursery() as nursery:
-            await nursery.start(self._face.run)
+            await nursery.start(self._client_server.run)
             nursery.start_soon(self._task.run)
             nursery.start_soon(
                 follow_log,
                 platform.log,
                 options.configuration.log_poll_wait_ms,
                 self._emit_now,
-                LateStart(
+                StartWindow(
                     compute_span_ms(options.claims, options.configuration),
                     self._core.log.needs_older,
                 ),
@@ -172,7 +176,7 @@
         address = find_address(self._options.listen.callers, self._listeners.callers)
         self._emit_now(DrainBegun(address))
         is_clean = await drain(
-            self.drain_state, self._server, self._options, self._face.wait_idle
+            self.drain_state, self._server, self._options, self._client_server.wait_idle
         )
         _LOG.info("drain_ended", is_clean=is_clean)
         self._emit_now(HandoverBegun())
@@ -189,28 +193,32 @@
     def _emit_now(self, event: CoreEvent) -> None:
         self._task.inbox.send_nowait(event)
 
-    def _find_watched(self) -> tuple[list[Watched], int]:
+    def _find_watched(self) -> tuple[list[WatchedEndpoint], int]:
         """Return what to watch; worked out anew only when what it depends on changed.
 
         The watch asks five times a second; going over 4,400 endpoints each time cost
         more of a core than the polls.
         """
         configuration, vms = self._core.configuration, self._core.membership.vms
-        is_same = configuration is self._watched_of[0] and vms is self._watched_of[1]
+        is_same = (
+            configuration is self._watched_inputs[0] and vms is self._watched_inputs[1]
+        )
         if not is_same:
-            self._watched_of = configuration, vms
+            self._watched_inputs = configuration, vms
             self._watched = self._compute_watched(configuration)
         return self._watched
 
     def _compute_watched(
         self, configuration: Configuration
-    ) -> tuple[list[Watched], int]:
+    ) -> tuple[list[WatchedEndpoint], int]:
         engines = {
             endpoint.name for pool in configuration.pools for endpoint in pool.endpoints
         }
         followed = {endpoint.name for endpoint in self._core.find_followed()}
         watched = [
-            Watched(endpoint, endpoint.name in engines, endpoint.name in followed)
+            WatchedEndpoint(
+                endpoint, endpoint.name in engines, endpoint.name in followed
+            )
             for endpoint in self._core.find_watched()
         ]
         return watched, len(self._core.list_endpoints())
@@ -241,7 +249,7 @@
             state.begin()
 
 
-def _announce(options: Options, listeners: Listeners) -> None:
+def _print_addresses(options: Options, listeners: Listeners) -> None:
     """Print where the node listens, for whoever started it with port 0."""
     listen = options.listen
     callers = find_address(listen.callers, listeners.callers)
--- a/packages/toucanyard-node/src/toucanyard_node/operators_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/operator_server.py
@@ -24,7 +24,7 @@
 from toucanyard_node.configuration_diff import compute_diff
 from toucanyard_node.core_task import CoreTask
 from toucanyard_node.credentials import (
-    check_known,
+    check_configuration_available,
     compute_key_hash,
     find_bearer_key,
 )
@@ -48,7 +48,7 @@
 
 _JSON: Final = (("Content-Type", "application/json"),)
 _EXPLAIN: Final = "/explain/"
-_FORWARDED: Final = "x-forwarded-by"
+_FORWARDED_BY_HEADER: Final = "x-forwarded-by"
 _PATCH_DEADLINE_MS: Final = 10_000
 _PATCH_STATUSES: Final[dict[ErrorKind | None, int]] = {
     None: 200,
@@ -61,7 +61,7 @@
 _LOG: Final = structlog.get_logger()
 
 
-class OperatorsFace:
+class OperatorServer:
     """Answer operators' requests."""
 
     def __init__(self, task: CoreTask, options: Options, drain: DrainState) -> None:
@@ -100,7 +100,7 @@
         is_first = not configuration.operators
         if is_first and key_hash in self._options.bootstrap_operator_hashes:
             return "bootstrap"
-        check_known(configuration)
+        check_configuration_available(configuration)
         if configuration.find_customer_by_hash(key_hash) is not None:
             raise RouterError(
                 ErrorKind.FORBIDDEN, "a customer's key, not an operator's"
@@ -116,7 +116,7 @@
             case "POST", "/drain":
                 return self._begin_drain
             case "GET", "/configuration":
-                return lambda: self._show(request)
+                return lambda: self._get_configuration(request)
             case "GET", "/history":
                 return self._history
             case "GET", "/diff":
@@ -154,7 +154,7 @@
         self._drain.begin()
         return 202, b"{}"
 
-    async def _show(self, request: HttpRequest) -> tuple[int, bytes]:
+    async def _get_configuration(self, request: HttpRequest) -> tuple[int, bytes]:
         configuration = self._find_version(request, "version")
         return 200, msgspec.json.encode(VersionReply(configuration))
 
@@ -228,9 +228,9 @@
         record = self._core.flow.records.explanations.find(request_id)
         if record is not None:
             return 200, msgspec.json.encode(record)
-        return await self._explain_elsewhere(request, request_id)
+        return await self._forward_explain(request, request_id)
 
-    async def _explain_elsewhere(
+    async def _forward_explain(
         self, request: HttpRequest, request_id: RequestId
     ) -> tuple[int, bytes]:
         """Ask the node that the id names; it checks the operator's key itself."""
@@ -241,7 +241,7 @@
         # A forwarded question is never forwarded again, or two nodes with different
         # VM lists could send it to and fro.
         is_own = node_name == self._options.name
-        if not address or is_own or _FORWARDED in request.headers:
+        if not address or is_own or _FORWARDED_BY_HEADER in request.headers:
             raise RouterError(ErrorKind.NOT_FOUND, text)
         headers = (
             ("Authorization", request.headers["authorization"]),
--- a/packages/toucanyard-node/src/toucanyard_node/order_sender.py
+++ b/packages/toucanyard-node/src/toucanyard_node/order_sender.py
@@ -28,7 +28,7 @@
 _STATE_TIMEOUT_MS: Final = 1_000
 _CONNECT_TIMEOUT_MS: Final = 1_000
 _ORDER_TIMEOUT_MS: Final = 10_000
-_MAX_RUNNING: Final = 32
+_MAX_CONCURRENT: Final = 32
 _JSON: Final = (("Content-Type", "application/json"),)
 
 
@@ -49,7 +49,7 @@
     def __init__(self, emit: Emit, connect_to: Connect = connect) -> None:
         self._emit = emit
         self._connect = connect_to
-        self._limit = trio.CapacityLimiter(_MAX_RUNNING)
+        self._limit = trio.CapacityLimiter(_MAX_CONCURRENT)
 
     async def run(
         self, actions: trio.MemoryReceiveChannel[SendOrder | ReadState]
@@ -61,20 +61,20 @@
                 # one order per endpoint under way, and drops reads when full.
                 borrower = object()
                 await self._limit.acquire_on_behalf_of(borrower)
-                nursery.start_soon(self._carry_out, action, borrower)
+                nursery.start_soon(self._execute, action, borrower)
 
-    async def _carry_out(self, action: SendOrder | ReadState, borrower: object) -> None:
+    async def _execute(self, action: SendOrder | ReadState, borrower: object) -> None:
         try:
             match action:
                 case ReadState():
-                    await self._read(action)
+                    await self._read_state(action)
                 case SendOrder():
-                    outcome = await self._order(action)
+                    outcome = await self._send_order(action)
                     await self._emit(OrderEnded(action, outcome))
         finally:
             self._limit.release_on_behalf_of(borrower)
 
-    async def _read(self, action: ReadState) -> None:
+    async def _read_state(self, action: ReadState) -> None:
         asked_ms = trio.current_time() * 1000
         try:
             response = await fetch_bounded(
@@ -91,7 +91,7 @@
         if response.status == 200:
             await self._emit(StateRead(action.endpoint, state, asked_ms))
 
-    async def _order(self, sent: SendOrder) -> OrderOutcome:
+    async def _send_order(self, sent: SendOrder) -> OrderOutcome:
         try:
             connection = await self._connect(sent.address, _CONNECT_TIMEOUT_MS)
         except ConnectionFailedError:
--- a/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
@@ -268,7 +268,7 @@
         head: ResponseHead,
         facts: AnswerFacts,
     ) -> None:
-        self._splitter.drop_rest()
+        self._splitter.discard_partial_event()
         if not self._responder.is_started and not self._request.is_resumable:
             await self._begin(head)
         while True:
@@ -285,7 +285,7 @@
                 self._metrics.note_first(self._request, self._first_ms)
                 self._client.tell_first(self._request.request_id)
             await self._responder.write(whole)
-        if self._splitter.has_rest():
+        if self._splitter.has_partial_event():
             raise self._lose(
                 dispatch, DispatchEnding.LOST, "cut inside an event", facts
             )
--- a/packages/toucanyard-node/src/toucanyard_node/service_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/service_handler.py
@@ -30,9 +30,9 @@
 from toucanyard_node.core_messages import CoreClient
 from toucanyard_node.exchange import (
     DispatchFailedError,
-    check_echo,
+    check_response_id,
     find_incarnation,
-    is_bare_refusal,
+    is_refusal_without_id,
 )
 from toucanyard_node.http_client import (
     ConnectionFailedError,
@@ -42,9 +42,14 @@
 )
 from toucanyard_node.sheltered import Spawn, run_sheltered
 
-_READING_METHODS: Final = ("GET", "HEAD")
+_SAFE_METHODS: Final = ("GET", "HEAD")
 _TOO_MANY_REQUESTS: Final = 429
-_FORWARDED: Final = ("content-type", "accept", "accept-language", "idempotency-key")
+_FORWARDED_HEADERS: Final = (
+    "content-type",
+    "accept",
+    "accept-language",
+    "idempotency-key",
+)
 
 Result = Refuse | Replay | Response
 
@@ -60,7 +65,7 @@
 
 def find_call_repeatability(service: Service, method: str, path: str) -> Repeatability:
     """Return whether operators declared that a call may be repeated."""
-    if method in _READING_METHODS:
+    if method in _SAFE_METHODS:
         return Repeatability.REPEATABLE
     for entry in service.repeatable_calls:
         allowed, _, prefix = entry.partition(" ")
@@ -69,7 +74,7 @@
     return Repeatability.RUN_ONCE
 
 
-class ServiceFace:
+class ServiceHandler:
     """Serve calls of plain services."""
 
     __slots__ = ("_core", "_options", "_pool", "_spawn")
@@ -98,7 +103,7 @@
         )
         call = _build_call(context, target)
         exchange = ServiceExchange(self._core, self._pool, request, call)
-        await context.finish(await self._run_until_deadline(exchange))
+        await context.send_result(await self._run_until_deadline(exchange))
 
     async def _run_until_deadline(self, exchange: ServiceExchange) -> Result:
         attempts = exchange.attempts
@@ -106,15 +111,17 @@
         try:
             with trio.CancelScope(deadline=attempts.request.deadline_ms / 1000):
                 if is_keyed:
-                    return await run_sheltered(self._spawn, exchange.run, _ignore)
+                    return await run_sheltered(
+                        self._spawn, exchange.run, _discard_result
+                    )
                 return await exchange.run()
             refusal = attempts.build_deadline_refusal()
         except trio.Cancelled:
             if not is_keyed:
-                exchange.give_up()
+                exchange.abort()
             raise
         if not is_keyed:
-            exchange.give_up()
+            exchange.abort()
         return refusal
 
 
@@ -143,16 +150,16 @@
             return await self._run()
         except Exception:
             # A fault here must not leave the request's place taken for ever.
-            self.give_up()
+            self.abort()
             raise
 
     async def _run(self) -> Result:
         verdict = await self._core.decide(self.attempts.request)
         while isinstance(verdict, Dispatch):
             self._dispatch = verdict
-            self.attempts.begin()
+            self.attempts.start_attempt()
             try:
-                return await self._try(verdict)
+                return await self._dispatch_once(verdict)
             except DispatchFailedError as error:
                 self._dispatch = None
                 verdict = await self.attempts.report_failure(
@@ -162,22 +169,22 @@
             return self.attempts.check_refusal(verdict)
         return verdict
 
-    def give_up(self) -> None:
+    def abort(self) -> None:
         """Tell the core that nobody waits for the answer any more."""
         if self._dispatch is None:
             return
         outcome = self._build_outcome(self._dispatch, DispatchEnding.CANCELLED)
         self.attempts.report_end(outcome)
 
-    async def _try(self, dispatch: Dispatch) -> Response:
+    async def _dispatch_once(self, dispatch: Dispatch) -> Response:
         """Make one dispatch, or raise DispatchFailedError."""
-        is_used = False
+        is_reused = False
         try:
-            connection, is_used = await self._acquire(dispatch)
+            connection, is_reused = await self._acquire(dispatch)
         except ConnectionFailedError as error:
             raise DispatchFailedError(DispatchEnding.NOT_SENT, str(error)) from error
         try:
-            return await self._exchange(dispatch, connection, is_used)
+            return await self._exchange(dispatch, connection, is_reused)
         except ConnectionFailedError as error:
             if not error.is_sent:
                 raise DispatchFailedError(
@@ -195,14 +202,14 @@
         return await self._pool.open(dispatch.address), False
 
     async def _exchange(
-        self, dispatch: Dispatch, connection: HttpConnection, is_used: bool
+        self, dispatch: Dispatch, connection: HttpConnection, is_reused: bool
     ) -> Response:
         call = self._call
-        self.attempts.note_sending()
+        self.attempts.record_send()
         await connection.send(call.method, call.target, call.headers, call.body)
         head = await connection.read_head()
-        if not is_bare_refusal(head) or is_used:
-            check_echo(head, self.attempts.request.request_id)
+        if not is_refusal_without_id(head) or is_reused:
+            check_response_id(head, self.attempts.request.request_id)
         body = await connection.read_body()
         # An engine's refusal proves that nothing ran; a service's proves nothing: it
         # may answer 503 after it has written. A call that may run once is therefore
@@ -216,13 +223,15 @@
             msgspec.structs.replace(
                 outcome,
                 incarnation=find_incarnation(head),
-                answer=self._keep(CachedAnswer(head.status, content_type, body)),
+                answer=self._select_cached_answer(
+                    CachedAnswer(head.status, content_type, body)
+                ),
             )
         )
         self._dispatch = None
         return Response(head.status, {"content-type": content_type}, body)
 
-    def _keep(self, answer: CachedAnswer) -> CachedAnswer | None:
+    def _select_cached_answer(self, answer: CachedAnswer) -> CachedAnswer | None:
         is_keyed = self.attempts.request.repeatability is Repeatability.KEYED
         return answer if is_keyed else None
 
@@ -238,7 +247,9 @@
 def _build_call(context: CallerContext, target: str) -> ServiceCall:
     http = context.http
     forwarded = tuple(
-        (name, http.headers[name]) for name in _FORWARDED if name in http.headers
+        (name, http.headers[name])
+        for name in _FORWARDED_HEADERS
+        if name in http.headers
     )
     named = (
         ("X-Request-Id", str(context.request_id)),
@@ -247,5 +258,5 @@
     return ServiceCall(http.method, target, (*named, *forwarded), http.body)
 
 
-async def _ignore(_: Result) -> None:
+async def _discard_result(_: Result) -> None:
     """Leave an answer alone: the core keeps it for the next try."""
--- a/packages/toucanyard-node/src/toucanyard_node/stream_buffer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/stream_buffer.py
@@ -11,30 +11,30 @@
     Invariant: the kept numbers are consecutive and end just before `next_number`.
     """
 
-    __slots__ = ("_events", "_held_bytes", "_max_bytes", "next_number")
+    __slots__ = ("_events", "_buffered_bytes", "_max_bytes", "next_number")
 
     def __init__(self, max_bytes: int) -> None:
         self._events: deque[bytes] = deque()
-        self._held_bytes = 0
+        self._buffered_bytes = 0
         self._max_bytes = max_bytes
         self.next_number = 0
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return the size of what is kept."""
-        return self._held_bytes
+        return self._buffered_bytes
 
     def append(self, event: bytes) -> None:
         """Keep the next event; its number is `next_number`."""
         self._events.append(event)
-        self._held_bytes += len(event)
+        self._buffered_bytes += len(event)
         self.next_number += 1
-        while self._held_bytes > self._max_bytes and len(self._events) > 1:
-            self._held_bytes -= len(self._events.popleft())
+        while self._buffered_bytes > self._max_bytes and len(self._events) > 1:
+            self._buffered_bytes -= len(self._events.popleft())
 
     def has_room(self) -> bool:
         """Tell whether another event may be read without losing the oldest."""
-        return self._held_bytes < self._max_bytes * 3 // 4
+        return self._buffered_bytes < self._max_bytes * 3 // 4
 
     def find_after(self, number: int) -> bytes | None:
         """Return all events after a number, or None when some are gone."""
--- a/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
+++ b/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
@@ -47,7 +47,7 @@
 # comment for the end of an event without data, and fail on it.
 HEARTBEAT: Final = b": heartbeat\n"
 EVENT_STREAM: Final = "text/event-stream"
-_JOIN_TEXTS: Final = 64
+_MAX_TEXT_PIECES: Final = 64
 
 
 class StreamRelay:
@@ -65,7 +65,7 @@
         "_failure",
         "_first_chunk",
         "_incarnation",
-        "_kept",
+        "_replay_events",
         "_limits",
         "_longest_pause_ms",
         "_pool",
@@ -107,7 +107,7 @@
         self._text: list[str] = []
         self._tokens = 0
         is_keyed = attempts.request.repeatability is Repeatability.KEYED
-        self._kept: list[bytes] | None = [] if is_keyed else None
+        self._replay_events: list[bytes] | None = [] if is_keyed else None
         self.attempts = attempts
         self.buffer = StreamBuffer(limits.replay_buffer_bytes)
         self.is_over = False
@@ -135,12 +135,12 @@
         """
         while isinstance(verdict, Dispatch):
             try:
-                head = await self._start(verdict)
+                head = await self._start_dispatch(verdict)
                 if head.headers.get("content-type", "").startswith(EVENT_STREAM):
                     return None
                 return await self._read_plain(head)
             except DispatchFailedError as error:
-                verdict = await self._fail(verdict, error)
+                verdict = await self._handle_failure(verdict, error)
         if isinstance(verdict, Refuse):
             self.is_over = True
             return self.attempts.check_refusal(verdict)
@@ -154,12 +154,12 @@
             if self._failure is not None:
                 raise self._failure
             events = await self._engine.read()
-            return self._take(events) if events else HEARTBEAT
+            return self._process_events(events) if events else HEARTBEAT
         except DispatchFailedError as error:
             self._failure = None
-            return await self._go_on_elsewhere(error)
+            return await self._fail_over(error)
 
-    def give_up(self, text: str) -> None:
+    def abort(self, text: str) -> None:
         """Give the request up: tell the engine and the core, add a last event."""
         if self.is_over:
             return
@@ -168,7 +168,7 @@
             # Never NOT_SENT here: the core would try again for nobody.
             self.attempts.report_end(self._build_outcome(DispatchEnding.CANCELLED))
             self._spawn(engine.cancel)
-        self._end(self._build_incomplete(text))
+        self._end_with_error(self._build_incomplete(text))
 
     async def close(self) -> None:
         """Lend the engine's connection back, or close it."""
@@ -176,7 +176,7 @@
         if engine is not None:
             await engine.close()
 
-    async def _start(self, dispatch: Dispatch) -> ResponseHead:
+    async def _start_dispatch(self, dispatch: Dispatch) -> ResponseHead:
         request = self.attempts.request
         self._dispatch = dispatch
         if self._weights_version not in ("", dispatch.weights_version):
@@ -184,18 +184,18 @@
             # other; before the first event any version will do.
             text = "the dispatch is for other weights"
             raise DispatchFailedError(DispatchEnding.NOT_SENT, text)
-        is_stream = not self._call.is_plain_only or self._call.is_stream
+        is_stream = not self._call.requires_plain_answer or self._call.is_stream
         self._engine = EngineStream(
             self._pool,
             self._limits,
             dispatch,
             request.request_id,
             watch=self._watch,
-            on_send=self.attempts.note_sending,
+            on_send=self.attempts.record_send,
             is_plain=not is_stream,
         )
         body = render_engine_body(self._call, is_stream, self.text, self._tokens)
-        self.attempts.begin()
+        self.attempts.start_attempt()
         return await self._engine.open(
             self._call.api.value,
             self._build_headers(dispatch),
@@ -220,27 +220,27 @@
     async def _read_plain(self, head: ResponseHead) -> Response:
         """Read an answer that isn't events: a plain one, or a 4xx."""
         assert self._engine is not None
-        body = await self._engine.read_rest()
+        body = await self._engine.read_plain_body()
         self._incarnation = self._engine.incarnation
         content_type = head.headers.get("content-type", "application/json")
-        self._tell_first_token()
+        self._report_first_token()
         self.is_over = True
         kept = CachedAnswer(head.status, content_type, body)
         self._report_completed(kept)
         return Response(head.status, {"content-type": content_type}, body)
 
-    def _take(self, events: list[Event]) -> bytes:
+    def _process_events(self, events: list[Event]) -> bytes:
         """Return new events with numbers, after keeping them."""
         assert self._engine is not None
         self._incarnation = self._engine.incarnation
         self._weights_version = self._engine.weights_version
         self._longest_pause_ms = self._engine.longest_pause_ms
         if self.first_token_ms is None:
-            self._tell_first_token()
+            self._report_first_token()
         parts: list[bytes] = []
         for event in events:
             if event.is_done():
-                self._take_end(parts)
+                self._handle_end_mark(parts)
                 break
             try:
                 self._read_event(event)
@@ -249,10 +249,10 @@
                 # miss them, so the failure waits for the next read.
                 self._failure = DispatchFailedError(DispatchEnding.FAILED, str(error))
                 break
-            parts.append(self._keep(event.data))
+            parts.append(self._append_event(event.data))
         return parts[0] if len(parts) == 1 else b"".join(parts) or HEARTBEAT
 
-    def _take_end(self, parts: list[bytes]) -> None:
+    def _handle_end_mark(self, parts: list[bytes]) -> None:
         """End the stream, unless its last event is missing.
 
         The mark of the end has no number, so a gap just before it shows only by the
@@ -260,7 +260,7 @@
         """
         assert self._engine is not None
         if self.finish_reason is None:
-            self._engine.doubt_end()
+            self._engine.retry_end()
         else:
             self._finish(parts)
 
@@ -272,7 +272,7 @@
         text = get_text(chunk)
         if text:
             self._text.append(text)
-            if len(self._text) >= _JOIN_TEXTS:
+            if len(self._text) >= _MAX_TEXT_PIECES:
                 # Many short strings take ten times the memory of one.
                 self._text = ["".join(self._text)]
             self._tokens += 1
@@ -280,27 +280,27 @@
             self.finish_reason = chunk.choices[0].finish_reason
         self.last_chunk = chunk
 
-    def _keep(self, data: bytes, name: bytes = b"") -> bytes:
+    def _append_event(self, data: bytes, name: bytes = b"") -> bytes:
         rendered = render_event(self.buffer.next_number, data, name)
         self.buffer.append(rendered)
-        if self._kept is not None:
-            self._kept.append(rendered)
+        if self._replay_events is not None:
+            self._replay_events.append(rendered)
         return rendered
 
     def _finish(self, parts: list[bytes]) -> None:
         self.is_over = True
-        parts.append(self._keep(b"[DONE]"))
+        parts.append(self._append_event(b"[DONE]"))
         if self._call.is_stream:
-            body = b"".join(self._kept or ())
+            body = b"".join(self._replay_events or ())
             self._report_completed(CachedAnswer(200, EVENT_STREAM, body))
 
-    def report_gathered(self, answer: CachedAnswer) -> None:
+    def report_aggregated(self, answer: CachedAnswer) -> None:
         """Report the end of an answer that was gathered from events."""
         self._report_completed(answer)
 
     def _report_completed(self, kept: CachedAnswer | None) -> None:
         outcome = self._build_outcome(DispatchEnding.COMPLETED)
-        if self._kept is not None:
+        if self._replay_events is not None:
             outcome = msgspec.structs.replace(outcome, answer=kept)
         self.attempts.report_end(outcome)
 
@@ -323,11 +323,11 @@
             longest_pause_ms=self._longest_pause_ms,
         )
 
-    def _tell_first_token(self) -> None:
+    def _report_first_token(self) -> None:
         self.first_token_ms = self.attempts.find_elapsed_ms()
-        self.attempts.tell_first_token()
+        self.attempts.report_first_token()
 
-    async def _fail(
+    async def _handle_failure(
         self, dispatch: Dispatch, error: DispatchFailedError
     ) -> Dispatch | Refuse | Replay:
         """Drop the failed exchange and ask the core what to do next."""
@@ -347,38 +347,38 @@
             self._spawn(engine.cancel)
         return verdict
 
-    async def _go_on_elsewhere(self, error: DispatchFailedError) -> bytes:
+    async def _fail_over(self, error: DispatchFailedError) -> bytes:
         """Continue a begun stream on another engine, or end it as incomplete."""
         assert self._dispatch is not None
-        if self._is_all_generated():
+        if self._is_generation_complete():
             # Only the mark of the end is missing, and the node can give that itself.
             with trio.CancelScope(shield=True):
                 await self.close()
             return self._finish_locally()
-        verdict = await self._fail(self._dispatch, error)
+        verdict = await self._handle_failure(self._dispatch, error)
         while isinstance(verdict, Dispatch):
-            if not self._can_go_on():
-                self._decline(verdict)
-                return self._end(self._build_incomplete(error.text))
+            if not self._can_continue():
+                self._cancel_dispatch(verdict)
+                return self._end_with_error(self._build_incomplete(error.text))
             try:
-                await self._start_again(verdict)
+                await self._restart_stream(verdict)
                 return HEARTBEAT
             except DispatchFailedError as next_error:
-                verdict = await self._fail(verdict, next_error)
+                verdict = await self._handle_failure(verdict, next_error)
         if isinstance(verdict, Refuse):
-            return self._end(verdict)
-        return self._end(self._build_incomplete(error.text))
+            return self._end_with_error(verdict)
+        return self._end_with_error(self._build_incomplete(error.text))
 
-    async def _start_again(self, dispatch: Dispatch) -> None:
-        head = await self._start(dispatch)
+    async def _restart_stream(self, dispatch: Dispatch) -> None:
+        head = await self._start_dispatch(dispatch)
         if not head.headers.get("content-type", "").startswith(EVENT_STREAM):
             raise DispatchFailedError(DispatchEnding.FAILED, f"status {head.status}")
 
-    def _can_go_on(self) -> bool:
+    def _can_continue(self) -> bool:
         """Tell whether prompt and text so far say all that another engine needs."""
-        return self.attempts.is_repeatable() and not self._call.is_plain_only
+        return self.attempts.is_repeatable() and not self._call.requires_plain_answer
 
-    def _is_all_generated(self) -> bool:
+    def _is_generation_complete(self) -> bool:
         """Tell whether only the mark of the end is missing."""
         # With several choices, or an unknown number, the end of one is not that of all.
         return self.finish_reason is not None and self._call.choices == 1
@@ -388,7 +388,7 @@
         self._finish(parts)
         return b"".join(parts)
 
-    def _decline(self, dispatch: Dispatch) -> None:
+    def _cancel_dispatch(self, dispatch: Dispatch) -> None:
         request_id = self.attempts.request.request_id
         self.attempts.report_end(
             Outcome(request_id, dispatch.endpoint, DispatchEnding.CANCELLED)
@@ -397,9 +397,9 @@
     def _build_incomplete(self, text: str) -> Refuse:
         return self.attempts.build_incomplete_refusal(text)
 
-    def _end(self, refusal: Refuse) -> bytes:
+    def _end_with_error(self, refusal: Refuse) -> bytes:
         """End with an error event, so that a caller can tell a cut from an end."""
         self.is_over = True
         self.refusal = refusal
         body = render_refusal(self._build_incomplete(refusal.text)).body
-        return self._keep(body, b"error")
+        return self._append_event(body, b"error")
--- a/packages/toucanyard-node/src/toucanyard_node/kept_streams.py
+++ b/packages/toucanyard-node/src/toucanyard_node/stream_store.py
@@ -18,7 +18,7 @@
 from toucanyard_node.stream_relay import StreamRelay
 
 
-class KeptStream:
+class StoredStream:
     """One stream and the task that reads it at present.
 
     Invariant: one task at a time reads the relay. A caller that comes back takes it
@@ -35,7 +35,7 @@
         self.customer = customer
 
     @asynccontextmanager
-    async def hold(self) -> AsyncIterator[None]:
+    async def take_over(self) -> AsyncIterator[None]:
         """Read the relay inside; cancelled when another task takes it over."""
         self._waiting += 1
         try:
@@ -53,12 +53,12 @@
             self._scope = None
             self._released.set()
 
-    def is_wanted(self) -> bool:
+    def has_reader(self) -> bool:
         """Tell whether another task holds the relay or waits for it."""
         return self._scope is not None or self._waiting > 0
 
 
-class KeptStreams:
+class StreamStore:
     """Find streams by request id for the customer that they belong to.
 
     Invariant: what has ended is kept for at most `replay_keep_ms` and, over all
@@ -70,19 +70,21 @@
     def __init__(self, limits: StreamLimits, spawn: Spawn) -> None:
         self._limits = limits
         self._spawn = spawn
-        self._live: dict[RequestId, KeptStream] = {}
-        self._ended: OrderedDict[RequestId, tuple[KeptStream, float]] = OrderedDict()
+        self._live: dict[RequestId, StoredStream] = {}
+        self._ended: OrderedDict[RequestId, tuple[StoredStream, float]] = OrderedDict()
         self._ended_bytes = 0
 
-    def add(self, relay: StreamRelay, customer: CustomerName) -> KeptStream:
+    def add(self, relay: StreamRelay, customer: CustomerName) -> StoredStream:
         """Keep a stream that has begun."""
-        stream = KeptStream(relay, customer)
+        stream = StoredStream(relay, customer)
         self._live[relay.attempts.request.request_id] = stream
         return stream
 
-    def find(self, request_id: RequestId, customer: CustomerName) -> KeptStream | None:
+    def find(
+        self, request_id: RequestId, customer: CustomerName
+    ) -> StoredStream | None:
         """Return a stream of this customer."""
-        self._purge()
+        self._evict()
         stream = self._live.get(request_id)
         if stream is None and request_id in self._ended:
             stream, _ = self._ended[request_id]
@@ -94,11 +96,13 @@
         """Return how many streams have not ended."""
         return len(self._live)
 
-    async def send(self, stream: KeptStream, responder: Responder, after: int) -> None:
+    async def send(
+        self, stream: StoredStream, responder: Responder, after: int
+    ) -> None:
         """Send all events after a number, those to come too, and the end."""
         relay = stream.relay
         try:
-            async with stream.hold():
+            async with stream.take_over():
                 missed = relay.buffer.find_after(after)
                 if missed is None:
                     # Pushed out since the request was checked. What follows would
@@ -114,23 +118,23 @@
                 with trio.CancelScope(shield=True):
                     await relay.close()
         finally:
-            self.let_go(stream)
+            self.release_stream(stream)
 
-    def let_go(self, stream: KeptStream) -> None:
+    def release_stream(self, stream: StoredStream) -> None:
         """Leave a stream that no caller reads now; its end may be still to come."""
         if stream.relay.is_over:
-            self._note_ended(stream)
-        elif not stream.is_wanted():
+            self._record_ended(stream)
+        elif not stream.has_reader():
             self._spawn(lambda: self._wait_for_caller(stream))
 
-    async def _wait_for_caller(self, stream: KeptStream) -> None:
+    async def _wait_for_caller(self, stream: StoredStream) -> None:
         """Read on for a moment without a caller, then give the stream up.
 
         A request with a key is read to its end, since its caller may ask again.
         """
         relay = stream.relay
         is_keyed = relay.attempts.request.repeatability is Repeatability.KEYED
-        async with stream.hold():
+        async with stream.take_over():
             with trio.CancelScope() as scope:
                 if not is_keyed:
                     grace_s = self._limits.resume_grace_ms / 1000
@@ -139,19 +143,19 @@
                     if not is_keyed and not relay.buffer.has_room():
                         await trio.sleep_forever()
                     await relay.read()
-            relay.give_up("the caller went away")
+            relay.abort("the caller went away")
             await relay.close()
-        self.let_go(stream)
+        self.release_stream(stream)
 
-    def _note_ended(self, stream: KeptStream) -> None:
+    def _record_ended(self, stream: StoredStream) -> None:
         request_id = stream.relay.attempts.request.request_id
         if self._live.pop(request_id, None) is None:
             return
         self._ended[request_id] = (stream, trio.current_time() * 1000)
-        self._ended_bytes += stream.relay.buffer.held_bytes
-        self._purge()
+        self._ended_bytes += stream.relay.buffer.buffered_bytes
+        self._evict()
 
-    def _purge(self) -> None:
+    def _evict(self) -> None:
         oldest_ms = trio.current_time() * 1000 - self._limits.replay_keep_ms
         while self._ended:
             stream, ended_ms = next(iter(self._ended.values()))
@@ -159,4 +163,4 @@
             if is_fitting and ended_ms >= oldest_ms:
                 return
             self._ended.popitem(last=False)
-            self._ended_bytes -= stream.relay.buffer.held_bytes
+            self._ended_bytes -= stream.relay.buffer.buffered_bytes
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_roles.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_roles.py
@@ -28,7 +28,7 @@
 from toucanyard.orders import PoolOrders
 from toucanyard.snapshots import encode_snapshot
 from toucanyard.vm_view import Vm
-from toucanyard_node.endpoint_answers import decode_events
+from toucanyard_node.endpoint_responses import decode_events
 from toucanyard_node.http_client import Response
 from toucanyard_node.vm_list import VmListBody
 from toucanyard_standins import bench_placement_cost as placement_cost, key_slopes
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -41,7 +41,7 @@
     Request,
     Verdict,
 )
-from toucanyard_node.callers_face import CallersFace, find_server_limits
+from toucanyard_node.client_server import ClientServer, find_server_limits
 from toucanyard_node.core_messages import (
     Abandon,
     CoreClient,
@@ -202,7 +202,7 @@
         self.drain = DrainState()
         self._connect = connect_face
         identity = NodeIdentity(NodeName("n1"), Incarnation("x7"))
-        self.face = CallersFace(
+        self.face = ClientServer(
             core.client, options, identity, self._locate, self.drain, connect_engine
         )
         self.server = HttpServer(self.face.handle, find_server_limits(options))
--- a/tests/support/operators.py
+++ b/tests/support/operators.py
@@ -29,7 +29,7 @@
 from toucanyard_node.http_server import (
     ServerLimits,
 )
-from toucanyard_node.operators_face import OperatorsFace
+from toucanyard_node.operator_server import OperatorServer
 
 BOOTSTRAP_KEY = "key-of-the-first-hour"
 OPERATOR_KEY = "key-of-ana"
@@ -60,7 +60,7 @@
         )
         self.drain = DrainState()
         self.task = CoreTask(options, Incarnation("x7"), outputs)
-        self.face = OperatorsFace(self.task, options, self.drain)
+        self.face = OperatorServer(self.task, options, self.drain)
         network.serve(ADDRESS, self.face.handle, ServerLimits())
 
     async def run(self) -> None:
--- a/tests/toucanyard_node/test_callers_fuzz.py
+++ b/tests/toucanyard_node/test_callers_fuzz.py
@@ -26,7 +26,7 @@
 HEAD = b"Host: a\r\nAuthorization: Bearer " + KEY.encode() + b"\r\n"
 
 
-def run_served(check: Callable[[ServedFace], Awaitable[None]]) -> None:
+def run_against_server(check: Callable[[ServedFace], Awaitable[None]]) -> None:
     """Run a check against a face with one engine; then ask as another caller."""
 
     async def run() -> None:
@@ -78,7 +78,7 @@
         assert not answer or answer.startswith(b"HTTP/1.1 ")
         assert statuses <= {100, 200, *REFUSALS}
 
-    run_served(check)
+    run_against_server(check)
 
 
 NUMBERS = ["0", "1", "-1", "9" * 9, "9" * 15, "9" * 5_000, "1e3", "\u00b2", ""]
@@ -156,4 +156,4 @@
         if answer.status >= 400 and method != "HEAD":
             check_refusal(answer)
 
-    run_served(check)
+    run_against_server(check)
--- a/tests/toucanyard_node/test_callers_face.py
+++ b/tests/toucanyard_node/test_client_server.py
@@ -32,9 +32,9 @@
 
 TOKENS = (" uno", " dos")
 CHAT = "/v1/chat/completions"
-ONCE = (*AUTHORIZED, ("X-Run-Once", "true"))
-SOON = (*AUTHORIZED, ("X-Deadline-Ms", "200"))
-ONCE_SOON = (*ONCE, ("X-Deadline-Ms", "200"))
+RUN_ONCE_HEADERS = (*AUTHORIZED, ("X-Run-Once", "true"))
+SHORT_DEADLINE_HEADERS = (*AUTHORIZED, ("X-Deadline-Ms", "200"))
+RUN_ONCE_SHORT_DEADLINE_HEADERS = (*RUN_ONCE_HEADERS, ("X-Deadline-Ms", "200"))
 
 
 def read_error(answer: Response) -> dict[str, Any]:
@@ -99,9 +99,9 @@
         assert (answer.status, error["code"]) == (status, code)
         assert error["not_run"] is True
         assert "retry-after" not in answer.headers
-        (told,) = served.core.turned_away
-        assert told.refusal.request_id == answer.headers["x-request-id"]
-        assert told.refusal.kind == code
+        (rejection,) = served.core.turned_away
+        assert rejection.refusal.request_id == answer.headers["x-request-id"]
+        assert rejection.refusal.kind == code
 
 
 async def test_stranger_leaves_no_record() -> None:
@@ -170,7 +170,7 @@
         assert answer.headers["content-type"] == kept.content_type
 
 
-async def ask_soon(served: ServedFace, headers: Headers) -> dict[str, Any]:
+async def ask_with_deadline(served: ServedFace, headers: Headers) -> dict[str, Any]:
     answer = await served.complete(is_stream=False, headers=headers)
     error = read_error(answer)
     if error["retry_after_ms"] is not None:
@@ -181,10 +181,10 @@
 @pytest.mark.parametrize(
     ("headers", "is_queued", "code", "is_not_run"),
     [
-        (SOON, True, "deadline_exceeded", True),
-        (ONCE_SOON, True, "deadline_exceeded", True),
-        (SOON, False, "deadline_exceeded", False),
-        (ONCE_SOON, False, "outcome_unknown", False),
+        (SHORT_DEADLINE_HEADERS, True, "deadline_exceeded", True),
+        (RUN_ONCE_SHORT_DEADLINE_HEADERS, True, "deadline_exceeded", True),
+        (SHORT_DEADLINE_HEADERS, False, "deadline_exceeded", False),
+        (RUN_ONCE_SHORT_DEADLINE_HEADERS, False, "outcome_unknown", False),
     ],
 )
 async def test_deadline(
@@ -202,7 +202,7 @@
     async with serve_in_memory([engine]) as served:
         served.core.is_waiting = is_queued
         begun_s = trio.current_time()
-        error = await ask_soon(served, headers)
+        error = await ask_with_deadline(served, headers)
         assert (error["code"], error["not_run"]) == (code, is_not_run)
         assert trio.current_time() - begun_s == pytest.approx(0.2, abs=0.01)
 
@@ -210,9 +210,27 @@
 @pytest.mark.parametrize(
     ("step", "headers", "code", "is_not_run", "ending"),
     [
-        (Step(status=503), ONCE, "no_endpoint", True, DispatchEnding.REFUSED),
-        (Step(status=412), ONCE, "no_endpoint", True, DispatchEnding.REFUSED),
-        (Step(status=500), ONCE, "outcome_unknown", False, DispatchEnding.FAILED),
+        (
+            Step(status=503),
+            RUN_ONCE_HEADERS,
+            "no_endpoint",
+            True,
+            DispatchEnding.REFUSED,
+        ),
+        (
+            Step(status=412),
+            RUN_ONCE_HEADERS,
+            "no_endpoint",
+            True,
+            DispatchEnding.REFUSED,
+        ),
+        (
+            Step(status=500),
+            RUN_ONCE_HEADERS,
+            "outcome_unknown",
+            False,
+            DispatchEnding.FAILED,
+        ),
         (Step(status=500), AUTHORIZED, "endpoint_lost", False, DispatchEnding.FAILED),
     ],
 )
@@ -240,7 +258,7 @@
     async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
         assert served.network is not None
         served.network.remove(served.core.addresses[0])
-        answer = await served.complete(headers=ONCE)
+        answer = await served.complete(headers=RUN_ONCE_HEADERS)
         assert read_error(answer)["not_run"] is True
         assert served.core.find_endings() == [DispatchEnding.NOT_SENT]
 
@@ -295,7 +313,7 @@
     async with serve_in_memory([engine]) as served:
         await served.complete()
         await served.complete()
-        await served.complete(headers=ONCE)
+        await served.complete(headers=RUN_ONCE_HEADERS)
         assert served.network is not None
         opened = served.network.opened.count(served.core.addresses[0])
         assert opened == 2
--- a/tests/toucanyard_node/test_endpoint_answers.py
+++ b/tests/toucanyard_node/test_endpoint_responses.py
@@ -9,8 +9,8 @@
 import pytest
 from hypothesis import example, given, settings, strategies as st
 
-from toucanyard_node.endpoint_answers import (
-    AnswerInvalidError,
+from toucanyard_node.endpoint_responses import (
+    InvalidResponseError,
     decode_dump,
     decode_events,
     decode_load,
@@ -25,12 +25,12 @@
 def test_malformed_answers_are_refused(body: bytes) -> None:
     response = Response(200, {}, body)
     for decode in (decode_load, decode_events, decode_dump):
-        with pytest.raises(AnswerInvalidError):
+        with pytest.raises(InvalidResponseError):
             decode(response)
     dump = b'{"incarnation":"i","next":1,"hashes":["xyz"]}'
-    with pytest.raises(AnswerInvalidError):
+    with pytest.raises(InvalidResponseError):
         decode_dump(Response(200, {}, dump))
-    with pytest.raises(AnswerInvalidError):
+    with pytest.raises(InvalidResponseError):
         decode_load(Response(503, {}, b""))
 
 
@@ -76,17 +76,17 @@
     """Numbers that an endpoint makes up are weighed with others in the core. One that
     no float holds would raise there, and end the node."""
     response = Response(200, {}, body)
-    with suppress(AnswerInvalidError):
+    with suppress(InvalidResponseError):
         report = decode_load(response)
         numbers = msgspec.structs.astuple(report)
         assert all(0 <= each < 2**53 for each in numbers if not isinstance(each, str))
-    with suppress(AnswerInvalidError):
+    with suppress(InvalidResponseError):
         events = decode_events(response)
         assert 0 <= events.oldest < 2**53 and 0 <= events.next < 2**53
         assert all(0 <= each.seq < 2**53 for each in events.events)
         hashes = [block for each in events.events for block in each.hashes]
         assert all(0 <= block < 2**64 for block in hashes)
-    with suppress(AnswerInvalidError):
+    with suppress(InvalidResponseError):
         dump = decode_dump(response)
         assert 0 <= dump.next < 2**53
         assert all(0 <= block < 2**64 for block in dump.hashes)
--- a/tests/toucanyard_node/test_endpoint_watch.py
+++ b/tests/toucanyard_node/test_endpoint_watch.py
@@ -18,7 +18,7 @@
 from toucanyard.options import MembershipTimings
 from toucanyard_node.endpoint_watch import (
     EndpointWatch,
-    Watched,
+    WatchedEndpoint,
     WatchEvent,
     compute_poll_wait_ms,
 )
@@ -78,7 +78,7 @@
         await responder.send(200, (), msgspec.json.encode(body))
 
 
-class Scene:
+class WatchFixture:
     """One watch and one engine on a network in memory."""
 
     def __init__(
@@ -89,17 +89,17 @@
         self.network.serve(ENDPOINT.address, self.engine.handle)
         self.events: list[WatchEvent] = []
         self.count_of_endpoints = 1
-        self.wanted = [Watched(ENDPOINT, is_engine=True, is_followed=True)]
+        self.wanted = [WatchedEndpoint(ENDPOINT, is_engine=True, is_followed=True)]
         self.watch = EndpointWatch(
             lambda: (self.wanted, self.count_of_endpoints),
             timings,
-            self.note,
+            self.record_event,
             self.network.connect,
             random.Random(1),
         )
         nursery.start_soon(self.watch.run)
 
-    async def note(self, event: WatchEvent) -> None:
+    async def record_event(self, event: WatchEvent) -> None:
         self.events.append(event)
 
     def count(self, kind: type[WatchEvent]) -> int:
@@ -110,19 +110,19 @@
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
+        fixture = WatchFixture(nursery)
         await trio.sleep(2)
-        assert 6 <= scene.count(LoadRead) <= 9
-        assert scene.count(EndpointPollFailed) == 0
-        assert scene.engine.asked_after[:3] == ["-1", "3", "3"]
-        await scene.watch.read_dump(ENDPOINT.name)
-        dump = next(each for each in scene.events if isinstance(each, CacheDumpRead))
+        assert 6 <= fixture.count(LoadRead) <= 9
+        assert fixture.count(EndpointPollFailed) == 0
+        assert fixture.engine.asked_after[:3] == ["-1", "3", "3"]
+        await fixture.watch.read_dump(ENDPOINT.name)
+        dump = next(each for each in fixture.events if isinstance(each, CacheDumpRead))
         assert dump.dump.hashes == (10,)
-        scene.wanted = []
+        fixture.wanted = []
         await trio.sleep(1)
-        seen = len(scene.events)
+        seen = len(fixture.events)
         await trio.sleep(1)
-        assert len(scene.events) == seen
+        assert len(fixture.events) == seen
         nursery.cancel_scope.cancel()
 
 
@@ -132,14 +132,14 @@
     """An engine restarts and numbers its events anew. Asked for what comes after the
     old numbers it would stay mute for long, and its cache look empty."""
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
+        fixture = WatchFixture(nursery)
         await trio.sleep(1)
-        scene.engine.incarnation, scene.engine.seq = "i2", 0
-        scene.events.clear()
-        scene.engine.asked_after.clear()
+        fixture.engine.incarnation, fixture.engine.seq = "i2", 0
+        fixture.events.clear()
+        fixture.engine.asked_after.clear()
         await trio.sleep(2)
-        assert "-1" in scene.engine.asked_after
-        read = [each for each in scene.events if isinstance(each, CacheEventsRead)]
+        assert "-1" in fixture.engine.asked_after
+        read = [each for each in fixture.events if isinstance(each, CacheEventsRead)]
         assert read[-1].events.incarnation == "i2"
         nursery.cancel_scope.cancel()
 
@@ -150,16 +150,16 @@
     """The connection kept for polls goes silent while new ones work. Reporting the
     endpoint as silent would take it out of use for nothing."""
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
+        fixture = WatchFixture(nursery)
         await trio.sleep(1)
-        scene.engine.hangs = True
+        fixture.engine.hangs = True
         await trio.sleep(0.4)
-        scene.engine.hangs = False
+        fixture.engine.hangs = False
         await trio.sleep(2)
-        assert scene.count(EndpointPollFailed) == 0
-        scene.engine.hangs = True
+        assert fixture.count(EndpointPollFailed) == 0
+        fixture.engine.hangs = True
         await trio.sleep(3)
-        assert scene.count(EndpointPollFailed) >= 2
+        assert fixture.count(EndpointPollFailed) >= 2
         nursery.cancel_scope.cancel()
 
 
@@ -167,10 +167,10 @@
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
-        scene.network.remove(ENDPOINT.address)
+        fixture = WatchFixture(nursery)
+        fixture.network.remove(ENDPOINT.address)
         await trio.sleep(1)
-        assert scene.count(EndpointPollFailed) >= 4
+        assert fixture.count(EndpointPollFailed) >= 4
         nursery.cancel_scope.cancel()
 
 
@@ -181,18 +181,18 @@
     # node reads in part, skips what it missed, and its view turns doubtful; reading on
     # where it stopped would take all of it in, only later.
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
-        scene.count_of_endpoints = 4_400
-        scene.engine.events_per_answer = 80
+        fixture = WatchFixture(nursery)
+        fixture.count_of_endpoints = 4_400
+        fixture.engine.events_per_answer = 80
         await trio.sleep(300)
         allowed = TIMINGS.max_shared_event_bytes_per_s
-        assert 0 < scene.engine.event_bytes <= allowed * 310 + 16_384
-        assert scene.count(LoadRead) >= 900
-        read = [each for each in scene.events if isinstance(each, CacheEventsRead)]
+        assert 0 < fixture.engine.event_bytes <= allowed * 310 + 16_384
+        assert fixture.count(LoadRead) >= 900
+        read = [each for each in fixture.events if isinstance(each, CacheEventsRead)]
         assert not read[0].events.events
         assert read[0].events.next == 4
         assert any(each.events.events for each in read)
-        assert scene.engine.asked_after.count(scene.engine.asked_after[0]) >= 3
+        assert fixture.engine.asked_after.count(fixture.engine.asked_after[0]) >= 3
         nursery.cancel_scope.cancel()
 
 
@@ -203,15 +203,15 @@
     # is cut off, and without a memory of its size each try would take the bound up.
     timings = msgspec.structs.replace(TIMINGS, max_shared_event_bytes_per_s=2_000)
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery, timings)
-        scene.count_of_endpoints = 4_400
-        scene.engine.dump_blocks = 50_000
+        fixture = WatchFixture(nursery, timings)
+        fixture.count_of_endpoints = 4_400
+        fixture.engine.dump_blocks = 50_000
         await trio.sleep(60)
         for _ in range(60):
-            await scene.watch.read_dump(ENDPOINT.name)
+            await fixture.watch.read_dump(ENDPOINT.name)
             await trio.sleep(1)
-        assert scene.engine.dumps == 1
-        assert scene.count(CacheDumpRead) == 0
+        assert fixture.engine.dumps == 1
+        assert fixture.count(CacheDumpRead) == 0
         nursery.cancel_scope.cancel()
 
 
@@ -219,13 +219,13 @@
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
-        scene.wanted = [Watched(ENDPOINT, is_engine=True, is_followed=False)]
+        fixture = WatchFixture(nursery)
+        fixture.wanted = [WatchedEndpoint(ENDPOINT, is_engine=True, is_followed=False)]
         await trio.sleep(2)
-        assert scene.count(LoadRead) >= 6
-        assert not scene.engine.asked_after
-        await scene.watch.read_dump(ENDPOINT.name)
-        assert not scene.engine.dumps
+        assert fixture.count(LoadRead) >= 6
+        assert not fixture.engine.asked_after
+        await fixture.watch.read_dump(ENDPOINT.name)
+        assert not fixture.engine.dumps
         nursery.cancel_scope.cancel()
 
 
@@ -243,17 +243,17 @@
     # within seconds; polling on at that rate took a tenth of a core where many are
     # dead. Once it answers, it is polled as before.
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
-        scene.network.remove(ENDPOINT.address)
+        fixture = WatchFixture(nursery)
+        fixture.network.remove(ENDPOINT.address)
         await trio.sleep(5)
-        assert scene.count(EndpointPollFailed) >= 15
+        assert fixture.count(EndpointPollFailed) >= 15
         await trio.sleep(60)
-        before = scene.count(EndpointPollFailed)
+        before = fixture.count(EndpointPollFailed)
         await trio.sleep(60)
-        assert 25 <= scene.count(EndpointPollFailed) - before <= 35
-        scene.network.serve(ENDPOINT.address, scene.engine.handle)
+        assert 25 <= fixture.count(EndpointPollFailed) - before <= 35
+        fixture.network.serve(ENDPOINT.address, fixture.engine.handle)
         await trio.sleep(10)
-        assert scene.count(LoadRead) >= 25
+        assert fixture.count(LoadRead) >= 25
         nursery.cancel_scope.cancel()
 
 
@@ -264,12 +264,12 @@
     loads and caches are read it places by hash alone; in a herd, all nodes do so and
     heap what arrives on a few endpoints."""
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
-        wanted, scene.wanted = scene.wanted, []
+        fixture = WatchFixture(nursery)
+        wanted, fixture.wanted = fixture.wanted, []
         await trio.sleep(1.03)
-        scene.wanted = wanted
+        fixture.wanted = wanted
         await trio.sleep(0.02)
-        assert scene.count(LoadRead) == 1
+        assert fixture.count(LoadRead) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -280,7 +280,7 @@
     # more of a core than everything else that an idle node does.
     looks = 0
 
-    def find_nothing() -> tuple[list[Watched], int]:
+    def find_nothing() -> tuple[list[WatchedEndpoint], int]:
         nonlocal looks
         looks += 1
         return [], 0
@@ -307,18 +307,20 @@
     fails alone is still polled at the full rate, so that its death is noticed as fast.
     """
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
-        scene.count_of_endpoints = 4_400
-        scene.network.remove(ENDPOINT.address)
+        fixture = WatchFixture(nursery)
+        fixture.count_of_endpoints = 4_400
+        fixture.network.remove(ENDPOINT.address)
         await trio.sleep(2)
-        assert scene.count(EndpointPollFailed) >= 7
+        assert fixture.count(EndpointPollFailed) >= 7
         others = [
             msgspec.structs.replace(ENDPOINT, name=EndpointName(f"e{number}"))
             for number in range(40)
         ]
-        scene.wanted = [Watched(each, True, is_followed=False) for each in others]
+        fixture.wanted = [
+            WatchedEndpoint(each, True, is_followed=False) for each in others
+        ]
         await trio.sleep(6)
-        before = scene.count(EndpointPollFailed)
+        before = fixture.count(EndpointPollFailed)
         await trio.sleep(10)
-        assert 100 <= scene.count(EndpointPollFailed) - before <= 170
+        assert 100 <= fixture.count(EndpointPollFailed) - before <= 170
         nursery.cancel_scope.cancel()
--- a/tests/toucanyard_node/test_log_client.py
+++ b/tests/toucanyard_node/test_log_client.py
@@ -100,7 +100,7 @@
         nursery.cancel_scope.cancel()
 
 
-class OddLog:
+class MisbehavingLog:
     """Answer reads with some bodies first, then from records; record 1 is huge."""
 
     def __init__(self, bodies: list[bytes]) -> None:
@@ -130,7 +130,7 @@
     async with trio.open_nursery() as nursery:
         listener = await open_listener("127.0.0.1", 0)
         bodies = [b"[" * 100_000, b'{"oldest":0,"next":-1}', b"\xff"]
-        server = HttpServer(OddLog(bodies).handle, ServerLimits())
+        server = HttpServer(MisbehavingLog(bodies).handle, ServerLimits())
         nursery.start_soon(server.serve, listener)
         address = Address(f"127.0.0.1:{find_port(listener)}")
         nursery.start_soon(follow_log, address, 10, events.append)
--- a/tests/toucanyard_node/test_log_writer.py
+++ b/tests/toucanyard_node/test_log_writer.py
@@ -36,7 +36,7 @@
 LIMITS = ClaimLimits(append_timeout_ms=200, max_appends_per_s=100)
 
 
-class Log:
+class FakeLog:
     """Answer appends and reads with what a test has lined up."""
 
     def __init__(self) -> None:
@@ -64,14 +64,14 @@
         await send_json(responder, 200, ReadBody(self.oldest, end, records))
 
 
-async def start_log(nursery: trio.Nursery, log: Log) -> Address:
+async def start_log(nursery: trio.Nursery, log: FakeLog) -> Address:
     listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
     server = HttpServer(log.handle, ServerLimits())
     nursery.start_soon(server.serve, listener)
     return Address(f"127.0.0.1:{find_port(listener)}")
 
 
-async def append_through(log: Log, count: int) -> list[AppendSettled]:
+async def append_through(log: FakeLog, count: int) -> list[AppendSettled]:
     settled: list[AppendSettled] = []
     send, receive = trio.open_memory_channel[AppendToLog](100)
     async with trio.open_nursery() as nursery:
@@ -87,7 +87,7 @@
 
 
 async def test_records_that_wait_share_one_append() -> None:
-    log = Log()
+    log = FakeLog()
     settled = await append_through(log, 3)
     assert log.bodies == [("t0", "t1", "t2")]
     assert settled == [AppendSettled(("r0", "r1", "r2"), AppendResult.DONE)]
@@ -99,7 +99,7 @@
     Nothing was appended, so sending the same batch again is safe; giving the claims
     up instead would refuse callers for a moment's congestion.
     """
-    log = Log()
+    log = FakeLog()
     log.statuses = [429, 200]
     settled = await append_through(log, 1)
     assert len(log.bodies) == 2
@@ -112,7 +112,7 @@
     Sent again, the claims would stand twice; called refused, a caller could be told
     that a request did not run whose claim stands. So the result is unknown.
     """
-    log = Log()
+    log = FakeLog()
     log.statuses = [0]
     settled = await append_through(log, 1)
     assert len(log.bodies) == 1
@@ -120,7 +120,7 @@
 
 
 async def test_append_refused_in_an_outage_has_no_effect() -> None:
-    log = Log()
+    log = FakeLog()
     log.statuses = [503]
     settled = await append_through(log, 1)
     assert settled[0].result is AppendResult.REFUSED
@@ -139,7 +139,7 @@
 
     Otherwise its own claim, read next, would look like the first one of its key.
     """
-    log = Log()
+    log = FakeLog()
     log.oldest = 7
     events: list[LogEvent] = []
     async with trio.open_nursery() as nursery:
--- a/tests/toucanyard_node/test_metrics.py
+++ b/tests/toucanyard_node/test_metrics.py
@@ -36,7 +36,7 @@
 PAGE = Path(__file__).parents[2] / "docs" / "operators" / "metrics.md"
 
 
-def make_core(customers: int = 1) -> NodeCore:
+def build_core(customers: int = 1) -> NodeCore:
     listen, platform = ListenOptions(ANY, ANY, ANY), PlatformOptions(ANY, ANY)
     options = Options(NodeName("n.1"), DomainName("d"), listen, platform, ("s",))
     core = NodeCore(options, Incarnation("i"), random.Random(1))
@@ -68,7 +68,7 @@
         options = StatsdOptions(address, interval_ms=10)
         begin = f"toucanyard.{clean_name('n.1')}"
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(send_metrics, options, make_core())
+            nursery.start_soon(send_metrics, options, build_core())
             lines: list[str] = []
             with trio.fail_after(10):
                 while f"{begin}.refused.overloaded:1|c" not in lines:
@@ -101,8 +101,8 @@
 
 
 async def test_names_are_bounded_by_the_busiest() -> None:
-    few = await collect_metrics(make_core(MAX_GROUPS), 0.0)
-    many = await collect_metrics(make_core(MAX_GROUPS + 20), 0.0)
+    few = await collect_metrics(build_core(MAX_GROUPS), 0.0)
+    many = await collect_metrics(build_core(MAX_GROUPS + 20), 0.0)
     assert len(few) == len(many)
     names = {metric.name for metric in many}
     assert f"customers.c{MAX_GROUPS + 19}.chat.answers" in names
@@ -112,18 +112,18 @@
 async def test_others_run_between_groups() -> None:
     # Quantiles of many customers take long; without a pause between them no stream
     # would get an event meanwhile.
-    turns = 0
+    task_switches = 0
 
-    async def count_turns() -> None:
-        nonlocal turns
+    async def count_task_switches() -> None:
+        nonlocal task_switches
         while True:
-            turns += 1
+            task_switches += 1
             await trio.lowlevel.checkpoint()
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(count_turns)
-        await collect_metrics(make_core(MAX_GROUPS), 0.0)
-        assert turns >= MAX_GROUPS - 1
+        nursery.start_soon(count_task_switches)
+        await collect_metrics(build_core(MAX_GROUPS), 0.0)
+        assert task_switches >= MAX_GROUPS - 1
         nursery.cancel_scope.cancel()
 
 
@@ -136,7 +136,7 @@
 
 async def test_the_page_lists_every_metric() -> None:
     page = PAGE.read_text()
-    for metric in await collect_metrics(make_core(), 0.0):
+    for metric in await collect_metrics(build_core(), 0.0):
         name = metric.name.replace("customers.c0.chat.", "customers.CUSTOMER.CLASS.")
         name = name.replace("refused.overloaded", "refused.CODE")
         name = re.sub(r"\.(p50|p95|p99|max)$", ".QUANTILE", name)
--- a/tests/toucanyard_node/test_model_requests.py
+++ b/tests/toucanyard_node/test_model_requests.py
@@ -55,6 +55,6 @@
         assert error.kind in (ErrorKind.BAD_REQUEST, ErrorKind.NOT_FOUND)
         return
     assert call.target.max_tokens >= 1
-    if not call.is_plain_only:
+    if not call.requires_plain_answer:
         rendered = render_engine_body(call, True, generated, 1)
         assert isinstance(msgspec.json.decode(rendered), dict)
--- a/tests/toucanyard_node/test_no_configuration.py
+++ b/tests/toucanyard_node/test_no_configuration.py
@@ -9,7 +9,7 @@
 from toucanyard_node.credentials import CustomerIndex, compute_key_hash
 from toucanyard_node.refusals import render_refusal
 
-GOOD = {"authorization": "Bearer key-of-rio"}
+VALID_HEADERS = {"authorization": "Bearer key-of-rio"}
 RIO = Customer(CustomerName("rio"), (compute_key_hash("key-of-rio"),))
 
 
@@ -21,13 +21,13 @@
     """
     index = CustomerIndex()
     with pytest.raises(RouterError) as caught:
-        index.authenticate(Configuration(), GOOD)
+        index.authenticate(Configuration(), VALID_HEADERS)
     assert caught.value.kind is ErrorKind.NO_CONFIGURATION
     rendered = render_refusal(build_refusal(caught.value, RequestId("r")))
     assert rendered.status == 503
     assert ("Retry-After", "1") in rendered.headers
     known = Configuration(version=1, customers=(RIO,))
-    assert index.authenticate(known, GOOD) == RIO
+    assert index.authenticate(known, VALID_HEADERS) == RIO
 
 
 def test_unknown_key_is_refused_once_there_is_a_configuration() -> None:
--- a/tests/toucanyard_node/test_order_sender.py
+++ b/tests/toucanyard_node/test_order_sender.py
@@ -27,7 +27,7 @@
 ORDER = Order("o1", 7, OrderKind.LOAD, "m", weights_version="w2")
 
 
-class Scene:
+class SenderFixture:
     """One endpoint that answers, refuses or never answers, and a sender."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
@@ -38,10 +38,10 @@
         self.network = MemoryNetwork(nursery)
         self.network.serve(ADDRESS, self.handle)
         self.actions, actions = trio.open_memory_channel[SendOrder | ReadState](9)
-        sender = OrderSender(self.note, self.network.connect)
+        sender = OrderSender(self.record_event, self.network.connect)
         nursery.start_soon(sender.run, actions)
 
-    async def note(self, event: OrderEvent) -> None:
+    async def record_event(self, event: OrderEvent) -> None:
         self.events.append(event)
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
@@ -68,19 +68,19 @@
 
 async def test_outcomes_are_told_apart(autojump_clock: trio.testing.MockClock) -> None:
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
+        fixture = SenderFixture(nursery)
         far_ms = trio.current_time() * 1000 + 9e9
-        assert await scene.order(far_ms) is OrderOutcome.DONE
-        sent = msgspec.json.decode(scene.orders[0], type=Order)
+        assert await fixture.order(far_ms) is OrderOutcome.DONE
+        sent = msgspec.json.decode(fixture.orders[0], type=Order)
         assert sent == ORDER
-        scene.refusal = "stale_fence"
-        assert await scene.order(far_ms) is OrderOutcome.STALE_FENCE
-        scene.refusal = "?"
-        assert await scene.order(far_ms) is OrderOutcome.LOST
-        scene.hangs = True
-        assert await scene.order(far_ms) is OrderOutcome.LOST
-        scene.network.remove(ADDRESS)
-        assert await scene.order(far_ms) is OrderOutcome.NOT_SENT
+        fixture.refusal = "stale_fence"
+        assert await fixture.order(far_ms) is OrderOutcome.STALE_FENCE
+        fixture.refusal = "?"
+        assert await fixture.order(far_ms) is OrderOutcome.LOST
+        fixture.hangs = True
+        assert await fixture.order(far_ms) is OrderOutcome.LOST
+        fixture.network.remove(ADDRESS)
+        assert await fixture.order(far_ms) is OrderOutcome.NOT_SENT
         nursery.cancel_scope.cancel()
 
 
@@ -90,20 +90,20 @@
     """The process was paused between deciding and sending, and the lease ended. The
     order must not leave: another holder may be at work."""
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
+        fixture = SenderFixture(nursery)
         now_ms = trio.current_time() * 1000
-        assert await scene.order(now_ms - 1) is OrderOutcome.NOT_SENT
-        assert scene.orders == []
+        assert await fixture.order(now_ms - 1) is OrderOutcome.NOT_SENT
+        assert fixture.orders == []
         nursery.cancel_scope.cancel()
 
 
 async def test_states_are_read(autojump_clock: trio.testing.MockClock) -> None:
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
+        fixture = SenderFixture(nursery)
         for _ in range(2):
-            await scene.actions.send(ReadState(NAME, ADDRESS))
+            await fixture.actions.send(ReadState(NAME, ADDRESS))
         await trio.sleep(2)
-        event, _ = scene.events
+        event, _ = fixture.events
         assert isinstance(event, StateRead)
         assert event.state.weights_version == "w1"
         nursery.cancel_scope.cancel()
--- a/tests/toucanyard_node/test_service_face.py
+++ b/tests/toucanyard_node/test_service_handler.py
@@ -26,7 +26,7 @@
 from toucanyard.names import Address
 from toucanyard.requests import DispatchEnding, Repeatability
 from toucanyard_node.http_client import Headers, Response
-from toucanyard_node.service_face import find_call_repeatability
+from toucanyard_node.service_handler import find_call_repeatability
 from toucanyard_standins.plain_service import (
     CrossAnswers,
     DelayAnswers,
@@ -36,7 +36,7 @@
 )
 
 HOLDS = "/v1/services/desk/holds?seat=4"
-KEYED = (*AUTHORIZED, ("Idempotency-Key", "k1"))
+KEYED_HEADERS = (*AUTHORIZED, ("Idempotency-Key", "k1"))
 
 
 @asynccontextmanager
@@ -75,7 +75,7 @@
         assert body["request_id"] == answer.headers["x-request-id"]
 
 
-@pytest.mark.parametrize("headers", [AUTHORIZED, KEYED])
+@pytest.mark.parametrize("headers", [AUTHORIZED, KEYED_HEADERS])
 async def test_death_after_execution(headers: Headers) -> None:
     """A replica makes the hold and dies before its answer.
 
@@ -99,7 +99,7 @@
         assert await count_executions(addresses) == [1, 1]
 
 
-@pytest.mark.parametrize("headers", [AUTHORIZED, KEYED])
+@pytest.mark.parametrize("headers", [AUTHORIZED, KEYED_HEADERS])
 async def test_refusing_replica_of_a_call_that_may_run_once(headers: Headers) -> None:
     """A replica answers 503, which it may also do after it has made a hold.
 
@@ -152,7 +152,7 @@
     """The caller of a keyed call hangs up; the answer is kept for its next try."""
     async with serve_desk() as (served, addresses):
         await control(addresses[0], DelayAnswers(delay_ms=50))
-        connection = await served.open("POST", HOLDS, KEYED, {"seat": 4})
+        connection = await served.open("POST", HOLDS, KEYED_HEADERS, {"seat": 4})
         while not served.core.requests:
             await trio.sleep(0.001)
         await connection.close()
@@ -180,7 +180,9 @@
         assert served.network is not None
         served.network.connect_delay_s = 0.2
         first = (("X-Key-Age-Ms", "0"), ("X-Deadline-Ms", "100"))
-        answer = await served.ask("POST", target, (*KEYED, *first), build_completion())
+        answer = await served.ask(
+            "POST", target, (*KEYED_HEADERS, *first), build_completion()
+        )
         error = read_error(answer)
         assert (error["code"], error["not_run"]) == ("deadline_exceeded", True)
         await trio.sleep(1)
@@ -199,7 +201,7 @@
     """
     engine = ScriptedEngine(("a", "b"), Step(head_delay_s=0.2))
     async with serve_in_memory([engine]) as served:
-        headers = (*KEYED, ("X-Deadline-Ms", "100"))
+        headers = (*KEYED_HEADERS, ("X-Deadline-Ms", "100"))
         answer = await served.ask(
             "POST", "/v1/completions", headers, build_completion()
         )
@@ -235,7 +237,7 @@
         assert counters.by_key == {"ñandú": 1}
 
 
-@pytest.mark.parametrize("headers", [AUTHORIZED, KEYED])
+@pytest.mark.parametrize("headers", [AUTHORIZED, KEYED_HEADERS])
 @pytest.mark.parametrize("target", [HOLDS, "/v1/completions"])
 async def test_fault_gives_the_place_back(headers: Headers, target: str) -> None:
     """A fault of the node's own ends a request after the core has placed it.
--- a/tests/toucanyard_node/test_stream_ends.py
+++ b/tests/toucanyard_node/test_stream_ends.py
@@ -19,14 +19,14 @@
 
 TOKENS = (" uno", " dos", " tres", " cuatro", " cinco")
 TEXT = "".join(TOKENS)
-LAST = len(TOKENS)
-ONCE = (*AUTHORIZED, ("X-Run-Once", "true"))
-KEYED = (*AUTHORIZED, ("Idempotency-Key", "k1"))
+LAST_NUMBER = len(TOKENS)
+RUN_ONCE_HEADERS = (*AUTHORIZED, ("X-Run-Once", "true"))
+KEYED_HEADERS = (*AUTHORIZED, ("Idempotency-Key", "k1"))
 ERROR = b'data: {"error": {"message": "out of memory"}}\n\n'
 
 
 def check_whole(body: bytes) -> None:
-    assert read_numbers(body) == list(range(LAST + 2))
+    assert read_numbers(body) == list(range(LAST_NUMBER + 2))
     assert read_text(body) == TEXT
     assert body.endswith(b"data: [DONE]\n\n")
     assert b"event: error" not in body
@@ -60,18 +60,18 @@
     The mark has no number, so a gap before it shows only by the missing reason. The
     node asks again; the stream would otherwise pass for whole without its end.
     """
-    engine = ScriptedEngine(TOKENS, Step(skip=LAST))
+    engine = ScriptedEngine(TOKENS, Step(skip=LAST_NUMBER))
     async with serve_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         (resumed,) = engine.find_requests("GET")
-        assert resumed.headers["last-event-id"] == str(LAST - 1)
+        assert resumed.headers["last-event-id"] == str(LAST_NUMBER - 1)
 
 
 async def test_end_that_never_has_its_last_event(autojump_clock: MockClock) -> None:
     """The last event is missing at each try. The tries are bounded, and the caller is
     told that the stream is incomplete."""
-    engine = ScriptedEngine(TOKENS, *[Step(skip=LAST)] * 20)
+    engine = ScriptedEngine(TOKENS, *[Step(skip=LAST_NUMBER)] * 20)
     async with serve_in_memory([engine]) as served:
         answer = await served.complete()
         assert read_text(answer.body) == TEXT
@@ -80,7 +80,7 @@
         assert len(engine.find_requests("GET")) == 5
 
 
-@pytest.mark.parametrize("headers", [ONCE, KEYED])
+@pytest.mark.parametrize("headers", [RUN_ONCE_HEADERS, KEYED_HEADERS])
 async def test_run_once_stream_whole_but_for_its_end(
     autojump_clock: MockClock, headers: Headers
 ) -> None:
@@ -89,14 +89,14 @@
     Everything was said, so the caller gets the end from the node; told that the
     outcome is unknown, it would have to ask a person about a hold that it has.
     """
-    steps = (Step(until=LAST + 1, then=Then.CUT), Step(status=404))
+    steps = (Step(until=LAST_NUMBER + 1, then=Then.CUT), Step(status=404))
     engine = ScriptedEngine(TOKENS, *steps)
     async with serve_in_memory([engine]) as served:
         answer = await served.complete(headers=headers)
         check_whole(answer.body)
         (outcome,) = served.core.outcomes
         assert outcome.ending is DispatchEnding.COMPLETED
-        assert (outcome.answer is not None) == (headers == KEYED)
+        assert (outcome.answer is not None) == (headers == KEYED_HEADERS)
 
 
 @pytest.mark.parametrize("many", [{"n": 2}, {"prompt": ["hola", "adios"]}, {"n": "x"}])
@@ -107,7 +107,7 @@
 
     The end of one is not the end of the stream, which would pass for whole.
     """
-    steps = (Step(until=LAST + 1, then=Then.CUT), Step(status=404))
+    steps = (Step(until=LAST_NUMBER + 1, then=Then.CUT), Step(status=404))
     engines = [ScriptedEngine(TOKENS, *steps), ScriptedEngine(TOKENS)]
     async with serve_in_memory(engines) as served:
         body = build_completion() | many
@@ -117,9 +117,9 @@
         assert b'"stream_incomplete"' in answer.body
 
 
-@pytest.mark.parametrize("left_s", [0.45, 1.05, 1.3])
+@pytest.mark.parametrize("hang_up_s", [0.45, 1.05, 1.3])
 async def test_caller_comes_back_while_engine_is_sought(
-    autojump_clock: MockClock, left_s: float
+    autojump_clock: MockClock, hang_up_s: float
 ) -> None:
     """The engine's connection is silent. While the node connects anew, or seeks another
     engine, the caller hangs up, and comes back.
@@ -136,12 +136,12 @@
         connection = await served.open("POST", "/v1/completions", AUTHORIZED, body)
         await connection.read_head()
         served.network.connect_delay_s = 0.5
-        await trio.sleep(left_s)
+        await trio.sleep(hang_up_s)
         await connection.close()
         served.network.connect_delay_s = 0.0
         resume = (*AUTHORIZED, ("Last-Event-ID", "0"))
         answer = await served.ask("GET", "/v1/streams/n1-x7-0", resume)
-        assert read_numbers(answer.body) == list(range(1, LAST + 2))
+        assert read_numbers(answer.body) == list(range(1, LAST_NUMBER + 2))
         assert read_text(answer.body) == "".join(TOKENS[1:])
         assert answer.body.endswith(b"data: [DONE]\n\n")
         assert served.core.find_endings()[-1] is DispatchEnding.COMPLETED
--- a/tests/toucanyard_node/test_stream_relay.py
+++ b/tests/toucanyard_node/test_stream_relay.py
@@ -19,8 +19,8 @@
 
 TOKENS = (" uno", " dos", " tres", " cuatro", " cinco")
 TEXT = "".join(TOKENS)
-ONCE = (*AUTHORIZED, ("X-Run-Once", "true"))
-KEYED = (*AUTHORIZED, ("Idempotency-Key", "k1"))
+RUN_ONCE_HEADERS = (*AUTHORIZED, ("X-Run-Once", "true"))
+KEYED_HEADERS = (*AUTHORIZED, ("Idempotency-Key", "k1"))
 
 
 def check_whole(body: bytes) -> None:
@@ -123,7 +123,7 @@
         assert not second.requests
 
 
-@pytest.mark.parametrize("headers", [ONCE, KEYED])
+@pytest.mark.parametrize("headers", [RUN_ONCE_HEADERS, KEYED_HEADERS])
 async def test_run_once_stream_ends_incomplete(
     autojump_clock: MockClock, headers: tuple[tuple[str, str], ...]
 ) -> None:
@@ -174,7 +174,7 @@
     first = ScriptedEngine((" ajeno",), Step(echo="n1-x7-999"))
     second = ScriptedEngine(TOKENS)
     async with serve_in_memory([first, second]) as served:
-        answer = await served.complete(headers=ONCE)
+        answer = await served.complete(headers=RUN_ONCE_HEADERS)
         error = msgspec.json.decode(answer.body)["error"]
         assert (error["code"], error["not_run"]) == ("outcome_unknown", False)
         assert not second.requests
--- a/tests/toucanyard_node/test_kept_streams.py
+++ b/tests/toucanyard_node/test_stream_store.py
@@ -25,7 +25,7 @@
 
 TOKENS = tuple(f" t{number}" for number in range(6))
 STREAM = "/v1/streams/n1-x7-0"
-KEYED = (*AUTHORIZED, ("Idempotency-Key", "k1"))
+KEYED_HEADERS = (*AUTHORIZED, ("Idempotency-Key", "k1"))
 
 
 async def open_and_read(
@@ -40,7 +40,7 @@
     return connection
 
 
-def after(number: int, key: str = "") -> Headers:
+def resume_headers(number: int, key: str = "") -> Headers:
     headers = AUTHORIZED if not key else (("Authorization", f"Bearer {key}"),)
     return (*headers, ("Last-Event-ID", str(number)))
 
@@ -56,7 +56,7 @@
         connection = await open_and_read(served, 4)
         await connection.close()
         await trio.sleep(0.1)
-        answer = await served.ask("GET", STREAM, after(1))
+        answer = await served.ask("GET", STREAM, resume_headers(1))
         assert read_numbers(answer.body) == [2, 3, 4, 5, 6, 7]
         assert answer.body.endswith(b"data: [DONE]\n\n")
         assert len(engine.requests) == 1
@@ -72,7 +72,7 @@
     engine = ScriptedEngine(TOKENS, Step(until=3, then=Then.BEAT), Step(gap_s=0.1))
     async with serve_in_memory([engine]) as served:
         old = await open_and_read(served, 3)
-        new = await served.open("GET", STREAM, after(-1))
+        new = await served.open("GET", STREAM, resume_headers(-1))
         with trio.fail_after(5):
             await new.read_head()
             part = await new.read_part()
@@ -87,8 +87,8 @@
     """Another customer names the id of a stream. It gets what any unknown id gets."""
     async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
         await served.complete()
-        answer = await served.ask("GET", STREAM, after(1, OTHER_KEY))
-        unknown = await served.ask("GET", STREAM + "9", after(1, OTHER_KEY))
+        answer = await served.ask("GET", STREAM, resume_headers(1, OTHER_KEY))
+        unknown = await served.ask("GET", STREAM + "9", resume_headers(1, OTHER_KEY))
         assert answer.status == unknown.status == 410
         assert b" t3" not in answer.body
 
@@ -97,10 +97,10 @@
     """The last events were lost on the way to the caller. It can ask for them."""
     async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
         await served.complete()
-        answer = await served.ask("GET", STREAM, after(5))
+        answer = await served.ask("GET", STREAM, resume_headers(5))
         assert read_numbers(answer.body) == [6, 7]
         await trio.sleep(31)
-        answer = await served.ask("GET", STREAM, after(5))
+        answer = await served.ask("GET", STREAM, resume_headers(5))
         assert answer.status == 410
 
 
@@ -112,7 +112,7 @@
     options = build_options(StreamLimits(replay_buffer_bytes=500))
     async with serve_in_memory([ScriptedEngine(TOKENS)], options) as served:
         await served.complete()
-        answer = await served.ask("GET", STREAM, after(0))
+        answer = await served.ask("GET", STREAM, resume_headers(0))
         assert answer.status == 410
 
 
@@ -169,7 +169,7 @@
     engine = ScriptedEngine(TOKENS, Step(head_delay_s=0.2, gap_s=0.5))
     async with serve_in_memory([engine]) as served:
         body = build_completion(is_stream)
-        connection = await served.open("POST", "/v1/completions", KEYED, body)
+        connection = await served.open("POST", "/v1/completions", KEYED_HEADERS, body)
         await trio.sleep(0.1)
         await connection.close()
         await trio.sleep(10)
@@ -197,7 +197,7 @@
         connection = await open_and_read(served, 2)
         await connection.close()
         await trio.sleep(0.9)
-        answer = await served.ask("GET", STREAM, after(0))
+        answer = await served.ask("GET", STREAM, resume_headers(0))
         assert answer.status == 200
         assert read_numbers(answer.body) == list(range(1, 402))
 
@@ -222,11 +222,11 @@
     async with serve_in_memory([engine], options) as served:
         old = await open_and_read(served, 8)
         monkeypatch.setattr(Responder, "start", start_slowly)
-        new = await served.open("GET", STREAM, after(1))
+        new = await served.open("GET", STREAM, resume_headers(1))
         assert (await new.read_head()).status == 200
         with pytest.raises(ConnectionFailedError):
             await new.read_body()
-        answer = await served.ask("GET", STREAM, after(1))
+        answer = await served.ask("GET", STREAM, resume_headers(1))
         assert answer.status == 410
         await old.close()
 
@@ -245,7 +245,7 @@
 
         async def resume() -> None:
             try:
-                bodies.append((await served.ask("GET", STREAM, after(0))).body)
+                bodies.append((await served.ask("GET", STREAM, resume_headers(0))).body)
             except ConnectionFailedError as error:
                 cuts.append(error)
 
