--- a/packages/toucanyard-node/src/toucanyard_node/aggregated_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/aggregated_answer.py
@@ -1,4 +1,4 @@
-"""Build a plain answer from the events that a relay has read."""
+"""Build a plain (non-streaming) response from the events of a stream."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class AnswerMessage(msgspec.Struct, frozen=True):
-    """The message that a chat's answer carries."""
+    """The message of a chat completion."""
 
     content: str
     role: str = "assistant"
 
 
 class ChatChoice(msgspec.Struct, frozen=True):
-    """The one choice of a chat's answer."""
+    """The only choice of a chat completion."""
 
     message: AnswerMessage
     finish_reason: str | None
@@ -25,7 +25,7 @@
 
 
 class TextChoice(msgspec.Struct, frozen=True):
-    """The one choice of a completion's answer."""
+    """The only choice of a completion."""
 
     text: str
     finish_reason: str | None
@@ -34,7 +34,7 @@
 
 
 class PlainAnswer(msgspec.Struct, frozen=True):
-    """A whole answer in the OpenAI shape."""
+    """A complete response body in the OpenAI format."""
 
     id: str
     object: str
@@ -52,7 +52,7 @@
     finish_reason: str | None,
     usage: Usage | None,
 ) -> bytes:
-    """Return the body of the plain answer with this text."""
+    """Return the body of the plain response with this text."""
     choice: ChatChoice | TextChoice
     if api is ApiKind.CHAT:
         choice = ChatChoice(AnswerMessage(text), finish_reason)
--- a/packages/toucanyard-node/src/toucanyard_node/attempts.py
+++ b/packages/toucanyard-node/src/toucanyard_node/attempts.py
@@ -1,7 +1,7 @@
-"""Carry one request through its dispatches and end it with what is true.
+"""Track the dispatches of one request and build its final error response.
 
-The core decides where a request goes and whether it goes on elsewhere; this module
-keeps account of whether any try may have run, which bounds what the caller is told.
+The core decides where a request is dispatched and whether it is retried. This module
+records whether any attempt may have run, which limits what a response may claim.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 
 
 class Attempts:
-    """Account of the dispatches of one request.
+    """State of the dispatches of one request.
 
-    Invariant: `may_have_run` never goes back to false, except for a dispatch that is
-    proved not to have run; after the refusal for the deadline nothing is sent.
+    Invariant: `may_have_run` never returns to false, except for a dispatch that is
+    proved not to have run; nothing is sent after the deadline refusal.
     """
 
     __slots__ = (
@@ -55,23 +55,23 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether any try of the request may have been executed."""
+        """Return whether any attempt of the request may have been executed."""
         return self._may_have_run or self._is_in_flight
 
     def is_repeatable(self) -> bool:
-        """Tell whether the request may be executed more than once."""
+        """Return whether the request may be executed more than once."""
         return self.request.repeatability is Repeatability.REPEATABLE
 
     def start_attempt(self) -> None:
-        """Note that a dispatch begins."""
+        """Record the start time of a dispatch."""
         self.started_ms = trio.current_time() * 1000
 
     def record_send(self) -> None:
-        """Note that bytes of a dispatch are about to leave, or forbid it.
+        """Record that a dispatch is about to be sent, or forbid sending it.
 
-        Raise DispatchFailedError when the caller has been refused: a keyed try runs on
-        without its caller, and a connection that opens after the deadline would make
-        it run after "not run" was said of it.
+        Raise DispatchFailedError when the caller has already been refused. A keyed
+        attempt continues without its caller, so a connection that opens after the
+        deadline would execute a request that was reported as "not run".
         """
         if self._is_refused:
             text = "the deadline passed before the request was sent"
@@ -79,7 +79,7 @@
         self._is_in_flight = True
 
     def find_elapsed_ms(self) -> float:
-        """Return the time since the present dispatch began."""
+        """Return the time since the current dispatch started."""
         return trio.current_time() * 1000 - self.started_ms
 
     async def report_failure(
@@ -91,8 +91,8 @@
     ) -> Dispatch | Refuse | Replay:
         """Report a failed dispatch and return what to do next.
 
-        The wait is shielded: a verdict that reached nobody would hold a place at an
-        endpoint for ever. It is bounded by the request's deadline.
+        The wait is shielded from cancellation: a verdict that nobody receives would
+        occupy a slot at an endpoint forever. The request's deadline bounds it.
         """
         self._record_ending(ending)
         request = self.request
@@ -114,19 +114,19 @@
         return self.build_deadline_refusal()
 
     def report_end(self, outcome: Outcome) -> None:
-        """Report a dispatch that needs no further verdict."""
+        """Report the end of a dispatch without asking for another verdict."""
         self._record_ending(outcome.ending)
         self._core.report_without_reply(outcome)
 
     def report_first_token(self) -> None:
-        """Tell the core that the first byte of the answer came."""
+        """Report to the core that the first byte of the response arrived."""
         self._core.report_first_token(self.request.request_id, self.find_elapsed_ms())
 
     def check_refusal(self, refusal: Refuse) -> Refuse:
         """Return a refusal that claims no more than is proved.
 
-        The core refuses the try that it was asked about; an earlier one may have
-        run, and then "not run" would be false.
+        The core refuses the current attempt only. If an earlier one may have run,
+        "not run" would be false.
         """
         if not self.may_have_run or refusal.ending is not Ending.NOT_RUN:
             return refusal
@@ -137,12 +137,13 @@
         )
 
     def build_deadline_refusal(self) -> Refuse:
-        """Return the final answer for a request whose deadline has passed."""
+        """Return the refusal for a request whose deadline has passed."""
         self._is_refused = True
         text = "the deadline has passed"
         if not self.may_have_run and self._may_other_attempt_have_run():
-            # No verdict came, so nothing is known of the key: another node may have
-            # run it, and "not run" would make the caller hold a second seat.
+            # Without a verdict nothing is known about the key: another node may have
+            # run the request. After "not run" the caller would repeat it under a new
+            # key, for example book a second seat.
             return self._build(ErrorKind.DEADLINE_EXCEEDED, Ending.UNKNOWN, text)
         if not self.may_have_run:
             return self._build(ErrorKind.DEADLINE_EXCEEDED, Ending.NOT_RUN, text)
@@ -151,7 +152,7 @@
         return self._build(ErrorKind.OUTCOME_UNKNOWN, Ending.UNKNOWN, text)
 
     def build_incomplete_refusal(self, text: str) -> Refuse:
-        """Return the final event of a stream that was begun and can't go on."""
+        """Return the refusal for a started stream that can't be continued."""
         return self._build(ErrorKind.STREAM_INCOMPLETE, Ending.UNKNOWN, text)
 
     def _may_other_attempt_have_run(self) -> bool:
--- a/packages/toucanyard-node/src/toucanyard_node/caller_context.py
+++ b/packages/toucanyard-node/src/toucanyard_node/caller_context.py
@@ -1,4 +1,4 @@
-"""Know who asks, under which id and until when, and send what ends a request."""
+"""Context of one authenticated client request, and parsing of its headers."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     customer: Customer
     configuration: Configuration
     headers: Headers
-    """Headers that every answer to it carries."""
+    """Headers that every response to the request carries."""
     arrived_ms: float
 
     def build_request(
@@ -51,9 +51,9 @@
         declared: Repeatability,
         limits: CallerLimits,
     ) -> Request:
-        """Build the core's request, or raise BAD_REQUEST for a wrong header.
+        """Build the core's request, or raise BAD_REQUEST for an invalid header.
 
-        `declared` says how often it may run where the caller's headers don't.
+        `declared` is the repeatability when the caller's headers don't specify one.
         """
         http = self.http
         key = find_key(http)
@@ -78,12 +78,12 @@
         await self.responder.send(rendered.status, headers, rendered.body)
 
     async def answer(self, status: int, content_type: str, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         headers = (("Content-Type", content_type), *self.headers)
         await self.responder.send(status, headers, body)
 
     async def send_result(self, result: Refuse | Replay | Response) -> None:
-        """Send whatever a request came to."""
+        """Send the result of a request."""
         match result:
             case Refuse():
                 await self.refuse(result)
@@ -95,16 +95,16 @@
 
 
 def build_refusal(error: RouterError, request_id: RequestId) -> Refuse:
-    """Build the refusal for an error met before any dispatch."""
+    """Build the refusal for an error raised before any dispatch."""
     ending = ANSWERS[error.kind].ending or Ending.NOT_RUN
     return Refuse(request_id, error.kind, ending, error.text, error.retry_after_ms or 0)
 
 
 def qualify_keyed_refusal(refusal: Refuse, http: HttpRequest) -> Refuse:
-    """Return a refusal that says of a request's key no more than is known.
+    """Return a refusal that claims no more about a request's key than is known.
 
-    A try refused before its key was looked up did not run, but an earlier one may have,
-    on another node. Its caller would read "not run" as said of the key.
+    An attempt refused before its key was looked up did not run, but an earlier one may
+    have run on another node, and the caller would take "not run" to cover the key.
     """
     if "idempotency-key" not in http.headers or refusal.ending is not Ending.NOT_RUN:
         return refusal
@@ -117,7 +117,7 @@
 
 
 def find_deadline_ms(http: HttpRequest, now_ms: float, limits: CallerLimits) -> float:
-    """Return the time by which the caller wants its answer, or raise BAD_REQUEST."""
+    """Return the deadline that the caller requests, or raise BAD_REQUEST."""
     text = http.headers.get("x-deadline-ms")
     if text is None:
         return now_ms + limits.default_deadline_ms
@@ -153,7 +153,7 @@
 def find_repeatability(
     http: HttpRequest, key: str, fallback: Repeatability
 ) -> Repeatability:
-    """Return whether a request may run more than once, or raise BAD_REQUEST."""
+    """Return how often a request may run, or raise BAD_REQUEST."""
     if key:
         return Repeatability.KEYED
     match http.headers.get("x-run-once", "false").lower():
@@ -162,14 +162,14 @@
         case "false":
             return fallback
         case _:
-            # A misspelt mark must not let a call run twice.
+            # A misspelled value must not allow a call to run twice.
             raise RouterError(
                 ErrorKind.BAD_REQUEST, "X-Run-Once: expected true or false"
             )
 
 
 def compute_body_digest(http: HttpRequest) -> bytes:
-    """Return a digest that tells two calls under one key apart."""
+    """Return a digest that distinguishes different calls under the same key."""
     digest = hashlib.sha256()
     for part in (http.method.encode(), http.target.encode(), http.body):
         digest.update(len(part).to_bytes(8, "big"))
--- a/packages/toucanyard-node/src/toucanyard_node/client_server.py
+++ b/packages/toucanyard-node/src/toucanyard_node/client_server.py
@@ -1,4 +1,4 @@
-"""Serve callers: tell them where to connect, and route what they ask."""
+"""HTTP API for clients: node location, model and service calls."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class ModelEntry(msgspec.Struct, frozen=True):
-    """One model name that a customer may use."""
+    """A model name that a customer may use."""
 
     id: str
     owned_by: str
@@ -58,16 +58,16 @@
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """The answer of `GET /v1/models`."""
+    """Response body of `GET /v1/models`."""
 
     data: tuple[ModelEntry, ...]
     object: str = "list"
 
 
 class ClientServer:
-    """Answer callers' requests.
+    """Handle requests of callers.
 
-    `run` must be running: it holds the tasks that outlive a caller's connection.
+    `run` must be active: it owns the tasks that outlive a caller's connection.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Hold the tasks that outlive connections, until cancelled."""
+        """Run the tasks that outlive connections, until cancelled."""
         try:
             async with trio.open_nursery() as outer, trio.open_nursery() as nursery:
                 outer.start_soon(self._watch.run)
@@ -109,12 +109,12 @@
             await self.pool.close()
 
     async def wait_idle(self) -> None:
-        """Wait until no task goes on for a caller that went away."""
+        """Wait until no task is left for a disconnected caller."""
         while self._nursery is not None and self._nursery.child_tasks:
             await trio.sleep(0.02)
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         arrived_ms = find_now_ms()
         request_id = self._next_request_id()
         configuration = self._core.find_configuration()
@@ -146,7 +146,7 @@
             await self._refuse(internal, request, request_id, responder, headers)
 
     async def _serve(self, context: CallerContext) -> None:
-        """Answer a customer; what is refused here can be asked about afterwards."""
+        """Handle a customer's request; record rejections for later explanation."""
         try:
             await self._route(context)
         except RouterError as error:
@@ -174,7 +174,7 @@
         await serve()
 
     def _find_route(self, context: CallerContext, path: str) -> Route | None:
-        """Return the method that a path takes and what serves it."""
+        """Return the HTTP method and the handler of a path."""
         match path:
             case "/v1/completions" | "/v1/chat/completions":
                 api = ApiKind(path)
@@ -217,7 +217,7 @@
         headers: Headers,
     ) -> None:
         if responder.is_started:
-            # The server closes the connection, which tells that it was cut.
+            # The server closes the connection, which shows the response as truncated.
             return
         refusal = qualify_keyed_refusal(build_refusal(error, request_id), request)
         rendered = render_refusal(refusal)
@@ -248,7 +248,7 @@
 
 
 async def _run_guarded(work: Callable[[], Awaitable[None]]) -> None:
-    """Run work whose failure must not take the node down with it."""
+    """Run work whose failure must not stop the node."""
     try:
         await work()
     except Exception:
@@ -256,7 +256,7 @@
 
 
 def _find_models(configuration: Configuration, customer: Customer) -> list[str]:
-    """Return the model names that rules give a customer, each once."""
+    """Return the model names that rules grant to a customer, without duplicates."""
     names: dict[str, None] = {}
     for rule in configuration.rules:
         if not rule.customers or customer.name in rule.customers:
@@ -265,7 +265,7 @@
 
 
 def find_server_limits(options: Options) -> ServerLimits:
-    """Return the limits for the server that the face is served by."""
+    """Return the limits of the HTTP server for clients."""
     limits = options.callers
     return ServerLimits(
         max_connections=limits.max_connections,
--- a/packages/toucanyard-node/src/toucanyard_node/configuration_diff.py
+++ b/packages/toucanyard-node/src/toucanyard_node/configuration_diff.py
@@ -1,4 +1,4 @@
-"""Work out the patch that leads from one version of the configuration to another."""
+"""Compute the patch between two versions of the configuration."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def compute_diff(old: Configuration, new: Configuration) -> DiffReply:
-    """Return what changed from `old` to `new`; rules count as changed as a whole."""
+    """Return the changes from `old` to `new`; rules are replaced as a whole."""
     has_same_rules = old.rules == new.rules
     put = Put(
         customers=_find_changed(old.customers, new.customers),
--- a/packages/toucanyard-node/src/toucanyard_node/core_links.py
+++ b/packages/toucanyard-node/src/toucanyard_node/core_links.py
@@ -1,4 +1,4 @@
-"""Name what links carry between nodes that run `node_core`."""
+"""Codec of the links between nodes that run `node_core`."""
 
 from __future__ import annotations
 
--- a/packages/toucanyard-node/src/toucanyard_node/core_messages.py
+++ b/packages/toucanyard-node/src/toucanyard_node/core_messages.py
@@ -1,7 +1,7 @@
-"""Messages between the faces and the task that owns the core.
+"""Messages between request handlers and the task that owns the core.
 
-A face asks with `CoreClient`; the task answers each question once, on a channel that
-the question carries.
+Handlers send messages through `CoreClient`. The task replies once to each request, on
+the channel that the message carries.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class FirstToken(msgspec.Struct, frozen=True):
-    """Tell that the first byte of an answer came."""
+    """Report that the first byte of a response arrived."""
 
     request_id: RequestId
     after_ms: float
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Tell how a dispatch ended and ask whether to try again elsewhere.
+    """Report how a dispatch ended and ask whether to retry it.
 
     The reply is a new Dispatch, a Refuse, or None when the request is over.
     """
@@ -42,7 +42,7 @@
 
 
 class Abandon(msgspec.Struct, frozen=True):
-    """Tell that the caller went away while its request was undecided."""
+    """Report that the caller disconnected before its request was decided."""
 
     request_id: RequestId
 
@@ -51,9 +51,9 @@
 
 
 class CoreClient:
-    """Ask the core's task from any other task.
+    """Send messages to the core's task from any other task.
 
-    `configuration` is the value in force when it is called.
+    `find_configuration` returns the value in force when it is called.
     """
 
     __slots__ = ("_find_configuration", "_inbox")
@@ -71,7 +71,7 @@
         return self._find_configuration()
 
     async def decide(self, request: Request) -> Verdict:
-        """Ask what to do with a new request; waits while it is queued."""
+        """Return the decision on a new request; waits while it is queued."""
         send, receive = trio.open_memory_channel[Verdict | None](1)
         try:
             await self._inbox.send(Decide(request, send))
@@ -83,25 +83,25 @@
         return verdict
 
     async def report(self, outcome: Outcome) -> Verdict | None:
-        """Tell how a dispatch ended; return what to do next, if anything."""
+        """Report how a dispatch ended; return what to do next, if anything."""
         send, receive = trio.open_memory_channel[Verdict | None](1)
         await self._inbox.send(Report(outcome, send))
         return await receive.receive()
 
     def report_first_token(self, request_id: RequestId, after_ms: float) -> None:
-        """Tell the core about a first byte without waiting."""
+        """Report a first byte without waiting."""
         self._post(FirstToken(request_id, after_ms))
 
     def report_rejection(self, event: RequestTurnedAway) -> None:
-        """Tell the core that a face refused a request, to be asked about later."""
+        """Report a request that a handler rejected, for later explanation."""
         self._post(event)
 
     def report_without_reply(self, outcome: Outcome) -> None:
-        """Tell the core from a cancelled task that a dispatch is over."""
+        """Report the end of a dispatch without waiting, also from a cancelled task."""
         send, _ = trio.open_memory_channel[Verdict | None](1)
         self._post(Report(outcome, send))
 
     def _post(self, message: CoreMessage) -> None:
-        # The inbox has no bound, so this never blocks or drops; it is bounded by
-        # the limit on connections, since each has at most two messages under way.
+        # The inbox is unbounded, so sending never blocks or drops a message. The
+        # connection limit bounds it: each connection has at most two messages here.
         self._inbox.send_nowait(message)
--- a/packages/toucanyard-node/src/toucanyard_node/core_task.py
+++ b/packages/toucanyard-node/src/toucanyard_node/core_task.py
@@ -1,7 +1,7 @@
-"""Own the core: feed it messages and events in one order and carry its actions out.
+"""Run the core: pass messages and events to it in order and execute its actions.
 
-Every other task talks to this one through its inbox; replies go back on the channel
-that came with the question.
+Other tasks send to this one through its inbox. Replies are sent on the channel that
+came with the message.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class SubmitPatch(msgspec.Struct, frozen=True):
-    """Ask for a patch to be brought into force."""
+    """Request that a patch is applied."""
 
     event: PatchSubmitted
     reply: trio.MemorySendChannel[PatchAnswered]
@@ -59,7 +59,7 @@
 
 
 class CoreOutputs(msgspec.Struct, frozen=True):
-    """Where the core's actions go that are not replies."""
+    """Channels for actions of the core other than replies."""
 
     log: trio.MemorySendChannel[AppendToLog]
     peers: trio.MemorySendChannel[SendMessage]
@@ -70,7 +70,7 @@
 class CoreTask:
     """The task that owns the core.
 
-    Invariant: at most one reply channel is kept for each request, and it is used once.
+    Invariant: at most one reply channel is stored per request, and it is used once.
     """
 
     def __init__(
@@ -80,8 +80,8 @@
         self._outputs = outputs
         self._replies: dict[RequestId, trio.MemorySendChannel[Verdict | None]] = {}
         self._patch_replies: dict[str, list[trio.MemorySendChannel[PatchAnswered]]] = {}
-        # Without a bound, so that a cancelled task can still tell how its dispatch
-        # ended; callers' connections bound it, each has at most two messages here.
+        # Unbounded, so that a cancelled task can still report how its dispatch ended.
+        # The connection limit bounds it: at most two messages per connection.
         self.inbox, self._receive = trio.open_memory_channel[CoreInput](2**31)
         self.client = CoreClient(self.inbox, self.find_configuration)
 
@@ -90,13 +90,13 @@
         return self.core.configuration
 
     async def submit_patch(self, event: PatchSubmitted) -> PatchAnswered:
-        """Bring a patch into force, or tell why not, at its deadline at the latest."""
+        """Apply a patch; return the result or the error by the patch's deadline."""
         send, receive = trio.open_memory_channel[PatchAnswered](1)
         await self.inbox.send(SubmitPatch(event, send))
         return await receive.receive()
 
     async def run(self) -> None:
-        """Take messages until cancelled."""
+        """Process messages until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._tick)
             async for message in self._receive:
@@ -155,7 +155,7 @@
         try:
             self._outputs.orders.send_nowait(action)
         except trio.WouldBlock:
-            # Each order must come to an end, or its endpoint would get no other.
+            # Every order must be ended, or its endpoint would never get another.
             if isinstance(action, SendOrder):
                 self.inbox.send_nowait(OrderEnded(action, OrderOutcome.NOT_SENT))
 
@@ -175,7 +175,7 @@
 
 
 def _send_or_drop(channel: trio.MemorySendChannel[T], message: T) -> None:
-    """Send a message that may be lost; what waits for it asks again."""
+    """Send a message, or drop it when the channel is full; its sender retries."""
     try:
         channel.send_nowait(message)
     except trio.WouldBlock:
--- a/packages/toucanyard-node/src/toucanyard_node/credentials.py
+++ b/packages/toucanyard-node/src/toucanyard_node/credentials.py
@@ -1,4 +1,4 @@
-"""Find out which customer a caller is by its API key."""
+"""Authenticate callers by API key."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 def find_bearer_key(headers: dict[str, str]) -> str:
-    """Return the API key of a request; empty when it carries none."""
+    """Return the API key of a request, or an empty string."""
     scheme, _, key = headers.get("authorization", "").partition(" ")
     return key.strip() if scheme.lower() == _SCHEME else ""
 
 
 def check_configuration_available(configuration: Configuration) -> None:
-    """Raise NO_CONFIGURATION for the empty one of a node that has just started.
+    """Raise NO_CONFIGURATION while a node that has just started has none.
 
-    Called an unknown key, callers would give up on a good one; told to come back,
-    they try another node or this one a moment later.
+    Callers rejected for an unknown key would give up although their key is valid.
+    Asked to retry, they use another node, or this one a moment later.
     """
     if configuration.version == 0:
         raise RouterError(
@@ -38,9 +38,9 @@
 
 
 class CustomerIndex:
-    """Find customers by key without a scan over all of them.
+    """Index of customers by the hash of their API keys.
 
-    Invariant: the table belongs to the configuration it was last asked with.
+    Invariant: the index matches the configuration of the last lookup.
     """
 
     __slots__ = ("_by_hash", "_configuration")
@@ -54,7 +54,7 @@
     ) -> Customer:
         """Return the caller's customer, or raise UNAUTHENTICATED.
 
-        Raise NO_CONFIGURATION where no key can be judged.
+        Raise NO_CONFIGURATION when there is no configuration to check keys against.
         """
         check_configuration_available(configuration)
         key = find_bearer_key(headers)
--- a/packages/toucanyard-node/src/toucanyard_node/endpoint_responses.py
+++ b/packages/toucanyard-node/src/toucanyard_node/endpoint_responses.py
@@ -1,7 +1,7 @@
-"""Decode what endpoints tell of themselves: loads, cache events, lists of blocks.
+"""Decode responses of endpoints: load, cache events and cache dumps.
 
-Endpoints make their numbers up. The core weighs them against others, so a number that
-is negative, or that no float holds exactly, is refused here.
+Numbers from endpoints are untrusted. The core computes with them, so a number that is
+negative, or that a float can't represent exactly, is rejected here.
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
 
 
 class InvalidResponseError(Exception):
-    """An endpoint's answer can't be used."""
+    """An endpoint's response is malformed or out of range."""
 
 
 def decode_load(response: Response) -> LoadReport:
-    """Return the load in an answer, or raise AnswerInvalidError."""
+    """Decode a load report, or raise InvalidResponseError."""
     report = _decode(response, LoadReport)
     _check_numbers(
         report.running,
@@ -63,7 +63,7 @@
 
 
 def decode_events(response: Response) -> CacheEvents:
-    """Return the cache events in an answer, or raise AnswerInvalidError."""
+    """Decode cache events, or raise InvalidResponseError."""
     body = _decode(response, _EventsBody)
     _check_numbers(body.oldest, body.next, *(event.seq for event in body.events))
     events = tuple(
@@ -74,7 +74,7 @@
 
 
 def decode_dump(response: Response) -> CacheDump:
-    """Return the list of blocks in an answer, or raise AnswerInvalidError."""
+    """Decode a cache dump, or raise InvalidResponseError."""
     body = _decode(response, _DumpBody)
     _check_numbers(body.next)
     return CacheDump(body.incarnation, body.next, _parse_hashes(body.hashes))
--- a/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
@@ -1,7 +1,7 @@
-"""Watch endpoints: poll loads, follow cache events, fetch dumps.
+"""Monitor endpoints: poll loads, follow cache events, fetch cache dumps.
 
-One task per endpoint owns its connection. What it reads goes to the core as events;
-what it can't read, as silence.
+One task per endpoint owns its connection. Results and failed polls are reported to the
+core as events.
 """
 
 from __future__ import annotations
@@ -44,38 +44,39 @@
 _LOG: Final = structlog.get_logger()
 _REFRESH_MS: Final = 200
 _STARTUP_REFRESH_MS: Final = 10
-"""Until there is anything to watch: a node that starts places requests without a view
-of any cache, and after a herd restart all nodes heap them on the same few endpoints."""
+"""Used until there are endpoints to watch. A starting node places requests without
+knowing any cache; after a simultaneous restart of many nodes, all of them would
+concentrate requests on the same few endpoints."""
 _MAX_STARTUP_REFRESHES: Final = 1_000
-"""Looks at that rate, 10 s in all; a node that waits for its first configuration for
-longer would spend 3.5% of a core on them."""
+"""Refreshes at the startup interval, 10 s in total. Continuing at that rate while a
+node waits for its first configuration would use 3.5% of a core."""
 _MAX_LOAD_BYTES: Final = 65_536
 _MAX_DUMP_BYTES: Final = 32_000_000
 _DUMP_TIMEOUT_MS: Final = 5_000
 _FULL_RATE_POLLS: Final = 24
 _MAX_DOUBLINGS: Final = 3
 _FAILING_POLLS_FACTOR: Final = 4
-"""How many times the polls of answering endpoints those that fail may take."""
+"""Poll rate of failing endpoints as a multiple of that of responding ones."""
 
 WatchEvent = LoadRead | EndpointPollFailed | CacheEventsRead | CacheDumpRead
 Emit = Callable[[WatchEvent], Awaitable[None]]
 
 
 class WatchedEndpoint(msgspec.Struct, frozen=True):
-    """One endpoint to watch; only engines have caches."""
+    """An endpoint to watch; only engines have caches."""
 
     endpoint: Endpoint
     is_engine: bool
     is_followed: bool
-    """Whether this node takes in its cache events."""
+    """Whether this node follows its cache events."""
 
 
 def compute_poll_wait_ms(timings: MembershipTimings, watched: int, count: int) -> float:
-    """Return the time between two polls of one endpoint that answers.
+    """Return the interval between polls of a responding endpoint.
 
-    `count` is how many endpoints there are. Where nodes share the watching, each
-    polls at a fixed rate in all, whatever its share; an endpoint that fails is polled
-    at the full rate, so that deaths are noticed as fast.
+    `count` is the number of all endpoints. When nodes share the monitoring, each node
+    polls at a fixed total rate, whatever its share. An endpoint that fails is polled
+    at the full rate, so that crashes are detected as quickly.
     """
     is_shared = watched < count
     rate = timings.max_shared_polls_per_s if is_shared else timings.max_polls_per_s
@@ -83,7 +84,7 @@
 
 
 def find_event_rate(timings: MembershipTimings, watched: int, count: int) -> int:
-    """Return how many bytes a second cache events and dumps may take."""
+    """Return the bandwidth for cache events and dumps in bytes per second."""
     if watched < count:
         return timings.max_shared_event_bytes_per_s
     return timings.max_event_bytes_per_s
@@ -92,12 +93,12 @@
 def compute_retry_wait_ms(
     timings: MembershipTimings, failures: int, failing: int, *, is_shared: bool
 ) -> float:
-    """Return the time before the next poll after so many failures before this one.
+    """Return the time before the next poll after `failures` consecutive failures.
 
-    The full rate goes on for longer than a death takes to be agreed on; from then on
-    only the return of the endpoint is to be noticed. `failing` endpoints share a rate:
-    where a whole domain or this node's network fails, polls at the full rate of each
-    would take a tenth of a core just when the rest of the fleet needs it.
+    The full rate lasts longer than nodes need to agree that an endpoint is down; after
+    that, polls only detect its recovery. `failing` endpoints share a rate: when a whole
+    domain or this node's network fails, polling each at the full rate would use a tenth
+    of a core when the rest of the fleet needs it.
     """
     doublings = min(failures // _FULL_RATE_POLLS, _MAX_DOUBLINGS)
     rate = timings.max_polls_per_s
@@ -107,9 +108,9 @@
 
 
 class EndpointWatch:
-    """Hold one task for each endpoint to watch.
+    """Run one task for each watched endpoint.
 
-    Invariant: an endpoint that is no longer wanted, or got another address, has no
+    Invariant: an endpoint that is no longer watched, or whose address changed, has no
     task after the next refresh.
     """
 
@@ -121,7 +122,7 @@
         connect_to: Connect = connect,
         rng: random.Random | None = None,
     ) -> None:
-        """`find_watched` gives what to watch and how many endpoints there are."""
+        """`find_watched` returns what to watch and the number of all endpoints."""
         self._find_watched = find_watched
         self._timings = timings
         self._emit = emit
@@ -148,7 +149,7 @@
                 )
 
     async def read_dump(self, endpoint: EndpointName) -> None:
-        """Fetch the list of an engine's blocks and emit it, if it can be had."""
+        """Fetch the cache dump of an engine and emit it, if the budget allows."""
         address = self._addresses.get(endpoint)
         left_bytes = self._budget.compute_left_bytes(find_now_ms())
         if address is None or not self._dump_sizes.is_affordable(endpoint, left_bytes):
@@ -238,7 +239,7 @@
 
 
 class _Poller:
-    """Get small answers from one address on a connection that is kept."""
+    """Send GET requests to one address over a persistent connection."""
 
     def __init__(
         self, address: Address, timings: MembershipTimings, connect_to: Connect
@@ -249,20 +250,20 @@
         self._idle: HttpConnection | None = None
 
     async def get(self, target: str) -> Response:
-        """Get one answer, or raise ConnectionFailedError."""
+        """Return one response, or raise ConnectionFailedError."""
         idle, self._idle = self._idle, None
         if idle is not None:
             try:
                 return await self._exchange(idle, target)
             except ConnectionFailedError:
-                # Something between may have lost track of this connection while new
-                # ones work; only a failure on a new one speaks against the endpoint.
+                # A middlebox may have dropped this connection while new ones work;
+                # only a failure on a new connection counts against the endpoint.
                 pass
         new = await self._connect(self._address, self._timeout_ms)
         return await self._exchange(new, target)
 
     async def close(self) -> None:
-        """Close the kept connection."""
+        """Close the idle connection."""
         if self._idle is not None:
             await self._idle.close()
 
--- a/packages/toucanyard-node/src/toucanyard_node/engine_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/engine_client.py
@@ -1,4 +1,4 @@
-"""Hold one dispatch to an engine, over as many connections as its stream takes."""
+"""Client for one dispatch to an engine; resumes its stream on new connections."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 from toucanyard_node.sse import Event, EventCutter, EventError
 
 _PAUSE_FACTOR: Final = 1.5
-"""How many of its longest pauses a stream is waited for before it is probed."""
+"""Idle timeout of a stream as a multiple of its longest pause so far."""
 
 
 class EngineStream:
     """Read the numbered events of one dispatch, each once and in order.
 
-    Invariants: `last_number` is the last event handed out; all events come from one
-    incarnation and one weights version of the engine; a connection is lent back only
-    after its answer was read to the end.
+    Invariants: `last_number` is the last event returned; all events come from one
+    incarnation and one weights version of the engine; a connection is returned to the
+    pool only after its response was read completely.
     """
 
     __slots__ = (
@@ -72,7 +72,7 @@
         on_send: Callable[[], None],
         is_plain: bool = False,
     ) -> None:
-        # An answer that isn't events has no heartbeats: only the deadline ends it.
+        # A plain response has no heartbeats: only the deadline bounds the wait.
         self._head_timeout_ms = math.inf if is_plain else dispatch.silence_ms
         self._watch = watch
         self._timer: SilenceTimer | None = None
@@ -96,13 +96,13 @@
     async def open(
         self, path: str, headers: Headers, body: bytes, is_repeatable: bool
     ) -> ResponseHead:
-        """Send the request and read the answer's head.
+        """Send the request and read the response head.
 
         Raise DispatchFailedError when the endpoint refused, failed or was lost.
         """
         head = await self._send(path, headers, body, is_repeatable)
         if head is None:
-            # No word at all in time: ask on a new connection for what it has.
+            # No response in time: resume from the start on a new connection.
             await self._resume("no answer")
             return ResponseHead(200, {"content-type": "text/event-stream"})
         self._check_head(head, self._is_reused)
@@ -111,11 +111,11 @@
     async def _send(
         self, path: str, headers: Headers, body: bytes, is_repeatable: bool
     ) -> ResponseHead | None:
-        """Return the head of the answer, or None after a silence."""
+        """Return the response head, or None after a timeout."""
         address = self._dispatch.address
         try:
-            # What may run once only never meets a connection that was idle: when
-            # that one turns out dead, nobody could tell whether the request ran.
+            # A request that may run at most once never uses an idle connection: if
+            # the connection turns out dead, whether the request ran is unknown.
             if is_repeatable:
                 self._connection, self._is_reused = await self._pool.acquire(address)
             else:
@@ -130,8 +130,8 @@
                     DispatchEnding.LOST if error.is_sent else DispatchEnding.NOT_SENT
                 )
                 raise DispatchFailedError(ending, str(error)) from error
-        # The idle connection had died unnoticed. The request may be repeated, and
-        # the endpoint itself is under no suspicion yet.
+        # The idle connection was dead. The request may be repeated, and this failure
+        # doesn't count against the endpoint.
         await self.abandon()
         try:
             self._is_reused = False
@@ -147,8 +147,8 @@
         self._on_send()
         self.is_sent = True
         try:
-            # A connection can go silent under a long prompt, too, where no time for
-            # the answer runs yet; its request would wait for the deadline.
+            # A connection can also stall while a long prompt is sent, before the
+            # response timeout starts; the request would wait until its deadline.
             stall_ms = max(self._limits.max_silence_ms, self._dispatch.silence_ms)
             await self._connection.send("POST", path, headers, body, stall_ms)
         except ConnectionFailedError as error:
@@ -176,13 +176,13 @@
     async def read(self) -> list[Event]:
         """Return the next new events; an empty list for a heartbeat.
 
-        Raise DispatchFailedError when the stream is lost for good.
+        Raise DispatchFailedError when the stream can't be resumed.
         """
         asked_s = trio.current_time()
         while True:
             if self._stream_fault or self._connection is None:
-                # Without a connection: whoever read before was cancelled while it
-                # connected, since its caller left.
+                # There is no connection when the previous reader was cancelled while
+                # it connected, because its caller disconnected.
                 reason, self._stream_fault = self._stream_fault or "interrupted", ""
                 self._check_sent(reason)
                 await self._resume(reason)
@@ -190,7 +190,7 @@
             timer.waiting_since_s = trio.current_time()
             try:
                 chunk = await timer.connection.read_part()
-                # While the caller is slow nobody reads, and that is no silence.
+                # Time in which a slow caller delays reading is not idle time.
                 timer.waiting_since_s = math.inf
                 if chunk is not None:
                     self._record_pause(asked_s)
@@ -201,18 +201,18 @@
             await self._resume(reason)
 
     def _check_sent(self, reason: str) -> None:
-        """Raise DispatchFailedError when there can be no stream to go on with.
+        """Raise DispatchFailedError when the request was never sent.
 
-        An earlier try of the same request may have left one of the same name at this
-        engine, which begins with what the caller already has.
+        An earlier attempt of the same request may have left a stream with the same id
+        at this engine, which starts with events that the caller already has.
         """
         if not self.is_sent:
             raise DispatchFailedError(DispatchEnding.NOT_SENT, reason)
 
     def _start_timer(self) -> SilenceTimer:
         assert self._connection is not None
-        # An engine that is merely slower than its history is probed ever more rarely;
-        # at one fixed bound its probes would run out within a few bounds.
+        # The timeout doubles with each resume: an engine that is only slower than
+        # before would otherwise use up its resumes within a few timeouts.
         silence_ms = max(
             self._dispatch.silence_ms, _PAUSE_FACTOR * self.longest_pause_ms
         )
@@ -227,7 +227,7 @@
         self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
 
     def _detach_connection(self) -> HttpConnection | None:
-        """Return the connection, which this stream reads no longer."""
+        """Return the connection and stop watching it."""
         if self._timer is not None:
             self._watch.discard(self._timer)
             self._timer = None
@@ -235,12 +235,12 @@
         return connection
 
     def retry_end(self) -> None:
-        """Let the next read ask again for what follows the last number."""
+        """Make the next read resume the stream after the last number."""
         self.is_done = False
         self._stream_fault = "an end without the last event"
 
     def _accept_chunk(self, chunk: bytes) -> list[Event]:
-        """Return the events that are new, or raise EventError for a gap."""
+        """Return the new events of a chunk, or raise EventError for a gap."""
         first = self.last_number
         new: list[Event] = []
         for event in self._cutter.feed(chunk):
@@ -263,7 +263,7 @@
         return new
 
     def _find_problem(self, event: Event) -> str:
-        """Return why events can't go on with this one; empty when they can."""
+        """Return why this event can't follow the last one, or an empty string."""
         if event.number is None:
             return "an event without a number"
         if event.number > self.last_number + 1:
@@ -271,10 +271,10 @@
         return ""
 
     async def _resume(self, reason: str) -> None:
-        """Go on from the last number on a new connection.
+        """Resume after the last number on a new connection.
 
-        A connection can go silent for good while the engine works on and new ones
-        work, and an engine can die; only a new connection tells these apart.
+        A connection can stall while the engine still works and accepts new ones, or
+        the engine can have crashed; only a new connection distinguishes the two.
         """
         address = self._dispatch.address
         while True:
@@ -306,8 +306,8 @@
             raise DispatchFailedError(DispatchEnding.LOST, text)
         found = find_incarnation(head)
         known = self.incarnation or self._dispatch.expected_incarnation
-        # An engine that came back is empty: a stream of that name there would be
-        # another one, and joining it to the first would mix two answers.
+        # A restarted engine has lost its streams: one with the same id there would be
+        # a different stream, and joining it to the first would mix two responses.
         if known is not None and found != known:
             text = f"{reason}, then another incarnation"
             raise DispatchFailedError(DispatchEnding.LOST, text)
@@ -319,7 +319,7 @@
         self.weights_version = version
 
     async def read_plain_body(self) -> bytes:
-        """Return a whole plain body, or raise DispatchFailedError."""
+        """Return a complete plain body, or raise DispatchFailedError."""
         assert self._connection is not None
         try:
             body = await self._connection.read_body()
@@ -329,7 +329,7 @@
         return body
 
     async def close(self) -> None:
-        """Lend the connection back if its answer was whole, else close it."""
+        """Release the connection; it can be reused after a complete response."""
         connection = self._detach_connection()
         if connection is None:
             return
@@ -338,7 +338,7 @@
         await self._pool.release(connection)
 
     async def cancel(self) -> None:
-        """Close, and tell the engine to stop computing."""
+        """Close the connection and ask the engine to stop the computation."""
         await self.abandon()
         if not self.is_sent or self.is_done:
             return
@@ -349,18 +349,18 @@
                 await connection.read_head()
             await connection.close()
         except ConnectionFailedError:
-            # Nobody there, so nobody computes; the engine also notices by itself.
+            # An unreachable engine is either down or detects the disconnect itself.
             return
 
     async def abandon(self) -> None:
-        """Close the connection; it is never used again."""
+        """Close the connection without reusing it."""
         connection = self._detach_connection()
         if connection is not None:
             await connection.close()
 
 
 async def _read_end(connection: HttpConnection) -> None:
-    """Read the end of a body whose last event came; it's under way already."""
+    """Read the rest of a body after its last event; it's already in transit."""
     try:
         with trio.move_on_after(0.05):
             await connection.read_part()
--- a/packages/toucanyard-node/src/toucanyard_node/event_follower.py
+++ b/packages/toucanyard-node/src/toucanyard_node/event_follower.py
@@ -1,4 +1,4 @@
-"""Follow the cache events of one engine, as far as the node's budget goes."""
+"""Follow the cache events of one engine within the node's bandwidth budget."""
 
 from __future__ import annotations
 
@@ -37,23 +37,23 @@
 _MAX_PAUSE_MS: Final = 60_000.0
 _FROM_OLDEST: Final = -1
 _AFTER_LATEST: Final = 2**53 - 1
-"""A number that no event has: the answer tells the next one, and brings no events."""
+"""Larger than any event number: the response has no events, only the next number."""
 _HEADER_BYTES: Final = 256
-"""The head of an answer, about."""
+"""Approximate size of a response head."""
 
 EmitEvents = Callable[[CacheEventsRead], Awaitable[None]]
 
 
 def estimate_response_bytes(response: Response) -> int:
-    """Return about how many bytes an answer took on its way."""
+    """Return the approximate size of a response on the network."""
     return len(response.body) + _HEADER_BYTES
 
 
 class EventFollower:
     """Read one engine's events in order.
 
-    Invariant: nothing is asked for while the budget is used up; after a pause the next
-    question skips all that was published meanwhile.
+    Invariant: no request is sent while the budget is exhausted; after a pause the next
+    request skips all events published in between.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
                 await trio.sleep(_RETRY_INTERVAL_MS / 1000)
                 continue
             if self._incarnation not in (None, events.incarnation):
-                # Numbers begin anew after a restart: what came is cut off by `after`.
+                # Numbers restart with the engine, so `after` cut off the first events.
                 self._after = self._find_start()
                 self._incarnation = events.incarnation
                 continue
@@ -97,16 +97,17 @@
             await self._emit(CacheEventsRead(self._endpoint.name, events))
 
     def _find_start(self) -> int:
-        """Return the event to begin after: take all that is kept, if affordable."""
+        """Return the number to start after: all retained events, if affordable."""
         is_affordable = self._budget.burst_bytes >= _MAX_EVENTS_BYTES
         return _FROM_OLDEST if is_affordable else _AFTER_LATEST
 
     async def _wait_for_budget(self) -> None:
-        """Wait until something may be taken in; skip ahead if that takes long."""
+        """Wait until the budget allows a request; skip events after a long wait."""
         wait_ms = self._budget.compute_wait_ms(find_now_ms())
         if wait_ms > MAX_LAG_MS:
-            # Engines that are followed in turns, a part of the time each, tell more
-            # than all of them a bit at a time: a view with gaps is doubtful for long.
+            # Following engines alternately, each without gaps for a while, gives
+            # better views than reading all of them with gaps: a view with a gap stays
+            # unreliable for a long time.
             pause_ms = self._rng.uniform(_MIN_PAUSE_MS, _MAX_PAUSE_MS)
             wait_ms = max(wait_ms, pause_ms)
             self._after = _AFTER_LATEST
@@ -114,7 +115,7 @@
             await trio.sleep(wait_ms / 1000)
 
     async def _read(self) -> CacheEvents:
-        """Ask once, and count what the answer took."""
+        """Send one request and charge its response to the budget."""
         max_bytes = min(
             max(int(self._budget.burst_bytes), MIN_ANSWER_BYTES), _MAX_EVENTS_BYTES
         )
--- a/packages/toucanyard-node/src/toucanyard_node/event_splitter.py
+++ b/packages/toucanyard-node/src/toucanyard_node/event_splitter.py
@@ -1,4 +1,4 @@
-"""Cut a stream of events into whole ones without decoding them."""
+"""Split a stream into complete server-sent events without decoding them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class EventSplitter:
-    """Hold back the event that is not whole yet.
+    """Buffer the event that is still incomplete.
 
-    A stream that breaks off inside an event can then go on elsewhere: the caller never
-    sees half of one. Invariant: what was returned ends with a whole event.
+    A stream that breaks inside an event can then continue on another connection without
+    the caller receiving a partial event. Invariant: returned data ends with a complete
+    event.
     """
 
     __slots__ = ("_partial_event", "last_id")
@@ -20,10 +21,10 @@
     def __init__(self, last_id: str) -> None:
         self._partial_event = b""
         self.last_id = last_id
-        """Id of the last whole event."""
+        """Id of the last complete event."""
 
     def push(self, data: bytes) -> bytes:
-        """Take in bytes and return the whole events that they complete."""
+        """Append bytes and return the events that they complete."""
         data = self._partial_event + data
         ends = [data.rfind(mark) + len(mark) for mark in _EVENT_ENDS if mark in data]
         end = max(ends, default=0)
@@ -36,9 +37,9 @@
         return whole
 
     def discard_partial_event(self) -> None:
-        """Drop the event that was cut; whoever goes on sends it whole."""
+        """Discard a truncated event; the resumed stream sends it again."""
         self._partial_event = b""
 
     def has_partial_event(self) -> bool:
-        """Tell whether an event has begun and not ended."""
+        """Return whether an incomplete event is buffered."""
         return bool(self._partial_event.strip())
--- a/packages/toucanyard-node/src/toucanyard_node/exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/exchange.py
@@ -1,4 +1,4 @@
-"""What one dispatch to an endpoint came to, and the checks that every answer gets."""
+"""Errors of a dispatch to an endpoint, and checks common to all responses."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from toucanyard_node.http_client import ResponseHead
 
 REFUSAL_STATUSES: Final = frozenset((412, 429, 503))
-"""Statuses with which an endpoint says that it did not run a request."""
+"""Statuses with which an engine reports that it did not run a request."""
 
 
 class DispatchFailedError(Exception):
-    """One dispatch ended without a whole answer."""
+    """One dispatch ended without a complete response."""
 
     def __init__(self, ending: DispatchEnding, text: str) -> None:
         super().__init__(text)
@@ -22,10 +22,10 @@
 
 
 def check_response_id(head: ResponseHead, request_id: RequestId) -> None:
-    """Raise DispatchFailedError when an answer belongs to another request.
+    """Raise DispatchFailedError when a response belongs to another request.
 
-    A late or crossed answer would give one caller the words meant for another. The
-    echoed id names whose it is; an answer without one is not trusted either.
+    A late or misrouted response would disclose one caller's answer to another. The
+    echoed id identifies the request; a response without one is rejected too.
     """
     echo = head.headers.get("x-request-id", "")
     if echo != request_id:
@@ -34,15 +34,15 @@
 
 
 def is_refusal_without_id(head: ResponseHead) -> bool:
-    """Tell whether an answer is a refusal without an echoed id.
+    """Return whether a response is a refusal without an echoed id.
 
-    Servers refuse some requests before they read who asks. On a new connection that
-    can only mean the one request on it.
+    Servers refuse some requests before they read the id. On a new connection the
+    refusal can only belong to its one request.
     """
     return head.status in REFUSAL_STATUSES and "x-request-id" not in head.headers
 
 
 def find_incarnation(head: ResponseHead) -> Incarnation | None:
-    """Return the incarnation that an endpoint's answer names."""
+    """Return the incarnation in the headers of an endpoint's response."""
     value = head.headers.get("x-incarnation")
     return Incarnation(value) if value else None
--- a/packages/toucanyard-node/src/toucanyard_node/locate_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/locate_answer.py
@@ -1,4 +1,4 @@
-"""Say to callers which nodes to use; the face sends what another task worked out."""
+"""Response body of `GET /v1/locate`, and the identity of a node."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class NodeIdentity(msgspec.Struct, frozen=True):
-    """Name one run of one node; request ids begin with it."""
+    """Name and incarnation of a node; request ids start with both."""
 
     name: NodeName
     incarnation: Incarnation
 
 
 class NodeAddress(msgspec.Struct, frozen=True):
-    """Where one node serves callers."""
+    """Address at which a node serves callers."""
 
     node: NodeName
     address: Address
@@ -23,14 +23,14 @@
 
 
 class IssuedKey(msgspec.Struct, frozen=True):
-    """Beginning of idempotency keys that this node's incarnation may dispatch."""
+    """Prefix of the idempotency keys that this node's incarnation may dispatch."""
 
     prefix: str
     valid_ms: int
 
 
 class LocateAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer of `GET /v1/locate`: the node to use, for how long, and the others."""
+    """Response body: the node to use, for how long, and all nodes."""
 
     node: NodeName
     address: Address
--- a/packages/toucanyard-node/src/toucanyard_node/locator.py
+++ b/packages/toucanyard-node/src/toucanyard_node/locator.py
@@ -1,8 +1,8 @@
-"""Work out which node a caller should use.
+"""Choose the node that a caller should use.
 
-Nodes are equal, so a caller is sent to a random one: that spreads callers evenly
-without any node knowing the others' load. An issued key only runs on the node that
-issued it, so it is given only along with this node's own address.
+Nodes are equal, so callers are assigned a random one: this distributes them evenly
+without information about load. An issued key is valid only on the node that issued it,
+so it is returned only together with this node's own address.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Locator:
-    """Answer which nodes serve callers; a leaving or draining one is never named."""
+    """Find the nodes that serve callers; leaving and draining ones are excluded."""
 
     __slots__ = ("_address", "_core", "_drain", "_options", "_rng")
 
@@ -39,7 +39,7 @@
         self._rng = rng
 
     def locate(self, prefers_this_node: bool) -> LocateAnswer:
-        """Return the node to use; `is_staying` asks for this one if it may be named."""
+        """Return the node to use; this one if preferred and not draining."""
         nodes = self._find_nodes()
         self._rng.shuffle(nodes)
         own = self._build_own_address()
@@ -75,7 +75,7 @@
 
 
 def find_live_nodes(membership: Membership, now_ms: float) -> list[NodeAddress]:
-    """Return the nodes that the VM list calls live and no news calls leaving."""
+    """Return the nodes of the VM list that no gossip update reports as leaving."""
     return [
         NodeAddress(NodeName(vm.name), vm.callers, vm.domain)
         for vm in membership.find_nodes()
--- a/packages/toucanyard-node/src/toucanyard_node/log_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_client.py
@@ -1,7 +1,7 @@
-"""Append to and read from the platform's log service.
+"""Client of the platform's log service.
 
-An append has three results: done, provably without effect, or unknown, since its
-answer can be lost after the effect. Whoever appends settles the third by reading.
+An append has three results: done, proved to have no effect, or unknown, because its
+response can be lost after it took effect. The third is resolved by reading the log.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 )
 
 _REFUSED_STATUSES: Final = frozenset({400, 404, 413, 429, 503})
-"""Statuses with which the service says that it appended nothing."""
+"""Statuses with which the service reports that it appended nothing."""
 _RATE_LIMITED_STATUS: Final = 429
 READ_MARGIN_MS: Final = 1_000.0
 MAX_PAGE_BYTES: Final = 16_000_000
@@ -33,35 +33,35 @@
 
 
 class LogUnavailableError(Exception):
-    """The log did not give an answer that can be used."""
+    """The log did not return a usable response."""
 
 
 class LogTimeoutError(LogUnavailableError):
-    """The log took the question and did not answer in time."""
+    """The log received the request and did not respond in time."""
 
 
 class PageTooLargeError(LogUnavailableError):
-    """The records asked for are more than a node takes at once."""
+    """The requested records exceed the size limit of one response."""
 
 
 class LogExpiredError(Exception):
-    """The records asked for are gone; reading goes on from `oldest`."""
+    """The requested records have expired; `oldest` is the first remaining one."""
 
     def __init__(self, oldest: int, head: int) -> None:
-        super().__init__(f"records before {oldest} are gone")
+        super().__init__(f"records before {oldest} have expired")
         self.oldest = oldest
         self.head = head
 
 
 class AppendAnswer(msgspec.Struct, frozen=True):
-    """What is known of one append, and whether it was refused for its rate only."""
+    """Result of an append, and whether it was refused only by the rate limit."""
 
     result: AppendResult
     is_rate_limited: bool = False
 
 
 class LogPage(msgspec.Struct, frozen=True):
-    """Records as read, in order, and the offset of the next to be written."""
+    """Records in order, and the offset of the next record to be written."""
 
     records: tuple[LogRecord, ...]
     head: int
@@ -86,7 +86,7 @@
 async def append_records(
     address: Address, texts: Sequence[str], timeout_ms: float
 ) -> AppendAnswer:
-    """Append records together and tell what is known of the result."""
+    """Append records in one request and return the result."""
     body = msgspec.json.encode(_AppendBody(tuple(texts)))
     try:
         answer = await fetch(address, "POST", "/log/append", (), body, timeout_ms)
@@ -108,11 +108,11 @@
     wait_ms: int,
     margin_ms: float = READ_MARGIN_MS,
 ) -> LogPage:
-    """Read from an offset on, waiting a while for new records.
+    """Read records from an offset, waiting up to `wait_ms` for new ones.
 
-    The answer may take `margin_ms` beyond its wait. Raise LogExpiredError when they are
-    gone, PageTooLargeError when they are too many, and LogUnavailableError without an
-    answer that can be used.
+    The response may take `margin_ms` longer. Raise LogExpiredError when records have
+    expired, PageTooLargeError when they exceed the size limit, and LogUnavailableError
+    without a usable response.
     """
     target = f"/log/read?from={start}&limit={limit}&wait_ms={wait_ms}"
     timeout_ms = wait_ms + margin_ms
@@ -129,7 +129,7 @@
 
 
 def decode_page(answer: Response, start: int) -> LogPage:
-    """Return the page in an answer; raise as `read_records` does."""
+    """Decode a page; raise the same errors as `read_records`."""
     if answer.status not in (200, 410):
         raise LogUnavailableError(f"status {answer.status}")
     try:
@@ -148,10 +148,10 @@
 
 
 def _check_offsets(offsets: Sequence[int]) -> None:
-    """Raise LogUnavailableError unless offsets rise and are in range.
+    """Raise LogUnavailableError unless offsets increase and are in range.
 
-    Reading goes on behind the last one. Offsets that fall would make a node read the
-    same again without end, and a log whose end went back has forgotten claims.
+    Reading continues after the last one. With decreasing offsets a node would read the
+    same records forever, and a log whose end moved back has lost claims.
     """
     is_rising = all(one < other for one, other in itertools.pairwise(offsets))
     if not is_rising or offsets[-1] > _MAX_OFFSET:
--- a/packages/toucanyard-node/src/toucanyard_node/log_reader.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_reader.py
@@ -1,4 +1,4 @@
-"""Follow the platform's log and pass its records on in order, without gaps."""
+"""Follow the platform's log and emit its records in order, without gaps."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 _PAGE_SHRINK_FACTOR: Final = 10
 _RETRY_INTERVAL_MS: Final = 250
 _INITIAL_MARGIN_MS: Final = READ_MARGIN_MS
-"""How long an answer may take beyond its wait at first."""
+"""Initial response timeout in addition to the requested wait."""
 _MIN_SEARCH_RECORDS: Final = 10_000
-"""Records that are read sooner than a place among them is found."""
+"""Below this many records, reading all is faster than searching for a start."""
 _LOG: Final = structlog.get_logger()
 
 LogEvent = LogRead | LogExpired | LogReadRestarted | LogStateSeen
 
 
 class StartWindow(msgspec.Struct, frozen=True):
-    """How far back to read, and how the reader learns that this was not enough."""
+    """Span of the log to read, and a check whether that was not enough."""
 
     span_ms: float
     needs_older: Callable[[], bool]
@@ -49,19 +49,19 @@
     start_window: StartWindow | None = None,
     append_log_timeout: AdaptiveLogTimeout | None = None,
 ) -> None:
-    """Read the log until cancelled, from its first record on or from a late start.
+    """Read the log until cancelled, from its first record or within a start window.
 
-    `append_patience` learns from reads how slow the log is, before an append has to be
-    given up to find out.
+    `append_log_timeout` adapts to the latency of reads, so that no append has to time
+    out first.
     """
     reader = _LogFollower(address, wait_ms, emit, start_window, append_log_timeout)
     await reader.run()
 
 
 class _LogFollower:
-    """Where reading stands and whether the log answers.
+    """Read position and availability of the log.
 
-    Invariant: after LogExpired and LogReread, reads follow each other without a gap.
+    Invariant: after LogExpired and LogReadRestarted, reads continue without a gap.
     """
 
     def __init__(
@@ -81,11 +81,11 @@
         self._limit = _PAGE_RECORDS
         self._is_log_available: bool | None = None
         self._delay_ms = 0.0
-        """How much later than its wait the last answer without records came."""
+        """Latency of the last response without records, beyond the requested wait."""
         self._log_timeout = AdaptiveLogTimeout(_INITIAL_MARGIN_MS)
 
     async def run(self) -> None:
-        """Read on until cancelled."""
+        """Read until cancelled."""
         while True:
             try:
                 if self._start is None:
@@ -102,7 +102,7 @@
                 await trio.sleep(_RETRY_INTERVAL_MS / 1000)
 
     async def _find_start(self) -> int:
-        """Return where to begin; a place behind the oldest record is told as a gap."""
+        """Return the first offset to read; report skipped records as a gap."""
         assert self._start_window is not None
         oldest, head = await self._find_range()
         if head - oldest <= _MIN_SEARCH_RECORDS:
@@ -135,8 +135,8 @@
 
     async def _read(self, start: int) -> None:
         asked_ms = trio.current_time() * 1000
-        # A version is confirmed from the time of asking on. Where the log is slow, its
-        # wait on top of the delay would make it stale between two answers.
+        # The configuration is confirmed as of the time of the request. With a slow log,
+        # the wait in addition to the delay would make it stale between two responses.
         wait_ms = (
             max(0, self._wait_ms - int(self._delay_ms)) if self._is_log_available else 0
         )
@@ -156,7 +156,7 @@
                 self._address, start, limit, wait_ms, log_timeout.timeout_ms
             )
         except LogTimeoutError:
-            # A slow log must not be given up after the same time again and again.
+            # A slow log must not time out after the same interval every time.
             log_timeout.record_timeout()
             raise
         took_ms = trio.current_time() * 1000 - began_ms
@@ -180,10 +180,10 @@
         self._restart_if_incomplete()
 
     def _restart_if_incomplete(self) -> None:
-        """Begin again at the first record if the span held no checkpoint.
+        """Restart at the first record if the window contained no checkpoint.
 
-        None was written, say because a record of an unknown kind halted all nodes.
-        Without its older patches this node would have no configuration at all.
+        Checkpoints can be missing, for example because a record of an unknown kind
+        halted all nodes. Without the older patches this node has no configuration.
         """
         if self._start_window is None or not self._start_window.needs_older():
             return
@@ -191,14 +191,14 @@
         self._start_window = None
         self._start = 0
         self._is_log_available = None
-        # Claims can't be read back meanwhile, so keyed requests are refused at once.
+        # Claims can't be confirmed until then, so keyed requests are refused at once.
         self._emit(LogStateSeen(False))
         self._emit(LogReadRestarted())
 
     def _reduce_page_size(self, start: int, asked_ms: float) -> None:
         _LOG.warning("log_page_too_large", offset=start, limit=self._limit)
         if self._limit == 1:
-            # No record of use is that large. Where the log ends is not known yet.
+            # No valid record is that large. The end of the log is not known yet.
             self._emit(LogRead(start, start + 1, (), start + 2, asked_ms))
             self._start = start + 1
         self._limit = max(1, self._limit // _PAGE_SHRINK_FACTOR)
--- a/packages/toucanyard-node/src/toucanyard_node/log_writer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_writer.py
@@ -1,4 +1,4 @@
-"""Append the core's records to the platform's log, gathered into few appends."""
+"""Append the core's records to the platform's log in batches."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     emit: Callable[[AppendSettled], None],
     log_timeout: AdaptiveLogTimeout | None = None,
 ) -> None:
-    """Append what comes, at most `max_appends_per_s` times a second."""
+    """Append records from the outbox, at most `max_appends_per_s` times a second."""
     batcher = AppendBatcher(limits)
     if log_timeout is None:
         log_timeout = AdaptiveLogTimeout(float(limits.append_timeout_ms))
@@ -40,7 +40,7 @@
 async def _collect_records(
     batcher: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
 ) -> None:
-    """Take records in until a batch is due."""
+    """Collect records until a batch is due."""
     if len(batcher) == 0:
         batcher.add(await outbox.receive(), trio.current_time() * 1000)
     while (due_ms := batcher.find_due_ms()) > trio.current_time() * 1000:
@@ -66,7 +66,7 @@
     batch: AppendBatch,
     log_timeout: AdaptiveLogTimeout,
 ) -> AppendAnswer:
-    """Append one batch, again after a refusal that only the rate caused."""
+    """Append one batch; retry when the rate limit refused it."""
     answer = await _append_once(address, batch, log_timeout)
     for _ in range(_MAX_ATTEMPTS - 1):
         if not answer.is_rate_limited:
--- a/packages/toucanyard-node/src/toucanyard_node/metrics.py
+++ b/packages/toucanyard-node/src/toucanyard_node/metrics.py
@@ -1,7 +1,7 @@
-"""Send counts and quantiles to a statsd server over UDP.
+"""Send counters and quantiles to a statsd server over UDP.
 
-Reads the core between two of its events, as the operators' face does. Names are
-bounded: the busiest customers and classes, and the closed list of error kinds.
+Reads the core's state between two events, as the operator server does. The number of
+metric names is bounded: the busiest customers and classes, and the fixed error kinds.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from toucanyard_node.http_client import split_address
 
 MAX_GROUPS: Final = 32
-"""Customers and classes that are sent; the busiest since the node started."""
+"""Number of customer and class pairs sent: the busiest since the node started."""
 _MAX_NAME_CHARACTERS: Final = 48
 _HASH_CHARACTERS: Final = 6
 _RESERVED: Final = re.compile(r"[^A-Za-z0-9_-]")
@@ -31,14 +31,14 @@
 
 
 class Gauge(msgspec.Struct, frozen=True):
-    """A value as it is now."""
+    """A current value."""
 
     name: str
     value: float
 
 
 class Counter(msgspec.Struct, frozen=True):
-    """A total since the node started; what was added since the last time is sent."""
+    """A total since the node started; the increase since the last send is sent."""
 
     name: str
     total: int
@@ -48,7 +48,7 @@
 
 
 async def send_metrics(options: StatsdOptions, core: NodeCore) -> None:
-    """Send everything each interval until cancelled."""
+    """Send all metrics every interval until cancelled."""
     host, port = split_address(options.address)
     client = statsd.StatsClient(
         host,
@@ -68,9 +68,9 @@
 
 
 class MetricsSender:
-    """Turn totals into what was added, and send all in few datagrams.
+    """Convert totals into increments and send all metrics in few datagrams.
 
-    Invariant: a total that was sent is never sent again.
+    Invariant: each increment is sent once.
     """
 
     __slots__ = ("_client", "_sent_totals")
@@ -80,7 +80,7 @@
         self._sent_totals: dict[str, int] = {}
 
     async def send(self, metrics: list[Metric]) -> None:
-        """Send metrics; a server that is not there is not noticed, as UDP has it."""
+        """Send metrics; with UDP, an unreachable server is not detected."""
         pipeline = self._client.pipeline()
         for metric in metrics:
             match metric:
@@ -91,13 +91,13 @@
                     self._sent_totals[name] = total
                     if added:
                         pipeline.incr(name, added)
-        # The library's socket blocks while the kernel's buffer is full; in a thread
-        # of its own that holds up nobody.
+        # The library's socket blocks while the kernel's buffer is full, so it is used
+        # in a separate thread.
         await trio.to_thread.run_sync(pipeline.send, abandon_on_cancel=True)
 
 
 async def collect_metrics(core: NodeCore, now_ms: float) -> list[Metric]:
-    """Read all metrics, and let other tasks run after each group of them."""
+    """Return all metrics; yields to other tasks after each group."""
     metrics: list[Metric] = list(_collect_node(core, now_ms))
     metrics += _collect_refusals(core)
     for group in core.flow.records.statistics.iterate_busiest(MAX_GROUPS):
@@ -107,10 +107,10 @@
 
 
 def clean_name(name: str) -> str:
-    """Return a name as one part of a metric's name.
+    """Return a name as one component of a metric name.
 
-    Characters that separate parts or values are replaced. A hash keeps two names
-    apart that would then be the same.
+    Separator characters are replaced. A hash is appended to changed names, so that
+    different names stay distinct.
     """
     cleaned = _RESERVED.sub("_", name)
     if cleaned == name and len(name) <= _MAX_NAME_CHARACTERS:
--- a/packages/toucanyard-node/src/toucanyard_node/model_handler.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_handler.py
@@ -1,4 +1,4 @@
-"""Serve completions and chat completions, as events or as one plain answer."""
+"""Handle completions and chat completions, streaming or plain."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class ModelHandler:
-    """Serve calls of models."""
+    """Handle model calls."""
 
     __slots__ = ("_core", "_streams", "_options", "_pool", "_spawn", "_watch")
 
@@ -62,7 +62,7 @@
         self._streams = StreamStore(options.streams, spawn)
 
     async def serve(self, context: CallerContext, api: ApiKind) -> None:
-        """Answer one call."""
+        """Handle one call."""
         call = parse_model_call(
             api, context.http.body, context.configuration, context.customer.name
         )
@@ -83,7 +83,7 @@
             await self._serve_plain(context, relay, call)
 
     async def resume(self, context: CallerContext, stream_id: str) -> None:
-        """Send a stream again after the event that the caller names."""
+        """Resume a stream after the event given in `Last-Event-ID`."""
         stream = self._streams.find(RequestId(stream_id), context.customer.name)
         after = _find_last_event_id(context)
         if stream is None or stream.relay.buffer.find_after(after) is None:
@@ -102,7 +102,7 @@
         await self._streams.send(stream, context.responder, after)
 
     async def _serve_stream(self, context: CallerContext, relay: StreamRelay) -> None:
-        """Answer with events; the deadline bounds the wait for the answer's begin."""
+        """Send a stream; the deadline applies only until the stream starts."""
         result = await self._run_until_deadline(relay, self._open)
         if result is not None:
             await context.send_result(result)
@@ -119,7 +119,7 @@
     async def _serve_plain(
         self, context: CallerContext, relay: StreamRelay, call: ModelCall
     ) -> None:
-        """Answer at once when the answer is whole; the deadline bounds all of it."""
+        """Send a plain response; the deadline applies to the complete response."""
 
         async def run(relay: StreamRelay) -> Result:
             return await self._aggregate(relay, call)
@@ -131,7 +131,7 @@
     async def _run_until_deadline(
         self, relay: StreamRelay, work: Work
     ) -> Result | None:
-        """Run to the result, or to the final refusal at the deadline."""
+        """Return the result, or the refusal at the deadline."""
         attempts = relay.attempts
         is_keyed = attempts.request.repeatability is Repeatability.KEYED
 
@@ -139,12 +139,12 @@
             try:
                 return await work(relay)
             except Exception:
-                # A fault here must not leave the request's place taken for ever.
+                # An internal error must not leave the request's slot occupied forever.
                 relay.abort("internal error")
                 raise
 
         async def store_unclaimed(result: Result | None) -> None:
-            # Reached when a caller hung up before its events began.
+            # Called when the caller disconnected before its stream started.
             if result is None:
                 self._streams.release_stream(
                     self._streams.add(relay, attempts.request.customer),
@@ -168,8 +168,8 @@
         verdict = await self._core.decide(relay.attempts.request)
         result = await relay.open(verdict)
         if result is not None:
-            # Here and not by whoever answers the caller: that one may have refused at
-            # the deadline, and would cut a keyed try that runs on for the next one.
+            # Closed here and not by the task that responds to the caller: that task may
+            # have ended at the deadline, while a keyed attempt continues.
             await relay.close()
         return result
 
--- a/packages/toucanyard-node/src/toucanyard_node/model_requests.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_requests.py
@@ -1,4 +1,4 @@
-"""Turn OpenAI bodies into requests for the core, and into bodies for engines."""
+"""Parse OpenAI request bodies, and render request bodies for engines."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 _FALSE: Final = msgspec.Raw(b"false")
 _EMPTY_STRING: Final = msgspec.Raw(b'""')
 _ONE: Final = msgspec.Raw(b"1")
-# What an answer gathered from token events can't carry; requests that use it are
-# read as one plain answer from the engine.
+# Request fields whose results can't be aggregated from token events; such requests ask
+# the engine for a plain response.
 _PLAIN_ONLY_FIELDS: Final = {
     "tools": _NULL,
     "functions": _NULL,
@@ -35,14 +35,14 @@
 
 
 class ApiKind(enum.StrEnum):
-    """Which of the two shapes a request and its answer have."""
+    """API of a request; the value is its path."""
 
     COMPLETION = "/v1/completions"
     CHAT = "/v1/chat/completions"
 
 
 class ContentPart(msgspec.Struct, frozen=True):
-    """One part of a message's content; parts that aren't text have no `text`."""
+    """One part of a message's content; non-text parts have an empty `text`."""
 
     text: str = ""
 
@@ -55,7 +55,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """What the node needs to know of a completion's body."""
+    """Fields of a completion request that the node uses."""
 
     model: str
     prompt: str | list[Any] = ""
@@ -64,7 +64,7 @@
 
 
 class ChatBody(msgspec.Struct, frozen=True):
-    """What the node needs to know of a chat completion's body."""
+    """Fields of a chat completion request that the node uses."""
 
     model: str
     messages: list[Message]
@@ -82,9 +82,9 @@
     pool_model: str
     is_stream: bool
     requires_plain_answer: bool
-    """True when its answer can't be gathered from token events."""
+    """True when the response can't be aggregated from token events."""
     choices: int
-    """How many texts the answer has; 0 when that can't be told."""
+    """Number of choices in the response; 0 when unknown."""
     fields: dict[str, msgspec.Raw]
     target: ModelTarget
     priority: PriorityClass
@@ -142,7 +142,7 @@
 
 
 def compute_prompt(body: CompletionBody | ChatBody) -> str:
-    """Return the text whose blocks engines cache."""
+    """Return the prompt text whose blocks engines cache."""
     match body:
         case CompletionBody(prompt=str() as prompt):
             return prompt
@@ -157,7 +157,7 @@
 def render_engine_body(
     call: ModelCall, is_stream: bool, generated: str = "", tokens: int = 0
 ) -> bytes:
-    """Build the body for an engine; `generated` text is added to the prompt."""
+    """Build the body for an engine; `generated` text is appended to the prompt."""
     fields = dict(call.fields)
     if call.model != call.pool_model and not call.adapter:
         fields["model"] = _encode_raw(call.pool_model)
@@ -185,7 +185,7 @@
 
 
 def _reduce_token_limits(fields: dict[str, msgspec.Raw], tokens: int) -> None:
-    """Take what was generated off the limits, so that the whole keeps to them."""
+    """Subtract generated tokens from the limits, so that the total respects them."""
     for name in ("max_tokens", "max_completion_tokens"):
         limit = msgspec.json.decode(fields.get(name, _NULL))
         if isinstance(limit, int):
@@ -199,7 +199,7 @@
 def _find_pool(
     configuration: Configuration, model: str, customer: CustomerName
 ) -> tuple[Pool, str, PriorityClass]:
-    """Return the pool of a model name, its adapter and the rule's class."""
+    """Return the pool of a model name, its adapter and the rule's priority class."""
     rule = configuration.find_rule(model, customer)
     adapter = ""
     if rule is None and _ADAPTER_SEPARATOR in model:
@@ -221,7 +221,7 @@
 def _count_choices(
     body: CompletionBody | ChatBody, fields: dict[str, msgspec.Raw]
 ) -> int:
-    """Return how many texts the answer has; 0 when that can't be told."""
+    """Return the number of choices in the response; 0 when unknown."""
     if isinstance(body, CompletionBody) and isinstance(body.prompt, list):
         return 0
     count = msgspec.json.decode(fields.get("n", _NULL))
--- a/packages/toucanyard-node/src/toucanyard_node/node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/node.py
@@ -1,4 +1,4 @@
-"""Assemble one node: open its sockets, start its tasks, stop it as planned."""
+"""Assemble one node: open its sockets, start its tasks, drain and stop it."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class Listeners(msgspec.Struct, frozen=True):
-    """The sockets of one node."""
+    """Listening sockets of one node."""
 
     callers: trio.SocketListener
     operators: trio.SocketListener
@@ -58,7 +58,7 @@
 
 
 async def run_node(options: Options) -> None:
-    """Run one node until it has been stopped."""
+    """Run one node until it is stopped."""
     listeners = await _open_listeners(options)
     node = _Node(options, listeners)
     async with trio.open_nursery() as nursery:
@@ -170,7 +170,7 @@
             task_status.started()
 
     async def wait_drained(self) -> None:
-        """Wait for a planned stop to be asked for, and carry it out."""
+        """Wait until a drain is requested, and perform it."""
         await self.drain_state.wait_begun()
         _LOG.info("drain_begun", pending=self._core.flow.count_pending())
         address = find_address(self._options.listen.callers, self._listeners.callers)
@@ -194,10 +194,10 @@
         self._task.inbox.send_nowait(event)
 
     def _find_watched(self) -> tuple[list[WatchedEndpoint], int]:
-        """Return what to watch; worked out anew only when what it depends on changed.
+        """Return what to watch; recomputed only when its inputs changed.
 
-        The watch asks five times a second; going over 4,400 endpoints each time cost
-        more of a core than the polls.
+        Called five times a second; iterating over 4,400 endpoints each time used more
+        CPU time than the polls.
         """
         configuration, vms = self._core.configuration, self._core.membership.vms
         is_same = (
@@ -239,7 +239,7 @@
 
 
 async def _watch_signals(state: DrainState, scope: trio.CancelScope) -> None:
-    """Begin a planned stop on the first SIGTERM or SIGINT; end on the second."""
+    """Start a drain on the first SIGTERM or SIGINT; stop on the second."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             if state.is_draining():
@@ -250,7 +250,7 @@
 
 
 def _print_addresses(options: Options, listeners: Listeners) -> None:
-    """Print where the node listens, for whoever started it with port 0."""
+    """Print the listening addresses, for nodes started with port 0."""
     listen = options.listen
     callers = find_address(listen.callers, listeners.callers)
     operators = find_address(listen.operators, listeners.operators)
@@ -263,6 +263,6 @@
 
 
 def find_address(configured: Address, listener: trio.SocketListener) -> Address:
-    """Return a listener's address with the port that the kernel gave."""
+    """Return a listener's address with the port assigned by the kernel."""
     host = configured.rpartition(":")[0]
     return Address(f"{host}:{find_port(listener)}")
--- a/packages/toucanyard-node/src/toucanyard_node/operator_answers.py
+++ b/packages/toucanyard-node/src/toucanyard_node/operator_answers.py
@@ -1,4 +1,4 @@
-"""Bodies of the operators' face, one class for each answer."""
+"""Request and response bodies of the operator API."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PatchBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an operator sends; the author is taken from the key."""
+    """Body of a patch request; the author is derived from the API key."""
 
     patch_id: str
     base: int
@@ -30,7 +30,7 @@
 
 
 class PatchReply(msgspec.Struct, frozen=True):
-    """What became of a patch; `version` is its own or the one that won."""
+    """Result of a patch; `version` is its own or that of the conflicting patch."""
 
     patch_id: str
     version: int
@@ -39,16 +39,16 @@
 
 
 class HistoryReply(msgspec.Struct, frozen=True):
-    """The latest versions, oldest first."""
+    """The most recent versions, oldest first."""
 
     version: int
     entries: tuple[HistoryEntry, ...]
 
 
 class DiffReply(msgspec.Struct, frozen=True):
-    """What changed between two versions, as the patch that leads from one to the other.
+    """Changes between two versions, as a patch from one to the other.
 
-    Fields of `put` hold what was added or replaced, of `remove` what went.
+    Fields of `put` contain added or replaced items, those of `remove` removed ones.
     """
 
     base: int
@@ -58,7 +58,7 @@
 
 
 class EndpointStatus(msgspec.Struct, frozen=True):
-    """One endpoint as this node sees it."""
+    """This node's view of one endpoint."""
 
     name: EndpointName
     owner: str
@@ -72,7 +72,7 @@
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """How one node stands."""
+    """State of one node."""
 
     node: NodeName
     incarnation: Incarnation
@@ -85,13 +85,13 @@
     log_offset: int
     unknown_record_kinds: int
     divergent_peers: tuple[NodeName, ...]
-    """Peers that hold another value under the same version."""
+    """Peers with a different configuration under the same version."""
     pending_requests: int
     queued_requests: int
     keys: int
     claims: int
     duties: tuple[PoolName, ...]
-    """Pools whose duty this node holds."""
+    """Pools whose lease this node holds."""
     peers: tuple[NodeId, ...]
     vms: tuple[Vm, ...]
     endpoints: tuple[EndpointStatus, ...]
--- a/packages/toucanyard-node/src/toucanyard_node/operator_server.py
+++ b/packages/toucanyard-node/src/toucanyard_node/operator_server.py
@@ -1,7 +1,7 @@
-"""Serve operators: patches, versions, explanations, status, statistics, drain.
+"""HTTP API for operators: patches, versions, explanations, status, statistics, drain.
 
-Reads the core's state between two of its events, which is safe since both run in one
-thread and a read never waits; every change goes through the core's inbox.
+Reads the core's state between two events, which is safe because both run in one thread
+and reads never await; all changes go through the core's inbox.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 
 class OperatorServer:
-    """Answer operators' requests."""
+    """Handle requests of operators."""
 
     def __init__(self, task: CoreTask, options: Options, drain: DrainState) -> None:
         self._task = task
@@ -71,7 +71,7 @@
         self._drain = drain
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         try:
             operator = self._authenticate(request)
             serve = self._find_route(request, operator)
@@ -88,7 +88,7 @@
                 await _refuse(internal, responder)
 
     def _authenticate(self, request: HttpRequest) -> str:
-        """Return the operator's name, or raise."""
+        """Return the operator's name, or raise RouterError."""
         key = find_bearer_key(request.headers)
         if not key:
             raise RouterError(ErrorKind.UNAUTHENTICATED, "no bearer API key")
@@ -233,13 +233,13 @@
     async def _forward_explain(
         self, request: HttpRequest, request_id: RequestId
     ) -> tuple[int, bytes]:
-        """Ask the node that the id names; it checks the operator's key itself."""
+        """Forward to the node named in the id, which checks the key itself."""
         node_name = request_id.rsplit("-", 2)[0]
         text = self._describe_missing(request_id)
         nodes = {vm.name: vm.operators for vm in self._core.membership.vms}
         address = nodes.get(node_name)
-        # A forwarded question is never forwarded again, or two nodes with different
-        # VM lists could send it to and fro.
+        # A forwarded request is never forwarded again, or nodes with different VM
+        # lists could forward it in a loop.
         is_own = node_name == self._options.name
         if not address or is_own or _FORWARDED_BY_HEADER in request.headers:
             raise RouterError(ErrorKind.NOT_FOUND, text)
@@ -256,7 +256,7 @@
         return answer.status, answer.body
 
     def _describe_missing(self, request_id: RequestId) -> str:
-        """Tell why there is no record, as far as the id shows."""
+        """Return why there is no record, as far as the id shows."""
         parts = request_id.rsplit("-", 2)
         if len(parts) != 3 or not parts[2].isdecimal():
             return f"{request_id!r} is no request id, expected NODE-INCARNATION-NUMBER"
--- a/packages/toucanyard-node/src/toucanyard_node/order_sender.py
+++ b/packages/toucanyard-node/src/toucanyard_node/order_sender.py
@@ -1,7 +1,7 @@
-"""Carry out a duty holder's actions: read endpoints' states and send orders.
+"""Execute the actions of a pool lease holder: read endpoint states, send orders.
 
-Each exchange has a connection of its own, so that an answer can't be taken for
-another's. What came of it goes back to the core, which decides what it means.
+Each exchange uses its own connection, so that responses can't be mixed up. Results are
+reported to the core, which interprets them.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
 
 
 class OrderSender:
-    """Run reads and orders side by side, a bounded number at a time.
+    """Execute reads and orders concurrently, up to a limit.
 
-    Invariant: each SendOrder that is taken leads to one OrderEnded.
+    Invariant: each received SendOrder produces one OrderEnded.
     """
 
     def __init__(self, emit: Emit, connect_to: Connect = connect) -> None:
@@ -54,11 +54,11 @@
     async def run(
         self, actions: trio.MemoryReceiveChannel[SendOrder | ReadState]
     ) -> None:
-        """Carry out what comes on a channel until it closes."""
+        """Execute actions from a channel until it is closed."""
         async with trio.open_nursery() as nursery:
             async for action in actions:
-                # Waiting here holds the channel up, not the core: it keeps at most
-                # one order per endpoint under way, and drops reads when full.
+                # Waiting here blocks the channel, not the core: the core has at most
+                # one order per endpoint in flight, and reads are dropped when full.
                 borrower = object()
                 await self._limit.acquire_on_behalf_of(borrower)
                 nursery.start_soon(self._execute, action, borrower)
@@ -97,8 +97,8 @@
         except ConnectionFailedError:
             return OrderOutcome.NOT_SENT
         try:
-            # The lease may have ended while this task waited or the process was
-            # paused. What is sent after this check is settled at the endpoint.
+            # The lease may have expired while this task waited or the process was
+            # paused. For orders sent after this check, the endpoint's fence decides.
             if trio.current_time() * 1000 >= sent.until_ms:
                 return OrderOutcome.NOT_SENT
             with trio.fail_after(_ORDER_TIMEOUT_MS / 1000):
@@ -119,7 +119,7 @@
 
 
 def find_outcome(response: Response) -> OrderOutcome:
-    """Return what an endpoint's answer to an order says."""
+    """Return the outcome in an endpoint's response to an order."""
     if response.status == 200:
         return OrderOutcome.DONE
     if response.status != 409:
--- a/packages/toucanyard-node/src/toucanyard_node/refusals.py
+++ b/packages/toucanyard-node/src/toucanyard_node/refusals.py
@@ -1,4 +1,4 @@
-"""Render refusals: the body that callers and operators read, and its headers."""
+"""Render refusals as HTTP responses for callers and operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The `error` object of a refusal, in the shape that OpenAI clients read."""
+    """The `error` object of a refusal, in the format of the OpenAI API."""
 
     code: ErrorKind
     message: str
@@ -23,13 +23,13 @@
 
 
 class RefusalBody(msgspec.Struct, frozen=True):
-    """The whole body of a refusal."""
+    """Response body of a refusal."""
 
     error: ErrorBody
 
 
 class RenderedRefusal(msgspec.Struct, frozen=True):
-    """A refusal ready to be sent."""
+    """Status, headers and body of a refusal."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -39,8 +39,8 @@
 def render_refusal(refusal: Refuse, *, is_exact: bool = False) -> RenderedRefusal:
     """Build status, headers and body of one refusal.
 
-    `is_exact` names the time to come back in fractions of a second, for callers known
-    to read them; the standard has whole seconds.
+    With `is_exact`, Retry-After has fractions of a second, for callers known to parse
+    them; the standard allows only whole seconds.
     """
     answer = ANSWERS[refusal.kind]
     retry_after_ms = refusal.retry_after_ms if answer.is_retryable else None
@@ -54,8 +54,9 @@
             request_id=refusal.request_id,
         )
     )
-    # The OpenAI client repeats errors of the server and conflicts by itself unless this
-    # header says no: what may run once would run again without its caller's knowing.
+    # The OpenAI client retries server errors and conflicts by itself unless this header
+    # forbids it: a request that may run once would run again without its caller
+    # knowing.
     should_retry = "true" if answer.is_retryable else "false"
     headers = [
         ("Content-Type", "application/json"),
--- a/packages/toucanyard-node/src/toucanyard_node/service_handler.py
+++ b/packages/toucanyard-node/src/toucanyard_node/service_handler.py
@@ -1,4 +1,4 @@
-"""Serve calls of plain services, each as one whole answer."""
+"""Handle calls of plain services."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class ServiceCall(msgspec.Struct, frozen=True):
-    """What is sent to a service."""
+    """Request that is sent to a service."""
 
     method: str
     target: str
@@ -64,7 +64,7 @@
 
 
 def find_call_repeatability(service: Service, method: str, path: str) -> Repeatability:
-    """Return whether operators declared that a call may be repeated."""
+    """Return how often a call may run, as declared by operators."""
     if method in _SAFE_METHODS:
         return Repeatability.REPEATABLE
     for entry in service.repeatable_calls:
@@ -75,7 +75,7 @@
 
 
 class ServiceHandler:
-    """Serve calls of plain services."""
+    """Handle service calls."""
 
     __slots__ = ("_core", "_options", "_pool", "_spawn")
 
@@ -90,7 +90,7 @@
     async def serve(
         self, context: CallerContext, service: ServiceName, target: str
     ) -> None:
-        """Answer one call; `target` is path and query as the service gets them."""
+        """Handle one call; `target` is the path and query sent to the service."""
         found = context.configuration.find_service(service)
         if found is None:
             raise RouterError(ErrorKind.NOT_FOUND, f"no service {service!r}")
@@ -126,7 +126,7 @@
 
 
 class ServiceExchange:
-    """One call of a service through its dispatches."""
+    """One service call and its dispatches."""
 
     __slots__ = ("_call", "_connection", "_core", "_dispatch", "_pool", "attempts")
 
@@ -145,11 +145,11 @@
         self.attempts = Attempts(core, request)
 
     async def run(self) -> Result:
-        """Dispatch until there is an answer or a final refusal."""
+        """Dispatch until there is a response or a final refusal."""
         try:
             return await self._run()
         except Exception:
-            # A fault here must not leave the request's place taken for ever.
+            # An internal error must not leave the request's slot occupied forever.
             self.abort()
             raise
 
@@ -170,14 +170,14 @@
         return verdict
 
     def abort(self) -> None:
-        """Tell the core that nobody waits for the answer any more."""
+        """Report to the core that nobody waits for the response."""
         if self._dispatch is None:
             return
         outcome = self._build_outcome(self._dispatch, DispatchEnding.CANCELLED)
         self.attempts.report_end(outcome)
 
     async def _dispatch_once(self, dispatch: Dispatch) -> Response:
-        """Make one dispatch, or raise DispatchFailedError."""
+        """Perform one dispatch, or raise DispatchFailedError."""
         is_reused = False
         try:
             connection, is_reused = await self._acquire(dispatch)
@@ -192,8 +192,8 @@
                 ) from error
             raise DispatchFailedError(DispatchEnding.LOST, str(error)) from error
         finally:
-            # Closed unless the answer was read to its end: what comes late on this
-            # connection must never be taken for the answer to another call.
+            # The pool closes the connection unless the response was read completely: a
+            # late response must never be taken for that of another call.
             await self._pool.release(connection)
 
     async def _acquire(self, dispatch: Dispatch) -> tuple[HttpConnection, bool]:
@@ -211,9 +211,9 @@
         if not is_refusal_without_id(head) or is_reused:
             check_response_id(head, self.attempts.request.request_id)
         body = await connection.read_body()
-        # An engine's refusal proves that nothing ran; a service's proves nothing: it
-        # may answer 503 after it has written. A call that may run once is therefore
-        # over with that answer, and is never sent again or called "not run".
+        # An engine's refusal proves that nothing ran. A service's does not: it may
+        # return 503 after a write. For a call that may run once, that response is
+        # therefore final; the call is never retried or reported as "not run".
         is_failure = head.status >= 500 or head.status == _TOO_MANY_REQUESTS
         if is_failure and self.attempts.is_repeatable():
             raise DispatchFailedError(DispatchEnding.FAILED, f"status {head.status}")
@@ -259,4 +259,4 @@
 
 
 async def _discard_result(_: Result) -> None:
-    """Leave an answer alone: the core keeps it for the next try."""
+    """Discard a response; the core has stored it for the next attempt."""
--- a/packages/toucanyard-node/src/toucanyard_node/statistics_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/statistics_answer.py
@@ -1,4 +1,4 @@
-"""Gather a node's statistics without holding up its other tasks."""
+"""Collect a node's statistics without blocking other tasks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 async def gather_statistics(collector: StatisticsCollector) -> Statistics:
-    """Return quantiles and counts of all groups; others run after each group."""
+    """Return the statistics of all groups; yields to other tasks after each."""
     groups: list[GroupStatistics] = []
     for group in collector.iterate_groups():
         groups.append(group)
--- a/packages/toucanyard-node/src/toucanyard_node/stream_buffer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/stream_buffer.py
@@ -1,4 +1,4 @@
-"""Hold the last events of a stream, so that its caller can resume it."""
+"""Buffer the last events of a stream, so that its caller can resume it."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class StreamBuffer:
-    """Keep rendered events in order, the oldest dropped when the bound is reached.
+    """Rendered events in order; the oldest are evicted above the size limit.
 
-    Invariant: the kept numbers are consecutive and end just before `next_number`.
+    Invariant: buffered numbers are consecutive and end just before `next_number`.
     """
 
     __slots__ = ("_events", "_buffered_bytes", "_max_bytes", "next_number")
@@ -21,11 +21,11 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Return the size of what is kept."""
+        """Return the size of the buffered events."""
         return self._buffered_bytes
 
     def append(self, event: bytes) -> None:
-        """Keep the next event; its number is `next_number`."""
+        """Append the next event; its number is `next_number`."""
         self._events.append(event)
         self._buffered_bytes += len(event)
         self.next_number += 1
@@ -33,11 +33,11 @@
             self._buffered_bytes -= len(self._events.popleft())
 
     def has_room(self) -> bool:
-        """Tell whether another event may be read without losing the oldest."""
+        """Return whether another event fits without evicting the oldest."""
         return self._buffered_bytes < self._max_bytes * 3 // 4
 
     def find_after(self, number: int) -> bytes | None:
-        """Return all events after a number, or None when some are gone."""
+        """Return all events after a number, or None when some were evicted."""
         first = self.next_number - len(self._events)
         if number + 1 < first or number >= self.next_number:
             return None
--- a/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
+++ b/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
@@ -1,8 +1,8 @@
-"""Relay one model answer as numbered events, across failures of engines.
+"""Relay one model response as numbered events, across engine failures.
 
-A relay is pulled: `read` takes what the engine sent next and returns the bytes for
-the caller, so a caller that doesn't read stops the reading from the engine, and no
-task or queue stands between the two connections.
+The relay is pull-based: `read` reads the next data from the engine and returns the
+bytes for the caller. A caller that doesn't read thus applies back pressure to the
+engine, without a task or queue between the two connections.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 )
 from toucanyard_node.stream_buffer import StreamBuffer
 
-# A comment line without a blank one: some client libraries take a blank line after a
-# comment for the end of an event without data, and fail on it.
+# A comment line without a blank line: some client libraries treat a blank line after a
+# comment as the end of an event without data, and fail on it.
 HEARTBEAT: Final = b": heartbeat\n"
 EVENT_STREAM: Final = "text/event-stream"
 _MAX_TEXT_PIECES: Final = 64
@@ -53,9 +53,9 @@
 class StreamRelay:
     """One model request from its first dispatch to its last event.
 
-    Invariants: `buffer` has every event once, in order, before its caller gets it;
-    an event once there is never contradicted by one of another engine: a dispatch
-    elsewhere begins after the text that is already out, on the same weights.
+    Invariants: `buffer` contains every event once, in order, before the caller receives
+    it; no engine contradicts the events of another: a dispatch to another engine
+    continues after the text already sent, on the same weights.
     """
 
     __slots__ = (
@@ -129,9 +129,9 @@
     async def open(
         self, verdict: Dispatch | Refuse | Replay
     ) -> Refuse | Replay | Response | None:
-        """Dispatch until an engine begins its events; None when one did.
+        """Dispatch until an engine starts a stream; return None when one did.
 
-        Otherwise return what the caller gets in place of events.
+        Otherwise return the response that the caller gets in place of a stream.
         """
         while isinstance(verdict, Dispatch):
             try:
@@ -148,7 +148,7 @@
         return verdict
 
     async def read(self) -> bytes:
-        """Return bytes of whole events for the caller; call until `is_over`."""
+        """Return complete events for the caller; call until `is_over`."""
         assert self._engine is not None
         try:
             if self._failure is not None:
@@ -160,18 +160,18 @@
             return await self._fail_over(error)
 
     def abort(self, text: str) -> None:
-        """Give the request up: tell the engine and the core, add a last event."""
+        """Cancel the request at the engine and the core; append an error event."""
         if self.is_over:
             return
         engine, self._engine = self._engine, None
         if engine is not None:
-            # Never NOT_SENT here: the core would try again for nobody.
+            # Never NOT_SENT here: the core would retry although no caller is left.
             self.attempts.report_end(self._build_outcome(DispatchEnding.CANCELLED))
             self._spawn(engine.cancel)
         self._end_with_error(self._build_incomplete(text))
 
     async def close(self) -> None:
-        """Lend the engine's connection back, or close it."""
+        """Release the engine's connection."""
         engine, self._engine = self._engine, None
         if engine is not None:
             await engine.close()
@@ -180,8 +180,8 @@
         request = self.attempts.request
         self._dispatch = dispatch
         if self._weights_version not in ("", dispatch.weights_version):
-            # What was already said belongs to one version and goes on under none
-            # other; before the first event any version will do.
+            # Text already generated must be continued with the same weights version;
+            # before the first event any version is acceptable.
             text = "the dispatch is for other weights"
             raise DispatchFailedError(DispatchEnding.NOT_SENT, text)
         is_stream = not self._call.requires_plain_answer or self._call.is_stream
@@ -218,7 +218,7 @@
         return tuple(headers)
 
     async def _read_plain(self, head: ResponseHead) -> Response:
-        """Read an answer that isn't events: a plain one, or a 4xx."""
+        """Read a response that isn't a stream: a plain one, or a 4xx."""
         assert self._engine is not None
         body = await self._engine.read_plain_body()
         self._incarnation = self._engine.incarnation
@@ -230,7 +230,7 @@
         return Response(head.status, {"content-type": content_type}, body)
 
     def _process_events(self, events: list[Event]) -> bytes:
-        """Return new events with numbers, after keeping them."""
+        """Buffer new events and return them with numbers."""
         assert self._engine is not None
         self._incarnation = self._engine.incarnation
         self._weights_version = self._engine.weights_version
@@ -245,8 +245,8 @@
             try:
                 self._read_event(event)
             except EventError as error:
-                # The events before it are kept and counted already: the caller would
-                # miss them, so the failure waits for the next read.
+                # The preceding events are already buffered and must be returned to the
+                # caller, so the failure is raised at the next read.
                 self._failure = DispatchFailedError(DispatchEnding.FAILED, str(error))
                 break
             parts.append(self._append_event(event.data))
@@ -255,8 +255,8 @@
     def _handle_end_mark(self, parts: list[bytes]) -> None:
         """End the stream, unless its last event is missing.
 
-        The mark of the end has no number, so a gap just before it shows only by the
-        missing reason; the stream would pass for whole without its end.
+        The end mark has no number, so a gap just before it is only detected by the
+        missing finish reason; the truncated stream would appear complete.
         """
         assert self._engine is not None
         if self.finish_reason is None:
@@ -273,7 +273,7 @@
         if text:
             self._text.append(text)
             if len(self._text) >= _MAX_TEXT_PIECES:
-                # Many short strings take ten times the memory of one.
+                # Many short strings use ten times the memory of one joined string.
                 self._text = ["".join(self._text)]
             self._tokens += 1
         if chunk.choices and chunk.choices[0].finish_reason:
@@ -295,7 +295,7 @@
             self._report_completed(CachedAnswer(200, EVENT_STREAM, body))
 
     def report_aggregated(self, answer: CachedAnswer) -> None:
-        """Report the end of an answer that was gathered from events."""
+        """Report the end of a response that was aggregated from events."""
         self._report_completed(answer)
 
     def _report_completed(self, kept: CachedAnswer | None) -> None:
@@ -330,28 +330,29 @@
     async def _handle_failure(
         self, dispatch: Dispatch, error: DispatchFailedError
     ) -> Dispatch | Refuse | Replay:
-        """Drop the failed exchange and ask the core what to do next."""
+        """Abandon the failed exchange and return the core's next verdict."""
         engine, self._engine = self._engine, None
         if engine is not None:
-            # The caller may leave at any moment and come back. Left half done, this
-            # would leave neither an engine to read from nor a report to the core.
+            # The caller may disconnect at any time and resume later. If this were
+            # interrupted, there would be no engine to read from and no report to the
+            # core.
             with trio.CancelScope(shield=True):
                 await engine.abandon()
         verdict = await self.attempts.report_failure(
             dispatch, error.ending, error.text, self._weights_version
         )
-        # What goes on computing there is for nobody. A try that comes back to the
-        # same engine bears the same name, and would be cancelled with the old one.
+        # The failed engine may still be computing for nobody, so it is cancelled. A
+        # retry at the same engine has the same id and would be cancelled as well.
         is_elsewhere = getattr(verdict, "address", "") != dispatch.address
         if engine is not None and is_elsewhere and self.attempts.is_repeatable():
             self._spawn(engine.cancel)
         return verdict
 
     async def _fail_over(self, error: DispatchFailedError) -> bytes:
-        """Continue a begun stream on another engine, or end it as incomplete."""
+        """Continue a started stream on another engine, or end it as incomplete."""
         assert self._dispatch is not None
         if self._is_generation_complete():
-            # Only the mark of the end is missing, and the node can give that itself.
+            # Only the end mark is missing, and the node can add it itself.
             with trio.CancelScope(shield=True):
                 await self.close()
             return self._finish_locally()
@@ -375,12 +376,13 @@
             raise DispatchFailedError(DispatchEnding.FAILED, f"status {head.status}")
 
     def _can_continue(self) -> bool:
-        """Tell whether prompt and text so far say all that another engine needs."""
+        """Return whether another engine can continue from prompt and text."""
         return self.attempts.is_repeatable() and not self._call.requires_plain_answer
 
     def _is_generation_complete(self) -> bool:
-        """Tell whether only the mark of the end is missing."""
-        # With several choices, or an unknown number, the end of one is not that of all.
+        """Return whether only the end mark is missing."""
+        # With several choices, or an unknown number, the first finish reason is not the
+        # end of all.
         return self.finish_reason is not None and self._call.choices == 1
 
     def _finish_locally(self) -> bytes:
@@ -398,7 +400,7 @@
         return self.attempts.build_incomplete_refusal(text)
 
     def _end_with_error(self, refusal: Refuse) -> bytes:
-        """End with an error event, so that a caller can tell a cut from an end."""
+        """Append an error event, so that callers can detect a truncated stream."""
         self.is_over = True
         self.refusal = refusal
         body = render_refusal(self._build_incomplete(refusal.text)).body
--- a/packages/toucanyard-node/src/toucanyard_node/stream_store.py
+++ b/packages/toucanyard-node/src/toucanyard_node/stream_store.py
@@ -1,4 +1,4 @@
-"""Keep streams for callers that come back, within bounds of time and memory."""
+"""Store streams so that callers can resume them, bounded in time and memory."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class StoredStream:
-    """One stream and the task that reads it at present.
+    """One stream and the task that currently reads it.
 
-    Invariant: one task at a time reads the relay. A caller that comes back takes it
-    over from the task before, which may still serve a connection that is dead.
+    Invariant: one task at a time reads the relay. A caller that reconnects takes it
+    over from the previous task, which may still be serving a dead connection.
     """
 
     __slots__ = ("_released", "_scope", "_waiting", "customer", "relay")
@@ -36,7 +36,7 @@
 
     @asynccontextmanager
     async def take_over(self) -> AsyncIterator[None]:
-        """Read the relay inside; cancelled when another task takes it over."""
+        """Hold exclusive read access; cancelled when another task takes over."""
         self._waiting += 1
         try:
             while self._scope is not None:
@@ -54,15 +54,15 @@
             self._released.set()
 
     def has_reader(self) -> bool:
-        """Tell whether another task holds the relay or waits for it."""
+        """Return whether a task reads the relay or waits to read it."""
         return self._scope is not None or self._waiting > 0
 
 
 class StreamStore:
-    """Find streams by request id for the customer that they belong to.
+    """Streams by request id, accessible only to the customer that started them.
 
-    Invariant: what has ended is kept for at most `replay_keep_ms` and, over all
-    streams, `kept_streams_bytes`.
+    Invariant: ended streams are stored for at most `replay_keep_ms` and take at most
+    `kept_streams_bytes` in total.
     """
 
     __slots__ = ("_ended", "_ended_bytes", "_limits", "_live", "_spawn")
@@ -75,7 +75,7 @@
         self._ended_bytes = 0
 
     def add(self, relay: StreamRelay, customer: CustomerName) -> StoredStream:
-        """Keep a stream that has begun."""
+        """Store a stream that has started."""
         stream = StoredStream(relay, customer)
         self._live[relay.attempts.request.request_id] = stream
         return stream
@@ -83,7 +83,7 @@
     def find(
         self, request_id: RequestId, customer: CustomerName
     ) -> StoredStream | None:
-        """Return a stream of this customer."""
+        """Return a stream of this customer, or None."""
         self._evict()
         stream = self._live.get(request_id)
         if stream is None and request_id in self._ended:
@@ -99,38 +99,38 @@
     async def send(
         self, stream: StoredStream, responder: Responder, after: int
     ) -> None:
-        """Send all events after a number, those to come too, and the end."""
+        """Send all events after a number, including future ones, and the end."""
         relay = stream.relay
         try:
             async with stream.take_over():
                 missed = relay.buffer.find_after(after)
                 if missed is None:
-                    # Pushed out since the request was checked. What follows would
-                    # have a hole before it; a cut tells the caller to ask again.
+                    # Evicted since the request was checked. The rest would start with
+                    # a gap; closing the connection makes the caller resume again.
                     return
                 if missed:
                     await responder.write(missed)
                 while not relay.is_over:
                     await responder.write(await relay.read())
                 await responder.finish()
-                # The caller may hang up as soon as it has its answer. Cut off by that,
-                # the engine's connection would be closed, though its answer was whole.
+                # The caller may disconnect as soon as it has the end. Cancelled by
+                # that, this would close an engine connection that can be reused.
                 with trio.CancelScope(shield=True):
                     await relay.close()
         finally:
             self.release_stream(stream)
 
     def release_stream(self, stream: StoredStream) -> None:
-        """Leave a stream that no caller reads now; its end may be still to come."""
+        """Release a stream that its caller no longer reads; it may not have ended."""
         if stream.relay.is_over:
             self._record_ended(stream)
         elif not stream.has_reader():
             self._spawn(lambda: self._wait_for_caller(stream))
 
     async def _wait_for_caller(self, stream: StoredStream) -> None:
-        """Read on for a moment without a caller, then give the stream up.
+        """Read on for the grace period without a caller, then abort the stream.
 
-        A request with a key is read to its end, since its caller may ask again.
+        A keyed request is read to its end, since its caller may retry it.
         """
         relay = stream.relay
         is_keyed = relay.attempts.request.repeatability is Repeatability.KEYED
