--- a/packages/toucanyard-cli/src/toucanyard_cli/ask_commands.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/ask_commands.py
@@ -25,8 +25,8 @@
 )
 from toucanyard_cli.exit_codes import ExitCode
 from toucanyard_cli.failures import CommandError
-from toucanyard_node.locate_answer import LocateAnswer
-from toucanyard_node.operator_answers import StatusReply
+from toucanyard_node.locate_response import LocateResponse
+from toucanyard_node.operator_messages import StatusReply
 
 
 @click.command()
@@ -68,7 +68,7 @@
     """
     access = find_access(nodes, key_file)
     try:
-        body, reply = query(access, "/v1/locate", LocateAnswer)
+        body, reply = query(access, "/v1/locate", LocateResponse)
     except CommandError as error:
         if error.failure.exit_code is not ExitCode.NOT_FOUND:
             raise
--- a/packages/toucanyard-cli/src/toucanyard_cli/ask_texts.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/ask_texts.py
@@ -16,8 +16,8 @@
 from toucanyard.placement import Score
 from toucanyard.statistics import OTHER_CUSTOMERS, Statistics
 from toucanyard_cli.tables import Cell, render_cell, render_table
-from toucanyard_node.locate_answer import LocateAnswer
-from toucanyard_node.operator_answers import EndpointStatus, StatusReply
+from toucanyard_node.locate_response import LocateResponse
+from toucanyard_node.operator_messages import EndpointStatus, StatusReply
 
 
 def render_decision(record: DecisionRecord) -> str:
@@ -145,7 +145,7 @@
     return "(all others)" if customer == OTHER_CUSTOMERS else customer
 
 
-def render_located(reply: LocateAnswer) -> str:
+def render_located(reply: LocateResponse) -> str:
     """Return which node to use, and the others."""
     nodes = render_table(
         ("node", "address", "domain"),
--- a/packages/toucanyard-cli/src/toucanyard_cli/patch_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/patch_command.py
@@ -20,7 +20,7 @@
 from toucanyard_cli.exit_codes import ExitCode, find_exit_code
 from toucanyard_cli.failures import CommandError
 from toucanyard_node.http_client import Response
-from toucanyard_node.operator_answers import PatchBody, PatchReply
+from toucanyard_node.operator_messages import PatchBody, PatchReply
 
 _ID_BYTES: Final = 8
 
--- a/packages/toucanyard-cli/src/toucanyard_cli/version_commands.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/version_commands.py
@@ -13,7 +13,7 @@
 from toucanyard.patches import Put, Remove, find_owners
 from toucanyard_cli.access import access_options, find_access, query
 from toucanyard_cli.tables import render_table
-from toucanyard_node.operator_answers import DiffReply, HistoryReply, VersionReply
+from toucanyard_node.operator_messages import DiffReply, HistoryReply, VersionReply
 
 
 @click.command()
--- a/packages/toucanyard-node/src/toucanyard_node/aggregated_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/aggregated_response.py
@@ -33,7 +33,7 @@
     logprobs: None = None
 
 
-class PlainAnswer(msgspec.Struct, frozen=True):
+class PlainResponse(msgspec.Struct, frozen=True):
     """A complete response body in the OpenAI format."""
 
     id: str
@@ -44,7 +44,7 @@
     usage: Usage | None
 
 
-def render_aggregated_answer(
+def render_aggregated_response(
     api: ApiKind,
     request_id: RequestId,
     first: Chunk | None,
@@ -58,7 +58,7 @@
         choice = ChatChoice(AnswerMessage(text), finish_reason)
     else:
         choice = TextChoice(text, finish_reason)
-    answer = PlainAnswer(
+    answer = PlainResponse(
         id=first.id if first is not None else request_id,
         object="chat.completion" if api is ApiKind.CHAT else "text_completion",
         created=first.created if first is not None else 0,
--- a/packages/toucanyard-node/src/toucanyard_node/client_server.py
+++ b/packages/toucanyard-node/src/toucanyard_node/client_server.py
@@ -35,7 +35,7 @@
 from toucanyard_node.http_server import (
     ServerLimits,
 )
-from toucanyard_node.locate_answer import LocateAnswer, NodeIdentity
+from toucanyard_node.locate_response import LocateResponse, NodeIdentity
 from toucanyard_node.model_handler import ModelHandler
 from toucanyard_node.model_requests import ApiKind
 from toucanyard_node.refusals import render_refusal
@@ -75,7 +75,7 @@
         core: CoreClient,
         options: Options,
         identity: NodeIdentity,
-        locate: Callable[[bool], LocateAnswer],
+        locate: Callable[[bool], LocateResponse],
         drain: DrainState | None = None,
         connect: Connect = connect,
     ) -> None:
--- a/packages/toucanyard-node/src/toucanyard_node/configuration_diff.py
+++ b/packages/toucanyard-node/src/toucanyard_node/configuration_diff.py
@@ -13,7 +13,7 @@
     Service,
 )
 from toucanyard.patches import Put, Remove
-from toucanyard_node.operator_answers import DiffReply
+from toucanyard_node.operator_messages import DiffReply
 
 T = TypeVar("T", Customer, Operator, Pool, Service)
 
--- a/packages/toucanyard-node/src/toucanyard_node/core_task.py
+++ b/packages/toucanyard-node/src/toucanyard_node/core_task.py
@@ -175,7 +175,7 @@
 
 
 def _send_or_drop(channel: trio.MemorySendChannel[T], message: T) -> None:
-    """Send a message, or drop it when the channel is full; its sender retries."""
+    """Send a message that may be lost; the core repeats what it still needs."""
     try:
         channel.send_nowait(message)
     except trio.WouldBlock:
--- a/packages/toucanyard-node/src/toucanyard_node/event_splitter.py
+++ b/packages/toucanyard-node/src/toucanyard_node/event_splitter.py
@@ -29,12 +29,12 @@
         ends = [data.rfind(mark) + len(mark) for mark in _EVENT_ENDS if mark in data]
         end = max(ends, default=0)
         self._partial_event = data[end:]
-        whole = data[:end]
-        begin = max(whole.rfind(b"\n" + _ID_FIELD) + 1, 0)
-        if whole.startswith(_ID_FIELD, begin):
-            line = whole[begin:].split(b"\n", 1)[0]
+        complete = data[:end]
+        start = max(complete.rfind(b"\n" + _ID_FIELD) + 1, 0)
+        if complete.startswith(_ID_FIELD, start):
+            line = complete[start:].split(b"\n", 1)[0]
             self.last_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
-        return whole
+        return complete
 
     def discard_partial_event(self) -> None:
         """Discard a truncated event; the resumed stream sends it again."""
--- a/packages/toucanyard-node/src/toucanyard_node/locate_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/locate_response.py
@@ -29,7 +29,7 @@
     valid_ms: int
 
 
-class LocateAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
+class LocateResponse(msgspec.Struct, frozen=True, omit_defaults=True):
     """Response body: the node to use, for how long, and all nodes."""
 
     node: NodeName
--- a/packages/toucanyard-node/src/toucanyard_node/locator.py
+++ b/packages/toucanyard-node/src/toucanyard_node/locator.py
@@ -16,7 +16,7 @@
 from toucanyard.node_core import NodeCore
 from toucanyard.options import Options
 from toucanyard_node.drain import DrainState
-from toucanyard_node.locate_answer import IssuedKey, LocateAnswer, NodeAddress
+from toucanyard_node.locate_response import IssuedKey, LocateResponse, NodeAddress
 
 
 class Locator:
@@ -38,7 +38,7 @@
         self._drain = drain
         self._rng = rng
 
-    def locate(self, prefers_this_node: bool) -> LocateAnswer:
+    def locate(self, prefers_this_node: bool) -> LocateResponse:
         """Return the node to use; this one if preferred and not draining."""
         nodes = self._find_nodes()
         self._rng.shuffle(nodes)
@@ -48,7 +48,7 @@
         else:
             chosen = nodes[0] if nodes else own
         issued_key = self._issue_key() if chosen.node == own.node else None
-        return LocateAnswer(
+        return LocateResponse(
             node=chosen.node,
             address=chosen.address,
             keep_ms=self._options.callers.locate_ttl_ms,
--- a/packages/toucanyard-node/src/toucanyard_node/model_handler.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_handler.py
@@ -16,7 +16,7 @@
     Repeatability,
     Replay,
 )
-from toucanyard_node.aggregated_answer import render_aggregated_answer
+from toucanyard_node.aggregated_response import render_aggregated_response
 from toucanyard_node.attempts import Attempts
 from toucanyard_node.caller_context import (
     CallerContext,
@@ -183,7 +183,7 @@
         if relay.refusal is not None:
             return relay.attempts.check_refusal(relay.refusal)
         usage = relay.last_chunk.usage if relay.last_chunk is not None else None
-        body = render_aggregated_answer(
+        body = render_aggregated_response(
             call.api,
             relay.attempts.request.request_id,
             relay.first_chunk,
--- a/packages/toucanyard-node/src/toucanyard_node/node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/node.py
@@ -34,7 +34,7 @@
     find_port,
     open_listener,
 )
-from toucanyard_node.locate_answer import NodeIdentity
+from toucanyard_node.locate_response import NodeIdentity
 from toucanyard_node.locator import Locator
 from toucanyard_node.log_reader import StartWindow, follow_log
 from toucanyard_node.log_writer import write_log
--- a/packages/toucanyard-node/src/toucanyard_node/operator_server.py
+++ b/packages/toucanyard-node/src/toucanyard_node/operator_server.py
@@ -35,7 +35,7 @@
     HttpRequest,
     Responder,
 )
-from toucanyard_node.operator_answers import (
+from toucanyard_node.operator_messages import (
     EndpointStatus,
     HistoryReply,
     PatchBody,
@@ -44,7 +44,7 @@
     VersionReply,
 )
 from toucanyard_node.refusals import render_refusal
-from toucanyard_node.statistics_answer import gather_statistics
+from toucanyard_node.statistics_response import collect_statistics
 
 _JSON: Final = (("Content-Type", "application/json"),)
 _EXPLAIN: Final = "/explain/"
@@ -170,7 +170,7 @@
 
     async def _statistics(self) -> tuple[int, bytes]:
         collector = self._core.flow.records.statistics
-        return 200, msgspec.json.encode(await gather_statistics(collector))
+        return 200, msgspec.json.encode(await collect_statistics(collector))
 
     async def _status(self) -> tuple[int, bytes]:
         now_ms = trio.current_time() * 1000
--- a/packages/toucanyard-node/src/toucanyard_node/statistics_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/statistics_response.py
@@ -7,7 +7,7 @@
 from toucanyard.statistics import GroupStatistics, Statistics, StatisticsCollector
 
 
-async def gather_statistics(collector: StatisticsCollector) -> Statistics:
+async def collect_statistics(collector: StatisticsCollector) -> Statistics:
     """Return the statistics of all groups; yields to other tasks after each."""
     groups: list[GroupStatistics] = []
     for group in collector.iterate_groups():
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_configuration.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_configuration.py
@@ -23,7 +23,7 @@
 from toucanyard.names import Address, CustomerName, DomainName, NodeName
 from toucanyard.options import ClaimLimits, ListenOptions, Options, PlatformOptions
 from toucanyard.patches import Put
-from toucanyard_node.operator_answers import PatchBody, PatchReply
+from toucanyard_node.operator_messages import PatchBody, PatchReply
 from toucanyard_standins.deployment import (
     OPERATOR_KEY,
     DeploymentSizes,
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
@@ -23,7 +23,7 @@
 from toucanyard.order_messages import EndpointState
 from toucanyard.patches import Put
 from toucanyard_node.http_client import ConnectionFailedError, fetch
-from toucanyard_node.operator_answers import PatchBody, PatchReply
+from toucanyard_node.operator_messages import PatchBody, PatchReply
 from toucanyard_standins.bench_path import build_options
 from toucanyard_standins.campaign_callers import Callers
 from toucanyard_standins.campaign_faults import Fault, FaultSource
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_callers.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_callers.py
@@ -16,7 +16,7 @@
     Response,
     connect,
 )
-from toucanyard_node.locate_answer import LocateAnswer
+from toucanyard_node.locate_response import LocateResponse
 from toucanyard_standins.deployment import CALLER_KEY, SERVICE
 from toucanyard_standins.harness import ask
 from toucanyard_standins.load import encode_completion
@@ -120,7 +120,7 @@
     async def _ask_prefix(self, node: ProcessHandle) -> str:
         try:
             answer = await ask(node.address, "GET", "/v1/locate?stay=true", CALLER_KEY)
-            located = msgspec.json.decode(answer.body, type=LocateAnswer)
+            located = msgspec.json.decode(answer.body, type=LocateResponse)
         except (ConnectionFailedError, msgspec.DecodeError):
             return ""
         return "" if located.issued_key is None else located.issued_key.prefix
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -63,7 +63,7 @@
     find_port,
     open_listener,
 )
-from toucanyard_node.locate_answer import LocateAnswer, NodeIdentity
+from toucanyard_node.locate_response import LocateResponse, NodeIdentity
 from toucanyard_node.sse import get_text, read_chunk
 
 KEY = "key-of-rio"
@@ -207,9 +207,9 @@
         )
         self.server = HttpServer(self.face.handle, find_server_limits(options))
 
-    def _locate(self, is_staying: bool) -> LocateAnswer:
+    def _locate(self, is_staying: bool) -> LocateResponse:
         node = NodeName("n2" if self.drain.is_draining() else "n1")
-        return LocateAnswer(node, self.address, 10_000, ())
+        return LocateResponse(node, self.address, 10_000, ())
 
     async def open(
         self, method: str, target: str, headers: Headers = AUTHORIZED, body: object = ""
--- a/tests/toucanyard_node/test_log_reader.py
+++ b/tests/toucanyard_node/test_log_reader.py
@@ -58,7 +58,9 @@
         )
 
 
-async def follow(log: LongLog, start_window: StartWindow, ups: int) -> list[LogEvent]:
+async def read_log(
+    log: LongLog, start_window: StartWindow, log_end_count: int
+) -> list[LogEvent]:
     """Read until the log's end was met so many times; return what was told."""
     events: list[LogEvent] = []
     async with trio.open_nursery() as nursery:
@@ -68,7 +70,7 @@
         address = Address(f"127.0.0.1:{find_port(listener)}")
         nursery.start_soon(follow_log, address, 10, events.append, start_window)
         with trio.fail_after(30):
-            while events.count(LogStateSeen(True)) < ups:
+            while events.count(LogStateSeen(True)) < log_end_count:
                 await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
     return events
@@ -84,7 +86,7 @@
 
 async def test_only_the_span_is_read_at_the_start() -> None:
     log = LongLog(oldest=100)
-    events = await follow(log, StartWindow(SPAN_MS, lambda: False), ups=1)
+    events = await read_log(log, StartWindow(SPAN_MS, lambda: False), log_end_count=1)
     first = events[0]
     assert isinstance(first, LogExpired)
     assert 24_000 <= first.oldest <= 25_000
@@ -99,7 +101,7 @@
     reads from the oldest record on; meanwhile the node is told that the log is down,
     since its claims could not be read back."""
     log = LongLog(oldest=0)
-    events = await follow(log, StartWindow(SPAN_MS, lambda: True), ups=2)
+    events = await read_log(log, StartWindow(SPAN_MS, lambda: True), log_end_count=2)
     again = events.index(LogReadRestarted())
     assert events[again - 1] == LogStateSeen(False)
     reads = find_reads(events[again:])
@@ -110,7 +112,7 @@
 
 async def test_span_of_the_whole_log_leaves_no_gap() -> None:
     log = LongLog(oldest=0)
-    events = await follow(log, StartWindow(10**9, lambda: True), ups=1)
+    events = await read_log(log, StartWindow(10**9, lambda: True), log_end_count=1)
     assert find_reads(events)[0][0] == 0
     assert not any(isinstance(each, (LogExpired, LogReadRestarted)) for each in events)
 
@@ -123,7 +125,7 @@
     """
     monkeypatch.setattr(log_reader, "_INITIAL_MARGIN_MS", 40.0)
     log = LongLog(oldest=RECORDS - 10, delay_ms=130.0)
-    events = await follow(log, StartWindow(SPAN_MS, lambda: False), ups=1)
+    events = await read_log(log, StartWindow(SPAN_MS, lambda: False), log_end_count=1)
     assert find_reads(events)[-1][1] == RECORDS
 
 
--- a/tests/toucanyard_node/test_sse.py
+++ b/tests/toucanyard_node/test_sse.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given, settings, strategies as st
 
 from toucanyard.names import RequestId
-from toucanyard_node.aggregated_answer import render_aggregated_answer
+from toucanyard_node.aggregated_response import render_aggregated_response
 from toucanyard_node.model_requests import ApiKind
 from toucanyard_node.sse import (
     MAX_EVENT_BYTES,
@@ -120,7 +120,7 @@
     assert isinstance(get_text(chunk), str)
     check_counts(chunk)
     name = RequestId("r")
-    render_aggregated_answer(
+    render_aggregated_response(
         ApiKind.CHAT, name, chunk, get_text(chunk), None, chunk.usage
     )
 
