--- a/tests/toucanyard_node/test_callers_fuzz.py
+++ b/tests/toucanyard_node/test_callers_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever callers send, they get a clear answer, and the next caller is served."""
+"""Arbitrary requests get a valid response, and the next caller is served."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def run_against_server(check: Callable[[ServedFace], Awaitable[None]]) -> None:
-    """Run a check against a face with one engine; then ask as another caller."""
+    """Run a check against a server with one engine; then send valid requests."""
 
     async def run() -> None:
         async with serve_in_memory([ScriptedEngine((" uno", " dos"))]) as served:
@@ -123,7 +123,7 @@
 
 
 def check_refusal(answer: Response) -> None:
-    """Check for the closed shape, and for a fault of the node's own."""
+    """Check the format of a refusal, and that it is no internal error."""
     error = msgspec.json.decode(answer.body)["error"]
     kind = ErrorKind(error["code"])
     assert kind is not ErrorKind.INTERNAL
--- a/tests/toucanyard_node/test_client_server.py
+++ b/tests/toucanyard_node/test_client_server.py
@@ -1,4 +1,4 @@
-"""What callers get for each kind of request and refusal."""
+"""Responses of the client server for each kind of request and refusal."""
 
 from __future__ import annotations
 
@@ -105,8 +105,8 @@
 
 
 async def test_stranger_leaves_no_record() -> None:
-    # Anybody can send requests without a key; recorded, they would push the records of
-    # customers out.
+    # Anyone can send requests without a key; recording them would evict the records
+    # of customers.
     async with serve_in_memory([]) as served:
         answer = await served.ask("GET", "/v1/nothing", (), "")
         assert answer.status == 401
@@ -194,9 +194,9 @@
     code: str,
     is_not_run: bool,
 ) -> None:
-    """The deadline passes while a request is queued, or while an engine has it.
+    """The deadline passes while a request is queued, or while an engine runs it.
 
-    The caller is answered then; "not run" is said only of the queued one.
+    The caller gets an error at the deadline; only the queued request is "not run".
     """
     engine = ScriptedEngine(TOKENS, Step(until=1, then=Then.BEAT))
     async with serve_in_memory([engine]) as served:
@@ -242,9 +242,9 @@
     is_not_run: bool,
     ending: DispatchEnding,
 ) -> None:
-    """An engine answers that it did not run a request, or that it failed at it.
+    """An engine responds that it did not run a request, or that it failed.
 
-    Only the first proves that the request did not run.
+    Only the former proves that the request did not run.
     """
     async with serve_in_memory([ScriptedEngine(TOKENS, step)]) as served:
         answer = await served.complete(headers=headers)
@@ -254,7 +254,7 @@
 
 
 async def test_not_sent() -> None:
-    """No connection to the engine can be made, so no byte of the request left."""
+    """Connecting to the engine fails, so no byte of the request was sent."""
     async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
         assert served.network is not None
         served.network.remove(served.core.addresses[0])
@@ -264,10 +264,10 @@
 
 
 async def test_refusal_after_a_lost_try(autojump_clock: MockClock) -> None:
-    """A first try is lost and the core refuses the second for load.
+    """The first attempt is lost and the core refuses the second for overload.
 
-    That refusal says "not run" of the second try only; the first may have run, so
-    the caller must not read "not run".
+    "Not run" applies to the second attempt only. The first may have run, so the
+    response to the caller must not claim "not run".
     """
     lost = ScriptedEngine(TOKENS, Step(status=500))
     async with serve_in_memory([lost]) as served:
@@ -278,7 +278,7 @@
 
 
 async def test_refused_after_a_lost_try(autojump_clock: MockClock) -> None:
-    """A first try is lost and the engine of the second refuses it."""
+    """The first attempt is lost and the second is refused by its engine."""
     lost = ScriptedEngine(TOKENS, Step(status=500))
     refusing = ScriptedEngine(TOKENS, Step(status=503))
     async with serve_in_memory([lost, refusing]) as served:
@@ -291,9 +291,9 @@
 
 
 async def test_idle_connection_died(autojump_clock: MockClock) -> None:
-    """The engine closed a pooled connection just as it was used again.
+    """The engine closes a pooled connection just as it is reused.
 
-    A request that may be repeated goes out again on a new connection at once.
+    A repeatable request is sent again on a new connection immediately.
     """
     engine = ScriptedEngine(TOKENS, Step(), Step(until=0, then=Then.CUT, status=0))
     async with serve_in_memory([engine]) as served:
@@ -305,9 +305,9 @@
 
 
 async def test_run_once_uses_new_connection(autojump_clock: MockClock) -> None:
-    """A pooled connection that died would leave the outcome unknown.
+    """A dead pooled connection would leave the outcome unknown.
 
-    A request that may run once hence never goes out on one.
+    A request that may run once is therefore never sent on a pooled connection.
     """
     engine = ScriptedEngine(TOKENS)
     async with serve_in_memory([engine]) as served:
@@ -320,7 +320,7 @@
 
 
 async def test_engine_rejects_body() -> None:
-    """A 4xx is the engine's answer; it reaches the caller as it came."""
+    """A 4xx response of the engine is forwarded to the caller unchanged."""
     engine = ScriptedEngine(TOKENS, Step(status=422))
     async with serve_in_memory([engine]) as served:
         answer = await served.complete()
@@ -345,10 +345,10 @@
 async def test_keyed_request_refused_early_is_not_called_not_run(
     age: Headers, is_not_run: bool
 ) -> None:
-    """A retry of a hold reaches a node that doesn't know the caller's key yet.
+    """A retry of a hold reaches a node that doesn't know the caller's API key yet.
 
-    Its first try ran through another node. Told "not run" with the 401, the caller
-    would make a second hold under a new key.
+    The first attempt ran through another node. If the 401 said "not run", the caller
+    would make a second hold under a new idempotency key.
     """
     headers = (("Authorization", "Bearer new"), ("Idempotency-Key", "k1"), *age)
     async with serve_face(ScriptedCore([])) as served:
--- a/tests/toucanyard_node/test_credentials.py
+++ b/tests/toucanyard_node/test_credentials.py
@@ -1,4 +1,4 @@
-"""Callers' keys: who is let in, also while keys are rotated."""
+"""Authentication of callers by API key, including key rotation."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
 
 
 async def test_keys_are_rotated_without_a_cut(autojump_clock: MockClock) -> None:
-    """A customer's new key is put beside the old one, and the old one goes later.
+    """A customer's new key is added, and the old one is removed later.
 
-    Both are let in between the two versions, then the new one only. A stream that was
-    begun under the old key goes on to its end.
+    Both are accepted between the two versions, afterwards only the new one. A stream
+    that was started with the old key continues to its end.
     """
     engine = ScriptedEngine(tuple(f" t{number}" for number in range(20)), Step(gap_s=1))
     async with serve_in_memory([engine]) as served:
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("key", ["key-of-ana", compute_key_hash(KEY), KEY + "x", ""])
 async def test_other_keys_are_refused(autojump_clock: MockClock, key: str) -> None:
-    """An operator's key, a hash as the configuration shows it, a longer key, none."""
+    """An operator's key, a key's hash as in the configuration, a longer key, none."""
     async with serve_in_memory([]) as served:
         served.core.configuration = with_keys(KEY)
         headers = (("Authorization", f"Bearer {key}"),) if key else ()
--- a/tests/toucanyard_node/test_endpoint_responses.py
+++ b/tests/toucanyard_node/test_endpoint_responses.py
@@ -1,4 +1,4 @@
-"""What endpoints tell of themselves: in range, or refused."""
+"""Decoding of endpoint responses: values in range, or an error."""
 
 from __future__ import annotations
 
@@ -73,8 +73,8 @@
 @example(b'{"incarnation":"i","next":1,"hashes":["%b"]}' % (b"f" * 5_000))
 @settings(max_examples=200)
 def test_any_answer_is_in_range_or_refused(body: bytes) -> None:
-    """Numbers that an endpoint makes up are weighed with others in the core. One that
-    no float holds would raise there, and end the node."""
+    """The core computes with numbers from endpoints. A number too large for a float
+    would raise an exception there and stop the node."""
     response = Response(200, {}, body)
     with suppress(InvalidResponseError):
         report = decode_load(response)
--- a/tests/toucanyard_node/test_endpoint_watch.py
+++ b/tests/toucanyard_node/test_endpoint_watch.py
@@ -33,7 +33,7 @@
 
 
 class FakeEngine:
-    """Answer polls; hang on connections that are older than the cut."""
+    """Engine that answers polls; while `hangs` is set, load requests never return."""
 
     def __init__(self) -> None:
         self.incarnation = "i1"
@@ -79,7 +79,7 @@
 
 
 class WatchFixture:
-    """One watch and one engine on a network in memory."""
+    """An endpoint watch and an engine on an in-memory network."""
 
     def __init__(
         self, nursery: trio.Nursery, timings: MembershipTimings = TIMINGS
@@ -129,8 +129,8 @@
 async def test_restarted_engine_is_followed_from_its_first_event(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """An engine restarts and numbers its events anew. Asked for what comes after the
-    old numbers it would stay mute for long, and its cache look empty."""
+    """A restarted engine numbers its events from the start. Requests for events after
+    the old numbers would return none for long, and its cache would appear empty."""
     async with trio.open_nursery() as nursery:
         fixture = WatchFixture(nursery)
         await trio.sleep(1)
@@ -147,8 +147,8 @@
 async def test_dead_connection_alone_is_no_silence_of_the_endpoint(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The connection kept for polls goes silent while new ones work. Reporting the
-    endpoint as silent would take it out of use for nothing."""
+    """The persistent poll connection stalls while new ones work. Reporting the endpoint
+    as failed would remove it from use without cause."""
     async with trio.open_nursery() as nursery:
         fixture = WatchFixture(nursery)
         await trio.sleep(1)
@@ -177,9 +177,9 @@
 async def test_events_beyond_the_bound_are_skipped_and_loads_still_come(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # In a large fleet a replica publishes 15 KB a second where 400 B are allowed. The
-    # node reads in part, skips what it missed, and its view turns doubtful; reading on
-    # where it stopped would take all of it in, only later.
+    # In a large fleet a replica publishes 15 KB/s where 400 B/s are allowed. The node
+    # reads part of the events and skips the rest, which makes its view doubtful;
+    # resuming where it stopped would read all of them, only later.
     async with trio.open_nursery() as nursery:
         fixture = WatchFixture(nursery)
         fixture.count_of_endpoints = 4_400
@@ -199,8 +199,9 @@
 async def test_list_of_blocks_over_the_bound_is_not_asked_for_again_and_again(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # The core asks for a doubtful engine's blocks each second. A list over the bound
-    # is cut off, and without a memory of its size each try would take the bound up.
+    # The core requests the dump of a doubtful engine every second. A dump above the
+    # limit is truncated; without remembering its size, each attempt would use up the
+    # budget.
     timings = msgspec.structs.replace(TIMINGS, max_shared_event_bytes_per_s=2_000)
     async with trio.open_nursery() as nursery:
         fixture = WatchFixture(nursery, timings)
@@ -239,9 +240,9 @@
 async def test_replica_that_is_long_dead_is_polled_rarely(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # Nobody answers at an address for minutes. Its death was noticed at the full rate
-    # within seconds; polling on at that rate took a tenth of a core where many are
-    # dead. Once it answers, it is polled as before.
+    # An address doesn't respond for minutes. The crash is detected at the full rate
+    # within seconds; polling on at that rate used a tenth of a core with many crashed
+    # replicas. Once it responds, it is polled as before.
     async with trio.open_nursery() as nursery:
         fixture = WatchFixture(nursery)
         fixture.network.remove(ENDPOINT.address)
@@ -260,9 +261,9 @@
 async def test_first_endpoints_are_watched_at_once(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A node starts and its configuration comes into force between two refreshes. Until
-    loads and caches are read it places by hash alone; in a herd, all nodes do so and
-    heap what arrives on a few endpoints."""
+    """The first configuration comes into force between two refreshes. Until loads and
+    caches are known, the node places requests by hash alone; when many nodes start
+    together, they concentrate requests on a few endpoints."""
     async with trio.open_nursery() as nursery:
         fixture = WatchFixture(nursery)
         wanted, fixture.wanted = fixture.wanted, []
@@ -276,8 +277,8 @@
 async def test_node_without_endpoints_looks_for_them_seldom(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # Looked for each 10 ms for ever, endpoints that nobody has configured would take
-    # more of a core than everything else that an idle node does.
+    # Without any configured endpoints, refreshing every 10 ms forever would use more
+    # CPU time than everything else in an idle node.
     looks = 0
 
     def find_nothing() -> tuple[list[WatchedEndpoint], int]:
@@ -301,10 +302,10 @@
 async def test_many_replicas_that_fail_share_a_rate_and_few_are_polled_fast(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A domain fails, or this node's network: none of its forty replicas answers.
+    """A domain or this node's network fails: none of forty replicas responds.
 
-    Polled at the full rate each, they would take as much as relaying does. One that
-    fails alone is still polled at the full rate, so that its death is noticed as fast.
+    Polling each at the full rate would use as much CPU time as relaying. A replica that
+    fails alone is still polled at the full rate, so that its crash is detected as fast.
     """
     async with trio.open_nursery() as nursery:
         fixture = WatchFixture(nursery)
--- a/tests/toucanyard_node/test_log_client.py
+++ b/tests/toucanyard_node/test_log_client.py
@@ -1,4 +1,4 @@
-"""Answers of the log service: a page in order, records expired, or unavailable."""
+"""Responses of the log service: an ordered page, expired records, or an error."""
 
 from __future__ import annotations
 
@@ -62,8 +62,8 @@
 )
 @settings(max_examples=200)
 def test_any_answer_is_a_page_or_refused(status: int, body: bytes) -> None:
-    """Reading goes on behind the last record of a page. Records out of order, or an
-    oldest one that is no newer, would make a node read the same again for ever."""
+    """Reading continues after the last record of a page. With unordered records, or an
+    oldest offset that is not newer, a node would read the same records forever."""
     try:
         page = decode_page(Response(status, {}, body), START)
     except LogExpiredError as error:
@@ -78,8 +78,8 @@
 
 
 async def test_page_without_end_is_given_up() -> None:
-    """The log sends without an end. The node gives up at a bound of bytes; else the
-    answer would fill its memory."""
+    """The log sends an endless response. The node aborts at a size limit; otherwise the
+    response would exhaust its memory."""
     sent = 0
 
     async def send_on(request: HttpRequest, responder: Responder) -> None:
@@ -101,7 +101,7 @@
 
 
 class MisbehavingLog:
-    """Answer reads with some bodies first, then from records; record 1 is huge."""
+    """Answer reads with given bodies first, then with records; record 1 is huge."""
 
     def __init__(self, bodies: list[bytes]) -> None:
         self.bodies = bodies
@@ -120,11 +120,11 @@
 
 
 async def test_reader_outlives_odd_answers() -> None:
-    """The log answers nonsense for a while, and holds a record that no node takes.
+    """The log sends invalid responses for a while, and contains an oversized record.
 
-    The node says that the log is unavailable, asks again at its pace, and goes on when
-    answers make sense. It passes over the huge record alone; else that one record
-    would keep every node from reading on.
+    The reader reports the log as unavailable, retries at its interval, and continues
+    once responses are valid. It skips only the oversized record, which would otherwise
+    stop every node from reading further.
     """
     events: list[LogEvent] = []
     async with trio.open_nursery() as nursery:
--- a/tests/toucanyard_node/test_log_reader.py
+++ b/tests/toucanyard_node/test_log_reader.py
@@ -1,4 +1,4 @@
-"""Where a node begins to read a long log."""
+"""Start position of a node in a long log."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class LongLog:
-    """Answer reads of a long log, and note what was asked for."""
+    """Answer reads of a long log, and record the requests."""
 
     def __init__(self, oldest: int, delay_ms: float = 0.0) -> None:
         self.oldest = oldest
@@ -61,7 +61,7 @@
 async def read_log(
     log: LongLog, start_window: StartWindow, log_end_count: int
 ) -> list[LogEvent]:
-    """Read until the log's end was met so many times; return what was told."""
+    """Read until the log's end was reached `log_end_count` times; return the events."""
     events: list[LogEvent] = []
     async with trio.open_nursery() as nursery:
         listener = await open_listener("127.0.0.1", 0)
@@ -97,9 +97,9 @@
 
 
 async def test_all_is_read_where_the_span_was_not_enough() -> None:
-    """No checkpoint stands in the span. The reader tells the node to begin again, and
-    reads from the oldest record on; meanwhile the node is told that the log is down,
-    since its claims could not be read back."""
+    """The span contains no checkpoint. The reader reports a restart and reads from the
+    oldest record; until it reaches the end, it reports the log as down, because claims
+    could not be confirmed."""
     log = LongLog(oldest=0)
     events = await read_log(log, StartWindow(SPAN_MS, lambda: True), log_end_count=2)
     again = events.index(LogReadRestarted())
@@ -118,10 +118,10 @@
 
 
 async def test_slow_log_is_read_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each answer of the log comes later than the time that is set to wait for it.
+    """Each response of the log takes longer than the initial timeout.
 
-    Given up after the same time again and again, the log would count as down for as
-    long as it is slow: no patch would come into force and no chosen key be claimed.
+    With a fixed timeout the log would be reported as down for as long as it is slow: no
+    patch would come into force and no key chosen by a caller could be claimed.
     """
     monkeypatch.setattr(log_reader, "_INITIAL_MARGIN_MS", 40.0)
     log = LongLog(oldest=RECORDS - 10, delay_ms=130.0)
@@ -130,9 +130,9 @@
 
 
 async def test_slow_log_is_not_asked_to_wait_as_well() -> None:
-    """Each answer comes late. With the wait on top the version would be confirmed less
-    often than it grows stale, and patches be refused now and then. Fast again, the log
-    is asked to wait, or it would be asked all the time."""
+    """Each response is late. With the wait added, the version would be confirmed less
+    often than it becomes stale, and patches would be refused at times. Once the log is
+    fast again, requests wait; otherwise the log would be polled continuously."""
     log = LongLog(oldest=RECORDS - 10, delay_ms=250.0)
     log_timeout = AdaptiveLogTimeout(100.0)
     async with trio.open_nursery() as nursery:
@@ -146,7 +146,7 @@
         with trio.fail_after(20):
             while 200 not in log.waits_ms or log.waits_ms[-1] != 0:
                 await trio.sleep(0.01)
-            # The first append then isn't given up before the log can answer it.
+            # The first append then doesn't time out before the log can respond.
             assert log_timeout.timeout_ms >= 250.0
             log.delay_ms = 0.0
             while log.waits_ms[-1] == 0:
--- a/tests/toucanyard_node/test_log_writer.py
+++ b/tests/toucanyard_node/test_log_writer.py
@@ -37,7 +37,7 @@
 
 
 class FakeLog:
-    """Answer appends and reads with what a test has lined up."""
+    """Log service that returns the statuses and records set by a test."""
 
     def __init__(self) -> None:
         self.statuses: list[int] = []
@@ -94,10 +94,10 @@
 
 
 async def test_append_over_the_rate_is_sent_again() -> None:
-    """The log refuses a batch since other nodes use its rate up; callers wait.
+    """The log refuses a batch because other nodes use up its rate limit.
 
-    Nothing was appended, so sending the same batch again is safe; giving the claims
-    up instead would refuse callers for a moment's congestion.
+    Nothing was appended, so sending the batch again is safe. Dropping the claims would
+    refuse callers for a brief congestion.
     """
     log = FakeLog()
     log.statuses = [429, 200]
@@ -107,10 +107,10 @@
 
 
 async def test_append_without_an_answer_is_unknown_and_never_sent_again() -> None:
-    """The log takes a batch and its answer never comes.
+    """The log receives a batch and never responds.
 
-    Sent again, the claims would stand twice; called refused, a caller could be told
-    that a request did not run whose claim stands. So the result is unknown.
+    Sent again, the claims could be recorded twice. Reported as refused, a caller could
+    get "not run" for a request whose claim is recorded. So the result is unknown.
     """
     log = FakeLog()
     log.statuses = [0]
@@ -135,9 +135,9 @@
 
 
 async def test_reader_goes_on_from_the_oldest_record_and_says_so() -> None:
-    """Records expired while the node was away; it has to know that some are missing.
+    """Records expired while the node was not reading; the gap must be reported.
 
-    Otherwise its own claim, read next, would look like the first one of its key.
+    Otherwise its own claim, read next, would appear to be the first one of its key.
     """
     log = FakeLog()
     log.oldest = 7
--- a/tests/toucanyard_node/test_metrics.py
+++ b/tests/toucanyard_node/test_metrics.py
@@ -79,7 +79,7 @@
 
 
 async def test_a_total_is_sent_once() -> None:
-    # Sent whole each time, a total would be counted again at every interval.
+    # If the full total were sent each time, it would be counted again every interval.
     class Pipeline:
         def __init__(self) -> None:
             self.added: list[int] = []
@@ -110,8 +110,8 @@
 
 
 async def test_others_run_between_groups() -> None:
-    # Quantiles of many customers take long; without a pause between them no stream
-    # would get an event meanwhile.
+    # Computing quantiles of many customers takes long; without yielding in between, no
+    # stream would receive an event meanwhile.
     task_switches = 0
 
     async def count_task_switches() -> None:
--- a/tests/toucanyard_node/test_model_requests.py
+++ b/tests/toucanyard_node/test_model_requests.py
@@ -1,4 +1,4 @@
-"""Bodies of callers: whatever the bytes, they are a call or a refusal."""
+"""Parsing of request bodies: any bytes give a call or a refusal."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 def test_any_body_is_a_call_or_refused(
     api: ApiKind, body: bytes, generated: str
 ) -> None:
-    """A body that parsed must also do for an engine that goes on with the text."""
+    """A parsed body can also be rendered to continue on another engine."""
     try:
         call = parse_model_call(api, body, CONFIGURATION, RIO)
     except RouterError as error:
--- a/tests/toucanyard_node/test_no_configuration.py
+++ b/tests/toucanyard_node/test_no_configuration.py
@@ -14,10 +14,10 @@
 
 
 def test_node_without_configuration_calls_no_key_wrong() -> None:
-    """A node has just started; neither a peer nor the log has told it anything.
+    """A node has just started and got no configuration from a peer or the log.
 
-    A caller with a good key comes. Refused as unauthenticated, it would give up and
-    report a wrong key; it has to learn that nothing ran and when to come back.
+    A caller with a valid key that is refused as unauthenticated would give up and
+    report a wrong key. The response must say that nothing ran and when to retry.
     """
     index = CustomerIndex()
     with pytest.raises(RouterError) as caught:
--- a/tests/toucanyard_node/test_openai_client.py
+++ b/tests/toucanyard_node/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The public OpenAI client, unchanged, against a face and the stand-in engine."""
+"""The public OpenAI client, unmodified, against a server and a stand-in engine."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
 
 
 async def test_incomplete_stream_is_an_error() -> None:
-    """The only engine dies in mid-stream. The client raises, it doesn't just end."""
+    """The only engine crashes mid-stream. The client raises an exception."""
     async with serve_one() as (served, engine):
         await control(engine, DieAfterEvents(events=2))
         with pytest.raises(openai.APIError) as caught:
@@ -110,8 +110,8 @@
     kind: ErrorKind,
     error: type[openai.APIStatusError],
 ) -> None:
-    """The client repeats refusals by itself, twice. It waits as `Retry-After` says, not
-    for its own half second, and gives up with the class that its callers expect."""
+    """The client retries refusals by itself, twice. It waits for `Retry-After` instead
+    of its default half second, and then raises the exception that users expect."""
     waits: list[float] = []
     monkeypatch.setattr(time, "sleep", waits.append)
     core = ScriptedCore([])
@@ -129,10 +129,10 @@
 async def test_client_repeats_nothing_whose_outcome_is_unknown(
     headers: dict[str, str],
 ) -> None:
-    """The engine dies under a request that may run once, and the outcome is unknown.
+    """The engine crashes during a request that may run once: the outcome is unknown.
 
-    The client repeats most errors by itself, and would run a draft a second time that
-    its caller never asked for. It is told not to.
+    The client retries most errors by itself and could run the request a second time
+    without its user knowing. The response forbids the retry.
     """
     async with serve_one() as (served, engine):
         await control(engine, DieAfterEvents(events=2))
--- a/tests/toucanyard_node/test_operator_server.py
+++ b/tests/toucanyard_node/test_operator_server.py
@@ -1,4 +1,4 @@
-"""What operators get: who is let in, and a clear answer to whatever they send."""
+"""Operator API: authentication, and valid responses to arbitrary requests."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     ],
 )
 async def test_who_is_not_let_in(key: str, expected: tuple[int, str]) -> None:
-    """No key, a wrong one, the first hour's after an operator is named, a customer's,
-    and a hash as `GET /configuration` shows it: each is refused on every path."""
+    """No key, a wrong one, the bootstrap key after an operator is configured, a
+    customer's, and a hash as in `GET /configuration`: refused on every path."""
     async with serve_operators() as served:
         for method, target in (("GET", "/status"), ("POST", "/drain"), ("GET", "/x")):
             assert read_code(await served.ask(method, target, key)) == expected
@@ -48,7 +48,7 @@
 
 
 async def test_keys_are_rotated_without_a_cut() -> None:
-    """The new key's hash is put beside the old one's, and the old one goes later.
+    """The hash of the new key is added, and that of the old one is removed later.
 
     Both keys work between the two patches; after the second the old one is refused.
     """
@@ -67,7 +67,7 @@
 
 
 async def check_answer(served: ServedOperators, answer: Response) -> None:
-    """Check for a status of the list and JSON, and that the face goes on serving."""
+    """Check for a known status and JSON, and that the server still responds."""
     assert answer.status in STATUSES, answer.body
     body = msgspec.json.decode(answer.body)
     if "error" in body and isinstance(body["error"], dict):
@@ -104,8 +104,8 @@
 
 
 async def test_missing_decision_is_told_with_its_reason() -> None:
-    """An operator asks about ids that were mistyped, that name a node before it was
-    restarted, that are too old, and that name a node which nobody knows."""
+    """An operator requests ids that are malformed, from before a node's restart, too
+    old, or of an unknown node."""
     reasons = {
         "foo": "is no request id",
         "n1-x6-3": "n1 has restarted since",
--- a/tests/toucanyard_node/test_order_sender.py
+++ b/tests/toucanyard_node/test_order_sender.py
@@ -28,7 +28,7 @@
 
 
 class SenderFixture:
-    """One endpoint that answers, refuses or never answers, and a sender."""
+    """An endpoint that executes, refuses or never answers orders, and a sender."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.orders: list[bytes] = []
@@ -87,8 +87,8 @@
 async def test_order_does_not_leave_after_the_lease(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The process was paused between deciding and sending, and the lease ended. The
-    order must not leave: another holder may be at work."""
+    """The process was paused between decision and sending, and the lease expired. The
+    order must not be sent: another node may hold the lease."""
     async with trio.open_nursery() as nursery:
         fixture = SenderFixture(nursery)
         now_ms = trio.current_time() * 1000
--- a/tests/toucanyard_node/test_service_handler.py
+++ b/tests/toucanyard_node/test_service_handler.py
@@ -1,4 +1,4 @@
-"""Calls of plain services against the stand-in, by what may be repeated."""
+"""Calls of plain services against the stand-in, by repeatability."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 async def serve_desk(
     repeatable: tuple[str, ...] = (),
 ) -> AsyncIterator[tuple[ServedFace, list[Address]]]:
-    """Serve a face before two replicas of a service; tries go to them in order."""
+    """Run a server with two replicas of a service; attempts use them in order."""
     async with trio.open_nursery() as nursery:
         addresses = [await start_service(nursery), await start_service(nursery)]
         core = ScriptedCore(addresses)
@@ -77,9 +77,9 @@
 
 @pytest.mark.parametrize("headers", [AUTHORIZED, KEYED_HEADERS])
 async def test_death_after_execution(headers: Headers) -> None:
-    """A replica makes the hold and dies before its answer.
+    """A replica makes the hold and crashes before it responds.
 
-    The caller learns that the outcome is unknown; no second hold is made.
+    The caller gets "outcome unknown"; no second hold is made.
     """
     async with serve_desk() as (served, addresses):
         await control(addresses[0], DieAfterExecution())
@@ -91,7 +91,7 @@
 
 
 async def test_death_of_repeatable_call() -> None:
-    """The same with a call that operators declared repeatable: it goes elsewhere."""
+    """The same with a call declared repeatable: it is retried on another replica."""
     async with serve_desk(("POST /holds",)) as (served, addresses):
         await control(addresses[0], DieAfterExecution())
         answer = await served.ask("POST", HOLDS, AUTHORIZED, {"seat": 4})
@@ -101,10 +101,10 @@
 
 @pytest.mark.parametrize("headers", [AUTHORIZED, KEYED_HEADERS])
 async def test_refusing_replica_of_a_call_that_may_run_once(headers: Headers) -> None:
-    """A replica answers 503, which it may also do after it has made a hold.
+    """A replica returns 503, which it may also do after it has made a hold.
 
-    The caller gets that answer as the service's own. Sending the call to the other
-    replica could make a second hold, and "not run" could be false.
+    The caller gets that response unchanged. Retrying on the other replica could make a
+    second hold, and "not run" could be false.
     """
     async with serve_desk() as (served, addresses):
         await control(addresses[0], RefuseCalls(is_on=True))
@@ -114,7 +114,7 @@
 
 
 async def test_refusing_replica_of_repeatable_call() -> None:
-    """A replica says that it takes no calls: another has the call."""
+    """A replica refuses calls: the call is retried on another replica."""
     async with serve_desk(("POST /holds",)) as (served, addresses):
         await control(addresses[0], RefuseCalls(is_on=True))
         answer = await served.ask("POST", HOLDS, AUTHORIZED, {"seat": 4})
@@ -123,7 +123,7 @@
 
 
 async def test_crossed_answer() -> None:
-    """A replica answers with another call's id. That answer reaches nobody."""
+    """A response with the id of another call is not delivered."""
     async with serve_desk() as (served, addresses):
         await control(addresses[0], CrossAnswers())
         answer = await served.ask("POST", HOLDS, AUTHORIZED, {"seat": 4})
@@ -133,10 +133,10 @@
 
 
 async def test_late_answer() -> None:
-    """The deadline passes and the answer comes after it.
+    """The response arrives after the deadline.
 
-    The caller was told that the outcome is unknown; the late answer is not taken
-    for the one to its next call.
+    The caller already got "outcome unknown"; the late response must not be taken for
+    that of its next call.
     """
     async with serve_desk() as (served, addresses):
         await control(addresses[0], DelayAnswers(delay_ms=100))
@@ -149,7 +149,7 @@
 
 
 async def test_keyed_call_runs_on() -> None:
-    """The caller of a keyed call hangs up; the answer is kept for its next try."""
+    """The caller of a keyed call disconnects; the response is stored for a retry."""
     async with serve_desk() as (served, addresses):
         await control(addresses[0], DelayAnswers(delay_ms=50))
         connection = await served.open("POST", HOLDS, KEYED_HEADERS, {"seat": 4})
@@ -169,11 +169,11 @@
 async def test_refused_at_the_deadline_while_connecting(
     autojump_clock: MockClock, target: str
 ) -> None:
-    """The deadline of a first try passes while the node connects to the endpoint.
+    """The deadline of a first attempt passes while the node connects to the endpoint.
 
-    The caller is told "not run" and makes its call anew under another key. A keyed
-    try runs on without its caller, so a connection that comes after all must not be
-    used: the endpoint would run what was said not to have run.
+    The caller gets "not run" and repeats its call under another key. A keyed attempt
+    continues without its caller, so a connection that is established later must not be
+    used: the endpoint would execute a call that was reported as not run.
     """
     engine = ScriptedEngine(("a",))
     async with serve_in_memory([engine]) as served:
@@ -193,11 +193,11 @@
 async def test_keyed_stream_runs_on_after_the_deadline(
     autojump_clock: MockClock,
 ) -> None:
-    """An engine begins a keyed stream only after the caller's deadline.
+    """An engine starts a keyed stream only after the caller's deadline.
 
-    The caller was told that the outcome is unknown. The answer is kept for its next
-    try, and the core learns that the dispatch is over; else the key would count as
-    running, and its place at the engine as taken, for good.
+    The caller got "outcome unknown". The response is stored for a retry, and the end of
+    the dispatch is reported to the core; otherwise the key would stay in progress and
+    its slot at the engine occupied.
     """
     engine = ScriptedEngine(("a", "b"), Step(head_delay_s=0.2))
     async with serve_in_memory([engine]) as served:
@@ -228,7 +228,7 @@
 
 
 async def test_key_outside_ascii() -> None:
-    """A key in Latin-1 reaches the service as it came."""
+    """A key in Latin-1 is forwarded to the service unchanged."""
     async with serve_desk() as (served, addresses):
         headers = (*AUTHORIZED, ("Idempotency-Key", "ñandú"))
         answer = await served.ask("POST", HOLDS, headers, {"seat": 4})
@@ -240,10 +240,10 @@
 @pytest.mark.parametrize("headers", [AUTHORIZED, KEYED_HEADERS])
 @pytest.mark.parametrize("target", [HOLDS, "/v1/completions"])
 async def test_fault_gives_the_place_back(headers: Headers, target: str) -> None:
-    """A fault of the node's own ends a request after the core has placed it.
+    """An internal error ends a request after the core has placed it.
 
-    The caller gets an internal error at once, and the core learns that the dispatch
-    is over; else its place at the endpoint would stay taken.
+    The caller gets the error immediately, and the end of the dispatch is reported to
+    the core; otherwise its slot at the endpoint would stay occupied.
     """
     core = ScriptedCore([Address("nonsense")])
     async with serve_face(core) as served:
--- a/tests/toucanyard_node/test_stream_ends.py
+++ b/tests/toucanyard_node/test_stream_ends.py
@@ -1,4 +1,4 @@
-"""Streams that break in a packet, at their end, or while they resume."""
+"""Streams that fail inside a packet, at their end, or while they resume."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 async def test_events_before_a_bad_one_are_delivered(
     autojump_clock: MockClock, bad: bytes
 ) -> None:
-    """An engine fails and says so in the packet that still brings two tokens.
+    """An engine reports an error in the same packet as two tokens.
 
-    The request goes on elsewhere after those two tokens; the caller must get them,
-    or its numbers would have a hole, and never see the failed engine's error.
+    The request continues on another engine after those two tokens. The caller must get
+    them, or its event numbers would have a gap, but not the failed engine's error.
     """
     first = ScriptedEngine(
         TOKENS, Step(until=2, joined=bad), Step(status=404), Step(status=404)
@@ -55,10 +55,10 @@
 
 
 async def test_end_without_the_last_event(autojump_clock: MockClock) -> None:
-    """The last event, with the reason of the end, is lost; the mark of the end comes.
+    """The last event, with the finish reason, is lost; the end mark arrives.
 
-    The mark has no number, so a gap before it shows only by the missing reason. The
-    node asks again; the stream would otherwise pass for whole without its end.
+    The mark has no number, so a gap before it is only detected by the missing finish
+    reason. The node resumes; otherwise the truncated stream would appear complete.
     """
     engine = ScriptedEngine(TOKENS, Step(skip=LAST_NUMBER))
     async with serve_in_memory([engine]) as served:
@@ -69,8 +69,8 @@
 
 
 async def test_end_that_never_has_its_last_event(autojump_clock: MockClock) -> None:
-    """The last event is missing at each try. The tries are bounded, and the caller is
-    told that the stream is incomplete."""
+    """The last event is missing at every attempt. The number of attempts is limited,
+    and the stream ends with an error event for the caller."""
     engine = ScriptedEngine(TOKENS, *[Step(skip=LAST_NUMBER)] * 20)
     async with serve_in_memory([engine]) as served:
         answer = await served.complete()
@@ -84,10 +84,10 @@
 async def test_run_once_stream_whole_but_for_its_end(
     autojump_clock: MockClock, headers: Headers
 ) -> None:
-    """The engine dies between the last token and the mark of the end.
+    """The engine crashes between the last token and the end mark.
 
-    Everything was said, so the caller gets the end from the node; told that the
-    outcome is unknown, it would have to ask a person about a hold that it has.
+    The text is complete, so the node sends the end mark itself. With "outcome unknown"
+    the caller would need manual clarification of a hold that it already has.
     """
     steps = (Step(until=LAST_NUMBER + 1, then=Then.CUT), Step(status=404))
     engine = ScriptedEngine(TOKENS, *steps)
@@ -103,9 +103,9 @@
 async def test_one_of_several_choices_is_not_the_end(
     autojump_clock: MockClock, many: dict[str, object]
 ) -> None:
-    """One of two choices has ended and the engine dies inside the other.
+    """One of two choices has ended and the engine crashes during the other.
 
-    The end of one is not the end of the stream, which would pass for whole.
+    The end of one choice must not end the stream, which would appear complete.
     """
     steps = (Step(until=LAST_NUMBER + 1, then=Then.CUT), Step(status=404))
     engines = [ScriptedEngine(TOKENS, *steps), ScriptedEngine(TOKENS)]
@@ -121,11 +121,11 @@
 async def test_caller_comes_back_while_engine_is_sought(
     autojump_clock: MockClock, hang_up_s: float
 ) -> None:
-    """The engine's connection is silent. While the node connects anew, or seeks another
-    engine, the caller hangs up, and comes back.
+    """The engine's connection stalls. While the node reconnects or fails over to
+    another engine, the caller disconnects and later resumes.
 
-    The task that sought an engine ends with the caller's connection. The one that
-    takes the stream over goes on from there, with every event once.
+    The reconnecting task is cancelled with the caller's connection. The task that takes
+    over the stream continues from there, with every event once.
     """
     steps = [Step(until=2, then=Then.SILENCE), Step(status=404)]
     first = ScriptedEngine(TOKENS, *steps)
@@ -151,10 +151,10 @@
 async def test_connection_goes_silent_under_a_request(
     autojump_clock: MockClock, is_stream: bool
 ) -> None:
-    """A connection takes no more bytes before the whole prompt has left.
+    """A connection accepts no more bytes before the prompt is sent completely.
 
-    No answer can come, and waiting for the deadline would keep the caller for minutes
-    while another engine is idle.
+    There can be no response, and waiting for the deadline would delay the caller for
+    minutes while another engine is idle.
     """
     engines = [ScriptedEngine(TOKENS), ScriptedEngine(TOKENS)]
     async with serve_in_memory(engines) as served:
--- a/tests/toucanyard_node/test_stream_relay.py
+++ b/tests/toucanyard_node/test_stream_relay.py
@@ -1,4 +1,4 @@
-"""Streams under silence, cuts, deaths and crossed answers, in memory."""
+"""Streams with stalled or closed connections, crashes and misrouted responses."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 @pytest.mark.parametrize("then", [Then.SILENCE, Then.CUT])
 async def test_resumes_on_new_connection(autojump_clock: MockClock, then: Then) -> None:
-    """The engine's connection goes silent, or is cut, in mid-stream.
+    """The engine's connection stalls or is closed mid-stream.
 
-    The engine works on and answers new connections. The caller sees every event
-    once: the node asks on a new connection for what follows its last number.
+    The engine still works and accepts new connections. The caller gets every event
+    once: the node resumes after its last number on a new connection.
     """
     engine = ScriptedEngine(TOKENS, Step(until=2, then=then))
     async with serve_in_memory([engine]) as served:
@@ -47,9 +47,9 @@
 
 
 async def test_heartbeats_are_no_silence(autojump_clock: MockClock) -> None:
-    """The engine takes longer for each token than the silence that is suspicious.
+    """The engine takes longer for each token than the idle timeout.
 
-    Its heartbeats tell that it is alive, so nothing is asked again.
+    Its heartbeats show that it is alive, so the stream is not resumed.
     """
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.7))
     async with serve_in_memory([engine]) as served:
@@ -59,9 +59,9 @@
 
 
 async def test_silence_before_first_byte(autojump_clock: MockClock) -> None:
-    """No byte of an answer comes, although the engine got the request.
+    """No response arrives, although the engine received the request.
 
-    The node asks on a new connection and relays what the engine has, from event 0.
+    The node resumes on a new connection and relays the stream from event 0.
     """
     engine = ScriptedEngine(TOKENS, Step(head_delay_s=9_999.0))
     async with serve_in_memory([engine]) as served:
@@ -70,7 +70,7 @@
 
 
 async def test_gap_in_numbers_is_asked_again(autojump_clock: MockClock) -> None:
-    """An event is missing on the way. It is asked for again, not passed over."""
+    """An event is lost in transit. It is requested again, not skipped."""
     engine = ScriptedEngine(TOKENS, Step(skip=2))
     async with serve_in_memory([engine]) as served:
         answer = await served.complete()
@@ -78,7 +78,7 @@
 
 
 async def test_repeated_events_are_dropped(autojump_clock: MockClock) -> None:
-    """The engine sends again from the first event when asked to resume."""
+    """The engine repeats all events from the first when asked to resume."""
     steps = (Step(until=2, then=Then.CUT), Step(is_repeating=True))
     engine = ScriptedEngine(TOKENS, *steps)
     async with serve_in_memory([engine]) as served:
@@ -88,10 +88,10 @@
 
 
 async def test_goes_on_elsewhere(autojump_clock: MockClock) -> None:
-    """An engine dies in mid-stream and comes back empty, as another incarnation.
+    """An engine crashes mid-stream and restarts empty, as another incarnation.
 
-    Its stream is not resumed there; another engine gets the prompt with the text
-    so far, and the caller sees one unbroken stream.
+    Its stream is not resumed there. Another engine gets the prompt with the text so
+    far, and the caller gets one uninterrupted stream.
     """
     first = ScriptedEngine(TOKENS, Step(until=2, then=Then.CUT), Step(incarnation="i2"))
     second = ScriptedEngine(TOKENS)
@@ -108,10 +108,10 @@
 
 
 async def test_no_resume_under_other_weights(autojump_clock: MockClock) -> None:
-    """The engine dies in mid-stream and only one with newer weights is left.
+    """The engine crashes mid-stream and only one with newer weights is left.
 
-    Going on there would join the words of two models; the stream ends with an
-    explicit mark that it is incomplete.
+    Continuing there would join the output of two models; the stream ends with an error
+    event that marks it as incomplete.
     """
     first = ScriptedEngine(TOKENS, Step(until=2, then=Then.CUT), Step(status=404))
     second = ScriptedEngine(TOKENS, Step(weights="w2"))
@@ -127,10 +127,10 @@
 async def test_run_once_stream_ends_incomplete(
     autojump_clock: MockClock, headers: tuple[tuple[str, str], ...]
 ) -> None:
-    """An engine dies in mid-stream of a request that may run at most once.
+    """An engine crashes mid-stream of a request that may run at most once.
 
-    Nothing is sent elsewhere, whatever the core says; the caller gets a final event
-    that tells it.
+    Nothing is sent to another engine, whatever the core decides; the caller gets a
+    final error event.
     """
     first = ScriptedEngine(TOKENS, Step(until=2, then=Then.CUT), Step(status=404))
     second = ScriptedEngine(TOKENS)
@@ -155,10 +155,10 @@
 async def test_crossed_answer_is_never_delivered(
     autojump_clock: MockClock, is_stream: bool
 ) -> None:
-    """An answer that echoes another request's id comes back.
+    """A response echoes the id of another request.
 
-    The caller must not get another's words: the connection is closed and the
-    request, which may be repeated, goes elsewhere.
+    The caller must not get another caller's response: the connection is closed and the
+    request, which is repeatable, is sent to another engine.
     """
     first = ScriptedEngine((" ajeno",), Step(echo="n1-x7-999"))
     second = ScriptedEngine(TOKENS)
@@ -170,7 +170,7 @@
 
 
 async def test_crossed_answer_to_run_once(autojump_clock: MockClock) -> None:
-    """The same with a request that may run once: its outcome is unknown."""
+    """The same for a request that may run once: its outcome is unknown."""
     first = ScriptedEngine((" ajeno",), Step(echo="n1-x7-999"))
     second = ScriptedEngine(TOKENS)
     async with serve_in_memory([first, second]) as served:
@@ -183,9 +183,9 @@
 async def test_abandoned_connection_is_not_used_again(
     autojump_clock: MockClock,
 ) -> None:
-    """Deadline and answer cross: the caller was answered, the rest comes late.
+    """The rest of a response arrives after the deadline was reported to the caller.
 
-    The next request must not read that rest, so it gets a new connection.
+    The next request must not read that rest, so it uses a new connection.
     """
     engine = ScriptedEngine(TOKENS, Step(until=2, then=Then.BEAT))
     async with serve_in_memory([engine]) as served:
@@ -203,10 +203,10 @@
 
 
 async def test_silence_drops_idle_connections(autojump_clock: MockClock) -> None:
-    """One of several pooled connections goes silent for good.
+    """One of several pooled connections stalls permanently.
 
-    The idle ones of the same age are likely as dead; they are dropped, so that
-    the next request doesn't wait for a silence too.
+    Idle connections of the same age are probably dead as well; they are closed, so that
+    the next request doesn't wait for a timeout too.
     """
     engine = ScriptedEngine(
         TOKENS,
@@ -233,7 +233,7 @@
 
 
 async def test_all_resumes_fail(autojump_clock: MockClock) -> None:
-    """An engine goes silent again after each resume. The tries are bounded."""
+    """An engine stalls again after each resume. The number of resumes is limited."""
     steps = [Step(until=2, then=Then.SILENCE)] * 20
     engine = ScriptedEngine(TOKENS, *steps)
     async with serve_in_memory([engine]) as served:
@@ -243,7 +243,7 @@
 
 
 async def test_plain_answer_survives_death(autojump_clock: MockClock) -> None:
-    """A plain answer is delivered whole or not at all, also across two engines."""
+    """A plain response is delivered completely or not at all, across two engines."""
     first = ScriptedEngine(TOKENS, Step(until=2, then=Then.CUT), Step(status=404))
     second = ScriptedEngine(TOKENS)
     async with serve_in_memory([first, second]) as served:
@@ -254,10 +254,10 @@
 
 
 async def test_heartbeats_end_no_event(autojump_clock: MockClock) -> None:
-    """An engine's heartbeats reach the caller between events.
+    """An engine's heartbeats are relayed to the caller between events.
 
-    A blank line behind one would be the end of an empty event to client libraries
-    that remember the last id, and they would fail on its data.
+    A blank line after a heartbeat would end an empty event for client libraries that
+    keep the last id, and they would fail to parse its data.
     """
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.2))
     async with serve_in_memory([engine]) as served:
@@ -267,10 +267,10 @@
 
 
 async def test_engine_slower_than_its_history(autojump_clock: MockClock) -> None:
-    """An engine without heartbeats pauses for much longer than the bound allows.
+    """An engine without heartbeats pauses for much longer than the idle timeout.
 
-    Each probe finds the stream alive and quiet. Probes at one fixed bound ran out
-    before the next token came, and the caller got a stream cut short by its router.
+    Each resume finds the stream alive without new events. With a fixed timeout the
+    resumes were used up before the next token, and the router truncated the stream.
     """
     quiet = [Step(quiet_until_s=trio.current_time() + 6.0) for _ in range(20)]
     engine = ScriptedEngine(TOKENS, Step(until=2, then=Then.SILENCE), *quiet)
@@ -282,7 +282,7 @@
 
 
 async def test_engine_is_told_whose_turn_it_is(autojump_clock: MockClock) -> None:
-    """A flood waits in the engine's own queue; the core says who goes last there."""
+    """With a long queue at the engine, the core's priority decides the order there."""
     engine = ScriptedEngine(TOKENS)
     async with serve_in_memory([engine]) as served:
         await served.complete()
--- a/tests/toucanyard_node/test_stream_store.py
+++ b/tests/toucanyard_node/test_stream_store.py
@@ -1,4 +1,4 @@
-"""Callers that go away, come back, or read slowly, in memory."""
+"""Callers that disconnect, resume, or read slowly, on an in-memory network."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 async def open_and_read(
     served: ServedFace, parts: int, headers: Headers = AUTHORIZED
 ) -> HttpConnection:
-    """Begin a stream and read some of its parts."""
+    """Start a stream and read some of its chunks."""
     body = build_completion()
     connection = await served.open("POST", "/v1/completions", headers, body)
     await connection.read_head()
@@ -46,10 +46,10 @@
 
 
 async def test_caller_comes_back(autojump_clock: MockClock) -> None:
-    """The caller's connection breaks in mid-stream and it asks again at once.
+    """The caller's connection breaks mid-stream and it resumes immediately.
 
-    It names the last event that it has and gets the rest, each event once; the
-    engine is neither cancelled nor asked again.
+    It sends the id of its last event and gets the rest, each event once; the request
+    at the engine is neither cancelled nor repeated.
     """
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.3))
     async with serve_in_memory([engine]) as served:
@@ -64,10 +64,10 @@
 
 
 async def test_caller_takes_over_from_itself(autojump_clock: MockClock) -> None:
-    """The caller's connection is silent; the node still believes in it.
+    """The caller's connection is dead, but the node has not detected it.
 
-    The caller asks for the stream on a new connection. That one gets the rest and
-    the old one is closed without its end; no event is lost between the two.
+    The caller resumes the stream on a new connection, which gets the rest. The old one
+    is closed without an end mark; no event is lost between the two.
     """
     engine = ScriptedEngine(TOKENS, Step(until=3, then=Then.BEAT), Step(gap_s=0.1))
     async with serve_in_memory([engine]) as served:
@@ -84,7 +84,7 @@
 
 
 async def test_stream_of_another_customer(autojump_clock: MockClock) -> None:
-    """Another customer names the id of a stream. It gets what any unknown id gets."""
+    """Another customer sends the id of a stream: same response as an unknown id."""
     async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
         await served.complete()
         answer = await served.ask("GET", STREAM, resume_headers(1, OTHER_KEY))
@@ -94,7 +94,7 @@
 
 
 async def test_ended_stream_is_kept_for_a_while(autojump_clock: MockClock) -> None:
-    """The last events were lost on the way to the caller. It can ask for them."""
+    """The last events were lost in transit to the caller, which can resume them."""
     async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
         await served.complete()
         answer = await served.ask("GET", STREAM, resume_headers(5))
@@ -105,9 +105,9 @@
 
 
 async def test_events_no_longer_kept(autojump_clock: MockClock) -> None:
-    """The caller asks for events that the bound pushed out.
+    """The caller resumes after an event that was evicted.
 
-    A stream with a hole would look whole, so it is refused.
+    A stream with a gap would appear complete, so the request is refused.
     """
     options = build_options(StreamLimits(replay_buffer_bytes=500))
     async with serve_in_memory([ScriptedEngine(TOKENS)], options) as served:
@@ -117,9 +117,9 @@
 
 
 async def test_caller_gone_cancels_engine(autojump_clock: MockClock) -> None:
-    """The caller hangs up in mid-stream and does not come back.
+    """The caller disconnects mid-stream and does not resume.
 
-    After the grace the engine is told to stop; until then it runs on for nobody.
+    The engine's request is cancelled after the grace period.
     """
     engine = ScriptedEngine(TOKENS, Step(until=3, then=Then.BEAT))
     async with serve_in_memory([engine]) as served:
@@ -131,9 +131,9 @@
 
 
 async def test_caller_gone_before_first_byte(autojump_clock: MockClock) -> None:
-    """The caller hangs up while the engine still computes its prompt.
+    """The caller disconnects while the engine still processes its prompt.
 
-    There is nothing to come back to, so the engine is told at once.
+    There is no stream to resume, so the engine's request is cancelled immediately.
     """
     engine = ScriptedEngine(TOKENS, Step(head_delay_s=0.3))
     async with serve_in_memory([engine]) as served:
@@ -146,7 +146,7 @@
 
 
 async def test_caller_gone_while_queued(autojump_clock: MockClock) -> None:
-    """The caller hangs up while its request is queued. The core is told."""
+    """The caller disconnects while its request is queued; the core is notified."""
     async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
         served.core.is_waiting = True
         body = build_completion()
@@ -161,10 +161,10 @@
 async def test_keyed_request_runs_on(
     autojump_clock: MockClock, is_stream: bool
 ) -> None:
-    """The caller of a keyed request hangs up before the answer has begun.
+    """The caller of a keyed request disconnects before the response starts.
 
-    It may ask again with its key, so the engine is left to finish and the whole
-    answer goes to the core to be kept.
+    It may retry with its key, so the engine is allowed to finish and the complete
+    response is stored by the core.
     """
     engine = ScriptedEngine(TOKENS, Step(head_delay_s=0.2, gap_s=0.5))
     async with serve_in_memory([engine]) as served:
@@ -186,9 +186,9 @@
 
 
 async def test_gone_caller_bounds_memory(autojump_clock: MockClock) -> None:
-    """An engine sends much while the caller is away.
+    """An engine sends many events while the caller is disconnected.
 
-    Reading stops at the bound, so that nothing the caller lacks is pushed out.
+    Reading stops at the limit, so that no event that the caller lacks is evicted.
     """
     tokens = tuple(f" t{number:04}" for number in range(400))
     engine = ScriptedEngine(tokens, Step(gap_s=0.001))
@@ -205,10 +205,10 @@
 async def test_events_pushed_out_while_head_is_sent(
     autojump_clock: MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A caller asks for events that are still kept. While it gets the answer's head,
-    its old connection goes on, and they are pushed out.
+    """A caller resumes after an event that is still stored. While it receives the
+    response head, its old connection reads on, and the next events are evicted.
 
-    The new connection must be cut: with what follows later, its stream had a hole.
+    The new connection must be closed: with the later events its stream had a gap.
     """
     start = Responder.start
 
@@ -232,10 +232,10 @@
 
 
 async def test_two_resume_at_once(autojump_clock: MockClock) -> None:
-    """A caller's library asks twice at the same moment for one stream.
+    """A client library resumes one stream twice at the same time.
 
-    One of the two gets everything to the end, and the other is cut, so that it can't
-    pass for whole; the engine is neither asked again nor cancelled.
+    One connection gets everything to the end. The other is closed early, so that it
+    can't appear complete; the engine's request is neither repeated nor cancelled.
     """
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.3))
     bodies: list[bytes] = []
