--- a/packages/toucanyard-node/src/toucanyard_node/log_reader.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_reader.py
@@ -150,7 +150,7 @@
 
     async def _fetch_page(self, start: int, limit: int, wait_ms: int) -> LogPage:
         log_timeout = self._log_timeout
-        began_ms = trio.current_time() * 1000
+        started_ms = trio.current_time() * 1000
         try:
             page = await read_records(
                 self._address, start, limit, wait_ms, log_timeout.timeout_ms
@@ -159,10 +159,10 @@
             # A slow log must not time out after the same interval every time.
             log_timeout.record_timeout()
             raise
-        took_ms = trio.current_time() * 1000 - began_ms
-        log_timeout.record_answer(max(took_ms - wait_ms, 0.0))
+        duration_ms = trio.current_time() * 1000 - started_ms
+        log_timeout.record_answer(max(duration_ms - wait_ms, 0.0))
         if not page.records:
-            self._delay_ms = max(took_ms - wait_ms, 0.0)
+            self._delay_ms = max(duration_ms - wait_ms, 0.0)
             if self._append_log_timeout is not None:
                 self._append_log_timeout.record_other_answer(self._delay_ms)
         return page
--- a/packages/toucanyard-node/src/toucanyard_node/log_writer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_writer.py
@@ -79,10 +79,10 @@
 async def _append_once(
     address: Address, batch: AppendBatch, log_timeout: AdaptiveLogTimeout
 ) -> AppendAnswer:
-    began_s = trio.current_time()
+    started_s = trio.current_time()
     answer = await append_records(address, batch.texts, log_timeout.timeout_ms)
     if answer.result is AppendResult.UNKNOWN:
         log_timeout.record_timeout()
     else:
-        log_timeout.record_answer((trio.current_time() - began_s) * 1000)
+        log_timeout.record_answer((trio.current_time() - started_s) * 1000)
     return answer
--- a/packages/toucanyard-node/src/toucanyard_node/model_requests.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_requests.py
@@ -124,8 +124,8 @@
         chains=chains,
     )
     requires_plain_answer = any(
-        bytes(fields.get(name, ordinary)) not in (bytes(ordinary), b"null")
-        for name, ordinary in _PLAIN_ONLY_FIELDS.items()
+        bytes(fields.get(name, default)) not in (bytes(default), b"null")
+        for name, default in _PLAIN_ONLY_FIELDS.items()
     ) or isinstance(getattr(parsed, "prompt", ""), list)
     return ModelCall(
         api=api,
--- a/tests/toucanyard_node/test_client_server.py
+++ b/tests/toucanyard_node/test_client_server.py
@@ -201,10 +201,10 @@
     engine = ScriptedEngine(TOKENS, Step(until=1, then=Then.BEAT))
     async with serve_in_memory([engine]) as served:
         served.core.is_waiting = is_queued
-        begun_s = trio.current_time()
+        started_s = trio.current_time()
         error = await ask_with_deadline(served, headers)
         assert (error["code"], error["not_run"]) == (code, is_not_run)
-        assert trio.current_time() - begun_s == pytest.approx(0.2, abs=0.01)
+        assert trio.current_time() - started_s == pytest.approx(0.2, abs=0.01)
 
 
 @pytest.mark.parametrize(
--- a/tests/toucanyard_node/test_endpoint_watch.py
+++ b/tests/toucanyard_node/test_endpoint_watch.py
@@ -279,11 +279,11 @@
 ) -> None:
     # Without any configured endpoints, refreshing every 10 ms forever would use more
     # CPU time than everything else in an idle node.
-    looks = 0
+    refresh_count = 0
 
     def find_nothing() -> tuple[list[WatchedEndpoint], int]:
-        nonlocal looks
-        looks += 1
+        nonlocal refresh_count
+        refresh_count += 1
         return [], 0
 
     async def ignore(event: WatchEvent) -> None:
@@ -293,9 +293,9 @@
         watch = EndpointWatch(find_nothing, TIMINGS, ignore)
         nursery.start_soon(watch.run)
         await trio.sleep(20)
-        before = looks
+        before = refresh_count
         await trio.sleep(10)
-        assert looks - before <= 51
+        assert refresh_count - before <= 51
         nursery.cancel_scope.cancel()
 
 
--- a/tests/toucanyard_node/test_log_writer.py
+++ b/tests/toucanyard_node/test_log_writer.py
@@ -71,7 +71,7 @@
     return Address(f"127.0.0.1:{find_port(listener)}")
 
 
-async def append_through(log: FakeLog, count: int) -> list[AppendSettled]:
+async def run_appends(log: FakeLog, count: int) -> list[AppendSettled]:
     settled: list[AppendSettled] = []
     send, receive = trio.open_memory_channel[AppendToLog](100)
     async with trio.open_nursery() as nursery:
@@ -88,7 +88,7 @@
 
 async def test_records_that_wait_share_one_append() -> None:
     log = FakeLog()
-    settled = await append_through(log, 3)
+    settled = await run_appends(log, 3)
     assert log.bodies == [("t0", "t1", "t2")]
     assert settled == [AppendSettled(("r0", "r1", "r2"), AppendResult.DONE)]
 
@@ -101,7 +101,7 @@
     """
     log = FakeLog()
     log.statuses = [429, 200]
-    settled = await append_through(log, 1)
+    settled = await run_appends(log, 1)
     assert len(log.bodies) == 2
     assert settled[0].result is AppendResult.DONE
 
@@ -114,7 +114,7 @@
     """
     log = FakeLog()
     log.statuses = [0]
-    settled = await append_through(log, 1)
+    settled = await run_appends(log, 1)
     assert len(log.bodies) == 1
     assert settled[0].result is AppendResult.UNKNOWN
 
@@ -122,7 +122,7 @@
 async def test_append_refused_in_an_outage_has_no_effect() -> None:
     log = FakeLog()
     log.statuses = [503]
-    settled = await append_through(log, 1)
+    settled = await run_appends(log, 1)
     assert settled[0].result is AppendResult.REFUSED
 
 
--- a/tests/toucanyard_node/test_service_handler.py
+++ b/tests/toucanyard_node/test_service_handler.py
@@ -140,8 +140,8 @@
     """
     async with serve_desk() as (served, addresses):
         await control(addresses[0], DelayAnswers(delay_ms=100))
-        soon = (*AUTHORIZED, ("X-Deadline-Ms", "50"))
-        answer = await served.ask("POST", HOLDS, soon, {"seat": 4})
+        short_deadline_headers = (*AUTHORIZED, ("X-Deadline-Ms", "50"))
+        answer = await served.ask("POST", HOLDS, short_deadline_headers, {"seat": 4})
         assert read_error(answer)["code"] == "outcome_unknown"
         answer = await served.ask("POST", HOLDS, AUTHORIZED, {"seat": 5})
         body = msgspec.json.decode(answer.body)
