--- a/packages/toucanyard-node/src/toucanyard_node/gathered_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/aggregated_response.py
@@ -1,4 +1,4 @@
-"""Build a plain answer from the events that a relay has read."""
+"""Build a plain (non-streaming) response from the events of a stream."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class AnswerMessage(msgspec.Struct, frozen=True):
-    """The message that a chat's answer carries."""
+    """The message of a chat completion."""
 
     content: str
     role: str = "assistant"
 
 
 class ChatChoice(msgspec.Struct, frozen=True):
-    """The one choice of a chat's answer."""
+    """The only choice of a chat completion."""
 
     message: AnswerMessage
     finish_reason: str | None
@@ -25,7 +25,7 @@
 
 
 class TextChoice(msgspec.Struct, frozen=True):
-    """The one choice of a completion's answer."""
+    """The only choice of a completion."""
 
     text: str
     finish_reason: str | None
@@ -33,8 +33,8 @@
     logprobs: None = None
 
 
-class PlainAnswer(msgspec.Struct, frozen=True):
-    """A whole answer in the OpenAI shape."""
+class PlainResponse(msgspec.Struct, frozen=True):
+    """A complete response body in the OpenAI format."""
 
     id: str
     object: str
@@ -44,7 +44,7 @@
     usage: Usage | None
 
 
-def render_gathered(
+def render_aggregated_response(
     api: ApiKind,
     request_id: RequestId,
     first: Chunk | None,
@@ -52,13 +52,13 @@
     finish_reason: str | None,
     usage: Usage | None,
 ) -> bytes:
-    """Return the body of the plain answer with this text."""
+    """Return the body of the plain response with this text."""
     choice: ChatChoice | TextChoice
     if api is ApiKind.CHAT:
         choice = ChatChoice(AnswerMessage(text), finish_reason)
     else:
         choice = TextChoice(text, finish_reason)
-    answer = PlainAnswer(
+    answer = PlainResponse(
         id=first.id if first is not None else request_id,
         object="chat.completion" if api is ApiKind.CHAT else "text_completion",
         created=first.created if first is not None else 0,
--- a/packages/toucanyard-node/src/toucanyard_node/callers_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/client_server.py
@@ -1,4 +1,4 @@
-"""Serve callers: tell them where to connect, and route what they ask."""
+"""HTTP API for clients: node location, model and service calls."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from toucanyard_node.caller_context import (
     CallerContext,
     build_refusal,
-    limit_to_key,
+    qualify_keyed_refusal,
 )
 from toucanyard_node.connection_pool import ConnectionPool
 from toucanyard_node.core_messages import CoreClient
@@ -35,11 +35,11 @@
 from toucanyard_node.http_server import (
     ServerLimits,
 )
-from toucanyard_node.locate_answer import LocateAnswer, NodeIdentity
-from toucanyard_node.model_face import ModelFace
+from toucanyard_node.locate_response import LocateResponse, NodeIdentity
+from toucanyard_node.model_handler import ModelHandler
 from toucanyard_node.model_requests import ApiKind
 from toucanyard_node.refusals import render_refusal
-from toucanyard_node.service_face import ServiceFace
+from toucanyard_node.service_handler import ServiceHandler
 from toucanyard_node.silence_watch import SilenceWatch
 
 _SERVICES: Final = "/v1/services/"
@@ -49,7 +49,7 @@
 
 
 class ModelEntry(msgspec.Struct, frozen=True):
-    """One model name that a customer may use."""
+    """A model name that a customer may use."""
 
     id: str
     owned_by: str
@@ -58,16 +58,16 @@
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """The answer of `GET /v1/models`."""
+    """Response body of `GET /v1/models`."""
 
     data: tuple[ModelEntry, ...]
     object: str = "list"
 
 
-class CallersFace:
-    """Answer callers' requests.
+class ClientServer:
+    """Handle requests of callers.
 
-    `run` must be running: it holds the tasks that outlive a caller's connection.
+    `run` must be active: it owns the tasks that outlive a caller's connection.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         core: CoreClient,
         options: Options,
         identity: NodeIdentity,
-        locate: Callable[[bool], LocateAnswer],
+        locate: Callable[[bool], LocateResponse],
         drain: DrainState | None = None,
         connect: Connect = connect,
     ) -> None:
@@ -89,13 +89,13 @@
         self._nursery: trio.Nursery | None = None
         self.pool = ConnectionPool(options.streams, connect)
         self._watch = SilenceWatch()
-        self._models = ModelFace(core, options, self.pool, self._watch, self._spawn)
-        self._services = ServiceFace(core, options, self.pool, self._spawn)
+        self._models = ModelHandler(core, options, self.pool, self._watch, self._spawn)
+        self._services = ServiceHandler(core, options, self.pool, self._spawn)
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Hold the tasks that outlive connections, until cancelled."""
+        """Run the tasks that outlive connections, until cancelled."""
         try:
             async with trio.open_nursery() as outer, trio.open_nursery() as nursery:
                 outer.start_soon(self._watch.run)
@@ -109,12 +109,12 @@
             await self.pool.close()
 
     async def wait_idle(self) -> None:
-        """Wait until no task goes on for a caller that went away."""
+        """Wait until no task is left for a disconnected caller."""
         while self._nursery is not None and self._nursery.child_tasks:
             await trio.sleep(0.02)
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         arrived_ms = find_now_ms()
         request_id = self._next_request_id()
         configuration = self._core.find_configuration()
@@ -146,16 +146,16 @@
             await self._refuse(internal, request, request_id, responder, headers)
 
     async def _serve(self, context: CallerContext) -> None:
-        """Answer a customer; what is refused here can be asked about afterwards."""
+        """Handle a customer's request; record rejections for later explanation."""
         try:
             await self._route(context)
         except RouterError as error:
             refusal = build_refusal(error, context.request_id)
-            self._core.tell_turned_away(
+            self._core.report_rejection(
                 RequestTurnedAway(
                     context.customer.name,
                     context.configuration.version,
-                    limit_to_key(refusal, context.http),
+                    qualify_keyed_refusal(refusal, context.http),
                 )
             )
             raise
@@ -174,7 +174,7 @@
         await serve()
 
     def _find_route(self, context: CallerContext, path: str) -> Route | None:
-        """Return the method that a path takes and what serves it."""
+        """Return the HTTP method and the handler of a path."""
         match path:
             case "/v1/completions" | "/v1/chat/completions":
                 api = ApiKind(path)
@@ -199,8 +199,8 @@
     ) -> None:
         if request.method != "GET":
             raise RouterError(ErrorKind.METHOD_NOT_ALLOWED, "expected GET")
-        is_staying = request.query.get("stay") == "true"
-        body = msgspec.json.encode(self._locate(is_staying))
+        prefers_this_node = request.query.get("stay") == "true"
+        body = msgspec.json.encode(self._locate(prefers_this_node))
         await responder.send(200, (("Content-Type", _JSON), *headers), body)
 
     async def _send_models(self, context: CallerContext) -> None:
@@ -217,9 +217,9 @@
         headers: Headers,
     ) -> None:
         if responder.is_started:
-            # The server closes the connection, which tells that it was cut.
+            # The server closes the connection, which shows the response as truncated.
             return
-        refusal = limit_to_key(build_refusal(error, request_id), request)
+        refusal = qualify_keyed_refusal(build_refusal(error, request_id), request)
         rendered = render_refusal(refusal)
         await responder.send(
             rendered.status, (*rendered.headers, *headers), rendered.body
@@ -248,7 +248,7 @@
 
 
 async def _run_guarded(work: Callable[[], Awaitable[None]]) -> None:
-    """Run work whose failure must not take the node down with it."""
+    """Run work whose failure must not stop the node."""
     try:
         await work()
     except Exception:
@@ -256,7 +256,7 @@
 
 
 def _find_models(configuration: Configuration, customer: Customer) -> list[str]:
-    """Return the model names that rules give a customer, each once."""
+    """Return the model names that rules grant to a customer, without duplicates."""
     names: dict[str, None] = {}
     for rule in configuration.rules:
         if not rule.customers or customer.name in rule.customers:
@@ -265,7 +265,7 @@
 
 
 def find_server_limits(options: Options) -> ServerLimits:
-    """Return the limits for the server that the face is served by."""
+    """Return the limits of the HTTP server for clients."""
     limits = options.callers
     return ServerLimits(
         max_connections=limits.max_connections,
--- a/packages/toucanyard-node/src/toucanyard_node/configuration_diff.py
+++ b/packages/toucanyard-node/src/toucanyard_node/configuration_diff.py
@@ -1,4 +1,4 @@
-"""Work out the patch that leads from one version of the configuration to another."""
+"""Compute the patch between two versions of the configuration."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
     Service,
 )
 from toucanyard.patches import Put, Remove
-from toucanyard_node.operator_answers import DiffReply
+from toucanyard_node.operator_messages import DiffReply
 
 T = TypeVar("T", Customer, Operator, Pool, Service)
 
 
 def compute_diff(old: Configuration, new: Configuration) -> DiffReply:
-    """Return what changed from `old` to `new`; rules count as changed as a whole."""
+    """Return the changes from `old` to `new`; rules are replaced as a whole."""
     has_same_rules = old.rules == new.rules
     put = Put(
-        customers=_find_put(old.customers, new.customers),
-        operators=_find_put(old.operators, new.operators),
-        pools=_find_put(old.pools, new.pools),
-        services=_find_put(old.services, new.services),
+        customers=_find_changed(old.customers, new.customers),
+        operators=_find_changed(old.operators, new.operators),
+        pools=_find_changed(old.pools, new.pools),
+        services=_find_changed(old.services, new.services),
         rules=() if has_same_rules else new.rules,
     )
-    gone_models = {rule.model for rule in old.rules} - {
+    removed_models = {rule.model for rule in old.rules} - {
         rule.model for rule in new.rules
     }
     remove = Remove(
@@ -36,12 +36,12 @@
         operators=_find_removed(old.operators, new.operators),
         pools=_find_removed(old.pools, new.pools),
         services=_find_removed(old.services, new.services),
-        rules=tuple(sorted(gone_models)),
+        rules=tuple(sorted(removed_models)),
     )
     return DiffReply(old.version, new.version, put, remove)
 
 
-def _find_put(old: Sequence[T], new: Sequence[T]) -> tuple[T, ...]:
+def _find_changed(old: Sequence[T], new: Sequence[T]) -> tuple[T, ...]:
     known = {each.name: each for each in old}
     return tuple(each for each in new if known.get(each.name) != each)
 
--- a/packages/toucanyard-node/src/toucanyard_node/credentials.py
+++ b/packages/toucanyard-node/src/toucanyard_node/credentials.py
@@ -1,4 +1,4 @@
-"""Find out which customer a caller is by its API key."""
+"""Authenticate callers by API key."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from toucanyard.errorcodes import ErrorKind, RouterError
 
 _SCHEME: Final = "bearer"
-_COME_BACK_MS: Final = 500
+_RETRY_AFTER_MS: Final = 500
 
 
 def compute_key_hash(key: str) -> str:
@@ -18,29 +18,29 @@
 
 
 def find_bearer_key(headers: dict[str, str]) -> str:
-    """Return the API key of a request; empty when it carries none."""
+    """Return the API key of a request, or an empty string."""
     scheme, _, key = headers.get("authorization", "").partition(" ")
     return key.strip() if scheme.lower() == _SCHEME else ""
 
 
-def check_known(configuration: Configuration) -> None:
-    """Raise NO_CONFIGURATION for the empty one of a node that has just started.
+def check_configuration_available(configuration: Configuration) -> None:
+    """Raise NO_CONFIGURATION while a node that has just started has none.
 
-    Called an unknown key, callers would give up on a good one; told to come back,
-    they try another node or this one a moment later.
+    Callers rejected for an unknown key would give up although their key is valid.
+    Asked to retry, they use another node, or this one a moment later.
     """
     if configuration.version == 0:
         raise RouterError(
             ErrorKind.NO_CONFIGURATION,
             "this node has no configuration yet, from neither a peer nor the log",
-            _COME_BACK_MS,
+            _RETRY_AFTER_MS,
         )
 
 
 class CustomerIndex:
-    """Find customers by key without a scan over all of them.
+    """Index of customers by the hash of their API keys.
 
-    Invariant: the table belongs to the configuration it was last asked with.
+    Invariant: the index matches the configuration of the last lookup.
     """
 
     __slots__ = ("_by_hash", "_configuration")
@@ -54,20 +54,20 @@
     ) -> Customer:
         """Return the caller's customer, or raise UNAUTHENTICATED.
 
-        Raise NO_CONFIGURATION where no key can be judged.
+        Raise NO_CONFIGURATION when there is no configuration to check keys against.
         """
-        check_known(configuration)
+        check_configuration_available(configuration)
         key = find_bearer_key(headers)
         if not key:
             raise RouterError(ErrorKind.UNAUTHENTICATED, "no bearer API key")
         if configuration is not self._configuration:
-            self._fill(configuration)
+            self._rebuild(configuration)
         customer = self._by_hash.get(compute_key_hash(key))
         if customer is None:
             raise RouterError(ErrorKind.UNAUTHENTICATED, "unknown API key")
         return customer
 
-    def _fill(self, configuration: Configuration) -> None:
+    def _rebuild(self, configuration: Configuration) -> None:
         self._by_hash = {
             key_hash: customer
             for customer in configuration.customers
--- a/packages/toucanyard-node/src/toucanyard_node/endpoint_answers.py
+++ b/packages/toucanyard-node/src/toucanyard_node/endpoint_responses.py
@@ -1,7 +1,7 @@
-"""Decode what endpoints tell of themselves: loads, cache events, lists of blocks.
+"""Decode responses of endpoints: load, cache events and cache dumps.
 
-Endpoints make their numbers up. The core weighs them against others, so a number that
-is negative, or that no float holds exactly, is refused here.
+Numbers from endpoints are untrusted. The core computes with them, so a number that is
+negative, or that a float can't represent exactly, is rejected here.
 """
 
 from __future__ import annotations
@@ -42,12 +42,12 @@
     hashes: tuple[str, ...]
 
 
-class AnswerInvalidError(Exception):
-    """An endpoint's answer can't be used."""
+class InvalidResponseError(Exception):
+    """An endpoint's response is malformed or out of range."""
 
 
 def decode_load(response: Response) -> LoadReport:
-    """Return the load in an answer, or raise AnswerInvalidError."""
+    """Decode a load report, or raise InvalidResponseError."""
     report = _decode(response, LoadReport)
     _check_numbers(
         report.running,
@@ -58,12 +58,12 @@
         report.age_ms,
     )
     if not report.incarnation:
-        raise AnswerInvalidError("found no incarnation")
+        raise InvalidResponseError("found no incarnation")
     return report
 
 
 def decode_events(response: Response) -> CacheEvents:
-    """Return the cache events in an answer, or raise AnswerInvalidError."""
+    """Decode cache events, or raise InvalidResponseError."""
     body = _decode(response, _EventsBody)
     _check_numbers(body.oldest, body.next, *(event.seq for event in body.events))
     events = tuple(
@@ -74,7 +74,7 @@
 
 
 def decode_dump(response: Response) -> CacheDump:
-    """Return the list of blocks in an answer, or raise AnswerInvalidError."""
+    """Decode a cache dump, or raise InvalidResponseError."""
     body = _decode(response, _DumpBody)
     _check_numbers(body.next)
     return CacheDump(body.incarnation, body.next, _parse_hashes(body.hashes))
@@ -82,23 +82,23 @@
 
 def _decode(response: Response, kind: type[T]) -> T:
     if response.status != 200:
-        raise AnswerInvalidError(f"found status {response.status}")
+        raise InvalidResponseError(f"found status {response.status}")
     try:
         return msgspec.json.decode(response.body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise AnswerInvalidError(str(error)) from error
+        raise InvalidResponseError(str(error)) from error
 
 
 def _check_numbers(*numbers: float) -> None:
     if min(numbers) < 0 or max(numbers) >= _MAX_NUMBER:
-        raise AnswerInvalidError("found a number out of range")
+        raise InvalidResponseError("found a number out of range")
 
 
 def _parse_hashes(hashes: Sequence[str]) -> tuple[int, ...]:
     try:
         blocks = tuple(int(each, _HEX) for each in hashes)
     except ValueError as error:
-        raise AnswerInvalidError("found a hash that is not hexadecimal") from error
+        raise InvalidResponseError("found a hash that is not hexadecimal") from error
     if blocks and (min(blocks) < 0 or max(map(len, hashes)) > _HASH_DIGITS):
-        raise AnswerInvalidError(f"found a hash not of {_HASH_DIGITS} digits")
+        raise InvalidResponseError(f"found a hash not of {_HASH_DIGITS} digits")
     return blocks
--- a/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/endpoint_watch.py
@@ -1,7 +1,7 @@
-"""Watch endpoints: poll loads, follow cache events, fetch dumps.
+"""Monitor endpoints: poll loads, follow cache events, fetch cache dumps.
 
-One task per endpoint owns its connection. What it reads goes to the core as events;
-what it can't read, as silence.
+One task per endpoint owns its connection. Results and failed polls are reported to the
+core as events.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from toucanyard.options import MembershipTimings
 from toucanyard_node.boot_clock import find_now_ms
 from toucanyard_node.bounded_fetch import exchange_bounded, fetch_bounded
-from toucanyard_node.endpoint_answers import (
-    AnswerInvalidError,
+from toucanyard_node.endpoint_responses import (
+    InvalidResponseError,
     decode_dump,
     decode_load,
 )
-from toucanyard_node.event_follower import EventFollower, compute_answer_bytes
+from toucanyard_node.event_follower import EventFollower, estimate_response_bytes
 from toucanyard_node.http_client import (
     BodyTooLargeError,
     Connect,
@@ -43,39 +43,40 @@
 
 _LOG: Final = structlog.get_logger()
 _REFRESH_MS: Final = 200
-_FIRST_REFRESH_MS: Final = 10
-"""Until there is anything to watch: a node that starts places requests without a view
-of any cache, and after a herd restart all nodes heap them on the same few endpoints."""
-_FIRST_REFRESHES: Final = 1_000
-"""Looks at that rate, 10 s in all; a node that waits for its first configuration for
-longer would spend 3.5% of a core on them."""
+_STARTUP_REFRESH_MS: Final = 10
+"""Used until there are endpoints to watch. A starting node places requests without
+knowing any cache; after a simultaneous restart of many nodes, all of them would
+concentrate requests on the same few endpoints."""
+_MAX_STARTUP_REFRESHES: Final = 1_000
+"""Refreshes at the startup interval, 10 s in total. Continuing at that rate while a
+node waits for its first configuration would use 3.5% of a core."""
 _MAX_LOAD_BYTES: Final = 65_536
 _MAX_DUMP_BYTES: Final = 32_000_000
 _DUMP_TIMEOUT_MS: Final = 5_000
 _FULL_RATE_POLLS: Final = 24
 _MAX_DOUBLINGS: Final = 3
-_FAILING_POLLS_SHARE: Final = 4
-"""How many times the polls of answering endpoints those that fail may take."""
+_FAILING_POLLS_FACTOR: Final = 4
+"""Poll rate of failing endpoints as a multiple of that of responding ones."""
 
 WatchEvent = LoadRead | EndpointPollFailed | CacheEventsRead | CacheDumpRead
 Emit = Callable[[WatchEvent], Awaitable[None]]
 
 
-class Watched(msgspec.Struct, frozen=True):
-    """One endpoint to watch; only engines have caches."""
+class WatchedEndpoint(msgspec.Struct, frozen=True):
+    """An endpoint to watch; only engines have caches."""
 
     endpoint: Endpoint
     is_engine: bool
     is_followed: bool
-    """Whether this node takes in its cache events."""
+    """Whether this node follows its cache events."""
 
 
 def compute_poll_wait_ms(timings: MembershipTimings, watched: int, count: int) -> float:
-    """Return the time between two polls of one endpoint that answers.
+    """Return the interval between polls of a responding endpoint.
 
-    `count` is how many endpoints there are. Where nodes share the watching, each
-    polls at a fixed rate in all, whatever its share; an endpoint that fails is polled
-    at the full rate, so that deaths are noticed as fast.
+    `count` is the number of all endpoints. When nodes share the monitoring, each node
+    polls at a fixed total rate, whatever its share. An endpoint that fails is polled
+    at the full rate, so that crashes are detected as quickly.
     """
     is_shared = watched < count
     rate = timings.max_shared_polls_per_s if is_shared else timings.max_polls_per_s
@@ -83,7 +84,7 @@
 
 
 def find_event_rate(timings: MembershipTimings, watched: int, count: int) -> int:
-    """Return how many bytes a second cache events and dumps may take."""
+    """Return the bandwidth for cache events and dumps in bytes per second."""
     if watched < count:
         return timings.max_shared_event_bytes_per_s
     return timings.max_event_bytes_per_s
@@ -92,41 +93,41 @@
 def compute_retry_wait_ms(
     timings: MembershipTimings, failures: int, failing: int, *, is_shared: bool
 ) -> float:
-    """Return the time before the next poll after so many failures before this one.
+    """Return the time before the next poll after `failures` consecutive failures.
 
-    The full rate goes on for longer than a death takes to be agreed on; from then on
-    only the return of the endpoint is to be noticed. `failing` endpoints share a rate:
-    where a whole domain or this node's network fails, polls at the full rate of each
-    would take a tenth of a core just when the rest of the fleet needs it.
+    The full rate lasts longer than nodes need to agree that an endpoint is down; after
+    that, polls only detect its recovery. `failing` endpoints share a rate: when a whole
+    domain or this node's network fails, polling each at the full rate would use a tenth
+    of a core when the rest of the fleet needs it.
     """
     doublings = min(failures // _FULL_RATE_POLLS, _MAX_DOUBLINGS)
     rate = timings.max_polls_per_s
     if is_shared:
-        rate = timings.max_shared_polls_per_s * _FAILING_POLLS_SHARE
+        rate = timings.max_shared_polls_per_s * _FAILING_POLLS_FACTOR
     return max(float(timings.load_poll_ms * 2**doublings), failing * 1000 / rate)
 
 
 class EndpointWatch:
-    """Hold one task for each endpoint to watch.
+    """Run one task for each watched endpoint.
 
-    Invariant: an endpoint that is no longer wanted, or got another address, has no
+    Invariant: an endpoint that is no longer watched, or whose address changed, has no
     task after the next refresh.
     """
 
     def __init__(
         self,
-        find_watched: Callable[[], tuple[Sequence[Watched], int]],
+        find_watched: Callable[[], tuple[Sequence[WatchedEndpoint], int]],
         timings: MembershipTimings,
         emit: Emit,
         connect_to: Connect = connect,
         rng: random.Random | None = None,
     ) -> None:
-        """`find_watched` gives what to watch and how many endpoints there are."""
+        """`find_watched` returns what to watch and the number of all endpoints."""
         self._find_watched = find_watched
         self._timings = timings
         self._emit = emit
         self._connect = connect_to
-        self._scopes: dict[Watched, trio.CancelScope] = {}
+        self._scopes: dict[WatchedEndpoint, trio.CancelScope] = {}
         self._addresses: dict[EndpointName, Address] = {}
         self._wait_ms = float(timings.load_poll_ms)
         self._is_shared = False
@@ -137,18 +138,18 @@
 
     async def run(self) -> None:
         """Watch until cancelled."""
-        refreshes_left = _FIRST_REFRESHES
+        refreshes_left = _MAX_STARTUP_REFRESHES
         async with trio.open_nursery() as nursery:
             while True:
                 self._refresh(nursery)
-                is_first = not self._scopes and refreshes_left > 0
-                refreshes_left -= is_first
+                is_starting = not self._scopes and refreshes_left > 0
+                refreshes_left -= is_starting
                 await trio.sleep(
-                    (_FIRST_REFRESH_MS if is_first else _REFRESH_MS) / 1000
+                    (_STARTUP_REFRESH_MS if is_starting else _REFRESH_MS) / 1000
                 )
 
     async def read_dump(self, endpoint: EndpointName) -> None:
-        """Fetch the list of an engine's blocks and emit it, if it can be had."""
+        """Fetch the cache dump of an engine and emit it, if the budget allows."""
         address = self._addresses.get(endpoint)
         left_bytes = self._budget.compute_left_bytes(find_now_ms())
         if address is None or not self._dump_sizes.is_affordable(endpoint, left_bytes):
@@ -158,11 +159,11 @@
             response = await fetch_bounded(
                 address, "/v1/cache/dump", _DUMP_TIMEOUT_MS, max_bytes, self._connect
             )
-            size_bytes = compute_answer_bytes(response)
+            size_bytes = estimate_response_bytes(response)
             self._budget.spend(size_bytes, find_now_ms())
             self._dump_sizes.record_complete(endpoint, size_bytes)
             dump = decode_dump(response)
-        except (ConnectionFailedError, AnswerInvalidError) as error:
+        except (ConnectionFailedError, InvalidResponseError) as error:
             if isinstance(error, BodyTooLargeError):
                 self._budget.spend(max_bytes, find_now_ms())
                 self._dump_sizes.record_truncated(endpoint, max_bytes)
@@ -189,7 +190,7 @@
                 scope = self._scopes[watched] = trio.CancelScope()
                 nursery.start_soon(self._watch, watched, scope)
 
-    async def _watch(self, watched: Watched, scope: trio.CancelScope) -> None:
+    async def _watch(self, watched: WatchedEndpoint, scope: trio.CancelScope) -> None:
         with scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._poll_load, watched)
@@ -203,7 +204,7 @@
                     )
                     nursery.start_soon(follower.run)
 
-    async def _poll_load(self, watched: Watched) -> None:
+    async def _poll_load(self, watched: WatchedEndpoint) -> None:
         endpoint = watched.endpoint
         poller = _Poller(endpoint.address, self._timings, self._connect)
         target = "/v1/load" if watched.is_engine else "/load"
@@ -214,7 +215,7 @@
                 wait_ms = self._wait_ms
                 try:
                     report = decode_load(await poller.get(target))
-                except (ConnectionFailedError, AnswerInvalidError) as error:
+                except (ConnectionFailedError, InvalidResponseError) as error:
                     _LOG.debug("load_unread", endpoint=endpoint.name, error=str(error))
                     await self._emit(EndpointPollFailed(endpoint.name))
                     self._failing.add(endpoint.name)
@@ -238,7 +239,7 @@
 
 
 class _Poller:
-    """Get small answers from one address on a connection that is kept."""
+    """Send GET requests to one address over a persistent connection."""
 
     def __init__(
         self, address: Address, timings: MembershipTimings, connect_to: Connect
@@ -246,39 +247,39 @@
         self._address = address
         self._timeout_ms = timings.poll_timeout_ms
         self._connect = connect_to
-        self._kept: HttpConnection | None = None
+        self._idle: HttpConnection | None = None
 
     async def get(self, target: str) -> Response:
-        """Get one answer, or raise ConnectionFailedError."""
-        kept, self._kept = self._kept, None
-        if kept is not None:
+        """Return one response, or raise ConnectionFailedError."""
+        idle, self._idle = self._idle, None
+        if idle is not None:
             try:
-                return await self._try(kept, target)
+                return await self._exchange(idle, target)
             except ConnectionFailedError:
-                # Something between may have lost track of this connection while new
-                # ones work; only a failure on a new one speaks against the endpoint.
+                # A middlebox may have dropped this connection while new ones work;
+                # only a failure on a new connection counts against the endpoint.
                 pass
-        fresh = await self._connect(self._address, self._timeout_ms)
-        return await self._try(fresh, target)
+        new = await self._connect(self._address, self._timeout_ms)
+        return await self._exchange(new, target)
 
     async def close(self) -> None:
-        """Close the kept connection."""
-        if self._kept is not None:
-            await self._kept.close()
+        """Close the idle connection."""
+        if self._idle is not None:
+            await self._idle.close()
 
-    async def _try(self, connection: HttpConnection, target: str) -> Response:
-        is_kept = False
+    async def _exchange(self, connection: HttpConnection, target: str) -> Response:
+        can_reuse = False
         try:
             with trio.fail_after(self._timeout_ms / 1000):
                 response = await exchange_bounded(
                     connection, "GET", target, _MAX_LOAD_BYTES
                 )
-            is_kept = connection.is_reusable()
+            can_reuse = connection.is_reusable()
         except trio.TooSlowError as error:
             raise ConnectionFailedError("no answer", is_sent=True) from error
         finally:
-            if not is_kept:
+            if not can_reuse:
                 with trio.CancelScope(shield=True):
                     await connection.close()
-        self._kept = connection
+        self._idle = connection
         return response
--- a/packages/toucanyard-node/src/toucanyard_node/engine_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/engine_client.py
@@ -1,4 +1,4 @@
-"""Hold one dispatch to an engine, over as many connections as its stream takes."""
+"""Client for one dispatch to an engine; resumes its stream on new connections."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from toucanyard.requests import Dispatch, DispatchEnding
 from toucanyard_node.connection_pool import ConnectionPool
 from toucanyard_node.exchange import (
-    REFUSING_STATUSES,
+    REFUSAL_STATUSES,
     DispatchFailedError,
-    check_echo,
+    check_response_id,
     find_incarnation,
-    is_bare_refusal,
+    is_refusal_without_id,
 )
 from toucanyard_node.http_client import (
     ConnectionFailedError,
@@ -28,29 +28,29 @@
 from toucanyard_node.silence_watch import SilenceTimer, SilenceWatch
 from toucanyard_node.sse import Event, EventCutter, EventError
 
-_PAUSES: Final = 1.5
-"""How many of its longest pauses a stream is waited for before it is probed."""
+_PAUSE_FACTOR: Final = 1.5
+"""Idle timeout of a stream as a multiple of its longest pause so far."""
 
 
 class EngineStream:
     """Read the numbered events of one dispatch, each once and in order.
 
-    Invariants: `last_number` is the last event handed out; all events come from one
-    incarnation and one weights version of the engine; a connection is lent back only
-    after its answer was read to the end.
+    Invariants: `last_number` is the last event returned; all events come from one
+    incarnation and one weights version of the engine; a connection is returned to the
+    pool only after its response was read completely.
     """
 
     __slots__ = (
-        "_broken",
+        "_stream_fault",
         "_connection",
         "_cutter",
         "_dispatch",
         "_head_timeout_ms",
-        "_is_used",
+        "_is_reused",
         "_limits",
         "_on_send",
         "_pool",
-        "_resumes",
+        "_resume_count",
         "_timer",
         "_watch",
         "incarnation",
@@ -72,7 +72,7 @@
         on_send: Callable[[], None],
         is_plain: bool = False,
     ) -> None:
-        # An answer that isn't events has no heartbeats: only the deadline ends it.
+        # A plain response has no heartbeats: only the deadline bounds the wait.
         self._head_timeout_ms = math.inf if is_plain else dispatch.silence_ms
         self._watch = watch
         self._timer: SilenceTimer | None = None
@@ -82,9 +82,9 @@
         self._dispatch = dispatch
         self._connection: HttpConnection | None = None
         self._cutter = EventCutter()
-        self._is_used = False
-        self._resumes = 0
-        self._broken = ""
+        self._is_reused = False
+        self._resume_count = 0
+        self._stream_fault = ""
         self.longest_pause_ms = 0.0
         self.request_id = request_id
         self.incarnation: Incarnation | None = None
@@ -96,28 +96,28 @@
     async def open(
         self, path: str, headers: Headers, body: bytes, is_repeatable: bool
     ) -> ResponseHead:
-        """Send the request and read the answer's head.
+        """Send the request and read the response head.
 
         Raise DispatchFailedError when the endpoint refused, failed or was lost.
         """
         head = await self._send(path, headers, body, is_repeatable)
         if head is None:
-            # No word at all in time: ask on a new connection for what it has.
+            # No response in time: resume from the start on a new connection.
             await self._resume("no answer")
             return ResponseHead(200, {"content-type": "text/event-stream"})
-        self._check_head(head, self._is_used)
+        self._check_head(head, self._is_reused)
         return head
 
     async def _send(
         self, path: str, headers: Headers, body: bytes, is_repeatable: bool
     ) -> ResponseHead | None:
-        """Return the head of the answer, or None after a silence."""
+        """Return the response head, or None after a timeout."""
         address = self._dispatch.address
         try:
-            # What may run once only never meets a connection that was idle: when
-            # that one turns out dead, nobody could tell whether the request ran.
+            # A request that may run at most once never uses an idle connection: if
+            # the connection turns out dead, whether the request ran is unknown.
             if is_repeatable:
-                self._connection, self._is_used = await self._pool.acquire(address)
+                self._connection, self._is_reused = await self._pool.acquire(address)
             else:
                 self._connection = await self._pool.open(address)
         except ConnectionFailedError as error:
@@ -125,16 +125,16 @@
         try:
             return await self._try_send(path, headers, body)
         except ConnectionFailedError as error:
-            if not self._is_used:
+            if not self._is_reused:
                 ending = (
                     DispatchEnding.LOST if error.is_sent else DispatchEnding.NOT_SENT
                 )
                 raise DispatchFailedError(ending, str(error)) from error
-        # The idle connection had died unnoticed. The request may be repeated, and
-        # the endpoint itself is under no suspicion yet.
+        # The idle connection was dead. The request may be repeated, and this failure
+        # doesn't count against the endpoint.
         await self.abandon()
         try:
-            self._is_used = False
+            self._is_reused = False
             self._connection = await self._pool.open(address)
             return await self._try_send(path, headers, body)
         except ConnectionFailedError as error:
@@ -147,8 +147,8 @@
         self._on_send()
         self.is_sent = True
         try:
-            # A connection can go silent under a long prompt, too, where no time for
-            # the answer runs yet; its request would wait for the deadline.
+            # A connection can also stall while a long prompt is sent, before the
+            # response timeout starts; the request would wait until its deadline.
             stall_ms = max(self._limits.max_silence_ms, self._dispatch.silence_ms)
             await self._connection.send("POST", path, headers, body, stall_ms)
         except ConnectionFailedError as error:
@@ -158,10 +158,10 @@
             return await self._connection.read_head()
         return None
 
-    def _check_head(self, head: ResponseHead, is_used: bool) -> None:
-        if not is_bare_refusal(head) or is_used:
-            check_echo(head, self.request_id)
-        if head.status in REFUSING_STATUSES:
+    def _check_head(self, head: ResponseHead, is_reused: bool) -> None:
+        if not is_refusal_without_id(head) or is_reused:
+            check_response_id(head, self.request_id)
+        if head.status in REFUSAL_STATUSES:
             self.is_sent = False
             raise DispatchFailedError(DispatchEnding.REFUSED, f"status {head.status}")
         if head.status >= 500:
@@ -176,72 +176,74 @@
     async def read(self) -> list[Event]:
         """Return the next new events; an empty list for a heartbeat.
 
-        Raise DispatchFailedError when the stream is lost for good.
+        Raise DispatchFailedError when the stream can't be resumed.
         """
         asked_s = trio.current_time()
         while True:
-            if self._broken or self._connection is None:
-                # Without a connection: whoever read before was cancelled while it
-                # connected, since its caller left.
-                reason, self._broken = self._broken or "interrupted", ""
+            if self._stream_fault or self._connection is None:
+                # There is no connection when the previous reader was cancelled while
+                # it connected, because its caller disconnected.
+                reason, self._stream_fault = self._stream_fault or "interrupted", ""
                 self._check_sent(reason)
                 await self._resume(reason)
             timer = self._timer or self._start_timer()
             timer.waiting_since_s = trio.current_time()
             try:
-                part = await timer.connection.read_part()
-                # While the caller is slow nobody reads, and that is no silence.
+                chunk = await timer.connection.read_part()
+                # Time in which a slow caller delays reading is not idle time.
                 timer.waiting_since_s = math.inf
-                if part is not None:
-                    self._note_pause(asked_s)
-                    return self._take(part)
+                if chunk is not None:
+                    self._record_pause(asked_s)
+                    return self._accept_chunk(chunk)
                 reason = "ended early"
             except (ConnectionFailedError, EventError) as error:
                 reason = "silent" if timer.has_expired else str(error)
             await self._resume(reason)
 
     def _check_sent(self, reason: str) -> None:
-        """Raise DispatchFailedError when there can be no stream to go on with.
+        """Raise DispatchFailedError when the request was never sent.
 
-        An earlier try of the same request may have left one of the same name at this
-        engine, which begins with what the caller already has.
+        An earlier attempt of the same request may have left a stream with the same id
+        at this engine, which starts with events that the caller already has.
         """
         if not self.is_sent:
             raise DispatchFailedError(DispatchEnding.NOT_SENT, reason)
 
     def _start_timer(self) -> SilenceTimer:
         assert self._connection is not None
-        # An engine that is merely slower than its history is probed ever more rarely;
-        # at one fixed bound its probes would run out within a few bounds.
-        silence_ms = max(self._dispatch.silence_ms, _PAUSES * self.longest_pause_ms)
-        silence_ms *= 2**self._resumes
+        # The timeout doubles with each resume: an engine that is only slower than
+        # before would otherwise use up its resumes within a few timeouts.
+        silence_ms = max(
+            self._dispatch.silence_ms, _PAUSE_FACTOR * self.longest_pause_ms
+        )
+        silence_ms *= 2**self._resume_count
         bound_ms = max(self._limits.max_silence_ms, self._dispatch.silence_ms)
         self._timer = SilenceTimer(self._connection, min(silence_ms, bound_ms))
         self._watch.add(self._timer)
         return self._timer
 
-    def _note_pause(self, asked_s: float) -> None:
+    def _record_pause(self, asked_s: float) -> None:
         pause_ms = (trio.current_time() - asked_s) * 1000
         self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
 
-    def _take_connection(self) -> HttpConnection | None:
-        """Return the connection, which this stream reads no longer."""
+    def _detach_connection(self) -> HttpConnection | None:
+        """Return the connection and stop watching it."""
         if self._timer is not None:
             self._watch.discard(self._timer)
             self._timer = None
         connection, self._connection = self._connection, None
         return connection
 
-    def doubt_end(self) -> None:
-        """Let the next read ask again for what follows the last number."""
+    def retry_end(self) -> None:
+        """Make the next read resume the stream after the last number."""
         self.is_done = False
-        self._broken = "an end without the last event"
+        self._stream_fault = "an end without the last event"
 
-    def _take(self, part: bytes) -> list[Event]:
-        """Return the events that are new, or raise EventError for a gap."""
+    def _accept_chunk(self, chunk: bytes) -> list[Event]:
+        """Return the new events of a chunk, or raise EventError for a gap."""
         first = self.last_number
         new: list[Event] = []
-        for event in self._cutter.feed(part):
+        for event in self._cutter.feed(chunk):
             if event.is_done():
                 self.is_done = True
                 new.append(event)
@@ -251,17 +253,17 @@
                 raise EventError(problem)
             if problem:
                 # What came before it is good; the next read asks for the rest.
-                self._broken = problem
+                self._stream_fault = problem
                 break
             if event.number == self.last_number + 1:
                 self.last_number += 1
                 new.append(event)
         if self.last_number != first:
-            self._resumes = 0
+            self._resume_count = 0
         return new
 
     def _find_problem(self, event: Event) -> str:
-        """Return why events can't go on with this one; empty when they can."""
+        """Return why this event can't follow the last one, or an empty string."""
         if event.number is None:
             return "an event without a number"
         if event.number > self.last_number + 1:
@@ -269,15 +271,15 @@
         return ""
 
     async def _resume(self, reason: str) -> None:
-        """Go on from the last number on a new connection.
+        """Resume after the last number on a new connection.
 
-        A connection can go silent for good while the engine works on and new ones
-        work, and an engine can die; only a new connection tells these apart.
+        A connection can stall while the engine still works and accepts new ones, or
+        the engine can have crashed; only a new connection distinguishes the two.
         """
         address = self._dispatch.address
         while True:
-            self._resumes += 1
-            if self._resumes > self._limits.max_resumes:
+            self._resume_count += 1
+            if self._resume_count > self._limits.max_resumes:
                 raise DispatchFailedError(DispatchEnding.LOST, f"{reason}, not resumed")
             await self._pool.distrust(address)
             await self.abandon()
@@ -285,27 +287,27 @@
             try:
                 self._connection = await self._pool.open(address)
                 with trio.fail_after(self._dispatch.silence_ms / 1000):
-                    head = await self._ask_again(self._connection)
+                    head = await self._send_resume(self._connection)
             except (ConnectionFailedError, trio.TooSlowError):
                 continue
             self._check_resumed(head, reason)
             return
 
-    async def _ask_again(self, connection: HttpConnection) -> ResponseHead:
+    async def _send_resume(self, connection: HttpConnection) -> ResponseHead:
         headers = (("Last-Event-ID", str(self.last_number)),)
         target = f"/v1/streams/{self.request_id}"
         await connection.send("GET", target, headers)
         return await connection.read_head()
 
     def _check_resumed(self, head: ResponseHead, reason: str) -> None:
-        check_echo(head, self.request_id)
+        check_response_id(head, self.request_id)
         if head.status != 200:
             text = f"{reason}, then status {head.status}"
             raise DispatchFailedError(DispatchEnding.LOST, text)
         found = find_incarnation(head)
         known = self.incarnation or self._dispatch.expected_incarnation
-        # An engine that came back is empty: a stream of that name there would be
-        # another one, and joining it to the first would mix two answers.
+        # A restarted engine has lost its streams: one with the same id there would be
+        # a different stream, and joining it to the first would mix two responses.
         if known is not None and found != known:
             text = f"{reason}, then another incarnation"
             raise DispatchFailedError(DispatchEnding.LOST, text)
@@ -316,8 +318,8 @@
             raise DispatchFailedError(DispatchEnding.LOST, text)
         self.weights_version = version
 
-    async def read_rest(self) -> bytes:
-        """Return a whole plain body, or raise DispatchFailedError."""
+    async def read_plain_body(self) -> bytes:
+        """Return a complete plain body, or raise DispatchFailedError."""
         assert self._connection is not None
         try:
             body = await self._connection.read_body()
@@ -327,8 +329,8 @@
         return body
 
     async def close(self) -> None:
-        """Lend the connection back if its answer was whole, else close it."""
-        connection = self._take_connection()
+        """Release the connection; it can be reused after a complete response."""
+        connection = self._detach_connection()
         if connection is None:
             return
         if self.is_done and not connection.is_reusable():
@@ -336,7 +338,7 @@
         await self._pool.release(connection)
 
     async def cancel(self) -> None:
-        """Close, and tell the engine to stop computing."""
+        """Close the connection and ask the engine to stop the computation."""
         await self.abandon()
         if not self.is_sent or self.is_done:
             return
@@ -347,18 +349,18 @@
                 await connection.read_head()
             await connection.close()
         except ConnectionFailedError:
-            # Nobody there, so nobody computes; the engine also notices by itself.
+            # An unreachable engine is either down or detects the disconnect itself.
             return
 
     async def abandon(self) -> None:
-        """Close the connection; it is never used again."""
-        connection = self._take_connection()
+        """Close the connection without reusing it."""
+        connection = self._detach_connection()
         if connection is not None:
             await connection.close()
 
 
 async def _read_end(connection: HttpConnection) -> None:
-    """Read the end of a body whose last event came; it's under way already."""
+    """Read the rest of a body after its last event; it's already in transit."""
     try:
         with trio.move_on_after(0.05):
             await connection.read_part()
--- a/packages/toucanyard-node/src/toucanyard_node/locator.py
+++ b/packages/toucanyard-node/src/toucanyard_node/locator.py
@@ -1,8 +1,8 @@
-"""Work out which node a caller should use.
+"""Choose the node that a caller should use.
 
-Nodes are equal, so a caller is sent to a random one: that spreads callers evenly
-without any node knowing the others' load. An issued key only runs on the node that
-issued it, so it is given only along with this node's own address.
+Nodes are equal, so callers are assigned a random one: this distributes them evenly
+without information about load. An issued key is valid only on the node that issued it,
+so it is returned only together with this node's own address.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from toucanyard.node_core import NodeCore
 from toucanyard.options import Options
 from toucanyard_node.drain import DrainState
-from toucanyard_node.locate_answer import IssuedKey, LocateAnswer, NodeAddress
+from toucanyard_node.locate_response import IssuedKey, LocateResponse, NodeAddress
 
 
 class Locator:
-    """Answer which nodes serve callers; a leaving or draining one is never named."""
+    """Find the nodes that serve callers; leaving and draining ones are excluded."""
 
     __slots__ = ("_address", "_core", "_drain", "_options", "_rng")
 
@@ -38,17 +38,17 @@
         self._drain = drain
         self._rng = rng
 
-    def locate(self, is_staying: bool) -> LocateAnswer:
-        """Return the node to use; `is_staying` asks for this one if it may be named."""
+    def locate(self, prefers_this_node: bool) -> LocateResponse:
+        """Return the node to use; this one if preferred and not draining."""
         nodes = self._find_nodes()
         self._rng.shuffle(nodes)
-        own = self._build_own()
-        if is_staying and not self._drain.is_draining():
+        own = self._build_own_address()
+        if prefers_this_node and not self._drain.is_draining():
             chosen = own
         else:
             chosen = nodes[0] if nodes else own
         issued_key = self._issue_key() if chosen.node == own.node else None
-        return LocateAnswer(
+        return LocateResponse(
             node=chosen.node,
             address=chosen.address,
             keep_ms=self._options.callers.locate_ttl_ms,
@@ -61,10 +61,10 @@
         nodes = find_live_nodes(self._core.membership, now_ms)
         nodes = [each for each in nodes if each.node != self._options.name]
         if not self._drain.is_draining():
-            nodes.append(self._build_own())
+            nodes.append(self._build_own_address())
         return nodes
 
-    def _build_own(self) -> NodeAddress:
+    def _build_own_address(self) -> NodeAddress:
         options = self._options
         return NodeAddress(options.name, self._address, options.domain)
 
@@ -75,7 +75,7 @@
 
 
 def find_live_nodes(membership: Membership, now_ms: float) -> list[NodeAddress]:
-    """Return the nodes that the VM list calls live and no news calls leaving."""
+    """Return the nodes of the VM list that no gossip update reports as leaving."""
     return [
         NodeAddress(NodeName(vm.name), vm.callers, vm.domain)
         for vm in membership.find_nodes()
--- a/packages/toucanyard-node/src/toucanyard_node/log_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_client.py
@@ -1,7 +1,7 @@
-"""Append to and read from the platform's log service.
+"""Client of the platform's log service.
 
-An append has three results: done, provably without effect, or unknown, since its
-answer can be lost after the effect. Whoever appends settles the third by reading.
+An append has three results: done, proved to have no effect, or unknown, because its
+response can be lost after it took effect. The third is resolved by reading the log.
 """
 
 from __future__ import annotations
@@ -25,43 +25,43 @@
 )
 
 _REFUSED_STATUSES: Final = frozenset({400, 404, 413, 429, 503})
-"""Statuses with which the service says that it appended nothing."""
-_OVER_RATE_STATUS: Final = 429
+"""Statuses with which the service reports that it appended nothing."""
+_RATE_LIMITED_STATUS: Final = 429
 READ_MARGIN_MS: Final = 1_000.0
 MAX_PAGE_BYTES: Final = 16_000_000
 _MAX_OFFSET: Final = 2**53
 
 
 class LogUnavailableError(Exception):
-    """The log did not give an answer that can be used."""
+    """The log did not return a usable response."""
 
 
-class LogSilentError(LogUnavailableError):
-    """The log took the question and did not answer in time."""
+class LogTimeoutError(LogUnavailableError):
+    """The log received the request and did not respond in time."""
 
 
 class PageTooLargeError(LogUnavailableError):
-    """The records asked for are more than a node takes at once."""
+    """The requested records exceed the size limit of one response."""
 
 
 class LogExpiredError(Exception):
-    """The records asked for are gone; reading goes on from `oldest`."""
+    """The requested records have expired; `oldest` is the first remaining one."""
 
     def __init__(self, oldest: int, head: int) -> None:
-        super().__init__(f"records before {oldest} are gone")
+        super().__init__(f"records before {oldest} have expired")
         self.oldest = oldest
         self.head = head
 
 
 class AppendAnswer(msgspec.Struct, frozen=True):
-    """What is known of one append, and whether it was refused for its rate only."""
+    """Result of an append, and whether it was refused only by the rate limit."""
 
     result: AppendResult
-    is_over_rate: bool = False
+    is_rate_limited: bool = False
 
 
 class LogPage(msgspec.Struct, frozen=True):
-    """Records as read, in order, and the offset of the next to be written."""
+    """Records in order, and the offset of the next record to be written."""
 
     records: tuple[LogRecord, ...]
     head: int
@@ -86,7 +86,7 @@
 async def append_records(
     address: Address, texts: Sequence[str], timeout_ms: float
 ) -> AppendAnswer:
-    """Append records together and tell what is known of the result."""
+    """Append records in one request and return the result."""
     body = msgspec.json.encode(_AppendBody(tuple(texts)))
     try:
         answer = await fetch(address, "POST", "/log/append", (), body, timeout_ms)
@@ -96,8 +96,8 @@
     if answer.status == 200:
         return AppendAnswer(AppendResult.DONE)
     if answer.status in _REFUSED_STATUSES:
-        is_over_rate = answer.status == _OVER_RATE_STATUS
-        return AppendAnswer(AppendResult.REFUSED, is_over_rate)
+        is_rate_limited = answer.status == _RATE_LIMITED_STATUS
+        return AppendAnswer(AppendResult.REFUSED, is_rate_limited)
     return AppendAnswer(AppendResult.UNKNOWN)
 
 
@@ -108,11 +108,11 @@
     wait_ms: int,
     margin_ms: float = READ_MARGIN_MS,
 ) -> LogPage:
-    """Read from an offset on, waiting a while for new records.
+    """Read records from an offset, waiting up to `wait_ms` for new ones.
 
-    The answer may take `margin_ms` beyond its wait. Raise LogExpiredError when they are
-    gone, PageTooLargeError when they are too many, and LogUnavailableError without an
-    answer that can be used.
+    The response may take `margin_ms` longer. Raise LogExpiredError when records have
+    expired, PageTooLargeError when they exceed the size limit, and LogUnavailableError
+    without a usable response.
     """
     target = f"/log/read?from={start}&limit={limit}&wait_ms={wait_ms}"
     timeout_ms = wait_ms + margin_ms
@@ -123,13 +123,13 @@
     except BodyTooLargeError as error:
         raise PageTooLargeError(str(error)) from error
     except ConnectionFailedError as error:
-        kind = LogSilentError if error.is_sent else LogUnavailableError
+        kind = LogTimeoutError if error.is_sent else LogUnavailableError
         raise kind(str(error)) from error
     return decode_page(answer, start)
 
 
 def decode_page(answer: Response, start: int) -> LogPage:
-    """Return the page in an answer; raise as `read_records` does."""
+    """Decode a page; raise the same errors as `read_records`."""
     if answer.status not in (200, 410):
         raise LogUnavailableError(f"status {answer.status}")
     try:
@@ -137,21 +137,21 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise LogUnavailableError(str(error)) from error
     if answer.status == 410:
-        _check_order((start, body.oldest, body.next + 1))
+        _check_offsets((start, body.oldest, body.next + 1))
         raise LogExpiredError(body.oldest, body.next)
     offsets = [each.offset for each in body.records]
-    _check_order((start - 1, *offsets, body.next))
+    _check_offsets((start - 1, *offsets, body.next))
     records = tuple(
         LogRecord(each.offset, each.at_ms, each.data) for each in body.records
     )
     return LogPage(records, body.next)
 
 
-def _check_order(offsets: Sequence[int]) -> None:
-    """Raise LogUnavailableError unless offsets rise and are in range.
+def _check_offsets(offsets: Sequence[int]) -> None:
+    """Raise LogUnavailableError unless offsets increase and are in range.
 
-    Reading goes on behind the last one. Offsets that fall would make a node read the
-    same again without end, and a log whose end went back has forgotten claims.
+    Reading continues after the last one. With decreasing offsets a node would read the
+    same records forever, and a log whose end moved back has lost claims.
     """
     is_rising = all(one < other for one, other in itertools.pairwise(offsets))
     if not is_rising or offsets[-1] > _MAX_OFFSET:
--- a/packages/toucanyard-node/src/toucanyard_node/log_reader.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_reader.py
@@ -1,4 +1,4 @@
-"""Follow the platform's log and pass its records on in order, without gaps."""
+"""Follow the platform's log and emit its records in order, without gaps."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
     READ_MARGIN_MS,
     LogExpiredError,
     LogPage,
-    LogSilentError,
+    LogTimeoutError,
     LogUnavailableError,
     PageTooLargeError,
     read_records,
 )
 
-_LIMIT: Final = 1_000
-_SHRINK: Final = 10
-_AGAIN_MS: Final = 250
-_MARGIN_MS: Final = READ_MARGIN_MS
-"""How long an answer may take beyond its wait at first."""
-_SEARCH_ABOVE: Final = 10_000
-"""Records that are read sooner than a place among them is found."""
+_PAGE_RECORDS: Final = 1_000
+_PAGE_SHRINK_FACTOR: Final = 10
+_RETRY_INTERVAL_MS: Final = 250
+_INITIAL_MARGIN_MS: Final = READ_MARGIN_MS
+"""Initial response timeout in addition to the requested wait."""
+_MIN_SEARCH_RECORDS: Final = 10_000
+"""Below this many records, reading all is faster than searching for a start."""
 _LOG: Final = structlog.get_logger()
 
 LogEvent = LogRead | LogExpired | LogReadRestarted | LogStateSeen
 
 
-class LateStart(msgspec.Struct, frozen=True):
-    """How far back to read, and how the reader learns that this was not enough."""
+class StartWindow(msgspec.Struct, frozen=True):
+    """Span of the log to read, and a check whether that was not enough."""
 
     span_ms: float
     needs_older: Callable[[], bool]
@@ -46,22 +46,22 @@
     address: Address,
     wait_ms: int,
     emit: Callable[[LogEvent], None],
-    late_start: LateStart | None = None,
+    start_window: StartWindow | None = None,
     append_log_timeout: AdaptiveLogTimeout | None = None,
 ) -> None:
-    """Read the log until cancelled, from its first record on or from a late start.
+    """Read the log until cancelled, from its first record or within a start window.
 
-    `append_patience` learns from reads how slow the log is, before an append has to be
-    given up to find out.
+    `append_log_timeout` adapts to the latency of reads, so that no append has to time
+    out first.
     """
-    reader = _Reader(address, wait_ms, emit, late_start, append_log_timeout)
+    reader = _LogFollower(address, wait_ms, emit, start_window, append_log_timeout)
     await reader.run()
 
 
-class _Reader:
-    """Where reading stands and whether the log answers.
+class _LogFollower:
+    """Read position and availability of the log.
 
-    Invariant: after LogExpired and LogReread, reads follow each other without a gap.
+    Invariant: after LogExpired and LogReadRestarted, reads continue without a gap.
     """
 
     def __init__(
@@ -69,23 +69,23 @@
         address: Address,
         wait_ms: int,
         emit: Callable[[LogEvent], None],
-        late_start: LateStart | None,
+        start_window: StartWindow | None,
         append_log_timeout: AdaptiveLogTimeout | None,
     ) -> None:
         self._address = address
         self._append_log_timeout = append_log_timeout
         self._wait_ms = wait_ms
         self._emit = emit
-        self._late_start = late_start
-        self._start: int | None = 0 if late_start is None else None
-        self._limit = _LIMIT
-        self._is_up: bool | None = None
+        self._start_window = start_window
+        self._start: int | None = 0 if start_window is None else None
+        self._limit = _PAGE_RECORDS
+        self._is_log_available: bool | None = None
         self._delay_ms = 0.0
-        """How much later than its wait the last answer without records came."""
-        self._log_timeout = AdaptiveLogTimeout(_MARGIN_MS)
+        """Latency of the last response without records, beyond the requested wait."""
+        self._log_timeout = AdaptiveLogTimeout(_INITIAL_MARGIN_MS)
 
     async def run(self) -> None:
-        """Read on until cancelled."""
+        """Read until cancelled."""
         while True:
             try:
                 if self._start is None:
@@ -95,108 +95,110 @@
                 self._emit(LogExpired(error.oldest))
                 self._start = error.oldest
             except LogUnavailableError as error:
-                if self._is_up is not False:
+                if self._is_log_available is not False:
                     _LOG.warning("log_unavailable", error=str(error)[:200])
                     self._emit(LogStateSeen(False))
-                self._is_up = False
-                await trio.sleep(_AGAIN_MS / 1000)
+                self._is_log_available = False
+                await trio.sleep(_RETRY_INTERVAL_MS / 1000)
 
     async def _find_start(self) -> int:
-        """Return where to begin; a place behind the oldest record is told as a gap."""
-        assert self._late_start is not None
+        """Return the first offset to read; report skipped records as a gap."""
+        assert self._start_window is not None
         oldest, head = await self._find_range()
-        if head - oldest <= _SEARCH_ABOVE:
-            self._late_start = None
+        if head - oldest <= _MIN_SEARCH_RECORDS:
+            self._start_window = None
             return 0
-        newest = (await self._ask(head - 1, 1, 0)).records
+        newest = (await self._fetch_page(head - 1, 1, 0)).records
         if not newest:
             raise LogUnavailableError("found no record before the log's end")
-        search = StartSearch(oldest, newest[0], self._late_start.span_ms)
+        search = StartSearch(oldest, newest[0], self._start_window.span_ms)
         while (probe := search.find_probe()) is not None:
             try:
-                records = (await self._ask(probe, 1, 0)).records
+                records = (await self._fetch_page(probe, 1, 0)).records
             except LogExpiredError as error:
                 search.raise_oldest(error.oldest)
                 continue
             search.apply_probe(probe, records[0].at_ms if records else None)
         _LOG.info("log_start_found", offset=search.start, oldest=oldest, head=head)
         if search.start == oldest:
-            self._late_start = None
+            self._start_window = None
             return 0
         self._emit(LogExpired(search.start))
         return search.start
 
     async def _find_range(self) -> tuple[int, int]:
         try:
-            page = await self._ask(0, 1, 0)
+            page = await self._fetch_page(0, 1, 0)
         except LogExpiredError as error:
             return error.oldest, error.head
         return 0, page.head
 
     async def _read(self, start: int) -> None:
         asked_ms = trio.current_time() * 1000
-        # A version is confirmed from the time of asking on. Where the log is slow, its
-        # wait on top of the delay would make it stale between two answers.
-        wait_ms = max(0, self._wait_ms - int(self._delay_ms)) if self._is_up else 0
+        # The configuration is confirmed as of the time of the request. With a slow log,
+        # the wait in addition to the delay would make it stale between two responses.
+        wait_ms = (
+            max(0, self._wait_ms - int(self._delay_ms)) if self._is_log_available else 0
+        )
         try:
-            page = await self._ask(start, self._limit, wait_ms)
+            page = await self._fetch_page(start, self._limit, wait_ms)
         except PageTooLargeError:
-            self._shrink(start, asked_ms)
+            self._reduce_page_size(start, asked_ms)
             return
-        self._limit = _LIMIT
-        self._take(start, page, asked_ms)
+        self._limit = _PAGE_RECORDS
+        self._process_page(start, page, asked_ms)
 
-    async def _ask(self, start: int, limit: int, wait_ms: int) -> LogPage:
+    async def _fetch_page(self, start: int, limit: int, wait_ms: int) -> LogPage:
         log_timeout = self._log_timeout
-        began_ms = trio.current_time() * 1000
+        started_ms = trio.current_time() * 1000
         try:
             page = await read_records(
                 self._address, start, limit, wait_ms, log_timeout.timeout_ms
             )
-        except LogSilentError:
-            # A slow log must not be given up after the same time again and again.
+        except LogTimeoutError:
+            # A slow log must not time out after the same interval every time.
             log_timeout.record_timeout()
             raise
-        took_ms = trio.current_time() * 1000 - began_ms
-        log_timeout.record_answer(max(took_ms - wait_ms, 0.0))
+        duration_ms = trio.current_time() * 1000 - started_ms
+        log_timeout.record_answer(max(duration_ms - wait_ms, 0.0))
         if not page.records:
-            self._delay_ms = max(took_ms - wait_ms, 0.0)
+            self._delay_ms = max(duration_ms - wait_ms, 0.0)
             if self._append_log_timeout is not None:
                 self._append_log_timeout.record_other_answer(self._delay_ms)
         return page
 
-    def _take(self, start: int, page: LogPage, asked_ms: float) -> None:
+    def _process_page(self, start: int, page: LogPage, asked_ms: float) -> None:
         end = page.records[-1].offset + 1 if page.records else start
         self._emit(LogRead(start, end, page.records, page.head, asked_ms))
         self._start = end
         if end < page.head:
             return
-        if not self._is_up:
-            self._is_up = True
+        if not self._is_log_available:
+            self._is_log_available = True
             _LOG.info("log_available", offset=end)
             self._emit(LogStateSeen(True))
-        self._read_older()
+        self._restart_if_incomplete()
 
-    def _read_older(self) -> None:
-        """Begin again at the first record if the span held no checkpoint.
+    def _restart_if_incomplete(self) -> None:
+        """Restart at the first record if the window contained no checkpoint.
 
-        None was written, say because a record of an unknown kind halted all nodes.
-        Without its older patches this node would have no configuration at all.
+        Checkpoints can be missing, for example because a record of an unknown kind
+        halted all nodes. Without the older patches this node has no configuration.
         """
-        if self._late_start is None or not self._late_start.needs_older():
+        if self._start_window is None or not self._start_window.needs_older():
             return
         _LOG.warning("log_read_again")
-        self._late_start = None
+        self._start_window = None
         self._start = 0
-        self._is_up = None
-        # Claims can't be read back meanwhile, so keyed requests are refused at once.
+        self._is_log_available = None
+        # Claims can't be confirmed until then, so keyed requests are refused at once.
         self._emit(LogStateSeen(False))
         self._emit(LogReadRestarted())
 
-    def _shrink(self, start: int, asked_ms: float) -> None:
+    def _reduce_page_size(self, start: int, asked_ms: float) -> None:
         _LOG.warning("log_page_too_large", offset=start, limit=self._limit)
         if self._limit == 1:
-            # No record of use is that large. Where the log ends is not known yet.
+            # No valid record is that large. The end of the log is not known yet.
             self._emit(LogRead(start, start + 1, (), start + 2, asked_ms))
             self._start = start + 1
-        self._limit = max(1, self._limit // _SHRINK)
+        self._limit = max(1, self._limit // _PAGE_SHRINK_FACTOR)
--- a/packages/toucanyard-node/src/toucanyard_node/log_writer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/log_writer.py
@@ -1,4 +1,4 @@
-"""Append the core's records to the platform's log, gathered into few appends."""
+"""Append the core's records to the platform's log in batches."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from toucanyard.platform_log import AppendResult
 from toucanyard_node.log_client import AppendAnswer, append_records
 
-_MAX_TRIES: Final = 3
+_MAX_ATTEMPTS: Final = 3
 
 
 async def write_log(
@@ -25,31 +25,31 @@
     emit: Callable[[AppendSettled], None],
     log_timeout: AdaptiveLogTimeout | None = None,
 ) -> None:
-    """Append what comes, at most `max_appends_per_s` times a second."""
+    """Append records from the outbox, at most `max_appends_per_s` times a second."""
     batcher = AppendBatcher(limits)
     if log_timeout is None:
         log_timeout = AdaptiveLogTimeout(float(limits.append_timeout_ms))
     while True:
-        await _gather(batcher, outbox)
+        await _collect_records(batcher, outbox)
         batch = batcher.pop_due(trio.current_time() * 1000)
         if batch is not None:
             answer = await _append(address, limits, batch, log_timeout)
             emit(AppendSettled(batch.record_ids, answer.result))
 
 
-async def _gather(
+async def _collect_records(
     batcher: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
 ) -> None:
-    """Take records in until a batch is due."""
+    """Collect records until a batch is due."""
     if len(batcher) == 0:
         batcher.add(await outbox.receive(), trio.current_time() * 1000)
     while (due_ms := batcher.find_due_ms()) > trio.current_time() * 1000:
         with trio.move_on_at(due_ms / 1000):
             batcher.add(await outbox.receive(), trio.current_time() * 1000)
-    _take_waiting(batcher, outbox)
+    _drain_outbox(batcher, outbox)
 
 
-def _take_waiting(
+def _drain_outbox(
     batcher: AppendBatcher, outbox: trio.MemoryReceiveChannel[AppendToLog]
 ) -> None:
     while True:
@@ -66,10 +66,10 @@
     batch: AppendBatch,
     log_timeout: AdaptiveLogTimeout,
 ) -> AppendAnswer:
-    """Append one batch, again after a refusal that only the rate caused."""
+    """Append one batch; retry when the rate limit refused it."""
     answer = await _append_once(address, batch, log_timeout)
-    for _ in range(_MAX_TRIES - 1):
-        if not answer.is_over_rate:
+    for _ in range(_MAX_ATTEMPTS - 1):
+        if not answer.is_rate_limited:
             break
         await trio.sleep(1 / limits.max_appends_per_s)
         answer = await _append_once(address, batch, log_timeout)
@@ -79,10 +79,10 @@
 async def _append_once(
     address: Address, batch: AppendBatch, log_timeout: AdaptiveLogTimeout
 ) -> AppendAnswer:
-    began_s = trio.current_time()
+    started_s = trio.current_time()
     answer = await append_records(address, batch.texts, log_timeout.timeout_ms)
     if answer.result is AppendResult.UNKNOWN:
         log_timeout.record_timeout()
     else:
-        log_timeout.record_answer((trio.current_time() - began_s) * 1000)
+        log_timeout.record_answer((trio.current_time() - started_s) * 1000)
     return answer
--- a/packages/toucanyard-node/src/toucanyard_node/model_requests.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_requests.py
@@ -1,4 +1,4 @@
-"""Turn OpenAI bodies into requests for the core, and into bodies for engines."""
+"""Parse OpenAI request bodies, and render request bodies for engines."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 _ADAPTER_SEPARATOR: Final = ":"
 _NULL: Final = msgspec.Raw(b"null")
 _FALSE: Final = msgspec.Raw(b"false")
-_EMPTY: Final = msgspec.Raw(b'""')
+_EMPTY_STRING: Final = msgspec.Raw(b'""')
 _ONE: Final = msgspec.Raw(b"1")
-# What an answer gathered from token events can't carry; requests that use it are
-# read as one plain answer from the engine.
-_PLAIN_ONLY: Final = {
+# Request fields whose results can't be aggregated from token events; such requests ask
+# the engine for a plain response.
+_PLAIN_ONLY_FIELDS: Final = {
     "tools": _NULL,
     "functions": _NULL,
     "logprobs": _FALSE,
@@ -35,14 +35,14 @@
 
 
 class ApiKind(enum.StrEnum):
-    """Which of the two shapes a request and its answer have."""
+    """API of a request; the value is its path."""
 
     COMPLETION = "/v1/completions"
     CHAT = "/v1/chat/completions"
 
 
 class ContentPart(msgspec.Struct, frozen=True):
-    """One part of a message's content; parts that aren't text have no `text`."""
+    """One part of a message's content; non-text parts have an empty `text`."""
 
     text: str = ""
 
@@ -55,7 +55,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """What the node needs to know of a completion's body."""
+    """Fields of a completion request that the node uses."""
 
     model: str
     prompt: str | list[Any] = ""
@@ -64,7 +64,7 @@
 
 
 class ChatBody(msgspec.Struct, frozen=True):
-    """What the node needs to know of a chat completion's body."""
+    """Fields of a chat completion request that the node uses."""
 
     model: str
     messages: list[Message]
@@ -81,10 +81,10 @@
     adapter: str
     pool_model: str
     is_stream: bool
-    is_plain_only: bool
-    """True when its answer can't be gathered from token events."""
+    requires_plain_answer: bool
+    """True when the response can't be aggregated from token events."""
     choices: int
-    """How many texts the answer has; 0 when that can't be told."""
+    """Number of choices in the response; 0 when unknown."""
     fields: dict[str, msgspec.Raw]
     target: ModelTarget
     priority: PriorityClass
@@ -123,9 +123,9 @@
         affinity_keys=chains.compute_affinity_keys(),
         chains=chains,
     )
-    is_plain_only = any(
-        bytes(fields.get(name, ordinary)) not in (bytes(ordinary), b"null")
-        for name, ordinary in _PLAIN_ONLY.items()
+    requires_plain_answer = any(
+        bytes(fields.get(name, default)) not in (bytes(default), b"null")
+        for name, default in _PLAIN_ONLY_FIELDS.items()
     ) or isinstance(getattr(parsed, "prompt", ""), list)
     return ModelCall(
         api=api,
@@ -133,8 +133,8 @@
         adapter=adapter,
         pool_model=pool.model,
         is_stream=bool(parsed.stream),
-        is_plain_only=is_plain_only,
-        choices=_find_choices(parsed, fields),
+        requires_plain_answer=requires_plain_answer,
+        choices=_count_choices(parsed, fields),
         fields=fields,
         target=target,
         priority=priority,
@@ -142,7 +142,7 @@
 
 
 def compute_prompt(body: CompletionBody | ChatBody) -> str:
-    """Return the text whose blocks engines cache."""
+    """Return the prompt text whose blocks engines cache."""
     match body:
         case CompletionBody(prompt=str() as prompt):
             return prompt
@@ -157,18 +157,18 @@
 def render_engine_body(
     call: ModelCall, is_stream: bool, generated: str = "", tokens: int = 0
 ) -> bytes:
-    """Build the body for an engine; `generated` text is added to the prompt."""
+    """Build the body for an engine; `generated` text is appended to the prompt."""
     fields = dict(call.fields)
     if call.model != call.pool_model and not call.adapter:
-        fields["model"] = _raw(call.pool_model)
-    fields["stream"] = _raw(is_stream)
+        fields["model"] = _encode_raw(call.pool_model)
+    fields["stream"] = _encode_raw(is_stream)
     if is_stream:
-        fields["stream_options"] = _raw({"include_usage": True})
+        fields["stream_options"] = _encode_raw({"include_usage": True})
     else:
         fields.pop("stream_options", None)
     if generated:
         _extend_prompt(fields, call.api, generated)
-        _lower_limits(fields, tokens)
+        _reduce_token_limits(fields, tokens)
     return msgspec.json.encode(fields)
 
 
@@ -176,30 +176,30 @@
     fields: dict[str, msgspec.Raw], api: ApiKind, generated: str
 ) -> None:
     if api is ApiKind.COMPLETION:
-        prompt = msgspec.json.decode(fields.get("prompt", _EMPTY), type=str)
-        fields["prompt"] = _raw(prompt + generated)
+        prompt = msgspec.json.decode(fields.get("prompt", _EMPTY_STRING), type=str)
+        fields["prompt"] = _encode_raw(prompt + generated)
         return
     messages = msgspec.json.decode(fields["messages"], type=list[msgspec.Raw])
-    messages.append(_raw({"role": "assistant", "content": generated}))
-    fields["messages"] = _raw(messages)
+    messages.append(_encode_raw({"role": "assistant", "content": generated}))
+    fields["messages"] = _encode_raw(messages)
 
 
-def _lower_limits(fields: dict[str, msgspec.Raw], tokens: int) -> None:
-    """Take what was generated off the limits, so that the whole keeps to them."""
+def _reduce_token_limits(fields: dict[str, msgspec.Raw], tokens: int) -> None:
+    """Subtract generated tokens from the limits, so that the total respects them."""
     for name in ("max_tokens", "max_completion_tokens"):
         limit = msgspec.json.decode(fields.get(name, _NULL))
         if isinstance(limit, int):
-            fields[name] = _raw(max(1, limit - tokens))
+            fields[name] = _encode_raw(max(1, limit - tokens))
 
 
-def _raw(value: object) -> msgspec.Raw:
+def _encode_raw(value: object) -> msgspec.Raw:
     return msgspec.Raw(msgspec.json.encode(value))
 
 
 def _find_pool(
     configuration: Configuration, model: str, customer: CustomerName
 ) -> tuple[Pool, str, PriorityClass]:
-    """Return the pool of a model name, its adapter and the rule's class."""
+    """Return the pool of a model name, its adapter and the rule's priority class."""
     rule = configuration.find_rule(model, customer)
     adapter = ""
     if rule is None and _ADAPTER_SEPARATOR in model:
@@ -218,10 +218,10 @@
     return DEFAULT_MAX_TOKENS if limit is None else limit
 
 
-def _find_choices(
+def _count_choices(
     body: CompletionBody | ChatBody, fields: dict[str, msgspec.Raw]
 ) -> int:
-    """Return how many texts the answer has; 0 when that can't be told."""
+    """Return the number of choices in the response; 0 when unknown."""
     if isinstance(body, CompletionBody) and isinstance(body.prompt, list):
         return 0
     count = msgspec.json.decode(fields.get("n", _NULL))
--- a/packages/toucanyard-node/src/toucanyard_node/operators_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/operator_server.py
@@ -1,7 +1,7 @@
-"""Serve operators: patches, versions, explanations, status, statistics, drain.
+"""HTTP API for operators: patches, versions, explanations, status, statistics, drain.
 
-Reads the core's state between two of its events, which is safe since both run in one
-thread and a read never waits; every change goes through the core's inbox.
+Reads the core's state between two events, which is safe because both run in one thread
+and reads never await; all changes go through the core's inbox.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from toucanyard_node.configuration_diff import compute_diff
 from toucanyard_node.core_task import CoreTask
 from toucanyard_node.credentials import (
-    check_known,
+    check_configuration_available,
     compute_key_hash,
     find_bearer_key,
 )
@@ -35,7 +35,7 @@
     HttpRequest,
     Responder,
 )
-from toucanyard_node.operator_answers import (
+from toucanyard_node.operator_messages import (
     EndpointStatus,
     HistoryReply,
     PatchBody,
@@ -44,11 +44,11 @@
     VersionReply,
 )
 from toucanyard_node.refusals import render_refusal
-from toucanyard_node.statistics_answer import gather_statistics
+from toucanyard_node.statistics_response import collect_statistics
 
 _JSON: Final = (("Content-Type", "application/json"),)
 _EXPLAIN: Final = "/explain/"
-_FORWARDED: Final = "x-forwarded-by"
+_FORWARDED_BY_HEADER: Final = "x-forwarded-by"
 _PATCH_DEADLINE_MS: Final = 10_000
 _PATCH_STATUSES: Final[dict[ErrorKind | None, int]] = {
     None: 200,
@@ -61,8 +61,8 @@
 _LOG: Final = structlog.get_logger()
 
 
-class OperatorsFace:
-    """Answer operators' requests."""
+class OperatorServer:
+    """Handle requests of operators."""
 
     def __init__(self, task: CoreTask, options: Options, drain: DrainState) -> None:
         self._task = task
@@ -71,7 +71,7 @@
         self._drain = drain
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         try:
             operator = self._authenticate(request)
             serve = self._find_route(request, operator)
@@ -88,7 +88,7 @@
                 await _refuse(internal, responder)
 
     def _authenticate(self, request: HttpRequest) -> str:
-        """Return the operator's name, or raise."""
+        """Return the operator's name, or raise RouterError."""
         key = find_bearer_key(request.headers)
         if not key:
             raise RouterError(ErrorKind.UNAUTHENTICATED, "no bearer API key")
@@ -100,7 +100,7 @@
         is_first = not configuration.operators
         if is_first and key_hash in self._options.bootstrap_operator_hashes:
             return "bootstrap"
-        check_known(configuration)
+        check_configuration_available(configuration)
         if configuration.find_customer_by_hash(key_hash) is not None:
             raise RouterError(
                 ErrorKind.FORBIDDEN, "a customer's key, not an operator's"
@@ -116,7 +116,7 @@
             case "POST", "/drain":
                 return self._begin_drain
             case "GET", "/configuration":
-                return lambda: self._show(request)
+                return lambda: self._get_configuration(request)
             case "GET", "/history":
                 return self._history
             case "GET", "/diff":
@@ -154,7 +154,7 @@
         self._drain.begin()
         return 202, b"{}"
 
-    async def _show(self, request: HttpRequest) -> tuple[int, bytes]:
+    async def _get_configuration(self, request: HttpRequest) -> tuple[int, bytes]:
         configuration = self._find_version(request, "version")
         return 200, msgspec.json.encode(VersionReply(configuration))
 
@@ -170,7 +170,7 @@
 
     async def _statistics(self) -> tuple[int, bytes]:
         collector = self._core.flow.records.statistics
-        return 200, msgspec.json.encode(await gather_statistics(collector))
+        return 200, msgspec.json.encode(await collect_statistics(collector))
 
     async def _status(self) -> tuple[int, bytes]:
         now_ms = trio.current_time() * 1000
@@ -228,20 +228,20 @@
         record = self._core.flow.records.explanations.find(request_id)
         if record is not None:
             return 200, msgspec.json.encode(record)
-        return await self._explain_elsewhere(request, request_id)
+        return await self._forward_explain(request, request_id)
 
-    async def _explain_elsewhere(
+    async def _forward_explain(
         self, request: HttpRequest, request_id: RequestId
     ) -> tuple[int, bytes]:
-        """Ask the node that the id names; it checks the operator's key itself."""
+        """Forward to the node named in the id, which checks the key itself."""
         node_name = request_id.rsplit("-", 2)[0]
         text = self._describe_missing(request_id)
         nodes = {vm.name: vm.operators for vm in self._core.membership.vms}
         address = nodes.get(node_name)
-        # A forwarded question is never forwarded again, or two nodes with different
-        # VM lists could send it to and fro.
+        # A forwarded request is never forwarded again, or nodes with different VM
+        # lists could forward it in a loop.
         is_own = node_name == self._options.name
-        if not address or is_own or _FORWARDED in request.headers:
+        if not address or is_own or _FORWARDED_BY_HEADER in request.headers:
             raise RouterError(ErrorKind.NOT_FOUND, text)
         headers = (
             ("Authorization", request.headers["authorization"]),
@@ -256,7 +256,7 @@
         return answer.status, answer.body
 
     def _describe_missing(self, request_id: RequestId) -> str:
-        """Tell why there is no record, as far as the id shows."""
+        """Return why there is no record, as far as the id shows."""
         parts = request_id.rsplit("-", 2)
         if len(parts) != 3 or not parts[2].isdecimal():
             return f"{request_id!r} is no request id, expected NODE-INCARNATION-NUMBER"
--- a/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
+++ b/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
@@ -1,8 +1,8 @@
-"""Relay one model answer as numbered events, across failures of engines.
+"""Relay one model response as numbered events, across engine failures.
 
-A relay is pulled: `read` takes what the engine sent next and returns the bytes for
-the caller, so a caller that doesn't read stops the reading from the engine, and no
-task or queue stands between the two connections.
+The relay is pull-based: `read` reads the next data from the engine and returns the
+bytes for the caller. A caller that doesn't read thus applies back pressure to the
+engine, without a task or queue between the two connections.
 """
 
 from __future__ import annotations
@@ -43,19 +43,19 @@
 )
 from toucanyard_node.stream_buffer import StreamBuffer
 
-# A comment line without a blank one: some client libraries take a blank line after a
-# comment for the end of an event without data, and fail on it.
+# A comment line without a blank line: some client libraries treat a blank line after a
+# comment as the end of an event without data, and fail on it.
 HEARTBEAT: Final = b": heartbeat\n"
 EVENT_STREAM: Final = "text/event-stream"
-_JOIN_TEXTS: Final = 64
+_MAX_TEXT_PIECES: Final = 64
 
 
 class StreamRelay:
     """One model request from its first dispatch to its last event.
 
-    Invariants: `buffer` has every event once, in order, before its caller gets it;
-    an event once there is never contradicted by one of another engine: a dispatch
-    elsewhere begins after the text that is already out, on the same weights.
+    Invariants: `buffer` contains every event once, in order, before the caller receives
+    it; no engine contradicts the events of another: a dispatch to another engine
+    continues after the text already sent, on the same weights.
     """
 
     __slots__ = (
@@ -65,7 +65,7 @@
         "_failure",
         "_first_chunk",
         "_incarnation",
-        "_kept",
+        "_replay_events",
         "_limits",
         "_longest_pause_ms",
         "_pool",
@@ -107,7 +107,7 @@
         self._text: list[str] = []
         self._tokens = 0
         is_keyed = attempts.request.repeatability is Repeatability.KEYED
-        self._kept: list[bytes] | None = [] if is_keyed else None
+        self._replay_events: list[bytes] | None = [] if is_keyed else None
         self.attempts = attempts
         self.buffer = StreamBuffer(limits.replay_buffer_bytes)
         self.is_over = False
@@ -129,18 +129,18 @@
     async def open(
         self, verdict: Dispatch | Refuse | Replay
     ) -> Refuse | Replay | Response | None:
-        """Dispatch until an engine begins its events; None when one did.
+        """Dispatch until an engine starts a stream; return None when one did.
 
-        Otherwise return what the caller gets in place of events.
+        Otherwise return the response that the caller gets in place of a stream.
         """
         while isinstance(verdict, Dispatch):
             try:
-                head = await self._start(verdict)
+                head = await self._start_dispatch(verdict)
                 if head.headers.get("content-type", "").startswith(EVENT_STREAM):
                     return None
                 return await self._read_plain(head)
             except DispatchFailedError as error:
-                verdict = await self._fail(verdict, error)
+                verdict = await self._handle_failure(verdict, error)
         if isinstance(verdict, Refuse):
             self.is_over = True
             return self.attempts.check_refusal(verdict)
@@ -148,54 +148,54 @@
         return verdict
 
     async def read(self) -> bytes:
-        """Return bytes of whole events for the caller; call until `is_over`."""
+        """Return complete events for the caller; call until `is_over`."""
         assert self._engine is not None
         try:
             if self._failure is not None:
                 raise self._failure
             events = await self._engine.read()
-            return self._take(events) if events else HEARTBEAT
+            return self._process_events(events) if events else HEARTBEAT
         except DispatchFailedError as error:
             self._failure = None
-            return await self._go_on_elsewhere(error)
+            return await self._fail_over(error)
 
-    def give_up(self, text: str) -> None:
-        """Give the request up: tell the engine and the core, add a last event."""
+    def abort(self, text: str) -> None:
+        """Cancel the request at the engine and the core; append an error event."""
         if self.is_over:
             return
         engine, self._engine = self._engine, None
         if engine is not None:
-            # Never NOT_SENT here: the core would try again for nobody.
+            # Never NOT_SENT here: the core would retry although no caller is left.
             self.attempts.report_end(self._build_outcome(DispatchEnding.CANCELLED))
             self._spawn(engine.cancel)
-        self._end(self._build_incomplete(text))
+        self._end_with_error(self._build_incomplete(text))
 
     async def close(self) -> None:
-        """Lend the engine's connection back, or close it."""
+        """Release the engine's connection."""
         engine, self._engine = self._engine, None
         if engine is not None:
             await engine.close()
 
-    async def _start(self, dispatch: Dispatch) -> ResponseHead:
+    async def _start_dispatch(self, dispatch: Dispatch) -> ResponseHead:
         request = self.attempts.request
         self._dispatch = dispatch
         if self._weights_version not in ("", dispatch.weights_version):
-            # What was already said belongs to one version and goes on under none
-            # other; before the first event any version will do.
+            # Text already generated must be continued with the same weights version;
+            # before the first event any version is acceptable.
             text = "the dispatch is for other weights"
             raise DispatchFailedError(DispatchEnding.NOT_SENT, text)
-        is_stream = not self._call.is_plain_only or self._call.is_stream
+        is_stream = not self._call.requires_plain_answer or self._call.is_stream
         self._engine = EngineStream(
             self._pool,
             self._limits,
             dispatch,
             request.request_id,
             watch=self._watch,
-            on_send=self.attempts.note_sending,
+            on_send=self.attempts.record_send,
             is_plain=not is_stream,
         )
         body = render_engine_body(self._call, is_stream, self.text, self._tokens)
-        self.attempts.begin()
+        self.attempts.start_attempt()
         return await self._engine.open(
             self._call.api.value,
             self._build_headers(dispatch),
@@ -218,49 +218,49 @@
         return tuple(headers)
 
     async def _read_plain(self, head: ResponseHead) -> Response:
-        """Read an answer that isn't events: a plain one, or a 4xx."""
+        """Read a response that isn't a stream: a plain one, or a 4xx."""
         assert self._engine is not None
-        body = await self._engine.read_rest()
+        body = await self._engine.read_plain_body()
         self._incarnation = self._engine.incarnation
         content_type = head.headers.get("content-type", "application/json")
-        self._tell_first_token()
+        self._report_first_token()
         self.is_over = True
         kept = CachedAnswer(head.status, content_type, body)
         self._report_completed(kept)
         return Response(head.status, {"content-type": content_type}, body)
 
-    def _take(self, events: list[Event]) -> bytes:
-        """Return new events with numbers, after keeping them."""
+    def _process_events(self, events: list[Event]) -> bytes:
+        """Buffer new events and return them with numbers."""
         assert self._engine is not None
         self._incarnation = self._engine.incarnation
         self._weights_version = self._engine.weights_version
         self._longest_pause_ms = self._engine.longest_pause_ms
         if self.first_token_ms is None:
-            self._tell_first_token()
+            self._report_first_token()
         parts: list[bytes] = []
         for event in events:
             if event.is_done():
-                self._take_end(parts)
+                self._handle_end_mark(parts)
                 break
             try:
                 self._read_event(event)
             except EventError as error:
-                # The events before it are kept and counted already: the caller would
-                # miss them, so the failure waits for the next read.
+                # The preceding events are already buffered and must be returned to the
+                # caller, so the failure is raised at the next read.
                 self._failure = DispatchFailedError(DispatchEnding.FAILED, str(error))
                 break
-            parts.append(self._keep(event.data))
+            parts.append(self._append_event(event.data))
         return parts[0] if len(parts) == 1 else b"".join(parts) or HEARTBEAT
 
-    def _take_end(self, parts: list[bytes]) -> None:
+    def _handle_end_mark(self, parts: list[bytes]) -> None:
         """End the stream, unless its last event is missing.
 
-        The mark of the end has no number, so a gap just before it shows only by the
-        missing reason; the stream would pass for whole without its end.
+        The end mark has no number, so a gap just before it is only detected by the
+        missing finish reason; the truncated stream would appear complete.
         """
         assert self._engine is not None
         if self.finish_reason is None:
-            self._engine.doubt_end()
+            self._engine.retry_end()
         else:
             self._finish(parts)
 
@@ -272,35 +272,35 @@
         text = get_text(chunk)
         if text:
             self._text.append(text)
-            if len(self._text) >= _JOIN_TEXTS:
-                # Many short strings take ten times the memory of one.
+            if len(self._text) >= _MAX_TEXT_PIECES:
+                # Many short strings use ten times the memory of one joined string.
                 self._text = ["".join(self._text)]
             self._tokens += 1
         if chunk.choices and chunk.choices[0].finish_reason:
             self.finish_reason = chunk.choices[0].finish_reason
         self.last_chunk = chunk
 
-    def _keep(self, data: bytes, name: bytes = b"") -> bytes:
+    def _append_event(self, data: bytes, name: bytes = b"") -> bytes:
         rendered = render_event(self.buffer.next_number, data, name)
         self.buffer.append(rendered)
-        if self._kept is not None:
-            self._kept.append(rendered)
+        if self._replay_events is not None:
+            self._replay_events.append(rendered)
         return rendered
 
     def _finish(self, parts: list[bytes]) -> None:
         self.is_over = True
-        parts.append(self._keep(b"[DONE]"))
+        parts.append(self._append_event(b"[DONE]"))
         if self._call.is_stream:
-            body = b"".join(self._kept or ())
+            body = b"".join(self._replay_events or ())
             self._report_completed(CachedAnswer(200, EVENT_STREAM, body))
 
-    def report_gathered(self, answer: CachedAnswer) -> None:
-        """Report the end of an answer that was gathered from events."""
+    def report_aggregated(self, answer: CachedAnswer) -> None:
+        """Report the end of a response that was aggregated from events."""
         self._report_completed(answer)
 
     def _report_completed(self, kept: CachedAnswer | None) -> None:
         outcome = self._build_outcome(DispatchEnding.COMPLETED)
-        if self._kept is not None:
+        if self._replay_events is not None:
             outcome = msgspec.structs.replace(outcome, answer=kept)
         self.attempts.report_end(outcome)
 
@@ -323,64 +323,66 @@
             longest_pause_ms=self._longest_pause_ms,
         )
 
-    def _tell_first_token(self) -> None:
+    def _report_first_token(self) -> None:
         self.first_token_ms = self.attempts.find_elapsed_ms()
-        self.attempts.tell_first_token()
+        self.attempts.report_first_token()
 
-    async def _fail(
+    async def _handle_failure(
         self, dispatch: Dispatch, error: DispatchFailedError
     ) -> Dispatch | Refuse | Replay:
-        """Drop the failed exchange and ask the core what to do next."""
+        """Abandon the failed exchange and return the core's next verdict."""
         engine, self._engine = self._engine, None
         if engine is not None:
-            # The caller may leave at any moment and come back. Left half done, this
-            # would leave neither an engine to read from nor a report to the core.
+            # The caller may disconnect at any time and resume later. If this were
+            # interrupted, there would be no engine to read from and no report to the
+            # core.
             with trio.CancelScope(shield=True):
                 await engine.abandon()
         verdict = await self.attempts.report_failure(
             dispatch, error.ending, error.text, self._weights_version
         )
-        # What goes on computing there is for nobody. A try that comes back to the
-        # same engine bears the same name, and would be cancelled with the old one.
+        # The failed engine may still be computing for nobody, so it is cancelled. A
+        # retry at the same engine has the same id and would be cancelled as well.
         is_elsewhere = getattr(verdict, "address", "") != dispatch.address
         if engine is not None and is_elsewhere and self.attempts.is_repeatable():
             self._spawn(engine.cancel)
         return verdict
 
-    async def _go_on_elsewhere(self, error: DispatchFailedError) -> bytes:
-        """Continue a begun stream on another engine, or end it as incomplete."""
+    async def _fail_over(self, error: DispatchFailedError) -> bytes:
+        """Continue a started stream on another engine, or end it as incomplete."""
         assert self._dispatch is not None
-        if self._is_all_generated():
-            # Only the mark of the end is missing, and the node can give that itself.
+        if self._is_generation_complete():
+            # Only the end mark is missing, and the node can add it itself.
             with trio.CancelScope(shield=True):
                 await self.close()
             return self._finish_locally()
-        verdict = await self._fail(self._dispatch, error)
+        verdict = await self._handle_failure(self._dispatch, error)
         while isinstance(verdict, Dispatch):
-            if not self._can_go_on():
-                self._decline(verdict)
-                return self._end(self._build_incomplete(error.text))
+            if not self._can_continue():
+                self._cancel_dispatch(verdict)
+                return self._end_with_error(self._build_incomplete(error.text))
             try:
-                await self._start_again(verdict)
+                await self._restart_stream(verdict)
                 return HEARTBEAT
             except DispatchFailedError as next_error:
-                verdict = await self._fail(verdict, next_error)
+                verdict = await self._handle_failure(verdict, next_error)
         if isinstance(verdict, Refuse):
-            return self._end(verdict)
-        return self._end(self._build_incomplete(error.text))
+            return self._end_with_error(verdict)
+        return self._end_with_error(self._build_incomplete(error.text))
 
-    async def _start_again(self, dispatch: Dispatch) -> None:
-        head = await self._start(dispatch)
+    async def _restart_stream(self, dispatch: Dispatch) -> None:
+        head = await self._start_dispatch(dispatch)
         if not head.headers.get("content-type", "").startswith(EVENT_STREAM):
             raise DispatchFailedError(DispatchEnding.FAILED, f"status {head.status}")
 
-    def _can_go_on(self) -> bool:
-        """Tell whether prompt and text so far say all that another engine needs."""
-        return self.attempts.is_repeatable() and not self._call.is_plain_only
+    def _can_continue(self) -> bool:
+        """Return whether another engine can continue from prompt and text."""
+        return self.attempts.is_repeatable() and not self._call.requires_plain_answer
 
-    def _is_all_generated(self) -> bool:
-        """Tell whether only the mark of the end is missing."""
-        # With several choices, or an unknown number, the end of one is not that of all.
+    def _is_generation_complete(self) -> bool:
+        """Return whether only the end mark is missing."""
+        # With several choices, or an unknown number, the first finish reason is not the
+        # end of all.
         return self.finish_reason is not None and self._call.choices == 1
 
     def _finish_locally(self) -> bytes:
@@ -388,7 +390,7 @@
         self._finish(parts)
         return b"".join(parts)
 
-    def _decline(self, dispatch: Dispatch) -> None:
+    def _cancel_dispatch(self, dispatch: Dispatch) -> None:
         request_id = self.attempts.request.request_id
         self.attempts.report_end(
             Outcome(request_id, dispatch.endpoint, DispatchEnding.CANCELLED)
@@ -397,9 +399,9 @@
     def _build_incomplete(self, text: str) -> Refuse:
         return self.attempts.build_incomplete_refusal(text)
 
-    def _end(self, refusal: Refuse) -> bytes:
-        """End with an error event, so that a caller can tell a cut from an end."""
+    def _end_with_error(self, refusal: Refuse) -> bytes:
+        """Append an error event, so that callers can detect a truncated stream."""
         self.is_over = True
         self.refusal = refusal
         body = render_refusal(self._build_incomplete(refusal.text)).body
-        return self._keep(body, b"error")
+        return self._append_event(body, b"error")
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -41,7 +41,7 @@
     Request,
     Verdict,
 )
-from toucanyard_node.callers_face import CallersFace, find_server_limits
+from toucanyard_node.client_server import ClientServer, find_server_limits
 from toucanyard_node.core_messages import (
     Abandon,
     CoreClient,
@@ -63,7 +63,7 @@
     find_port,
     open_listener,
 )
-from toucanyard_node.locate_answer import LocateAnswer, NodeIdentity
+from toucanyard_node.locate_response import LocateResponse, NodeIdentity
 from toucanyard_node.sse import get_text, read_chunk
 
 KEY = "key-of-rio"
@@ -202,14 +202,14 @@
         self.drain = DrainState()
         self._connect = connect_face
         identity = NodeIdentity(NodeName("n1"), Incarnation("x7"))
-        self.face = CallersFace(
+        self.face = ClientServer(
             core.client, options, identity, self._locate, self.drain, connect_engine
         )
         self.server = HttpServer(self.face.handle, find_server_limits(options))
 
-    def _locate(self, is_staying: bool) -> LocateAnswer:
+    def _locate(self, is_staying: bool) -> LocateResponse:
         node = NodeName("n2" if self.drain.is_draining() else "n1")
-        return LocateAnswer(node, self.address, 10_000, ())
+        return LocateResponse(node, self.address, 10_000, ())
 
     async def open(
         self, method: str, target: str, headers: Headers = AUTHORIZED, body: object = ""
--- a/tests/toucanyard_node/test_callers_fuzz.py
+++ b/tests/toucanyard_node/test_callers_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever callers send, they get a clear answer, and the next caller is served."""
+"""Arbitrary requests get a valid response, and the next caller is served."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 HEAD = b"Host: a\r\nAuthorization: Bearer " + KEY.encode() + b"\r\n"
 
 
-def run_served(check: Callable[[ServedFace], Awaitable[None]]) -> None:
-    """Run a check against a face with one engine; then ask as another caller."""
+def run_against_server(check: Callable[[ServedFace], Awaitable[None]]) -> None:
+    """Run a check against a server with one engine; then send valid requests."""
 
     async def run() -> None:
         async with serve_in_memory([ScriptedEngine((" uno", " dos"))]) as served:
@@ -78,7 +78,7 @@
         assert not answer or answer.startswith(b"HTTP/1.1 ")
         assert statuses <= {100, 200, *REFUSALS}
 
-    run_served(check)
+    run_against_server(check)
 
 
 NUMBERS = ["0", "1", "-1", "9" * 9, "9" * 15, "9" * 5_000, "1e3", "\u00b2", ""]
@@ -123,7 +123,7 @@
 
 
 def check_refusal(answer: Response) -> None:
-    """Check for the closed shape, and for a fault of the node's own."""
+    """Check the format of a refusal, and that it is no internal error."""
     error = msgspec.json.decode(answer.body)["error"]
     kind = ErrorKind(error["code"])
     assert kind is not ErrorKind.INTERNAL
@@ -156,4 +156,4 @@
         if answer.status >= 400 and method != "HEAD":
             check_refusal(answer)
 
-    run_served(check)
+    run_against_server(check)
--- a/tests/toucanyard_node/test_callers_face.py
+++ b/tests/toucanyard_node/test_client_server.py
@@ -1,4 +1,4 @@
-"""What callers get for each kind of request and refusal."""
+"""Responses of the client server for each kind of request and refusal."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 TOKENS = (" uno", " dos")
 CHAT = "/v1/chat/completions"
-ONCE = (*AUTHORIZED, ("X-Run-Once", "true"))
-SOON = (*AUTHORIZED, ("X-Deadline-Ms", "200"))
-ONCE_SOON = (*ONCE, ("X-Deadline-Ms", "200"))
+RUN_ONCE_HEADERS = (*AUTHORIZED, ("X-Run-Once", "true"))
+SHORT_DEADLINE_HEADERS = (*AUTHORIZED, ("X-Deadline-Ms", "200"))
+RUN_ONCE_SHORT_DEADLINE_HEADERS = (*RUN_ONCE_HEADERS, ("X-Deadline-Ms", "200"))
 
 
 def read_error(answer: Response) -> dict[str, Any]:
@@ -99,14 +99,14 @@
         assert (answer.status, error["code"]) == (status, code)
         assert error["not_run"] is True
         assert "retry-after" not in answer.headers
-        (told,) = served.core.turned_away
-        assert told.refusal.request_id == answer.headers["x-request-id"]
-        assert told.refusal.kind == code
+        (rejection,) = served.core.turned_away
+        assert rejection.refusal.request_id == answer.headers["x-request-id"]
+        assert rejection.refusal.kind == code
 
 
 async def test_stranger_leaves_no_record() -> None:
-    # Anybody can send requests without a key; recorded, they would push the records of
-    # customers out.
+    # Anyone can send requests without a key; recording them would evict the records
+    # of customers.
     async with serve_in_memory([]) as served:
         answer = await served.ask("GET", "/v1/nothing", (), "")
         assert answer.status == 401
@@ -170,7 +170,7 @@
         assert answer.headers["content-type"] == kept.content_type
 
 
-async def ask_soon(served: ServedFace, headers: Headers) -> dict[str, Any]:
+async def ask_with_deadline(served: ServedFace, headers: Headers) -> dict[str, Any]:
     answer = await served.complete(is_stream=False, headers=headers)
     error = read_error(answer)
     if error["retry_after_ms"] is not None:
@@ -181,10 +181,10 @@
 @pytest.mark.parametrize(
     ("headers", "is_queued", "code", "is_not_run"),
     [
-        (SOON, True, "deadline_exceeded", True),
-        (ONCE_SOON, True, "deadline_exceeded", True),
-        (SOON, False, "deadline_exceeded", False),
-        (ONCE_SOON, False, "outcome_unknown", False),
+        (SHORT_DEADLINE_HEADERS, True, "deadline_exceeded", True),
+        (RUN_ONCE_SHORT_DEADLINE_HEADERS, True, "deadline_exceeded", True),
+        (SHORT_DEADLINE_HEADERS, False, "deadline_exceeded", False),
+        (RUN_ONCE_SHORT_DEADLINE_HEADERS, False, "outcome_unknown", False),
     ],
 )
 async def test_deadline(
@@ -194,25 +194,43 @@
     code: str,
     is_not_run: bool,
 ) -> None:
-    """The deadline passes while a request is queued, or while an engine has it.
+    """The deadline passes while a request is queued, or while an engine runs it.
 
-    The caller is answered then; "not run" is said only of the queued one.
+    The caller gets an error at the deadline; only the queued request is "not run".
     """
     engine = ScriptedEngine(TOKENS, Step(until=1, then=Then.BEAT))
     async with serve_in_memory([engine]) as served:
         served.core.is_waiting = is_queued
-        begun_s = trio.current_time()
-        error = await ask_soon(served, headers)
+        started_s = trio.current_time()
+        error = await ask_with_deadline(served, headers)
         assert (error["code"], error["not_run"]) == (code, is_not_run)
-        assert trio.current_time() - begun_s == pytest.approx(0.2, abs=0.01)
+        assert trio.current_time() - started_s == pytest.approx(0.2, abs=0.01)
 
 
 @pytest.mark.parametrize(
     ("step", "headers", "code", "is_not_run", "ending"),
     [
-        (Step(status=503), ONCE, "no_endpoint", True, DispatchEnding.REFUSED),
-        (Step(status=412), ONCE, "no_endpoint", True, DispatchEnding.REFUSED),
-        (Step(status=500), ONCE, "outcome_unknown", False, DispatchEnding.FAILED),
+        (
+            Step(status=503),
+            RUN_ONCE_HEADERS,
+            "no_endpoint",
+            True,
+            DispatchEnding.REFUSED,
+        ),
+        (
+            Step(status=412),
+            RUN_ONCE_HEADERS,
+            "no_endpoint",
+            True,
+            DispatchEnding.REFUSED,
+        ),
+        (
+            Step(status=500),
+            RUN_ONCE_HEADERS,
+            "outcome_unknown",
+            False,
+            DispatchEnding.FAILED,
+        ),
         (Step(status=500), AUTHORIZED, "endpoint_lost", False, DispatchEnding.FAILED),
     ],
 )
@@ -224,9 +242,9 @@
     is_not_run: bool,
     ending: DispatchEnding,
 ) -> None:
-    """An engine answers that it did not run a request, or that it failed at it.
+    """An engine responds that it did not run a request, or that it failed.
 
-    Only the first proves that the request did not run.
+    Only the former proves that the request did not run.
     """
     async with serve_in_memory([ScriptedEngine(TOKENS, step)]) as served:
         answer = await served.complete(headers=headers)
@@ -236,20 +254,20 @@
 
 
 async def test_not_sent() -> None:
-    """No connection to the engine can be made, so no byte of the request left."""
+    """Connecting to the engine fails, so no byte of the request was sent."""
     async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
         assert served.network is not None
         served.network.remove(served.core.addresses[0])
-        answer = await served.complete(headers=ONCE)
+        answer = await served.complete(headers=RUN_ONCE_HEADERS)
         assert read_error(answer)["not_run"] is True
         assert served.core.find_endings() == [DispatchEnding.NOT_SENT]
 
 
 async def test_refusal_after_a_lost_try(autojump_clock: MockClock) -> None:
-    """A first try is lost and the core refuses the second for load.
+    """The first attempt is lost and the core refuses the second for overload.
 
-    That refusal says "not run" of the second try only; the first may have run, so
-    the caller must not read "not run".
+    "Not run" applies to the second attempt only. The first may have run, so the
+    response to the caller must not claim "not run".
     """
     lost = ScriptedEngine(TOKENS, Step(status=500))
     async with serve_in_memory([lost]) as served:
@@ -260,7 +278,7 @@
 
 
 async def test_refused_after_a_lost_try(autojump_clock: MockClock) -> None:
-    """A first try is lost and the engine of the second refuses it."""
+    """The first attempt is lost and the second is refused by its engine."""
     lost = ScriptedEngine(TOKENS, Step(status=500))
     refusing = ScriptedEngine(TOKENS, Step(status=503))
     async with serve_in_memory([lost, refusing]) as served:
@@ -273,9 +291,9 @@
 
 
 async def test_idle_connection_died(autojump_clock: MockClock) -> None:
-    """The engine closed a pooled connection just as it was used again.
+    """The engine closes a pooled connection just as it is reused.
 
-    A request that may be repeated goes out again on a new connection at once.
+    A repeatable request is sent again on a new connection immediately.
     """
     engine = ScriptedEngine(TOKENS, Step(), Step(until=0, then=Then.CUT, status=0))
     async with serve_in_memory([engine]) as served:
@@ -287,22 +305,22 @@
 
 
 async def test_run_once_uses_new_connection(autojump_clock: MockClock) -> None:
-    """A pooled connection that died would leave the outcome unknown.
+    """A dead pooled connection would leave the outcome unknown.
 
-    A request that may run once hence never goes out on one.
+    A request that may run once is therefore never sent on a pooled connection.
     """
     engine = ScriptedEngine(TOKENS)
     async with serve_in_memory([engine]) as served:
         await served.complete()
         await served.complete()
-        await served.complete(headers=ONCE)
+        await served.complete(headers=RUN_ONCE_HEADERS)
         assert served.network is not None
         opened = served.network.opened.count(served.core.addresses[0])
         assert opened == 2
 
 
 async def test_engine_rejects_body() -> None:
-    """A 4xx is the engine's answer; it reaches the caller as it came."""
+    """A 4xx response of the engine is forwarded to the caller unchanged."""
     engine = ScriptedEngine(TOKENS, Step(status=422))
     async with serve_in_memory([engine]) as served:
         answer = await served.complete()
@@ -327,10 +345,10 @@
 async def test_keyed_request_refused_early_is_not_called_not_run(
     age: Headers, is_not_run: bool
 ) -> None:
-    """A retry of a hold reaches a node that doesn't know the caller's key yet.
+    """A retry of a hold reaches a node that doesn't know the caller's API key yet.
 
-    Its first try ran through another node. Told "not run" with the 401, the caller
-    would make a second hold under a new key.
+    The first attempt ran through another node. If the 401 said "not run", the caller
+    would make a second hold under a new idempotency key.
     """
     headers = (("Authorization", "Bearer new"), ("Idempotency-Key", "k1"), *age)
     async with serve_face(ScriptedCore([])) as served:
