--- a/packages/toucanyard-node/src/toucanyard_node/bounded_output.py
+++ b/packages/toucanyard-node/src/toucanyard_node/bounded_output.py
@@ -15,7 +15,7 @@
 
 MAX_LINES: Final = 5_000
 """Lines kept for a slow reader: a few seconds of the busiest node's."""
-FLUSH_S: Final = 0.05
+FLUSH_INTERVAL_S: Final = 0.05
 """Time between two writes; one write for many lines saves most of their cost."""
 _WRITE_BYTES: Final = 65_536
 
@@ -26,13 +26,13 @@
     Invariant: at most MAX_LINES lines wait.
     """
 
-    __slots__ = ("_descriptor", "_lines", "_rest", "_waiting", "dropped", "written")
+    __slots__ = ("_descriptor", "_lines", "_unsent", "_wakeup", "dropped", "written")
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._lines: deque[str] = deque()
-        self._rest = b""
-        self._waiting: trio.Event | None = None
+        self._unsent = b""
+        self._wakeup: trio.Event | None = None
         """Set by the next line while the task has nothing to write."""
         self.dropped = 0
         self.written = 0
@@ -43,44 +43,46 @@
             self.dropped += 1
             return
         self._lines.append(text)
-        if self._waiting is not None:
-            self._waiting.set()
-            self._waiting = None
+        if self._wakeup is not None:
+            self._wakeup.set()
+            self._wakeup = None
 
     msg = debug = info = warning = error = critical = exception = write
 
     async def run(self) -> None:
         """Write lines out until cancelled."""
         os.set_blocking(self._descriptor, False)
-        told = 0
+        reported = 0
         while True:
-            if not self._lines and not self._rest:
+            if not self._lines and not self._unsent:
                 # Nodes of a large fleet mostly rest; looking for lines would wake them
                 # more often than anything else.
-                self._waiting = trio.Event()
-                await self._waiting.wait()
-            if self.dropped > told:
-                self._lines.append(f"event=lines_dropped count={self.dropped - told}")
-                told = self.dropped
+                self._wakeup = trio.Event()
+                await self._wakeup.wait()
+            if self.dropped > reported:
+                self._lines.append(
+                    f"event=lines_dropped count={self.dropped - reported}"
+                )
+                reported = self.dropped
             self.flush()
-            await trio.sleep(FLUSH_S)
+            await trio.sleep(FLUSH_INTERVAL_S)
 
     def flush(self) -> None:
         """Write what the reader takes at once."""
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._take_lines()
+        while self._unsent or self._lines:
+            if not self._unsent:
+                self._unsent = self._take_lines()
             try:
-                sent_bytes = os.write(self._descriptor, self._rest[:_WRITE_BYTES])
+                sent_bytes = os.write(self._descriptor, self._unsent[:_WRITE_BYTES])
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more; lines are dropped like those of a full buffer.
                 self.dropped += len(self._lines)
                 self._lines.clear()
-                self._rest = b""
+                self._unsent = b""
                 return
-            self._rest = self._rest[sent_bytes:]
+            self._unsent = self._unsent[sent_bytes:]
 
     def _take_lines(self) -> bytes:
         lines: list[str] = []
--- a/packages/toucanyard-node/src/toucanyard_node/held_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/buffered_answer.py
@@ -14,7 +14,7 @@
         self.outcome = outcome
 
 
-class HeldAnswer:
+class BufferedAnswer:
     """A whole answer of a replica."""
 
     __slots__ = ("body", "headers", "status")
--- a/packages/toucanyard-node/src/toucanyard_node/callers_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/callers_face.py
@@ -35,12 +35,12 @@
 from toucanyard_node.http_server import (
     ServerLimits,
 )
+from toucanyard_node.idle_watch import IdleWatch
 from toucanyard_node.locate_answer import LocateAnswer, NodeIdentity
 from toucanyard_node.model_face import ModelFace
 from toucanyard_node.model_requests import ApiKind
 from toucanyard_node.refusals import render_refusal
 from toucanyard_node.service_face import ServiceFace
-from toucanyard_node.silence_watch import SilenceWatch
 
 _SERVICES: Final = "/v1/services/"
 _STREAMS: Final = "/v1/streams/"
@@ -88,7 +88,7 @@
         self._counter = itertools.count()
         self._nursery: trio.Nursery | None = None
         self.pool = ConnectionPool(options.streams, connect)
-        self._watch = SilenceWatch()
+        self._watch = IdleWatch()
         self._models = ModelFace(core, options, self.pool, self._watch, self._spawn)
         self._services = ServiceFace(core, options, self.pool, self._spawn)
 
--- a/packages/toucanyard-node/src/toucanyard_node/connection_pool.py
+++ b/packages/toucanyard-node/src/toucanyard_node/connection_pool.py
@@ -20,13 +20,13 @@
     than the last silence of its address, and nothing unread waits on it.
     """
 
-    __slots__ = ("_connect", "_idle", "_limits", "_silent_at_ms")
+    __slots__ = ("_connect", "_idle", "_limits", "_timed_out_at_ms")
 
     def __init__(self, limits: StreamLimits, connect: Connect = connect) -> None:
         self._limits = limits
         self._connect = connect
         self._idle: dict[Address, list[tuple[HttpConnection, float]]] = {}
-        self._silent_at_ms: dict[Address, float] = {}
+        self._timed_out_at_ms: dict[Address, float] = {}
 
     async def acquire(self, address: Address) -> tuple[HttpConnection, bool]:
         """Return a connection and whether it was used before."""
@@ -48,12 +48,12 @@
     async def release(self, connection: HttpConnection) -> None:
         """Take a connection back; keep it only when its last answer was whole."""
         now_ms = trio.current_time() * 1000
-        silent_at_ms = self._silent_at_ms.get(connection.address, -1.0)
+        timed_out_at_ms = self._timed_out_at_ms.get(connection.address, -1.0)
         idle = self._idle.setdefault(connection.address, [])
         is_kept = (
             connection.is_reusable()
             and connection.is_quiet()
-            and connection.opened_ms > silent_at_ms
+            and connection.opened_ms > timed_out_at_ms
             and len(idle) < self._limits.max_idle_connections
         )
         if is_kept:
@@ -61,13 +61,13 @@
         else:
             await connection.close()
 
-    async def distrust(self, address: Address) -> None:
+    async def discard_idle(self, address: Address) -> None:
         """Drop every idle connection to an address on which one went silent.
 
         What lost track of one connection has often lost track of all that are as
         old; each would cost its next request another silence.
         """
-        self._silent_at_ms[address] = trio.current_time() * 1000
+        self._timed_out_at_ms[address] = trio.current_time() * 1000
         for connection, _ in self._idle.pop(address, []):
             await connection.close()
 
--- a/packages/toucanyard-node/src/toucanyard_node/drain.py
+++ b/packages/toucanyard-node/src/toucanyard_node/drain.py
@@ -12,7 +12,7 @@
     HttpServer,
 )
 
-_POLL_S: Final = 0.02
+_POLL_INTERVAL_S: Final = 0.02
 
 
 class DrainState:
@@ -59,7 +59,9 @@
     return False
 
 
-async def wait_handed_over(is_handover_done: Callable[[], bool], limit_ms: int) -> None:
+async def wait_for_key_handover(
+    is_handover_done: Callable[[], bool], limit_ms: int
+) -> None:
     """Wait until peers hold this node's ended keys and all are told so.
 
     Without this step a retry of what this node answered could only be told that the
@@ -67,4 +69,4 @@
     """
     with trio.move_on_after(limit_ms / 1000):
         while not is_handover_done():
-            await trio.sleep(_POLL_S)
+            await trio.sleep(_POLL_INTERVAL_S)
--- a/packages/toucanyard-node/src/toucanyard_node/encoded_messages.py
+++ b/packages/toucanyard-node/src/toucanyard_node/encoded_messages.py
@@ -12,27 +12,27 @@
 
 from toucanyard_node.link_codec import MessageT
 
-KEPT: Final = 4
+CACHED_MESSAGES: Final = 4
 """Messages whose bytes are kept: those of one status are of so many kinds."""
 
 
-class EncodedMessages(Generic[MessageT]):
+class EncodedMessageCache(Generic[MessageT]):
     """The bytes of the messages that were encoded last.
 
     Invariant: bytes are found by the message itself, not by one that equals it.
     """
 
-    __slots__ = ("_encode", "_kept")
+    __slots__ = ("_encode", "_cached")
 
     def __init__(self, encode: Callable[[MessageT], bytes]) -> None:
         self._encode = encode
-        self._kept: deque[tuple[MessageT, bytes]] = deque(maxlen=KEPT)
+        self._cached: deque[tuple[MessageT, bytes]] = deque(maxlen=CACHED_MESSAGES)
 
     def find(self, message: MessageT) -> bytes:
         """Return the bytes of a message."""
-        for kept, data in self._kept:
-            if kept is message:
+        for cached, data in self._cached:
+            if cached is message:
                 return data
         data = self._encode(message)
-        self._kept.append((message, data))
+        self._cached.append((message, data))
         return data
--- a/packages/toucanyard-node/src/toucanyard_node/engine_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/engine_client.py
@@ -25,8 +25,8 @@
     HttpConnection,
     ResponseHead,
 )
-from toucanyard_node.silence_watch import SilenceTimer, SilenceWatch
-from toucanyard_node.sse import Event, EventCutter, EventError
+from toucanyard_node.idle_watch import IdleTimer, IdleWatch
+from toucanyard_node.sse import Event, EventError, EventParser
 
 _PAUSES: Final = 1.5
 """How many of its longest pauses a stream is waited for before it is probed."""
@@ -68,20 +68,20 @@
         limits: StreamLimits,
         dispatch: Dispatch,
         request_id: RequestId,
-        watch: SilenceWatch,
+        watch: IdleWatch,
         on_send: Callable[[], None],
         is_plain: bool = False,
     ) -> None:
         # An answer that isn't events has no heartbeats: only the deadline ends it.
         self._head_timeout_ms = math.inf if is_plain else dispatch.silence_ms
         self._watch = watch
-        self._timer: SilenceTimer | None = None
+        self._timer: IdleTimer | None = None
         self._on_send = on_send
         self._pool = pool
         self._limits = limits
         self._dispatch = dispatch
         self._connection: HttpConnection | None = None
-        self._cutter = EventCutter()
+        self._cutter = EventParser()
         self._is_used = False
         self._resumes = 0
         self._broken = ""
@@ -189,7 +189,7 @@
             timer = self._timer or self._start_timer()
             timer.waiting_since_s = trio.current_time()
             try:
-                part = await timer.connection.read_part()
+                part = await timer.connection.read_body_chunk()
                 # While the caller is slow nobody reads, and that is no silence.
                 timer.waiting_since_s = math.inf
                 if part is not None:
@@ -209,14 +209,14 @@
         if not self.is_sent:
             raise DispatchFailedError(DispatchEnding.NOT_SENT, reason)
 
-    def _start_timer(self) -> SilenceTimer:
+    def _start_timer(self) -> IdleTimer:
         assert self._connection is not None
         # An engine that is merely slower than its history is probed ever more rarely;
         # at one fixed bound its probes would run out within a few bounds.
         silence_ms = max(self._dispatch.silence_ms, _PAUSES * self.longest_pause_ms)
         silence_ms *= 2**self._resumes
         bound_ms = max(self._limits.max_silence_ms, self._dispatch.silence_ms)
-        self._timer = SilenceTimer(self._connection, min(silence_ms, bound_ms))
+        self._timer = IdleTimer(self._connection, min(silence_ms, bound_ms))
         self._watch.add(self._timer)
         return self._timer
 
@@ -279,9 +279,9 @@
             self._resumes += 1
             if self._resumes > self._limits.max_resumes:
                 raise DispatchFailedError(DispatchEnding.LOST, f"{reason}, not resumed")
-            await self._pool.distrust(address)
+            await self._pool.discard_idle(address)
             await self.abandon()
-            self._cutter = EventCutter()
+            self._cutter = EventParser()
             try:
                 self._connection = await self._pool.open(address)
                 with trio.fail_after(self._dispatch.silence_ms / 1000):
@@ -361,6 +361,6 @@
     """Read the end of a body whose last event came; it's under way already."""
     try:
         with trio.move_on_after(0.05):
-            await connection.read_part()
+            await connection.read_body_chunk()
     except ConnectionFailedError:
         return
--- a/packages/toucanyard-node/src/toucanyard_node/http_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/http_client.py
@@ -21,7 +21,7 @@
 from toucanyard.names import Address
 from toucanyard_node.socket_io import receive
 
-_PIECE_BYTES: Final = 65_536
+_SEND_CHUNK_BYTES: Final = 65_536
 """What is sent at once; a connection that takes none in time has gone silent."""
 _MAX_PORT: Final = 65_535
 _NEEDS_DATA: Final = ((b"", False), (b"\r\n", False))
@@ -79,7 +79,7 @@
     return host.strip("[]"), int(port)
 
 
-def is_possible(address: Address) -> bool:
+def is_valid_address(address: Address) -> bool:
     """Tell whether an address is an IP number and a port that can be connected to."""
     try:
         host, port = split_address(address)
@@ -98,9 +98,9 @@
     __slots__ = (
         "_connection",
         "_is_closed",
-        "_is_cut",
-        "_is_drained",
-        "_pending",
+        "_has_unsent_body",
+        "_parser_needs_data",
+        "_pending_event",
         "_stream",
         "address",
         "opened_ms",
@@ -112,15 +112,15 @@
         self.address = address
         self.opened_ms = opened_ms
         self._stream = stream
-        self._pending: object = None
-        self._is_drained = False
+        self._pending_event: object = None
+        self._parser_needs_data = False
         self._is_closed = False
-        self._is_cut = False
+        self._has_unsent_body = False
         self._connection = h11.Connection(h11.CLIENT)
 
     def is_reusable(self) -> bool:
         """Tell whether another request may be sent."""
-        if self._pending is not None or self._is_cut:
+        if self._pending_event is not None or self._has_unsent_body:
             return False
         states = (self._connection.our_state, self._connection.their_state)
         return states in ((h11.IDLE, h11.IDLE), (h11.DONE, h11.DONE))
@@ -147,12 +147,12 @@
 
         `stall_ms` bounds how long the other side may take none of it.
         """
-        named = (("Content-Length", str(len(body))), *headers)
+        all_headers = (("Content-Length", str(len(body))), *headers)
         if not any(name.lower() == "host" for name, _ in headers):
-            named = (("Host", self.address), *named)
-        data = self._render(method, target, named, body)
-        sent_bytes = await self._send_first(data)
-        await self._send_rest(data, sent_bytes, stall_ms)
+            all_headers = (("Host", self.address), *all_headers)
+        data = self._render(method, target, all_headers, body)
+        sent_bytes = await self._send_once(data)
+        await self._send_remaining(data, sent_bytes, stall_ms)
 
     async def send_and_read_head(
         self, method: str, target: str, headers: Headers, body: bytes
@@ -164,12 +164,12 @@
         Such a connection is not used again, as the rest of the body is still due on it.
         """
         data = self._render(method, target, headers, body)
-        sent_bytes = await self._send_first(data)
+        sent_bytes = await self._send_once(data)
         if sent_bytes == len(data):
             return await self.read_head()
-        self._is_cut = True
+        self._has_unsent_body = True
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._send_behind, data, sent_bytes)
+            nursery.start_soon(self._send_remaining_in_background, data, sent_bytes)
             try:
                 head = await self.read_head()
             except ConnectionFailedError as error:
@@ -181,11 +181,11 @@
             raise failure
         return head
 
-    async def _send_behind(self, data: bytes, sent_bytes: int) -> None:
+    async def _send_remaining_in_background(self, data: bytes, sent_bytes: int) -> None:
         """Send what is left; a failure shows to whoever reads the answer."""
         with suppress(ConnectionFailedError):
-            await self._send_rest(data, sent_bytes, math.inf)
-            self._is_cut = False
+            await self._send_remaining(data, sent_bytes, math.inf)
+            self._has_unsent_body = False
 
     def _render(self, method: str, target: str, headers: Headers, body: bytes) -> bytes:
         connection = self._connection
@@ -200,15 +200,17 @@
             data += connection.send(h11.Data(data=body)) or b""
         return data + (connection.send(h11.EndOfMessage()) or b"")
 
-    async def _send_rest(self, data: bytes, sent_bytes: int, stall_ms: float) -> None:
-        for begin in range(sent_bytes, len(data), _PIECE_BYTES):
-            piece = memoryview(data)[begin : begin + _PIECE_BYTES]
-            await self._send_piece(piece, stall_ms)
+    async def _send_remaining(
+        self, data: bytes, sent_bytes: int, stall_ms: float
+    ) -> None:
+        for begin in range(sent_bytes, len(data), _SEND_CHUNK_BYTES):
+            chunk = memoryview(data)[begin : begin + _SEND_CHUNK_BYTES]
+            await self._send_chunk(chunk, stall_ms)
 
-    async def _send_piece(self, piece: memoryview, stall_ms: float) -> None:
+    async def _send_chunk(self, chunk: memoryview, stall_ms: float) -> None:
         try:
             with trio.fail_after(stall_ms / 1000):
-                await self._stream.send_all(piece)
+                await self._stream.send_all(chunk)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise ConnectionFailedError(
                 str(error), is_sent=True, is_closed=True
@@ -217,7 +219,7 @@
             text = "the other side takes nothing"
             raise ConnectionFailedError(text, is_sent=True) from error
 
-    async def _send_first(self, data: bytes) -> int:
+    async def _send_once(self, data: bytes) -> int:
         """Send the first bytes apart; return how many the kernel took.
 
         When the other side closed an idle connection, this first call fails and no
@@ -251,36 +253,36 @@
             )
             return ResponseHead(event.status_code, headers, fields)
 
-    async def read_part(self) -> bytes | None:
+    async def read_body_chunk(self) -> bytes | None:
         """Read what has come of the body, in one piece; None at its end."""
-        event = self._pending or await self._next_event()
-        self._pending = None
+        event = self._pending_event or await self._next_event()
+        self._pending_event = None
         if not isinstance(event, h11.Data):
             if isinstance(event, h11.EndOfMessage):
                 return None
             raise ConnectionFailedError(
                 "closed inside an answer", is_sent=True, is_closed=True
             )
-        parts = [event.data]
-        while not self._is_drained_by(event):
+        chunks = [event.data]
+        while not self._record_parser_state(event):
             event = self._parse()
             if event is h11.NEED_DATA:
-                self._is_drained = True
+                self._parser_needs_data = True
                 break
             if not isinstance(event, h11.Data):
-                self._pending = event
+                self._pending_event = event
                 break
-            parts.append(event.data)
-        return bytes(parts[0]) if len(parts) == 1 else b"".join(parts)
+            chunks.append(event.data)
+        return bytes(chunks[0]) if len(chunks) == 1 else b"".join(chunks)
 
-    def _is_drained_by(self, event: h11.Data) -> bool:
+    def _record_parser_state(self, event: h11.Data) -> bool:
         """Tell whether h11 needs bytes after this event, and note it.
 
         It is asked twice for each token event otherwise, only to say so.
         """
         rest = self._connection.trailing_data
-        self._is_drained = event.chunk_end and rest in _NEEDS_DATA
-        return self._is_drained
+        self._parser_needs_data = event.chunk_end and rest in _NEEDS_DATA
+        return self._parser_needs_data
 
     async def read_body(self, max_bytes: int = MAX_BODY_BYTES) -> bytes:
         """Read the rest of the body, or raise ConnectionFailedError.
@@ -289,13 +291,13 @@
         node's memory.
         """
         body = bytearray()
-        while (part := await self.read_part()) is not None:
-            body += part
+        while (data := await self.read_body_chunk()) is not None:
+            body += data
             if len(body) > max_bytes:
                 raise BodyTooLargeError(f"found over {max_bytes} bytes", is_sent=True)
         return bytes(body)
 
-    async def read_end(self) -> bool:
+    async def wait_for_close(self) -> bool:
         """Wait while no request is under way; return whether the other side closed."""
         return not await self._stream.receive_some(1)
 
@@ -305,7 +307,7 @@
 
     async def _next_event(self) -> object:
         while True:
-            if not self._is_drained:
+            if not self._parser_needs_data:
                 event = self._parse()
                 if event is not h11.NEED_DATA:
                     return event
@@ -317,7 +319,7 @@
                 ) from error
             self._is_closed = not data
             self._connection.receive_data(data)
-            self._is_drained = False
+            self._parser_needs_data = False
 
     def _parse(self) -> object:
         try:
--- a/packages/toucanyard-node/src/toucanyard_node/http_exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/http_exchange.py
@@ -62,22 +62,22 @@
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a whole answer in one write."""
         head = self._render_head(status, (*headers, ("Content-Length", str(len(body)))))
-        data = self._render_part(body)
+        data = self._render_chunk(body)
         tail = self._connection.send(h11.EndOfMessage()) or b""
-        await self._write_out(head + data + tail)
+        await self._send_data(head + data + tail)
 
     async def start(self, status: int, headers: Headers) -> None:
         """Send the head of an answer whose body follows in parts."""
         head = self._render_head(status, (*headers, ("Transfer-Encoding", "chunked")))
-        await self._write_out(head)
+        await self._send_data(head)
 
     async def write(self, data: bytes) -> None:
         """Send one part of the body; blocks while the other side is slow."""
-        await self._write_out(self._render_part(data))
+        await self._send_data(self._render_chunk(data))
 
     async def finish(self) -> None:
         """Mark the body as whole."""
-        await self._write_out(self._connection.send(h11.EndOfMessage()) or b"")
+        await self._send_data(self._connection.send(h11.EndOfMessage()) or b"")
 
     def close_after(self) -> None:
         """Ask the other side to close after this answer."""
@@ -96,12 +96,12 @@
         self.is_started = True
         return self._connection.send(response) or b""
 
-    def _render_part(self, data: bytes) -> bytes:
+    def _render_chunk(self, data: bytes) -> bytes:
         if self._is_head_only:
             return b""
         return self._connection.send(h11.Data(data=data)) or b""
 
-    async def _write_out(self, data: bytes) -> None:
+    async def _send_data(self, data: bytes) -> None:
         try:
             await send(self._stream, data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
@@ -111,7 +111,7 @@
 def parse_request(head: h11.Request, body: bytes) -> HttpRequest:
     """Build a request from its head and body, or raise TargetInvalidError."""
     try:
-        parts = urlsplit(head.target.decode("ascii", "replace"))
+        url = urlsplit(head.target.decode("ascii", "replace"))
     except ValueError as error:
         raise TargetInvalidError(str(error)) from error
     headers = {
@@ -119,8 +119,8 @@
     }
     return HttpRequest(
         method=head.method.decode("ascii"),
-        path=unquote(parts.path),
-        query=dict(parse_qsl(parts.query)),
+        path=unquote(url.path),
+        query=dict(parse_qsl(url.query)),
         headers=headers,
         body=body,
         target=head.target.decode("ascii", "replace"),
--- a/packages/toucanyard-node/src/toucanyard_node/http_server.py
+++ b/packages/toucanyard-node/src/toucanyard_node/http_server.py
@@ -26,15 +26,15 @@
     parse_request,
 )
 from toucanyard_node.refusals import render_refusal
-from toucanyard_node.socket_io import accept_waiting
+from toucanyard_node.socket_io import accept_pending
 
 _LOG: Final = structlog.get_logger()
 _READ_BYTES: Final = 65_536
 _USER_TIMEOUT: Final[int | None] = getattr(socket, "TCP_USER_TIMEOUT", None)
 _RETRY_AFTER_MS: Final = 1_000
-_STOPPING_IDLE_MS: Final = 20
+_STOPPING_IDLE_TIMEOUT_MS: Final = 20
 """How long a stopping server waits for a request on an open connection."""
-_TUNNEL: Final = b"CONNECT"
+_CONNECT_METHOD: Final = b"CONNECT"
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
@@ -58,9 +58,9 @@
     """Accept connections on one listener and run the handler for each request."""
 
     __slots__ = (
-        "_accepting",
+        "_accept_scope",
         "_handler",
-        "_idle",
+        "_idle_scopes",
         "_is_stopping",
         "_limits",
         "_listener",
@@ -73,8 +73,8 @@
         self._handler = handler
         self._limits = limits
         self._open_connections = 0
-        self._accepting = trio.CancelScope()
-        self._idle: set[trio.CancelScope] = set()
+        self._accept_scope = trio.CancelScope()
+        self._idle_scopes: set[trio.CancelScope] = set()
         self._is_stopping = False
         self._stopped = trio.Event()
         self._nursery: trio.Nursery | None = None
@@ -89,7 +89,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery, self._listener = nursery, listener
-                with self._accepting:
+                with self._accept_scope:
                     await trio.serve_listeners(
                         self._serve_stream, [listener], handler_nursery=nursery
                     )
@@ -101,13 +101,13 @@
     def stop(self) -> None:
         """Take no new connection and close idle ones; requests go on to their end."""
         self._is_stopping = True
-        self._accepting.cancel()
+        self._accept_scope.cancel()
         # Closing the listener resets what the kernel has connected already, with the
         # requests on it; their callers could not tell whether they ran.
         if self._nursery is not None and self._listener is not None:
-            for stream in accept_waiting(self._listener):
+            for stream in accept_pending(self._listener):
                 self._nursery.start_soon(self._serve_stream, stream)
-        for scope in self._idle:
+        for scope in self._idle_scopes:
             scope.cancel()
 
     async def wait_stopped(self) -> None:
@@ -117,7 +117,7 @@
     async def _serve_stream(self, stream: trio.SocketStream) -> None:
         self._open_connections += 1
         try:
-            _limit_unread(stream, self._limits.write_timeout_ms)
+            _set_user_timeout(stream, self._limits.write_timeout_ms)
             await self._serve_connection(stream)
         except (CallerGoneError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
@@ -184,7 +184,9 @@
     ) -> None:
         """Run the handler and cancel it as soon as the other side hangs up."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_watch_hang_up, connection, stream, nursery.cancel_scope)
+            nursery.start_soon(
+                _cancel_on_disconnect, connection, stream, nursery.cancel_scope
+            )
             await self._run_guarded(request, responder)
             nursery.cancel_scope.cancel()
 
@@ -207,7 +209,7 @@
     ) -> HttpRequest | ErrorKind | None:
         limits = self._limits
         idle_ms = limits.header_timeout_ms if is_first else limits.idle_timeout_ms
-        if not await self._fill_first_bytes(connection, stream, idle_ms):
+        if not await self._receive_first_bytes(connection, stream, idle_ms):
             return None
         # A sender of one byte a second would hold its connection for ever; the
         # bound counts from the first byte and covers head and body.
@@ -216,7 +218,7 @@
         assert scope.cancelled_caught
         return ErrorKind.HEADERS_TOO_SLOW
 
-    async def _fill_first_bytes(
+    async def _receive_first_bytes(
         self, connection: h11.Connection, stream: trio.SocketStream, idle_ms: int
     ) -> bool:
         """Wait for a request's first bytes; return whether any came."""
@@ -228,7 +230,7 @@
         if data is None and self._is_stopping:
             # A request may have reached the kernel before the stop did; closing now
             # would reset it, and its caller could not tell whether it ran.
-            data = await self._receive_idle(stream, _STOPPING_IDLE_MS)
+            data = await self._receive_idle(stream, _STOPPING_IDLE_TIMEOUT_MS)
         if data is None:
             return False
         connection.receive_data(data)
@@ -239,11 +241,11 @@
     ) -> bytes | None:
         """Return what comes in time and before the server stops, else None."""
         with trio.move_on_after(idle_ms / 1000) as scope:
-            self._idle.add(scope)
+            self._idle_scopes.add(scope)
             try:
                 return bytes(await stream.receive_some(_READ_BYTES))
             finally:
-                self._idle.discard(scope)
+                self._idle_scopes.discard(scope)
         return None
 
     async def _read_message(
@@ -255,7 +257,7 @@
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
-                raw += await self._fill(connection, stream)
+                raw += await self._receive(connection, stream)
             elif isinstance(event, h11.Request):
                 head = event
                 fault = self._check_head(event, bytes(raw))
@@ -271,9 +273,9 @@
                 return None
 
     def _check_head(self, head: h11.Request, raw: bytes) -> ErrorKind | None:
-        if has_unclear_end(head, raw):
+        if has_ambiguous_framing(head, raw):
             return ErrorKind.BAD_REQUEST
-        if head.method == _TUNNEL:
+        if head.method == _CONNECT_METHOD:
             return ErrorKind.METHOD_NOT_ALLOWED
         # h11 bounds what it has to wait for, not what came in one piece.
         if _compute_head_bytes(head) > self._limits.max_header_bytes:
@@ -282,12 +284,12 @@
             return ErrorKind.BODY_TOO_LARGE
         return None
 
-    async def _fill(
+    async def _receive(
         self, connection: h11.Connection, stream: trio.SocketStream
     ) -> bytes:
         if connection.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await stream.send_all(connection.send(go_on) or b"")
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            await stream.send_all(connection.send(interim) or b"")
         data = bytes(await stream.receive_some(_READ_BYTES))
         connection.receive_data(data)
         return data
@@ -307,7 +309,7 @@
         await _discard_input(stream)
 
 
-def _limit_unread(stream: trio.SocketStream, timeout_ms: int) -> None:
+def _set_user_timeout(stream: trio.SocketStream, timeout_ms: int) -> None:
     """End the connection when what was sent stays unread or unacknowledged.
 
     A caller that is gone without a word, or never reads, would hold its handler, an
@@ -330,7 +332,7 @@
             pass
 
 
-async def _watch_hang_up(
+async def _cancel_on_disconnect(
     connection: h11.Connection, stream: trio.SocketStream, scope: trio.CancelScope
 ) -> None:
     """Cancel the scope when the other side closes; keep what it sends early."""
@@ -348,7 +350,7 @@
         kept_bytes += len(data)
 
 
-def has_unclear_end(head: h11.Request, raw: bytes) -> bool:
+def has_ambiguous_framing(head: h11.Request, raw: bytes) -> bool:
     """Tell whether another reader could see this request end elsewhere.
 
     The library takes lines that end in a bare line feed, and a length beside chunks. A
--- a/packages/toucanyard-node/src/toucanyard_node/silence_watch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/idle_watch.py
@@ -12,49 +12,49 @@
 
 from toucanyard_node.http_client import HttpConnection
 
-_INTERVAL_S: Final = 0.05
+_CHECK_INTERVAL_S: Final = 0.05
 
 
-class SilenceTimer:
+class IdleTimer:
     """When one reader began to wait for bytes; infinity while it doesn't wait.
 
     Invariant: `has_expired` is set before the connection is closed for silence, so
     that its reader can tell this from a connection that broke.
     """
 
-    __slots__ = ("connection", "has_expired", "silence_s", "waiting_since_s")
+    __slots__ = ("connection", "has_expired", "timeout_s", "waiting_since_s")
 
-    def __init__(self, connection: HttpConnection, silence_ms: float) -> None:
+    def __init__(self, connection: HttpConnection, timeout_ms: float) -> None:
         self.connection = connection
-        self.silence_s = silence_ms / 1000
+        self.timeout_s = timeout_ms / 1000
         self.waiting_since_s = float("inf")
         self.has_expired = False
 
     def is_expired(self, now_s: float) -> bool:
         """Tell whether the reader has waited too long."""
-        return now_s - self.waiting_since_s >= self.silence_s
+        return now_s - self.waiting_since_s >= self.timeout_s
 
 
-class SilenceWatch:
+class IdleWatch:
     """Close connections whose reader has waited too long."""
 
     __slots__ = ("_timers",)
 
     def __init__(self) -> None:
-        self._timers: set[SilenceTimer] = set()
+        self._timers: set[IdleTimer] = set()
 
-    def add(self, timer: SilenceTimer) -> None:
+    def add(self, timer: IdleTimer) -> None:
         """Watch a reader."""
         self._timers.add(timer)
 
-    def discard(self, timer: SilenceTimer) -> None:
+    def discard(self, timer: IdleTimer) -> None:
         """Watch a reader no longer."""
         self._timers.discard(timer)
 
     async def run(self) -> None:
         """Look at all readers again and again, until cancelled."""
         while True:
-            await trio.sleep(_INTERVAL_S)
+            await trio.sleep(_CHECK_INTERVAL_S)
             for timer in self._find_expired(trio.current_time()):
                 # While another one was closed, this one's reader may have got its
                 # bytes: the stream goes on, or has ended and lent its connection back,
@@ -64,5 +64,5 @@
                     self._timers.discard(timer)
                     await timer.connection.close()
 
-    def _find_expired(self, now_s: float) -> list[SilenceTimer]:
+    def _find_expired(self, now_s: float) -> list[IdleTimer]:
         return [timer for timer in self._timers if timer.is_expired(now_s)]
--- a/packages/toucanyard-node/src/toucanyard_node/kept_streams.py
+++ b/packages/toucanyard-node/src/toucanyard_node/kept_streams.py
@@ -14,7 +14,7 @@
 from toucanyard_node.http_exchange import (
     Responder,
 )
-from toucanyard_node.sheltered import Spawn
+from toucanyard_node.shielded import Spawn
 from toucanyard_node.stream_relay import StreamRelay
 
 
--- a/packages/toucanyard-node/src/toucanyard_node/model_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_face.py
@@ -24,10 +24,10 @@
 from toucanyard_node.core_messages import CoreClient
 from toucanyard_node.gathered_answer import render_gathered
 from toucanyard_node.http_client import Response
+from toucanyard_node.idle_watch import IdleWatch
 from toucanyard_node.kept_streams import KeptStreams
 from toucanyard_node.model_requests import ApiKind, ModelCall, parse_model_call
-from toucanyard_node.sheltered import Spawn, run_sheltered
-from toucanyard_node.silence_watch import SilenceWatch
+from toucanyard_node.shielded import Spawn, run_shielded
 from toucanyard_node.stream_relay import EVENT_STREAM, StreamRelay
 
 _JSON: Final = "application/json"
@@ -51,7 +51,7 @@
         core: CoreClient,
         options: Options,
         pool: ConnectionPool,
-        watch: SilenceWatch,
+        watch: IdleWatch,
         spawn: Spawn,
     ) -> None:
         self._watch = watch
@@ -153,7 +153,7 @@
         try:
             with trio.CancelScope(deadline=attempts.request.deadline_ms / 1000):
                 if is_keyed:
-                    return await run_sheltered(self._spawn, run, drain)
+                    return await run_shielded(self._spawn, run, drain)
                 return await run()
             refusal = attempts.build_deadline_refusal()
         except trio.Cancelled:
--- a/packages/toucanyard-node/src/toucanyard_node/node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/node.py
@@ -26,7 +26,7 @@
 from toucanyard_node.callers_face import CallersFace, find_server_limits
 from toucanyard_node.core_links import CORE_LINKS
 from toucanyard_node.core_task import CoreOutputs, CoreTask
-from toucanyard_node.drain import DrainState, drain, wait_handed_over
+from toucanyard_node.drain import DrainState, drain, wait_for_key_handover
 from toucanyard_node.endpoint_watch import EndpointWatch, Watched
 from toucanyard_node.http_client import split_address
 from toucanyard_node.http_server import (
@@ -178,7 +178,7 @@
         self._emit_now(HandoverBegun())
         claims = self._core.claims
         limit_ms = self._options.claims.hand_over_ms
-        await wait_handed_over(claims.is_handover_done, limit_ms)
+        await wait_for_key_handover(claims.is_handover_done, limit_ms)
         left = claims.count_not_transferred()
         is_whole = left == 0
         _LOG.info("hand_over_ended", is_whole=is_whole, left=left)
--- a/packages/toucanyard-node/src/toucanyard_node/peer_greeting.py
+++ b/packages/toucanyard-node/src/toucanyard_node/peer_handshake.py
@@ -27,7 +27,7 @@
 
 PROTOCOL_VERSION: Final = 1
 _NONCE_BYTES: Final = 32
-_MAX_GREETING_BYTES: Final = 4_096
+_MAX_HANDSHAKE_BYTES: Final = 4_096
 
 T = TypeVar("T")
 
@@ -54,11 +54,11 @@
     mac: bytes
 
 
-class GreetingError(Exception):
+class HandshakeError(Exception):
     """The other end speaks another version or doesn't know the secret."""
 
 
-async def greet(
+async def authenticate_peer(
     socket: Connection, side: Side, identity: NodeId, secrets: Sequence[str]
 ) -> NodeId:
     """Return who the other end is, or raise GreetingError."""
@@ -67,15 +67,15 @@
     await _send(socket, own)
     other = await _receive(socket, Hello)
     if other.version != PROTOCOL_VERSION:
-        raise GreetingError(f"found protocol version {other.version}")
+        raise HandshakeError(f"found protocol version {other.version}")
     if len(other.nonce) != _NONCE_BYTES or not other.node or not other.incarnation:
-        raise GreetingError("found an incomplete hello")
+        raise HandshakeError("found an incomplete hello")
     await _send(socket, Proof(compute_mac(secrets[0], side, own, other)))
     proof = await _receive(socket, Proof)
     other_side = Side.SERVER if side is Side.CLIENT else Side.CLIENT
     expected = [compute_mac(secret, other_side, other, own) for secret in secrets]
     if not any(hmac.compare_digest(proof.mac, each) for each in expected):
-        raise GreetingError(f"found a wrong proof from {other.node[:64]!r}")
+        raise HandshakeError(f"found a wrong proof from {other.node[:64]!r}")
     return NodeId(NodeName(other.node), Incarnation(other.incarnation))
 
 
@@ -92,9 +92,9 @@
 
 async def _receive(socket: Connection, kind: type[T]) -> T:
     data = await socket.recv()
-    if isinstance(data, str) or len(data) > _MAX_GREETING_BYTES:
-        raise GreetingError("found text or too much")
+    if isinstance(data, str) or len(data) > _MAX_HANDSHAKE_BYTES:
+        raise HandshakeError("found text or too much")
     try:
         return msgspec.convert(cbor2.loads(data), kind, builtin_types=(bytes,))
     except (cbor2.CBORDecodeError, msgspec.ValidationError, RecursionError) as error:
-        raise GreetingError(str(error)[:200]) from error
+        raise HandshakeError(str(error)[:200]) from error
--- a/packages/toucanyard-node/src/toucanyard_node/peer_links.py
+++ b/packages/toucanyard-node/src/toucanyard_node/peer_links.py
@@ -23,22 +23,22 @@
 from toucanyard.names import Address, NodeId, NodeName
 from toucanyard.options import MembershipTimings
 from toucanyard.vm_view import UNNAMED, Vm
-from toucanyard_node.encoded_messages import EncodedMessages
+from toucanyard_node.encoded_messages import EncodedMessageCache
 from toucanyard_node.link_codec import Addressed, EventT, LinkCodec, MessageT
-from toucanyard_node.peer_greeting import GreetingError, Side, greet
+from toucanyard_node.peer_handshake import HandshakeError, Side, authenticate_peer
 from toucanyard_node.rate_limit import RateLimit
 
 _LOG: Final = structlog.get_logger()
-_GREETING_TIMEOUT_S: Final = 2.0
+_HANDSHAKE_TIMEOUT_S: Final = 2.0
 _DIAL_INTERVAL_S: Final = 0.25
 """Time between two looks at whom to dial while a wanted link is missing."""
-_REST_INTERVAL_S: Final = 0.5
+_LINKED_INTERVAL_S: Final = 0.5
 """The same while there is none; a link that is lost ends the rest."""
 _MIN_BACKOFF_S: Final = 0.5
 _MAX_BACKOFF_S: Final = 5.0
-_SILENCE_INTERVALS: Final = 5
-_QUEUE: Final = 256
-_MAX_GREETING: Final = 16
+_IDLE_TIMEOUT_DIGESTS: Final = 5
+_QUEUE_SIZE: Final = 256
+_MAX_HANDSHAKES: Final = 16
 _LINKS_PER_PEER: Final = 4
 _MESSAGES_PER_S: Final = 500
 _BYTES_PER_S: Final = 1_000_000
@@ -87,14 +87,14 @@
         self._rng = rng
         self._codec = codec
         self._links: dict[NodeName, _Link[MessageT]] = {}
-        self._named: dict[Address, NodeName] = {}
+        self._names_by_address: dict[Address, NodeName] = {}
         """Who answered at the addresses of peers without a known name."""
         self._dialing: set[str] = set()
         self._dial_after_s: dict[str, float] = {}
         self._backoff_s: dict[str, float] = {}
-        self._greeting = 0
+        self._handshakes = 0
         self._links_changed = trio.Event()
-        self._encoded = EncodedMessages(codec.encode)
+        self._encoded = EncodedMessageCache(codec.encode)
         self.counts = LinkCounts()
 
     async def run(
@@ -127,7 +127,7 @@
             compression=None,
             max_size=self._codec.max_bytes,
             max_queue=2,
-            open_timeout=_GREETING_TIMEOUT_S,
+            open_timeout=_HANDSHAKE_TIMEOUT_S,
             ping_interval=None,
             close_timeout=1,
             server_header=None,
@@ -135,15 +135,15 @@
 
     async def _accept(self, socket: ServerConnection) -> None:
         limit = self._timings.max_peers * _LINKS_PER_PEER
-        if self._greeting >= _MAX_GREETING or len(self._links) >= limit:
+        if self._handshakes >= _MAX_HANDSHAKES or len(self._links) >= limit:
             self.counts.refused += 1
             await socket.aclose(1013)
             return
-        self._greeting += 1
+        self._handshakes += 1
         try:
-            peer = await self._greet(socket, Side.SERVER)
+            peer = await self._authenticate(socket, Side.SERVER)
         finally:
-            self._greeting -= 1
+            self._handshakes -= 1
         if peer is not None:
             await self._run_link(socket, peer, is_dialed=False)
 
@@ -151,7 +151,7 @@
         while True:
             now_s = trio.current_time()
             peers = self._find_peers()
-            self._forget_dials({vm.name for vm in peers})
+            self._drop_stale_dials({vm.name for vm in peers})
             missing = [vm for vm in peers if self._is_missing(vm)]
             for vm in missing:
                 is_due = now_s >= self._dial_after_s.get(vm.name, 0.0)
@@ -162,15 +162,15 @@
                 await trio.sleep(_DIAL_INTERVAL_S)
                 continue
             self._links_changed = trio.Event()
-            with trio.move_on_after(_REST_INTERVAL_S):
+            with trio.move_on_after(_LINKED_INTERVAL_S):
                 await self._links_changed.wait()
 
     def _is_missing(self, vm: Vm) -> bool:
-        name = self._named.get(vm.peers, vm.name)
+        name = self._names_by_address.get(vm.peers, vm.name)
         is_other = name != self._identity.node
         return bool(vm.peers) and is_other and name not in self._links
 
-    def _forget_dials(self, kept: set[str]) -> None:
+    def _drop_stale_dials(self, kept: set[str]) -> None:
         """Drop what is held of nodes that are gone; VMs are replaced all the time."""
         for name in set(self._dial_after_s) - kept:
             del self._dial_after_s[name]
@@ -179,7 +179,7 @@
     async def _dial(self, vm: Vm) -> None:
         try:
             with trio.CancelScope() as scope:
-                scope.deadline = trio.current_time() + _GREETING_TIMEOUT_S
+                scope.deadline = trio.current_time() + _HANDSHAKE_TIMEOUT_S
                 await self._connect(vm, scope)
         except (
             OSError,
@@ -202,17 +202,17 @@
             compression=None,
             max_size=self._codec.max_bytes,
             max_queue=2,
-            open_timeout=_GREETING_TIMEOUT_S,
+            open_timeout=_HANDSHAKE_TIMEOUT_S,
             ping_interval=None,
             close_timeout=1,
             user_agent_header=None,
         ) as socket:
-            peer = await self._greet(socket, Side.CLIENT)
+            peer = await self._authenticate(socket, Side.CLIENT)
             scope.deadline = float("inf")
             if peer is None:
                 return
             if vm.runs == UNNAMED:
-                self._named[vm.peers] = peer.node
+                self._names_by_address[vm.peers] = peer.node
             elif peer.node != vm.name:
                 # The address was given to another node since the list was made.
                 _LOG.info("unexpected_peer", wanted=vm.name, found=peer.node)
@@ -220,12 +220,14 @@
             self._backoff_s.pop(vm.name, None)
             await self._run_link(socket, peer, is_dialed=True)
 
-    async def _greet(self, socket: Connection, side: Side) -> NodeId | None:
+    async def _authenticate(self, socket: Connection, side: Side) -> NodeId | None:
         try:
-            with trio.fail_after(_GREETING_TIMEOUT_S):
-                peer = await greet(socket, side, self._identity, self._secrets)
+            with trio.fail_after(_HANDSHAKE_TIMEOUT_S):
+                peer = await authenticate_peer(
+                    socket, side, self._identity, self._secrets
+                )
         except (
-            GreetingError,
+            HandshakeError,
             trio.TooSlowError,
             websockets.exceptions.ConnectionClosed,
         ) as error:
@@ -241,7 +243,7 @@
     async def _run_link(
         self, socket: Connection, peer: NodeId, *, is_dialed: bool
     ) -> None:
-        queue, messages = trio.open_memory_channel[MessageT](_QUEUE)
+        queue, messages = trio.open_memory_channel[MessageT](_QUEUE_SIZE)
         link: _Link[MessageT] = _Link(peer, is_dialed, queue, trio.CancelScope())
         if not self._is_preferred(link):
             await socket.aclose(1000)
@@ -250,7 +252,7 @@
         if before is not None:
             before.scope.cancel()
         self._links[peer.node] = link
-        await self._tell_links()
+        await self._report_links()
         try:
             with link.scope:
                 async with trio.open_nursery() as nursery:
@@ -263,7 +265,7 @@
             if self._links.get(peer.node) is link:
                 del self._links[peer.node]
                 with trio.CancelScope(shield=True):
-                    await self._tell_links()
+                    await self._report_links()
 
     def _is_preferred(self, link: _Link[MessageT]) -> bool:
         """Tell whether a new link takes the place of one to the same node.
@@ -281,13 +283,13 @@
 
     async def _read(self, socket: Connection, peer: NodeId) -> None:
         limit = RateLimit(_MESSAGES_PER_S, _BYTES_PER_S, self._codec.max_bytes)
-        silence_s = _SILENCE_INTERVALS * self._timings.digest_interval_ms / 1000
+        idle_timeout_s = _IDLE_TIMEOUT_DIGESTS * self._timings.digest_interval_ms / 1000
         while True:
             # Digests come at every interval, so silence means that something between
             # lost track of the connection; it would stay open for good.
-            with trio.move_on_after(silence_s) as silence:
+            with trio.move_on_after(idle_timeout_s) as idle_scope:
                 data = await socket.recv()
-            if silence.cancelled_caught:
+            if idle_scope.cancelled_caught:
                 _LOG.info("link_silent", peer=peer.node)
                 return
             self.counts.received_bytes += len(data)
@@ -318,7 +320,7 @@
                 nursery.cancel_scope.cancel()
             self.counts.sent_bytes += len(data)
 
-    async def _tell_links(self) -> None:
+    async def _report_links(self) -> None:
         self._links_changed.set()
         peers = tuple(link.peer for link in self._links.values())
         await self._emit(self._codec.build_linked(peers))
--- a/packages/toucanyard-node/src/toucanyard_node/part_following.py
+++ b/packages/toucanyard-node/src/toucanyard_node/prompt_block_follower.py
@@ -11,26 +11,26 @@
 from toucanyard.prompt_block_sources import PromptBlockHolder
 from toucanyard.relay_core import RelayCore
 from toucanyard.relay_events import HolderLost, PromptBlocksChanged
-from toucanyard_node.relay_ports import PartFollower
+from toucanyard_node.relay_ports import PromptBlockReader
 from toucanyard_node.relay_task import RelayClient
 
-LOOK_S: Final = 0.5
+CHECK_INTERVAL_S: Final = 0.5
 """Time between two looks at whom to follow."""
-WAIT_MS: Final = 1_000.0
+MAX_POLL_WAIT_MS: Final = 1_000.0
 """How long a call may wait for something to tell."""
-GATHER_S: Final = 0.15
+BATCH_INTERVAL_S: Final = 0.15
 """Pause between two calls to one holder: what it tells in that time comes together."""
-RETRY_S: Final = 0.5
+RETRY_DELAY_S: Final = 0.5
 _LOG: Final = structlog.get_logger()
 
 
-class PartFollowing:
+class PromptBlockFollower:
     """The tasks that follow holders. Invariant: at most one for each holder."""
 
     __slots__ = ("_client", "_core", "_follower", "_scopes")
 
     def __init__(
-        self, core: RelayCore, client: RelayClient, follower: PartFollower
+        self, core: RelayCore, client: RelayClient, follower: PromptBlockReader
     ) -> None:
         self._core = core
         self._client = client
@@ -44,7 +44,7 @@
                 now_ms = trio.current_time() * 1000
                 wanted = self._core.sources.find_followed(self._core.index, now_ms)
                 self._update(wanted, nursery)
-                await trio.sleep(LOOK_S)
+                await trio.sleep(CHECK_INTERVAL_S)
 
     def _update(self, wanted: list[PromptBlockHolder], nursery: trio.Nursery) -> None:
         names = {holder.name for holder in wanted}
@@ -60,20 +60,22 @@
         is_lost = False
         with scope:
             while True:
-                page = await self._follower.read_parts(holder.address, since, WAIT_MS)
+                page = await self._follower.read_prompt_blocks(
+                    holder.address, since, MAX_POLL_WAIT_MS
+                )
                 if page is None:
                     if not is_lost:
                         _LOG.info("holder_lost", holder=holder.name)
                     is_lost = True
-                    self._client.tell(HolderLost(holder.name))
-                    await trio.sleep(RETRY_S)
+                    self._client.send_event(HolderLost(holder.name))
+                    await trio.sleep(RETRY_DELAY_S)
                     continue
                 if is_lost:
                     _LOG.info("holder_back", holder=holder.name)
                 is_lost = False
                 is_reset = epoch not in (-1, page.epoch)
                 epoch, since = page.epoch, page.next_number
-                self._client.tell(
+                self._client.send_event(
                     PromptBlocksChanged(holder.name, page.changes, is_reset, epoch)
                 )
-                await trio.sleep(GATHER_S)
+                await trio.sleep(BATCH_INTERVAL_S)
--- a/packages/toucanyard-node/src/toucanyard_node/rate_limit.py
+++ b/packages/toucanyard-node/src/toucanyard_node/rate_limit.py
@@ -10,7 +10,14 @@
     blocks: nothing is dropped and nothing is kept.
     """
 
-    __slots__ = ("_burst_bytes", "_bytes", "_bytes_per_s", "_messages", "_per_s", "_s")
+    __slots__ = (
+        "_burst_bytes",
+        "_bytes",
+        "_bytes_per_s",
+        "_messages",
+        "_per_s",
+        "_updated_s",
+    )
 
     def __init__(self, per_s: float, bytes_per_s: float, burst_bytes: float) -> None:
         self._per_s = per_s
@@ -18,14 +25,14 @@
         self._burst_bytes = burst_bytes
         self._messages = per_s
         self._bytes = burst_bytes
-        self._s: float | None = None
+        self._updated_s: float | None = None
 
     def spend(self, size_bytes: int, now_s: float) -> float:
         """Take one message off; return how long to wait before the next, in seconds."""
-        passed_s = 0.0 if self._s is None else now_s - self._s
-        self._s = now_s
-        refilled = self._messages + passed_s * self._per_s
+        elapsed_s = 0.0 if self._updated_s is None else now_s - self._updated_s
+        self._updated_s = now_s
+        refilled = self._messages + elapsed_s * self._per_s
         self._messages = min(self._per_s, refilled) - 1
-        refilled_bytes = self._bytes + passed_s * self._bytes_per_s
+        refilled_bytes = self._bytes + elapsed_s * self._bytes_per_s
         self._bytes = min(self._burst_bytes, refilled_bytes) - size_bytes
         return max(0.0, -self._messages / self._per_s, -self._bytes / self._bytes_per_s)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
@@ -21,8 +21,8 @@
     RelayVerdict,
 )
 from toucanyard.requests import DispatchEnding, Refuse
+from toucanyard_node.buffered_answer import AnswerLostError, BufferedAnswer
 from toucanyard_node.event_splitter import EventSplitter
-from toucanyard_node.held_answer import AnswerLostError, HeldAnswer
 from toucanyard_node.http_client import (
     ConnectionFailedError,
     HttpConnection,
@@ -34,14 +34,14 @@
     Responder,
 )
 from toucanyard_node.refusals import render_refusal
-from toucanyard_node.relay_lines import log_ended
+from toucanyard_node.relay_log import log_ended
 from toucanyard_node.relay_metrics import RelayMetrics
 from toucanyard_node.relay_ports import AnswerFacts, CallCodec
 from toucanyard_node.relay_task import RelayClient
 
-GAP_PATIENCE: Final = 2.5
+STREAM_IDLE_FACTOR: Final = 2.5
 """Longest pauses after which a silent stream that may be resumed is."""
-MIN_GAP_MS: Final = 900.0
+MIN_STREAM_IDLE_MS: Final = 900.0
 MISDIRECTED: Final = 421
 SERVER_ERROR: Final = 500
 EVENT_STREAM: Final = "text/event-stream"
@@ -78,7 +78,7 @@
         self._may_have_run = False
         self._first_ms: float | None = None
         """From the call's arrival to the first part of its answer."""
-        self._held: HeldAnswer | None = None
+        self._buffered_answer: BufferedAnswer | None = None
 
     async def run(self) -> None:
         """Dispatch until there is an answer or a final refusal, and send it."""
@@ -86,43 +86,45 @@
             with trio.CancelScope(deadline=self._request.deadline_ms / 1000):
                 await self._run()
                 return
-            await self._end_late()
+            await self._handle_deadline()
         finally:
-            self._give_up()
+            self._report_cancelled()
 
     async def _run(self) -> None:
         verdict: RelayVerdict | None = await self._client.decide(self._request)
         while isinstance(verdict, RelayDispatch):
             self._dispatch = verdict
             try:
-                await self._try(verdict)
+                await self._send_dispatch(verdict)
             except AnswerLostError as error:
-                self._settle(error.outcome)
+                self._record_outcome(error.outcome)
                 verdict = await self._client.report(error.outcome)
                 self._dispatch = verdict if isinstance(verdict, RelayDispatch) else None
                 continue
             return
         if isinstance(verdict, Refuse):
             await self._refuse(verdict)
-        elif self._held is not None:
-            await self._send_whole(self._held)
+        elif self._buffered_answer is not None:
+            await self._send_whole(self._buffered_answer)
 
-    def _settle(self, outcome: RelayOutcome) -> None:
+    def _record_outcome(self, outcome: RelayOutcome) -> None:
         self._is_in_flight = False
         if outcome.ending not in (DispatchEnding.NOT_SENT, DispatchEnding.REFUSED):
             self._may_have_run = True
 
-    def _give_up(self) -> None:
+    def _report_cancelled(self) -> None:
         """Tell the core that a dispatch without an end is over."""
         dispatch, self._dispatch = self._dispatch, None
         if dispatch is not None:
-            outcome = self._build(dispatch, DispatchEnding.CANCELLED, "nobody waits")
-            self._client.tell_ended(outcome)
-            self._note_ended(dispatch, "given_up", 0)
+            outcome = self._build_outcome(
+                dispatch, DispatchEnding.CANCELLED, "nobody waits"
+            )
+            self._client.report_dispatch_ended(outcome)
+            self._record_ended(dispatch, "given_up", 0)
 
-    async def _end_late(self) -> None:
+    async def _handle_deadline(self) -> None:
         """Answer a call whose time is over; a stream that has begun is cut."""
-        self._give_up()
+        self._report_cancelled()
         if self._responder.is_started:
             return
         if self._may_have_run or self._is_in_flight:
@@ -142,12 +144,12 @@
         rendered = render_refusal(refusal, is_exact=True)
         await self._responder.send(rendered.status, rendered.headers, rendered.body)
 
-    async def _try(self, dispatch: RelayDispatch) -> None:
+    async def _send_dispatch(self, dispatch: RelayDispatch) -> None:
         """Make one dispatch and send its answer, or raise AnswerLostError."""
         try:
             connection = await connect(dispatch.address, dispatch.connect_ms)
         except ConnectionFailedError as error:
-            raise self._lose(
+            raise self._build_failure(
                 dispatch, DispatchEnding.NOT_SENT, str(error), cause=error, is_dead=True
             ) from error
         try:
@@ -162,30 +164,32 @@
     ) -> None:
         head = await self._read_head(dispatch, connection)
         facts = self._codec.read_answer(head)
-        self._note_limit(dispatch, facts)
-        self._check(dispatch, head, facts)
+        self._report_limit(dispatch, facts)
+        self._check_answer(dispatch, head, facts)
         is_stream = head.headers.get("content-type", "").startswith(EVENT_STREAM)
         if is_stream and head.status < SERVER_ERROR:
-            await self._relay(dispatch, connection, head, facts)
+            await self._relay_stream(dispatch, connection, head, facts)
             return
         body = await self._read_whole(dispatch, connection)
-        held = HeldAnswer(head.status, self._codec.filter_answer(head), body)
+        answer = BufferedAnswer(head.status, self._codec.filter_answer(head), body)
         if head.status >= SERVER_ERROR:
-            self._held = held
+            self._buffered_answer = answer
             text = f"status {head.status}"
-            raise self._lose(dispatch, DispatchEnding.FAILED, text, facts)
+            raise self._build_failure(dispatch, DispatchEnding.FAILED, text, facts)
         if self._responder.is_started:
             # A stream can't go on with something that is none.
-            raise self._lose(dispatch, DispatchEnding.LOST, "no stream", facts)
+            raise self._build_failure(dispatch, DispatchEnding.LOST, "no stream", facts)
         self._complete(dispatch, facts, head.status)
-        await self._send_whole(held)
+        await self._send_whole(answer)
 
     async def _read_head(
         self, dispatch: RelayDispatch, connection: HttpConnection
     ) -> ResponseHead:
         left_ms = int(self._request.deadline_ms - trio.current_time() * 1000)
         if left_ms <= 0:
-            raise self._lose(dispatch, DispatchEnding.NOT_SENT, "the deadline passed")
+            raise self._build_failure(
+                dispatch, DispatchEnding.NOT_SENT, "the deadline passed"
+            )
         headers = self._codec.build_headers(
             self._http, self._request, dispatch, left_ms, self._splitter.last_id
         )
@@ -200,24 +204,26 @@
                 )
         except ConnectionFailedError as error:
             ending = DispatchEnding.LOST if error.is_sent else DispatchEnding.NOT_SENT
-            raise self._lose(dispatch, ending, str(error), cause=error) from error
+            raise self._build_failure(
+                dispatch, ending, str(error), cause=error
+            ) from error
         except trio.TooSlowError as error:
             text = f"no answer within {dispatch.patience_ms:.0f} ms"
-            raise self._lose(dispatch, DispatchEnding.LOST, text) from error
+            raise self._build_failure(dispatch, DispatchEnding.LOST, text) from error
 
-    def _note_limit(self, dispatch: RelayDispatch, facts: AnswerFacts) -> None:
+    def _report_limit(self, dispatch: RelayDispatch, facts: AnswerFacts) -> None:
         """Tell the core of a limit that a replica names, or has ceased to name."""
         if facts.incarnation and facts.incarnation != dispatch.listed_as:
             return
         has_named = facts.limit_per_s is not None or facts.invalid_limit
         if has_named or dispatch.is_limited:
-            self._client.tell(
+            self._client.send_event(
                 ReplicaLimitSeen(
                     dispatch.replica, facts.limit_per_s, facts.invalid_limit
                 )
             )
 
-    def _check(
+    def _check_answer(
         self, dispatch: RelayDispatch, head: ResponseHead, facts: AnswerFacts
     ) -> None:
         """Raise AnswerLostError for an answer that must not be passed on."""
@@ -225,7 +231,9 @@
             facts.caller_id != self._request.caller_id
         )
         if is_foreign:
-            raise self._lose(dispatch, DispatchEnding.LOST, "the answer is another's")
+            raise self._build_failure(
+                dispatch, DispatchEnding.LOST, "the answer is another's"
+            )
         if head.status == MISDIRECTED:
             is_replaced = bool(facts.incarnation) and (
                 facts.incarnation != dispatch.listed_as
@@ -241,14 +249,18 @@
                     weights_version=facts.weights_version,
                 )
             )
-        if facts.is_unrun:
+        if facts.is_not_run:
             text = f"turned away with {head.status}"
-            raise self._lose(dispatch, DispatchEnding.REFUSED, text, facts)
+            raise self._build_failure(dispatch, DispatchEnding.REFUSED, text, facts)
         is_success = head.status < 300
         if is_success and not (facts.is_signed and facts.caller_id):
-            raise self._lose(dispatch, DispatchEnding.LOST, "unsigned answer", facts)
+            raise self._build_failure(
+                dispatch, DispatchEnding.LOST, "unsigned answer", facts
+            )
         if "content-encoding" in head.headers:
-            raise self._lose(dispatch, DispatchEnding.LOST, "encoded answer", facts)
+            raise self._build_failure(
+                dispatch, DispatchEnding.LOST, "encoded answer", facts
+            )
 
     async def _read_whole(
         self, dispatch: RelayDispatch, connection: HttpConnection
@@ -257,11 +269,11 @@
             return await connection.read_body()
         except ConnectionFailedError as error:
             text = str(error)
-            raise self._lose(
+            raise self._build_failure(
                 dispatch, DispatchEnding.LOST, text, cause=error
             ) from error
 
-    async def _relay(
+    async def _relay_stream(
         self,
         dispatch: RelayDispatch,
         connection: HttpConnection,
@@ -270,55 +282,57 @@
     ) -> None:
         self._splitter.drop_rest()
         if not self._responder.is_started and not self._request.is_resumable:
-            await self._begin(head)
+            await self._start_answer(head)
         while True:
-            part = await self._read_part(dispatch, connection, facts)
-            if part is None:
+            chunk = await self._read_stream_chunk(dispatch, connection, facts)
+            if chunk is None:
                 break
-            whole = self._splitter.push(part)
-            if not whole:
+            events = self._splitter.push(chunk)
+            if not events:
                 continue
             if not self._responder.is_started:
-                await self._begin(head)
+                await self._start_answer(head)
             if self._first_ms is None:
                 self._first_ms = trio.current_time() * 1000 - self._request.arrived_ms
-                self._metrics.note_first(self._request, self._first_ms)
-                self._client.tell_first(self._request.request_id)
-            await self._responder.write(whole)
+                self._metrics.record_first_part(self._request, self._first_ms)
+                self._client.report_first_event(self._request.request_id)
+            await self._responder.write(events)
         if self._splitter.has_rest():
-            raise self._lose(
+            raise self._build_failure(
                 dispatch, DispatchEnding.LOST, "cut inside an event", facts
             )
         if not self._responder.is_started:
-            await self._begin(head)
+            await self._start_answer(head)
         self._complete(dispatch, facts, head.status)
         await self._responder.finish()
 
-    async def _begin(self, head: ResponseHead) -> None:
+    async def _start_answer(self, head: ResponseHead) -> None:
         await self._responder.start(head.status, self._codec.filter_answer(head))
 
-    async def _read_part(
+    async def _read_stream_chunk(
         self, dispatch: RelayDispatch, connection: HttpConnection, facts: AnswerFacts
     ) -> bytes | None:
         try:
-            with trio.fail_after(self._compute_gap(dispatch) / 1000):
-                return await connection.read_part()
+            with trio.fail_after(self._compute_idle_timeout(dispatch) / 1000):
+                return await connection.read_body_chunk()
         except ConnectionFailedError as error:
-            raise self._lose(
+            raise self._build_failure(
                 dispatch, DispatchEnding.LOST, str(error), facts, cause=error
             ) from error
         except trio.TooSlowError as error:
-            raise self._lose(dispatch, DispatchEnding.LOST, "silent", facts) from error
+            raise self._build_failure(
+                dispatch, DispatchEnding.LOST, "silent", facts
+            ) from error
 
-    def _compute_gap(self, dispatch: RelayDispatch) -> float:
+    def _compute_idle_timeout(self, dispatch: RelayDispatch) -> float:
         """Return the silence after which a stream is resumed elsewhere, in ms."""
         if math.isinf(dispatch.patience_ms):
             return math.inf
         if self._first_ms is None:
             return dispatch.patience_ms
-        return max(self._max_gap_ms * GAP_PATIENCE, MIN_GAP_MS)
+        return max(self._max_gap_ms * STREAM_IDLE_FACTOR, MIN_STREAM_IDLE_MS)
 
-    def _lose(
+    def _build_failure(
         self,
         dispatch: RelayDispatch,
         ending: DispatchEnding,
@@ -328,13 +342,13 @@
         cause: ConnectionFailedError | None = None,
         is_dead: bool = False,
     ) -> AnswerLostError:
-        outcome = self._build(
+        outcome = self._build_outcome(
             dispatch, ending, text, facts, cause=cause, is_dead=is_dead
         )
-        self._note_ended(dispatch, ending.value, 0, text, is_closed=outcome.is_closed)
+        self._record_ended(dispatch, ending.value, 0, text, is_closed=outcome.is_closed)
         return AnswerLostError(outcome)
 
-    def _build(
+    def _build_outcome(
         self,
         dispatch: RelayDispatch,
         ending: DispatchEnding,
@@ -360,11 +374,11 @@
         self, dispatch: RelayDispatch, facts: AnswerFacts, status: int
     ) -> None:
         self._dispatch = None
-        outcome = self._build(dispatch, DispatchEnding.COMPLETED, "", facts)
-        self._client.tell_ended(outcome)
-        self._note_ended(dispatch, "answered", status)
+        outcome = self._build_outcome(dispatch, DispatchEnding.COMPLETED, "", facts)
+        self._client.report_dispatch_ended(outcome)
+        self._record_ended(dispatch, "answered", status)
 
-    def _note_ended(
+    def _record_ended(
         self,
         dispatch: RelayDispatch,
         ending: str,
@@ -374,7 +388,7 @@
         is_closed: bool = False,
     ) -> None:
         after_ms = trio.current_time() * 1000 - self._request.arrived_ms
-        self._metrics.note_ended(self._request, ending, after_ms)
+        self._metrics.record_dispatch_ended(self._request, ending, after_ms)
         log_ended(
             self._request,
             dispatch,
@@ -386,8 +400,8 @@
             is_closed=is_closed,
         )
 
-    async def _send_whole(self, held: HeldAnswer) -> None:
+    async def _send_whole(self, answer: BufferedAnswer) -> None:
         if self._responder.is_started:
             self._responder.close_after()
             return
-        await self._responder.send(held.status, held.headers, held.body)
+        await self._responder.send(answer.status, answer.headers, answer.body)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_metrics.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_metrics.py
@@ -26,16 +26,16 @@
 """Requests under quarantine with a line of their own."""
 MAX_LIMITED: Final = 50
 """Customers with limits that have lines of their own."""
-DIGITS: Final = 1
+SIGNIFICANT_DIGITS: Final = 1
 """Values are told apart by 6% or less."""
 QUANTILES: Final = (50.0, 95.0, 99.0)
-REST: Final = ("", "other")
+OVERFLOW_GROUP: Final = ("", "other")
 
 Group = tuple[str, str]
 """Customer and class."""
 
 
-def find_class(request: RelayRequest) -> str:
+def classify_call(request: RelayRequest) -> str:
     """Return the class of a call: what may be done with it."""
     if request.is_stream:
         return "resumable_stream" if request.is_resumable else "stream"
@@ -54,17 +54,19 @@
         self._first_ms: dict[Group, HdrHistogram] = {}
         self._total_ms: dict[Group, HdrHistogram] = {}
 
-    def note_first(self, request: RelayRequest, after_ms: float) -> None:
+    def record_first_part(self, request: RelayRequest, after_ms: float) -> None:
         """Record the time from a call's arrival to the first part of its answer."""
         _record(self._first_ms, self._find_group(request), after_ms)
 
-    def note_ended(self, request: RelayRequest, ending: str, after_ms: float) -> None:
+    def record_dispatch_ended(
+        self, request: RelayRequest, ending: str, after_ms: float
+    ) -> None:
         """Record how a dispatch ended, and the time since its call's arrival."""
         group = self._find_group(request)
         self._endings[(group, ending)] += 1
         _record(self._total_ms, group, after_ms)
 
-    def note_refused(self, kind: ErrorKind) -> None:
+    def record_refusal(self, kind: ErrorKind) -> None:
         """Count a refusal."""
         self._refusals[kind.value] += 1
 
@@ -85,10 +87,10 @@
         return "\n".join(lines) + "\n"
 
     def _find_group(self, request: RelayRequest) -> Group:
-        group = (str(request.customer), find_class(request))
+        group = (str(request.customer), classify_call(request))
         if group in self._total_ms or len(self._total_ms) < MAX_GROUPS:
             return group
-        return REST
+        return OVERFLOW_GROUP
 
     def _render_calls(self) -> Iterator[str]:
         for (group, ending), count in sorted(self._endings.items()):
@@ -159,15 +161,15 @@
     """Render the limits of which this node is the home, the most denied first."""
     yield _format("limit_rejections_total", core.limits.rejected)
     yield _format("limit_questions_total", core.limits.accounts.asked)
-    uses = core.shares.list_uses()
-    uses.sort(key=lambda each: (-each.denied_total, each.subject))
-    for use in uses[:MAX_LIMITED]:
-        labels = {"customer": use.subject}
-        yield _format("limit_rate_per_s", use.rate_per_s, **labels)
-        yield _format("limit_share", round(use.share, 3), **labels)
-        yield _format("limit_level", round(use.level), **labels)
-        yield _format("limit_granted_total", round(use.granted_total), **labels)
-        yield _format("limit_denied_total", round(use.denied_total), **labels)
+    usages = core.shares.list_uses()
+    usages.sort(key=lambda each: (-each.denied_total, each.subject))
+    for usage in usages[:MAX_LIMITED]:
+        labels = {"customer": usage.subject}
+        yield _format("limit_rate_per_s", usage.rate_per_s, **labels)
+        yield _format("limit_share", round(usage.share, 3), **labels)
+        yield _format("limit_level", round(usage.level), **labels)
+        yield _format("limit_granted_total", round(usage.granted_total), **labels)
+        yield _format("limit_denied_total", round(usage.denied_total), **labels)
 
 
 def _render_replica_limits(core: RelayCore) -> Iterator[str]:
@@ -175,11 +177,11 @@
     for name, rate_per_s in core.replica_limits.list_limited()[:MAX_LIMITED]:
         yield _format("replica_limit_per_s", rate_per_s, replica=name)
     yield _format("replica_limit_questions_total", core.credits.accounts.asked)
-    for use in core.shares.list_uses(LimitKind.REPLICA)[:MAX_LIMITED]:
-        labels = {"replica": use.subject}
-        yield _format("replica_limit_share", round(use.share, 3), **labels)
-        yield _format("replica_limit_granted_total", use.granted_total, **labels)
-        yield _format("replica_limit_denied_total", use.denied_total, **labels)
+    for usage in core.shares.list_uses(LimitKind.REPLICA)[:MAX_LIMITED]:
+        labels = {"replica": usage.subject}
+        yield _format("replica_limit_share", round(usage.share, 3), **labels)
+        yield _format("replica_limit_granted_total", usage.granted_total, **labels)
+        yield _format("replica_limit_denied_total", usage.denied_total, **labels)
 
 
 def _record(
@@ -187,7 +189,7 @@
 ) -> None:
     histogram = histograms.get(group)
     if histogram is None:
-        histogram = histograms[group] = HdrHistogram(1, HIGHEST_MS, DIGITS)
+        histogram = histograms[group] = HdrHistogram(1, HIGHEST_MS, SIGNIFICANT_DIGITS)
     histogram.record_value(min(max(round(value_ms), 1), HIGHEST_MS))
 
 
--- a/packages/toucanyard-node/src/toucanyard_node/relay_node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_node.py
@@ -30,23 +30,27 @@
 from toucanyard_node.http_exchange import HttpRequest, Responder
 from toucanyard_node.http_server import HttpServer, ServerLimits, open_listener
 from toucanyard_node.link_codec import LinkCodec
-from toucanyard_node.part_following import PartFollowing
 from toucanyard_node.peer_links import PeerLinks
-from toucanyard_node.relay_face import RelayFace
+from toucanyard_node.prompt_block_follower import PromptBlockFollower
 from toucanyard_node.relay_metrics import RelayMetrics
 from toucanyard_node.relay_ports import (
     CallCodec,
-    PartFollower,
+    PromptBlockReader,
     ReplicaControl,
     Store,
 )
-from toucanyard_node.relay_store import Errands, StoreReader, keep_trying
-from toucanyard_node.relay_task import Errand, RelayTask
+from toucanyard_node.relay_server import RelayServer
+from toucanyard_node.relay_store import (
+    BackgroundJobRunner,
+    StoreReader,
+    retry_until_success,
+)
+from toucanyard_node.relay_task import BackgroundJob, RelayTask
 from toucanyard_node.settings_watch import SettingsWatch
 
 Handler = Callable[[HttpRequest, Responder], Awaitable[None]]
 
-OUTBOX: Final = 10_000
+OUTBOX_SIZE: Final = 10_000
 RESERVED_DESCRIPTORS: Final = 400
 """Descriptors kept free of callers' connections, for files, peers and the store."""
 DESCRIPTORS_PER_CALL: Final = 2
@@ -55,9 +59,9 @@
 """How long before the process is killed it ends by itself."""
 CLOSE_MARGIN_MS: Final = 300.0
 """Time beyond what callers keep addresses for until idle connections are closed."""
-FAR_CLOSE_MARGIN_MS: Final = 800.0
+HUB_CLOSE_MARGIN_MS: Final = 800.0
 """The same in a fleet where hubs pass on that this node stops."""
-LIMITS_S: Final = 1.0
+LIMITS_INTERVAL_S: Final = 1.0
 """Time between two looks at the limits that operators set for callers."""
 _LOG: Final = structlog.get_logger()
 
@@ -76,10 +80,10 @@
     calls: CallCodec
     store: Store
     replicas: ReplicaControl
-    parts: PartFollower
+    prompt_blocks: PromptBlockReader
 
 
-class Pages(msgspec.Struct, frozen=True):
+class AuxiliaryHandlers(msgspec.Struct, frozen=True):
     """Handlers beside the callers' face, each with an address of its own."""
 
     readiness: Handler
@@ -99,12 +103,12 @@
         self._ports = ports
         self._output = output
         self._stopping = trio.Event()
-        send, self._messages = trio.open_memory_channel[SendToPeer](OUTBOX)
-        send_errand, self._errands = trio.open_memory_channel[Errand](OUTBOX)
+        send, self._messages = trio.open_memory_channel[SendToPeer](OUTBOX_SIZE)
+        send_job, self._jobs = trio.open_memory_channel[BackgroundJob](OUTBOX_SIZE)
         self.metrics = RelayMetrics()
-        self._task = RelayTask(core, send, send_errand, self.metrics)
+        self._task = RelayTask(core, send, send_job, self.metrics)
         client = self._task.client
-        self._face = RelayFace(
+        self._relay_server = RelayServer(
             client,
             ports.calls,
             lambda: core.index,
@@ -112,10 +116,10 @@
             self.metrics,
             rng,
         )
-        self._server = HttpServer(self._face.handle, self._find_limits())
+        self._http_server = HttpServer(self._relay_server.handle, self._find_limits())
         self._reader = StoreReader(core, client, ports.store, rng)
-        self._doer = Errands(client, ports.store, ports.replicas)
-        self._following = PartFollowing(core, client, ports.parts)
+        self._job_runner = BackgroundJobRunner(client, ports.store, ports.replicas)
+        self._block_follower = PromptBlockFollower(core, client, ports.prompt_blocks)
         timings = MembershipTimings(
             max_peers=MAX_MESH, digest_interval_ms=int(STATUS_MS)
         )
@@ -129,7 +133,7 @@
             RELAY_LINKS,
         )
 
-    async def run(self, pages: Pages) -> None:
+    async def run(self, handlers: AuxiliaryHandlers) -> None:
         """Run until the planned stop is over."""
         listen = self._options.listen
         # Peers send a starting node the routes within milliseconds, and callers come
@@ -142,20 +146,20 @@
                 nursery.start_soon(self.settings_watch.run)
             nursery.start_soon(self._task.run)
             nursery.start_soon(self._reader.run)
-            nursery.start_soon(self._following.run)
-            nursery.start_soon(self._doer.run, self._errands)
+            nursery.start_soon(self._block_follower.run)
+            nursery.start_soon(self._job_runner.run, self._jobs)
             peers = await _listen(listen.peers)
             nursery.start_soon(self._links.run, peers, self._messages)
             nursery.start_soon(self._announce)
-            nursery.start_soon(self._follow_limits)
+            nursery.start_soon(self._refresh_limits)
             for address, handler in (
-                (listen.readiness, pages.readiness),
-                (listen.locator, pages.locator),
-                (listen.metrics, pages.metrics),
+                (listen.readiness, handlers.readiness),
+                (listen.locator, handlers.locator),
+                (listen.metrics, handlers.metrics),
             ):
                 server = HttpServer(handler, ServerLimits())
                 nursery.start_soon(server.serve, await _listen(address))
-            nursery.start_soon(self._server.serve, callers)
+            nursery.start_soon(self._http_server.serve, callers)
             _LOG.info("started", callers=listen.callers, peers=listen.peers)
             await self._stop()
             nursery.cancel_scope.cancel()
@@ -167,7 +171,7 @@
         return self.core.is_ready() and not self._stopping.is_set()
 
     async def _emit(self, event: RelayEvent) -> None:
-        self._task.client.tell(event)
+        self._task.client.send_event(event)
 
     def _find_limits(self) -> ServerLimits:
         bounds = self.core.index.table.bounds
@@ -181,15 +185,17 @@
             is_pipelined=False,
         )
 
-    async def _follow_limits(self) -> None:
+    async def _refresh_limits(self) -> None:
         while True:
-            self._server.apply_limits(self._find_limits())
-            await trio.sleep(LIMITS_S)
+            self._http_server.apply_limits(self._find_limits())
+            await trio.sleep(LIMITS_INTERVAL_S)
 
     async def _announce(self) -> None:
         """Write where this node can be reached, so that others find it."""
         record = self.core.own_record
-        await keep_trying(lambda: self._ports.store.append_node(record), "announce")
+        await retry_until_success(
+            lambda: self._ports.store.append_node(record), "announce"
+        )
 
     async def _watch_signals(self, scope: trio.CancelScope) -> None:
         """Begin the planned stop on SIGTERM or SIGINT; end on the second one."""
@@ -217,15 +223,15 @@
         stop = self._options.stop
         pending = self.core.flow.count_pending()
         _LOG.info("stop_begun", pending=pending, grace_ms=stop.grace_ms)
-        self._task.client.tell(StopBegun())
-        is_near = self.core.roster.is_full_mesh()
-        margin_ms = CLOSE_MARGIN_MS if is_near else FAR_CLOSE_MARGIN_MS
+        self._task.client.send_event(StopBegun())
+        is_full_mesh = self.core.roster.is_full_mesh()
+        margin_ms = CLOSE_MARGIN_MS if is_full_mesh else HUB_CLOSE_MARGIN_MS
         keep_ms = stop.locate_ttl_ms * stop.keep_factor + margin_ms
         last_s = begun_s + (stop.grace_ms - STOP_MARGIN_MS) / 1000
         await trio.sleep(keep_ms / 1000)
-        self._server.stop()
+        self._http_server.stop()
         with trio.CancelScope(deadline=last_s):
-            await self._server.wait_stopped()
+            await self._http_server.wait_stopped()
             _LOG.info("stop_ended", is_clean=True)
             return
         left = self.core.flow.count_pending()
--- a/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
@@ -43,7 +43,7 @@
     caller_id: str
     is_signed: bool
     """Whether the replica vouches for the answer."""
-    is_unrun: bool
+    is_not_run: bool
     """Whether the replica says that it did not run the call."""
     incarnation: str
     """Which replica answered; empty if it doesn't say."""
@@ -113,7 +113,7 @@
     end: int
 
 
-class PartPage(msgspec.Struct, frozen=True):
+class PromptBlockPage(msgspec.Struct, frozen=True):
     """What a holder of parts has told since it was last asked."""
 
     epoch: int
@@ -124,12 +124,12 @@
     changes: tuple[PromptBlockChange, ...]
 
 
-class PartFollower(Protocol):
+class PromptBlockReader(Protocol):
     """Asks holders of parts what they keep."""
 
-    async def read_parts(
+    async def read_prompt_blocks(
         self, address: Address, since: int, wait_ms: float
-    ) -> PartPage | None:
+    ) -> PromptBlockPage | None:
         """Return what has changed; None without an answer."""
         ...
 
--- a/packages/toucanyard-node/src/toucanyard_node/relay_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_server.py
@@ -34,7 +34,7 @@
 _LOG: Final = structlog.get_logger()
 
 
-class RelayFace:
+class RelayServer:
     """Serve relayed calls."""
 
     __slots__ = (
@@ -72,7 +72,7 @@
         try:
             exchange = self._prepare(http, responder, arrived_ms)
         except RouterError as error:
-            await self._turn_away(http, responder, error)
+            await self._reject(http, responder, error)
             return
         await exchange.run()
 
@@ -114,7 +114,7 @@
             rank=_find_rank(route, customer),
             target_ms=route.target_ms,
             arrived_ms=arrived_ms,
-            deadline_ms=arrived_ms + _find_time(route, facts),
+            deadline_ms=arrived_ms + _compute_timeout_ms(route, facts),
             table_version=index.table.version,
             prompt=facts.prompt,
             tokens=facts.tokens,
@@ -133,10 +133,10 @@
             self._metrics,
         )
 
-    async def _turn_away(
+    async def _reject(
         self, http: HttpRequest, responder: Responder, error: RouterError
     ) -> None:
-        self._metrics.note_refused(error.kind)
+        self._metrics.record_refusal(error.kind)
         _LOG.info(
             "turned_away",
             kind=error.kind.value,
@@ -169,7 +169,7 @@
     return min(max(rank, 0), MAX_RANK)
 
 
-def _find_time(route: Route, facts: CallFacts) -> int:
+def _compute_timeout_ms(route: Route, facts: CallFacts) -> int:
     if facts.deadline_ms is None:
         return route.timeout_ms
     return min(facts.deadline_ms, route.timeout_ms)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_store.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_store.py
@@ -42,17 +42,17 @@
     StoreError,
     TopicPage,
 )
-from toucanyard_node.relay_task import Errand, RelayClient
+from toucanyard_node.relay_task import BackgroundJob, RelayClient
 
-LOOK_S: Final = {Topic.REPLICAS: 0.05, Topic.NODES: 0.25, Topic.OPERATOR: 0.1}
+CHECK_INTERVAL_S: Final = {Topic.REPLICAS: 0.05, Topic.NODES: 0.25, Topic.OPERATOR: 0.1}
 """Time between two looks at whether a read of a topic is due."""
-FAR_LOOK_S: Final = 0.15
+SPARSE_CHECK_INTERVAL_S: Final = 0.15
 """The least such time in a fleet that is not meshed, where few of many nodes read."""
-MAX_FAR_LOOK_S: Final = 0.3
+MAX_SPARSE_CHECK_INTERVAL_S: Final = 0.3
 """The longest such time there: who reads may have died since the last look."""
-RETRY_S: Final = 0.25
+RETRY_DELAY_S: Final = 0.25
 """Pause after a failed read."""
-MAX_RETRY_S: Final = 1.0
+MAX_RETRY_DELAY_S: Final = 1.0
 _LOG: Final = structlog.get_logger()
 T = TypeVar("T")
 
@@ -81,10 +81,10 @@
         "_client",
         "_core",
         "_is_down",
-        "_needs_whole",
-        "_next",
+        "_needs_full_read",
+        "_next_offsets",
         "_poll",
-        "_reading",
+        "_running_reads",
         "_rng",
         "_store",
     )
@@ -96,9 +96,9 @@
         self._client = client
         self._store = store
         self._rng = rng
-        self._needs_whole = set(Topic)
-        self._next = dict.fromkeys(Topic, 0)
-        self._reading = Counter[Topic]()
+        self._needs_full_read = set(Topic)
+        self._next_offsets = dict.fromkeys(Topic, 0)
+        self._running_reads = Counter[Topic]()
         """Reads of each topic that are not over."""
         self._is_down = False
         self._poll: _Poll | None = None
@@ -106,25 +106,25 @@
     async def run(self) -> None:
         """Read until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keep_polling, Topic.OPERATOR)
+            nursery.start_soon(self._poll_repeatedly, Topic.OPERATOR)
             for topic in Topic:
-                nursery.start_soon(self._watch, topic)
+                nursery.start_soon(self._read_when_due, topic)
 
-    async def _keep_polling(self, topic: Topic) -> None:
+    async def _poll_repeatedly(self, topic: Topic) -> None:
         """Hear soon of changes of a topic that seldom changes."""
-        pause_s = RETRY_S
+        pause_s = RETRY_DELAY_S
         while True:
             if await self._poll_once(topic):
-                pause_s = RETRY_S
+                pause_s = RETRY_DELAY_S
                 continue
             await trio.sleep(pause_s)
-            pause_s = min(2 * pause_s, MAX_RETRY_S)
+            pause_s = min(2 * pause_s, MAX_RETRY_DELAY_S)
 
     async def _poll_once(self, topic: Topic) -> bool:
         """Return whether the poll was answered, or lost and is to be made again."""
         now_ms = trio.current_time() * 1000
         self._core.reads.record_read_started(topic, now_ms)
-        self._poll = poll = _Poll(topic, self._find_next(topic))
+        self._poll = poll = _Poll(topic, self._find_next_offset(topic))
         is_read = False
         with poll.scope:
             wait_ms = self._core.reads.compute_poll_wait(self._rng.random(), now_ms)
@@ -146,11 +146,11 @@
         elif now_ms - poll.missed_ms >= POLL_LAG_MS:
             poll.scope.cancel()
 
-    def _find_next(self, topic: Topic) -> int:
+    def _find_next_offset(self, topic: Topic) -> int:
         # What a peer has told makes reading everything needless.
-        return max(self._core.exchange.views[topic].end, self._next[topic])
+        return max(self._core.exchange.views[topic].end, self._next_offsets[topic])
 
-    async def _watch(self, topic: Topic) -> None:
+    async def _read_when_due(self, topic: Topic) -> None:
         """Read a topic once what is known of it is too old."""
         async with trio.open_nursery() as nursery:
             while True:
@@ -159,36 +159,41 @@
                     self._check_poll(now_ms)
                 if self._is_due(topic, now_ms):
                     self._core.reads.record_read_started(topic, now_ms)
-                    self._reading[topic] += 1
-                    nursery.start_soon(self._read_and_rest, topic)
-                await trio.sleep(self._find_look(topic, now_ms))
+                    self._running_reads[topic] += 1
+                    nursery.start_soon(self._read_then_pause, topic)
+                await trio.sleep(self._compute_check_interval(topic, now_ms))
 
-    def _find_look(self, topic: Topic, now_ms: float) -> float:
+    def _compute_check_interval(self, topic: Topic, now_ms: float) -> float:
         if self._core.roster.is_full_mesh():
-            return LOOK_S[topic]
+            return CHECK_INTERVAL_S[topic]
         due_s = (self._core.reads.find_due(topic, now_ms) - now_ms) / 1000
-        return min(max(due_s, FAR_LOOK_S, LOOK_S[topic]), MAX_FAR_LOOK_S)
+        return min(
+            max(due_s, SPARSE_CHECK_INTERVAL_S, CHECK_INTERVAL_S[topic]),
+            MAX_SPARSE_CHECK_INTERVAL_S,
+        )
 
     def _is_due(self, topic: Topic, now_ms: float) -> bool:
         is_due = self._core.reads.is_due(topic, now_ms)
-        if self._reading[topic]:
+        if self._running_reads[topic]:
             return is_due and self._core.reads.may_retry_read(topic, now_ms)
         if topic is Topic.OPERATOR:
             return is_due
-        is_new = topic in self._needs_whole and not self._core.exchange.views[topic].end
+        is_new = (
+            topic in self._needs_full_read and not self._core.exchange.views[topic].end
+        )
         return is_new or is_due
 
-    async def _read_and_rest(self, topic: Topic) -> None:
+    async def _read_then_pause(self, topic: Topic) -> None:
         if not await self._read(topic, 0.0):
-            await trio.sleep(RETRY_S)
-        self._reading[topic] -= 1
+            await trio.sleep(RETRY_DELAY_S)
+        self._running_reads[topic] -= 1
 
     async def _read(self, topic: Topic, wait_ms: float) -> bool:
         asked_ms = trio.current_time() * 1000
-        since = self._find_next(topic)
-        is_whole = topic in self._needs_whole and not since
+        since = self._find_next_offset(topic)
+        is_full_read = topic in self._needs_full_read and not since
         try:
-            if is_whole:
+            if is_full_read:
                 page = await self._store.read_newest(topic)
             else:
                 page = await self._store.read_since(topic, since, wait_ms)
@@ -197,23 +202,25 @@
             page_or_none = await self._read_again(topic)
             if page_or_none is None:
                 return False
-            page, is_whole = page_or_none, True
+            page, is_full_read = page_or_none, True
         except StoreError as error:
-            self._note_failure(topic.value, error, asked_ms)
+            self._record_failure(topic.value, error, asked_ms)
             return False
-        self._note_success()
-        self._needs_whole.discard(topic)
+        self._record_success()
+        self._needs_full_read.discard(topic)
         seen_ms = asked_ms
-        if not is_whole:
+        if not is_full_read:
             # Nothing came before a record that was waited for, or until the wait's end.
             now_ms = trio.current_time() * 1000
             seen_ms = now_ms if wait_ms and page.records else asked_ms + wait_ms
             seen_ms = min(seen_ms, now_ms)
-        self._client.tell(
-            TopicRead(topic, page.records, page.end, is_whole, seen_ms, wait_ms > 0.0)
+        self._client.send_event(
+            TopicRead(
+                topic, page.records, page.end, is_full_read, seen_ms, wait_ms > 0.0
+            )
         )
         # The core may not have taken it in when the next read asks where to go on.
-        self._next[topic] = max(page.end, self._next[topic])
+        self._next_offsets[topic] = max(page.end, self._next_offsets[topic])
         return True
 
     async def _read_again(self, topic: Topic) -> TopicPage | None:
@@ -221,22 +228,22 @@
         try:
             return await self._store.read_newest(topic)
         except StoreError as error:
-            self._note_failure(topic.value, error, asked_ms)
+            self._record_failure(topic.value, error, asked_ms)
             return None
 
-    def _note_failure(self, purpose: str, error: StoreError, asked_ms: float) -> None:
+    def _record_failure(self, purpose: str, error: StoreError, asked_ms: float) -> None:
         if not self._is_down:
             _LOG.warning("store_lost", purpose=purpose, reason=error.reason)
         self._is_down = True
-        self._client.tell(StoreFailed(purpose, error.reason, asked_ms))
+        self._client.send_event(StoreFailed(purpose, error.reason, asked_ms))
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if self._is_down:
             _LOG.info("store_back")
         self._is_down = False
 
 
-class Errands:
+class BackgroundJobRunner:
     """Do what the core asks for at the store and at replicas, and tell how it went."""
 
     __slots__ = ("_client", "_control", "_store")
@@ -248,29 +255,29 @@
         self._store = store
         self._control = control
 
-    async def run(self, errands: trio.MemoryReceiveChannel[Errand]) -> None:
+    async def run(self, jobs: trio.MemoryReceiveChannel[BackgroundJob]) -> None:
         """Do errands until cancelled, each in a task of its own."""
         async with trio.open_nursery() as nursery:
-            async for errand in errands:
-                nursery.start_soon(self._do, errand)
+            async for job in jobs:
+                nursery.start_soon(self._run_job, job)
 
-    async def _do(self, errand: Errand) -> None:
-        event = await self._carry_out(errand)
+    async def _run_job(self, job: BackgroundJob) -> None:
+        event = await self._execute(job)
         if event is not None:
-            self._client.tell(event)
+            self._client.send_event(event)
 
-    async def _carry_out(self, errand: Errand) -> RelayEvent | None:
-        match errand:
+    async def _execute(self, job: BackgroundJob) -> RelayEvent | None:
+        match job:
             case ReadLeases(from_offset=offset):
                 return await self._read_leases(offset)
             case AppendLease():
-                return await self._append_lease(errand)
+                return await self._append_lease(job)
             case ReadReplicaState(replica=replica, listed_as=listed_as):
                 asked_ms = trio.current_time() * 1000
-                answer = await self._control.read_state(errand.address, listed_as)
+                answer = await self._control.read_state(job.address, listed_as)
                 return ReplicaStateRead(replica, answer.state, asked_ms, answer.reach)
             case WeightsOrder():
-                return await self._send_order(errand)
+                return await self._send_order(job)
             case WriteQuarantine(request=request):
                 return await self._write_quarantine(request)
             case EraseQuarantine(fingerprint=fingerprint):
@@ -284,16 +291,16 @@
             return StoreFailed("turns", error.reason, asked_ms)
         return LeaseRead(tuple(records), end)
 
-    async def _append_lease(self, errand: AppendLease) -> RelayEvent:
+    async def _append_lease(self, job: AppendLease) -> RelayEvent:
         sent_ms = trio.current_time() * 1000
         try:
-            offset = await self._store.append_lease(errand.value, errand.at)
+            offset = await self._store.append_lease(job.value, job.at)
         except LeaseConflictError as error:
             return LeaseAppended(None, sent_ms, error.end)
         except StoreError as error:
-            self._client.tell(StoreFailed("turn", error.reason, sent_ms))
+            self._client.send_event(StoreFailed("turn", error.reason, sent_ms))
             return LeaseAppended(None, sent_ms)
-        _LOG.info("turn_taken", offset=offset, at=errand.at)
+        _LOG.info("turn_taken", offset=offset, at=job.at)
         return LeaseAppended(offset, sent_ms)
 
     async def _write_quarantine(self, request: QuarantinedRequest) -> RelayEvent:
@@ -328,13 +335,13 @@
         return OrderAnswered(order, status)
 
 
-async def keep_trying(attempt: Callable[[], Awaitable[T]], purpose: str) -> T:
+async def retry_until_success(attempt: Callable[[], Awaitable[T]], purpose: str) -> T:
     """Return what a call to the store gives, trying again until it does."""
-    pause_s = RETRY_S
+    pause_s = RETRY_DELAY_S
     while True:
         try:
             return await attempt()
         except StoreError as error:
             _LOG.warning("store_call_failed", purpose=purpose, reason=error.reason)
         await trio.sleep(pause_s)
-        pause_s = min(2 * pause_s, MAX_RETRY_S)
+        pause_s = min(2 * pause_s, MAX_RETRY_DELAY_S)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_task.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_task.py
@@ -38,13 +38,13 @@
     RelayVerdict,
 )
 from toucanyard.requests import Refuse
-from toucanyard_node.relay_lines import log_refused, log_sent
+from toucanyard_node.relay_log import log_refused, log_sent
 from toucanyard_node.relay_metrics import RelayMetrics
 
 _LOG: Final = structlog.get_logger()
 
 Reply = trio.MemorySendChannel[RelayVerdict | None]
-Errand = (
+BackgroundJob = (
     ReadLeases
     | AppendLease
     | ReadReplicaState
@@ -54,7 +54,7 @@
 )
 
 
-class Ask(msgspec.Struct, frozen=True):
+class VerdictRequest(msgspec.Struct, frozen=True):
     """An event that is answered by one verdict."""
 
     event: CallArrived | DispatchEnded
@@ -66,15 +66,17 @@
 
     __slots__ = ("_inbox",)
 
-    def __init__(self, inbox: trio.MemorySendChannel[Ask | RelayEvent]) -> None:
+    def __init__(
+        self, inbox: trio.MemorySendChannel[VerdictRequest | RelayEvent]
+    ) -> None:
         self._inbox = inbox
 
     async def decide(self, request: RelayRequest) -> RelayVerdict:
         """Ask what to do with a new call; waits while it is queued."""
         try:
-            verdict = await self._ask(CallArrived(request))
+            verdict = await self._request_verdict(CallArrived(request))
         except trio.Cancelled:
-            self.tell(CallerLeft(request.request_id))
+            self.send_event(CallerLeft(request.request_id))
             raise
         assert verdict is not None
         return verdict
@@ -82,12 +84,12 @@
     async def report(self, outcome: RelayOutcome) -> RelayVerdict | None:
         """Tell how a dispatch ended; return what to do next, if anything."""
         try:
-            return await self._ask(DispatchEnded(outcome))
+            return await self._request_verdict(DispatchEnded(outcome))
         except trio.Cancelled:
-            self.tell(CallerLeft(outcome.request_id))
+            self.send_event(CallerLeft(outcome.request_id))
             raise
 
-    def tell(self, event: RelayEvent) -> None:
+    def send_event(self, event: RelayEvent) -> None:
         """Tell the core something without waiting.
 
         The inbox has no bound, so this never blocks or drops; callers' connections
@@ -95,17 +97,19 @@
         """
         self._inbox.send_nowait(event)
 
-    def tell_first(self, request_id: RequestId) -> None:
+    def report_first_event(self, request_id: RequestId) -> None:
         """Tell that the first part of an answer came."""
-        self.tell(FirstEventSeen(request_id))
+        self.send_event(FirstEventSeen(request_id))
 
-    def tell_ended(self, outcome: RelayOutcome) -> None:
+    def report_dispatch_ended(self, outcome: RelayOutcome) -> None:
         """Tell how a dispatch ended that needs no further verdict."""
-        self.tell(DispatchEnded(outcome))
+        self.send_event(DispatchEnded(outcome))
 
-    async def _ask(self, event: CallArrived | DispatchEnded) -> RelayVerdict | None:
+    async def _request_verdict(
+        self, event: CallArrived | DispatchEnded
+    ) -> RelayVerdict | None:
         send, receive = trio.open_memory_channel[RelayVerdict | None](1)
-        self._inbox.send_nowait(Ask(event, send))
+        self._inbox.send_nowait(VerdictRequest(event, send))
         return await receive.receive()
 
 
@@ -119,15 +123,17 @@
         self,
         core: RelayCore,
         messages: trio.MemorySendChannel[SendToPeer],
-        errands: trio.MemorySendChannel[Errand],
+        jobs: trio.MemorySendChannel[BackgroundJob],
         metrics: RelayMetrics,
     ) -> None:
         self._metrics = metrics
         self.core = core
         self._messages = messages
-        self._errands = errands
+        self._jobs = jobs
         self._replies: dict[RequestId, Reply] = {}
-        self.inbox, self._receive = trio.open_memory_channel[Ask | RelayEvent](2**31)
+        self.inbox, self._receive = trio.open_memory_channel[
+            VerdictRequest | RelayEvent
+        ](2**31)
         self.client = RelayClient(self.inbox)
 
     async def run(self) -> None:
@@ -135,34 +141,34 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._tick)
             async for message in self._receive:
-                self._take(message, trio.current_time() * 1000)
+                self._process(message, trio.current_time() * 1000)
 
     async def _tick(self) -> None:
         while True:
             await trio.sleep(self.core.compute_tick() / 1000)
             self.inbox.send_nowait(TickPassed())
 
-    def _take(self, message: Ask | RelayEvent, now_ms: float) -> None:
+    def _process(self, message: VerdictRequest | RelayEvent, now_ms: float) -> None:
         event = message
-        if isinstance(message, Ask):
+        if isinstance(message, VerdictRequest):
             event = message.event
             self._replies[_find_id(message.event)] = message.reply
         elif isinstance(message, CallerLeft):
             self._replies.pop(message.request_id, None)
-        assert not isinstance(event, Ask)
+        assert not isinstance(event, VerdictRequest)
         for action in self.core.handle(event, now_ms):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: RelayAction) -> None:
+    def _execute(self, action: RelayAction) -> None:
         match action:
             case RelayReply(request_id=request_id, verdict=verdict):
                 self._reply(request_id, verdict)
             case SendToPeer():
                 self._send_or_drop(action)
             case ReadLeases() | AppendLease() | ReadReplicaState() | WeightsOrder():
-                self._errands.send_nowait(action)
+                self._jobs.send_nowait(action)
             case WriteQuarantine() | EraseQuarantine():
-                self._errands.send_nowait(action)
+                self._jobs.send_nowait(action)
             case Note(event=name, fields=fields):
                 _LOG.info(name, **fields)
 
@@ -180,7 +186,7 @@
             case RelayDispatch():
                 log_sent(verdict)
             case Refuse():
-                self._metrics.note_refused(verdict.kind)
+                self._metrics.record_refusal(verdict.kind)
                 log_refused(verdict, self.core.index.table.version)
 
 
--- a/packages/toucanyard-node/src/toucanyard_node/service_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/service_face.py
@@ -40,7 +40,7 @@
     HttpConnection,
     Response,
 )
-from toucanyard_node.sheltered import Spawn, run_sheltered
+from toucanyard_node.shielded import Spawn, run_shielded
 
 _READING_METHODS: Final = ("GET", "HEAD")
 _TOO_MANY_REQUESTS: Final = 429
@@ -106,7 +106,7 @@
         try:
             with trio.CancelScope(deadline=attempts.request.deadline_ms / 1000):
                 if is_keyed:
-                    return await run_sheltered(self._spawn, exchange.run, _ignore)
+                    return await run_shielded(self._spawn, exchange.run, _ignore)
                 return await exchange.run()
             refusal = attempts.build_deadline_refusal()
         except trio.Cancelled:
--- a/packages/toucanyard-node/src/toucanyard_node/settings_watch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/settings_watch.py
@@ -12,7 +12,7 @@
 
 from toucanyard.relay_options import RelayOptions
 
-LOOK_S: Final = 2.0
+CHECK_INTERVAL_S: Final = 2.0
 """Time between two looks at the file."""
 _LOG: Final = structlog.get_logger()
 
@@ -27,7 +27,7 @@
     Invariant: settings that can't be read change nothing.
     """
 
-    __slots__ = ("_apply", "_file", "_load", "_options", "_seen")
+    __slots__ = ("_apply", "_file", "_load", "_options", "_applied_stamp")
 
     def __init__(
         self,
@@ -40,18 +40,18 @@
         self._load = load
         self._options = options
         self._apply = apply
-        self._seen = self._find_stamp()
+        self._applied_stamp = self._read_file_stamp()
 
     async def run(self) -> None:
         """Look for changes until cancelled."""
         while True:
-            await trio.sleep(LOOK_S)
-            if self._find_stamp() != self._seen:
+            await trio.sleep(CHECK_INTERVAL_S)
+            if self._read_file_stamp() != self._applied_stamp:
                 self.reload()
 
     def reload(self) -> None:
         """Read the file and apply what can change while the node runs: the seeds."""
-        self._seen = self._find_stamp()
+        self._applied_stamp = self._read_file_stamp()
         try:
             options = self._load(self._file)
         except SettingsInvalidError as error:
@@ -60,12 +60,12 @@
         before = msgspec.structs.asdict(self._options)
         after = msgspec.structs.asdict(options)
         changed = sorted(name for name in after if after[name] != before[name])
-        waits = [name for name in changed if name != "seeds"]
-        _LOG.info("reloaded", changed=changed, in_force_at_next_start=waits)
+        deferred = [name for name in changed if name != "seeds"]
+        _LOG.info("reloaded", changed=changed, in_force_at_next_start=deferred)
         self._options = msgspec.structs.replace(self._options, seeds=options.seeds)
         self._apply(self._options)
 
-    def _find_stamp(self) -> tuple[int, int] | None:
+    def _read_file_stamp(self) -> tuple[int, int] | None:
         try:
             stat = self._file.stat()
         except OSError:
--- a/packages/toucanyard-node/src/toucanyard_node/sheltered.py
+++ b/packages/toucanyard-node/src/toucanyard_node/shielded.py
@@ -12,51 +12,51 @@
 """Start a task that outlives the caller's connection."""
 
 
-class _Box(Generic[T]):
+class _PendingResult(Generic[T]):
     """Where the result goes; `is_wanted` turns false when the waiter leaves."""
 
-    __slots__ = ("done", "error", "is_wanted", "values")
+    __slots__ = ("done", "error", "is_awaited", "values")
 
     def __init__(self) -> None:
         self.done = trio.Event()
         self.error: Exception | None = None
-        self.is_wanted = True
+        self.is_awaited = True
         self.values: list[T] = []
 
 
-async def run_sheltered(
+async def run_shielded(
     spawn: Spawn,
     work: Callable[[], Awaitable[T]],
-    when_unwanted: Callable[[T], Awaitable[None]],
+    on_abandoned: Callable[[T], Awaitable[None]],
 ) -> T:
     """Return what `work` returns; when cancelled, let it end without the caller.
 
     A request with a key is the case: its caller may hang up and ask again, and must
     then find the one answer, not a try that was cut off with an unknown outcome.
     """
-    box: _Box[T] = _Box()
+    pending: _PendingResult[T] = _PendingResult()
 
     async def run() -> None:
         try:
             value = await work()
         except Exception as error:
-            box.error = error
-            box.done.set()
+            pending.error = error
+            pending.done.set()
             raise
-        box.values.append(value)
-        box.done.set()
-        if not box.is_wanted:
-            await when_unwanted(value)
+        pending.values.append(value)
+        pending.done.set()
+        if not pending.is_awaited:
+            await on_abandoned(value)
 
     spawn(run)
     try:
-        await box.done.wait()
+        await pending.done.wait()
     except trio.Cancelled:
-        box.is_wanted = False
-        if box.values:
-            value = box.values[0]
-            spawn(lambda: when_unwanted(value))
+        pending.is_awaited = False
+        if pending.values:
+            value = pending.values[0]
+            spawn(lambda: on_abandoned(value))
         raise
-    if box.error is not None:
-        raise box.error
-    return box.values[0]
+    if pending.error is not None:
+        raise pending.error
+    return pending.values[0]
--- a/packages/toucanyard-node/src/toucanyard_node/socket_io.py
+++ b/packages/toucanyard-node/src/toucanyard_node/socket_io.py
@@ -43,12 +43,12 @@
 
     Raise trio.BrokenResourceError or trio.ClosedResourceError when it can't be sent.
     """
-    sent_bytes = _send_at_once(stream, data)
+    sent_bytes = _send_nonblocking(stream, data)
     if sent_bytes < len(data):
         await stream.send_all(memoryview(data)[sent_bytes:])
 
 
-def accept_waiting(
+def accept_pending(
     listener: trio.abc.Listener[trio.SocketStream],
 ) -> list[trio.SocketStream]:
     """Accept the connections that the kernel has made already, without waiting."""
@@ -58,16 +58,19 @@
     descriptor = listener.socket.fileno()
     if descriptor < 0:
         return streams
-    with suppress(OSError), socket.socket(fileno=os.dup(descriptor)) as door:
-        door.setblocking(False)
+    with (
+        suppress(OSError),
+        socket.socket(fileno=os.dup(descriptor)) as accepting_socket,
+    ):
+        accepting_socket.setblocking(False)
         while True:
-            end, _ = door.accept()
-            end.setblocking(False)
-            streams.append(trio.SocketStream(trio.socket.from_stdlib_socket(end)))
+            accepted, _ = accepting_socket.accept()
+            accepted.setblocking(False)
+            streams.append(trio.SocketStream(trio.socket.from_stdlib_socket(accepted)))
     return streams
 
 
-def _send_at_once(stream: trio.abc.SendStream, data: bytes) -> int:
+def _send_nonblocking(stream: trio.abc.SendStream, data: bytes) -> int:
     """Send what the kernel takes without waiting; return how much that was."""
     if not isinstance(stream, trio.SocketStream):
         return 0
--- a/packages/toucanyard-node/src/toucanyard_node/sse.py
+++ b/packages/toucanyard-node/src/toucanyard_node/sse.py
@@ -107,21 +107,21 @@
     return (choice.delta.content or "") if choice.delta is not None else ""
 
 
-class EventCutter:
+class EventParser:
     """Cut received bytes at the ends of events; an unfinished one waits inside."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_buffer",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, part: bytes) -> list[Event]:
         """Take received bytes and return the events that they finish."""
-        if self._rest:
-            part = self._rest + part
+        if self._buffer:
+            part = self._buffer + part
         texts = part.split(_BOUNDARY)
-        self._rest = texts.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer = texts.pop()
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise EventError("an event is too large")
         events = [_parse_event(text) for text in texts]
         return [event for event in events if event is not None]
@@ -133,14 +133,14 @@
         head, _, rest = text.partition(b"\n")
         number = head[4:]
         is_number = number.isdigit() and len(number) <= _MAX_DIGITS
-        if is_number and rest.startswith(_DATA) and not _is_split(rest):
+        if is_number and rest.startswith(_DATA) and not _has_line_break(rest):
             return Event(int(number), rest[6:])
     elif text == _DONE:
         return Event(None, b"[DONE]")
     return _parse_lines(text)
 
 
-def _is_split(line: bytes) -> bool:
+def _has_line_break(line: bytes) -> bool:
     return b"\n" in line or b"\r" in line
 
 
--- a/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
+++ b/packages/toucanyard-node/src/toucanyard_node/stream_relay.py
@@ -28,10 +28,10 @@
 from toucanyard_node.engine_client import EngineStream
 from toucanyard_node.exchange import DispatchFailedError
 from toucanyard_node.http_client import Headers, Response, ResponseHead
+from toucanyard_node.idle_watch import IdleWatch
 from toucanyard_node.model_requests import ModelCall, render_engine_body
 from toucanyard_node.refusals import render_refusal
-from toucanyard_node.sheltered import Spawn
-from toucanyard_node.silence_watch import SilenceWatch
+from toucanyard_node.shielded import Spawn
 from toucanyard_node.sse import (
     Chunk,
     Event,
@@ -89,7 +89,7 @@
         call: ModelCall,
         pool: ConnectionPool,
         limits: StreamLimits,
-        watch: SilenceWatch,
+        watch: IdleWatch,
         spawn: Spawn,
     ) -> None:
         self._watch = watch
--- a/packages/toucanyard-node/src/toucanyard_node/vm_list.py
+++ b/packages/toucanyard-node/src/toucanyard_node/vm_list.py
@@ -19,13 +19,13 @@
     Connect,
     ConnectionFailedError,
     connect,
-    is_possible,
+    is_valid_address,
 )
 
 _LOG: Final = structlog.get_logger()
 _TIMEOUT_MS: Final = 2_000
 _MAX_BYTES: Final = 4_000_000
-_FREE_BYTES: Final = 16_000
+_SMALL_LIST_BYTES: Final = 16_000
 _BYTES_PER_S: Final = 1_500
 _ADDRESSES: Final = ("callers", "operators", "peers", "endpoint")
 
@@ -44,7 +44,7 @@
     The list is sent whole. Where it is large, each node reads it rarely: among many
     nodes one reads it every second or two, and what it finds travels as news.
     """
-    large_bytes = max(0, body_bytes - _FREE_BYTES)
+    large_bytes = max(0, body_bytes - _SMALL_LIST_BYTES)
     return max(float(timings.vm_list_poll_ms), large_bytes * 1000 / _BYTES_PER_S)
 
 
@@ -59,7 +59,7 @@
     while True:
         body = await _read(address, connect_to)
         size = 0
-        if body is not None and await _pass_on(body, emit):
+        if body is not None and await _emit_vms(body, emit):
             # A large answer that is broken mustn't put off the next try.
             size = len(body)
         wait_ms = compute_wait_ms(timings, size)
@@ -81,21 +81,23 @@
     return response.body
 
 
-async def _pass_on(body: bytes, emit: Emit) -> bool:
+async def _emit_vms(body: bytes, emit: Emit) -> bool:
     try:
         vms = msgspec.json.decode(body, type=VmListBody).vms
     except (msgspec.DecodeError, RecursionError) as error:
         _LOG.warning("vm_list_malformed", error=str(error)[:200])
         return False
-    await emit(VmsRead(tuple(_drop_impossible(vm) for vm in vms)))
+    await emit(VmsRead(tuple(_clear_invalid_addresses(vm) for vm in vms)))
     return True
 
 
-def _drop_impossible(vm: Vm) -> Vm:
+def _clear_invalid_addresses(vm: Vm) -> Vm:
     """Return a VM without those addresses that nobody could connect to."""
-    given = {name: getattr(vm, name) for name in _ADDRESSES}
-    wrong = {name for name, each in given.items() if each and not is_possible(each)}
-    if not wrong:
+    addresses = {name: getattr(vm, name) for name in _ADDRESSES}
+    invalid = {
+        name for name, each in addresses.items() if each and not is_valid_address(each)
+    }
+    if not invalid:
         return vm
-    _LOG.warning("vm_address_impossible", vm=vm.name[:64], fields=sorted(wrong))
-    return msgspec.structs.replace(vm, **dict.fromkeys(wrong, Address("")))
+    _LOG.warning("vm_address_impossible", vm=vm.name[:64], fields=sorted(invalid))
+    return msgspec.structs.replace(vm, **dict.fromkeys(invalid, Address("")))
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_callers.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_callers.py
@@ -179,7 +179,7 @@
             try:
                 await connection.send("POST", "/v1/completions", headers, body)
                 seen.status = (await connection.read_head()).status
-                while (part := await connection.read_part()) is not None:
+                while (part := await connection.read_body_chunk()) is not None:
                     seen.body += part
             finally:
                 await connection.close()
--- a/packages/toucanyard-standins/src/toucanyard_standins/load.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/load.py
@@ -70,7 +70,7 @@
     first_s = 0.0
     events = 0
     tail = b""
-    while (part := await connection.read_part()) is not None:
+    while (part := await connection.read_body_chunk()) is not None:
         # A mark may be cut by the end of a part; heads of events are counted once.
         window = tail + part
         events += window.count(_EVENT_MARK) - tail.count(_EVENT_MARK)
@@ -162,11 +162,11 @@
             head = await connection.read_head()
             if head.status != 200:
                 raise LoadError(f"status {head.status}")
-            await connection.read_part()
+            await connection.read_body_chunk()
             opened += 1
             if opened == streams:
                 task_status.started()
-            while await connection.read_part() is not None:
+            while await connection.read_body_chunk() is not None:
                 pass
         except ConnectionFailedError as error:
             raise LoadError(f"a held stream ended: {error}") from error
--- a/packages/toucanyard-standins/src/toucanyard_standins/plain_relay.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/plain_relay.py
@@ -56,7 +56,7 @@
             await responder.send(head.status, (content_type,), body)
         else:
             await responder.start(head.status, (content_type,))
-            while (part := await connection.read_part()) is not None:
+            while (part := await connection.read_body_chunk()) is not None:
                 await responder.write(part)
             await responder.finish()
         self._idle.append(connection)
--- a/packages/toucanyard-standins/src/toucanyard_standins/prefix_load.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/prefix_load.py
@@ -120,7 +120,7 @@
         head = await connection.read_head()
         answer = b""
         first_s = 0.0
-        while (part := await connection.read_part()) is not None:
+        while (part := await connection.read_body_chunk()) is not None:
             answer += part
             if not first_s and _EVENT_MARK in answer:
                 first_s = time.monotonic()
--- a/tests/features/steps/stream_steps.py
+++ b/tests/features/steps/stream_steps.py
@@ -32,7 +32,7 @@
         named = (("Authorization", f"Bearer {CALLER_KEY}"),)
         await connection.send("POST", COMPLETIONS, named, body)
         await connection.read_head()
-        await connection.read_part()
+        await connection.read_body_chunk()
         await connection.close()
 
     world.portal.call(begin)
--- a/tests/features/world.py
+++ b/tests/features/world.py
@@ -149,7 +149,7 @@
             await connection.send(method, target, named, body)
             head = await connection.read_head()
             seen.status, seen.headers = head.status, head.headers
-            while (part := await connection.read_part()) is not None:
+            while (part := await connection.read_body_chunk()) is not None:
                 seen.body += part
             seen.is_whole = True
         finally:
--- a/tests/toucanyard_node/polling_fleet.py
+++ b/tests/toucanyard_node/polling_fleet.py
@@ -24,13 +24,13 @@
 from toucanyard_node.relay_metrics import RelayMetrics
 from toucanyard_node.relay_ports import StoreError, TopicPage
 from toucanyard_node.relay_store import StoreReader
-from toucanyard_node.relay_task import Errand, RelayTask
+from toucanyard_node.relay_task import BackgroundJob, RelayTask
 
-TIMEOUT_S: Final = 1.2
-ANSWER_S: Final = 0.004
-LINK_S: Final = 0.001
-DIAL_S: Final = 0.25
-SAMPLE_S: Final = 0.01
+READ_TIMEOUT_S: Final = 1.2
+ANSWER_DELAY_S: Final = 0.004
+LINK_DELAY_S: Final = 0.001
+DIAL_INTERVAL_S: Final = 0.25
+SAMPLE_INTERVAL_S: Final = 0.01
 CONFIG: Final = "config"
 
 
@@ -52,7 +52,7 @@
         self._grown[topic].set()
         self._grown[topic] = trio.Event()
 
-    def silence(self, names: Iterable[NodeName]) -> None:
+    def stop_answering(self, names: Iterable[NodeName]) -> None:
         """Answer some nodes no more, neither old reads nor new ones."""
         wanted = set(names)
         self.silent_for |= wanted
@@ -81,9 +81,9 @@
             if offset >= len(self.records[topic]):
                 with trio.move_on_after(wait_ms / 1000):
                     await self._grown[topic].wait()
-            await trio.sleep(ANSWER_S)
+            await trio.sleep(ANSWER_DELAY_S)
         if self._is_silent(name, topic) or lost != self._lost.get(name, 0):
-            await trio.sleep_until(begun_s + TIMEOUT_S + wait_ms / 1000)
+            await trio.sleep_until(begun_s + READ_TIMEOUT_S + wait_ms / 1000)
             raise StoreError("no answer")
         records = tuple(self.records[topic][offset:])
         return TopicPage(records, offset + len(records))
@@ -138,8 +138,8 @@
         identity = NodeId(self.name, Incarnation("i"))
         self.core = RelayCore(options, identity, decode, random.Random(number))
         send, self.messages = trio.open_memory_channel[SendToPeer](100_000)
-        errands, self._errands = trio.open_memory_channel[Errand](100_000)
-        self.task = RelayTask(self.core, send, errands, RelayMetrics())
+        jobs, self._jobs = trio.open_memory_channel[BackgroundJob](100_000)
+        self.task = RelayTask(self.core, send, jobs, RelayMetrics())
         self.reader = StoreReader(
             self.core,
             self.task.client,
@@ -180,9 +180,9 @@
             for node in self.nodes:
                 nursery.start_soon(node.task.run)
                 nursery.start_soon(node.reader.run)
-                nursery.start_soon(self._carry, node)
+                nursery.start_soon(self._deliver, node)
 
-    def find_latest(self, version: int) -> float:
+    def compute_propagation_s(self, version: int) -> float:
         """Return how long after its publication all nodes had a version, in s."""
         return max(
             self.in_force_s.get((node.name, version), float("inf"))
@@ -190,17 +190,17 @@
             for node in self.nodes
         )
 
-    async def _carry(self, node: PollingNode) -> None:
+    async def _deliver(self, node: PollingNode) -> None:
         async for message in node.messages:
-            await trio.sleep(LINK_S)
+            await trio.sleep(LINK_DELAY_S)
             if self.unlinked.isdisjoint((node.name, message.node)):
                 read = LinkMessageRead(node.core.identity, message.message)
-                self._by_name[message.node].task.client.tell(read)
+                self._by_name[message.node].task.client.send_event(read)
 
     async def _link(self) -> None:
         while True:
             self._link_once(trio.current_time() * 1000)
-            await trio.sleep(DIAL_S)
+            await trio.sleep(DIAL_INTERVAL_S)
 
     def _link_once(self, now_ms: float) -> None:
         found: dict[NodeName, set[NodeName]] = {node.name: set() for node in self.nodes}
@@ -214,7 +214,7 @@
             if found[node.name] != self._linked.get(node.name):
                 peers = sorted(found[node.name])
                 identities = tuple(self._by_name[each].core.identity for each in peers)
-                node.task.client.tell(PeersLinked(identities))
+                node.task.client.send_event(PeersLinked(identities))
         self._linked = found
 
     async def _sample(self) -> None:
@@ -224,7 +224,7 @@
                 for version in self.published_s:
                     if version <= node.version:
                         self.in_force_s.setdefault((node.name, version), now_s)
-            await trio.sleep(SAMPLE_S)
+            await trio.sleep(SAMPLE_INTERVAL_S)
 
 
 def decode(topic: Topic, _: str, value: bytes) -> object:
--- a/tests/toucanyard_node/relay_world.py
+++ b/tests/toucanyard_node/relay_harness.py
@@ -39,10 +39,10 @@
 from toucanyard_node.http_client import Headers, ResponseHead
 from toucanyard_node.http_exchange import HttpRequest
 from toucanyard_node.http_server import HttpServer, ServerLimits, find_port
-from toucanyard_node.relay_face import RelayFace
 from toucanyard_node.relay_metrics import RelayMetrics
 from toucanyard_node.relay_ports import AnswerFacts, CallFacts, CallInvalidError
-from toucanyard_node.relay_task import Errand, RelayTask
+from toucanyard_node.relay_server import RelayServer
+from toucanyard_node.relay_task import BackgroundJob, RelayTask
 
 Script = Callable[[trio.SocketStream, bytes], Awaitable[None]]
 SERVICE = ServiceName("s")
@@ -50,7 +50,7 @@
 SIGNED = b"X-Signed: 1\r\n"
 
 
-class PlainCalls:
+class PlainCallCodec:
     """Headers of a protocol of the tests' own."""
 
     def read_call(self, http: HttpRequest) -> CallFacts:
@@ -92,7 +92,7 @@
         return AnswerFacts(
             caller_id=headers.get("x-id", ""),
             is_signed="x-signed" in headers,
-            is_unrun="x-unrun" in headers,
+            is_not_run="x-unrun" in headers,
             incarnation=headers.get("x-replica", ""),
             weights_version=None,
         )
@@ -195,13 +195,13 @@
     return run
 
 
-async def say_nothing(stream: trio.SocketStream, _: bytes) -> None:
+async def never_answer(stream: trio.SocketStream, _: bytes) -> None:
     """Take a call and wait until the other side hangs up."""
     while await stream.receive_some(1):
         pass
 
 
-async def hang_up(_: trio.SocketStream, __: bytes) -> None:
+async def close_without_answer(_: trio.SocketStream, __: bytes) -> None:
     """Take a call and close without an answer."""
 
 
@@ -209,7 +209,7 @@
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-class RelayWorld:
+class RelayHarness:
     """One node's face, core and replicas."""
 
     def __init__(self, replicas: list[ScriptedReplica], **route: object) -> None:
@@ -232,13 +232,13 @@
         rng = random.Random(1)
         self.core = RelayCore(options, identity, self.decode, rng)
         messages, _ = trio.open_memory_channel[SendToPeer](1_000)
-        errands, _ = trio.open_memory_channel[Errand](1_000)
+        jobs, _ = trio.open_memory_channel[BackgroundJob](1_000)
         self.metrics = RelayMetrics()
-        self.task = RelayTask(self.core, messages, errands, self.metrics)
+        self.task = RelayTask(self.core, messages, jobs, self.metrics)
         self.is_stopping = False
-        face = RelayFace(
+        face = RelayServer(
             self.task.client,
-            PlainCalls(),
+            PlainCallCodec(),
             lambda: self.core.index,
             lambda: self.is_stopping,
             self.metrics,
@@ -256,9 +256,9 @@
         self.facts[value] = fact
         record = KeyedRecord(key, offset, value)
         read = TopicRead(topic, (record,), offset + 1, False, 0.0)
-        self.task.client.tell(read)
+        self.task.client.send_event(read)
 
-    def tell_routes(self, version: int = 1) -> None:
+    def publish_routes(self, version: int = 1) -> None:
         engine = EngineTraits(8, 10_000, 1_000, 1e6, 9)
         table = RouteTable(
             version,
@@ -270,7 +270,7 @@
         )
         self.put(Topic.OPERATOR, "config", version, table)
 
-    def tell_replicas(self) -> None:
+    def publish_replicas(self) -> None:
         for number, each in enumerate(self.replicas):
             replica = Replica(
                 EndpointName(each.name),
@@ -307,16 +307,16 @@
 
 
 @asynccontextmanager
-async def open_world(world: RelayWorld) -> AsyncIterator[RelayWorld]:
+async def start_harness(harness: RelayHarness) -> AsyncIterator[RelayHarness]:
     async with trio.open_nursery() as nursery:
-        for each in world.replicas:
+        for each in harness.replicas:
             await each.start(nursery)
-        nursery.start_soon(world.task.run)
-        world.tell_routes()
-        world.tell_replicas()
+        nursery.start_soon(harness.task.run)
+        harness.publish_routes()
+        harness.publish_replicas()
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        world.port = find_port(listeners[0])
-        nursery.start_soon(world.server.serve, listeners[0])
+        harness.port = find_port(listeners[0])
+        nursery.start_soon(harness.server.serve, listeners[0])
         await trio.testing.wait_all_tasks_blocked()
-        yield world
+        yield harness
         nursery.cancel_scope.cancel()
--- a/tests/toucanyard_node/test_configuration_after_outages.py
+++ b/tests/toucanyard_node/test_configuration_after_outages.py
@@ -9,11 +9,27 @@
 
 from .polling_fleet import PollingFleet
 
-LATEST_S = 1.0
+MAX_PROPAGATION_S = 1.0
 """How long after a confirmation by a store that answers all nodes must have it."""
-AIM_S = 0.5
+TARGET_PROPAGATION_S = 0.5
 """The same where polls stand."""
-SILENT_S = (0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 3.5, 4.0, 4.5, 5.0, 5.5, 5.8, 6.5, 8.0, 12.0)
+OUTAGE_DURATIONS_S = (
+    0.5,
+    1.0,
+    1.5,
+    2.0,
+    2.5,
+    3.0,
+    3.5,
+    4.0,
+    4.5,
+    5.0,
+    5.5,
+    5.8,
+    6.5,
+    8.0,
+    12.0,
+)
 
 
 async def start(fleet: PollingFleet, nursery: trio.Nursery) -> None:
@@ -32,9 +48,9 @@
     late: dict[tuple[float, int], float] = {}
     async with trio.open_nursery() as nursery:
         await start(fleet, nursery)
-        for silent_s in SILENT_S if count == 9 else SILENT_S[1::3]:
+        for silent_s in OUTAGE_DURATIONS_S if count == 9 else OUTAGE_DURATIONS_S[1::3]:
             await trio.sleep(rng.uniform(0.0, 4.0))
-            fleet.store.silence(node.name for node in fleet.nodes)
+            fleet.store.stop_answering(node.name for node in fleet.nodes)
             await trio.sleep(silent_s)
             fleet.store.restore()
             for after_s in (0.02, 0.8):
@@ -43,11 +59,11 @@
                 fleet.publish(version, trio.current_time())
             await trio.sleep(3)
             late |= {
-                (silent_s, each): fleet.find_latest(each)
+                (silent_s, each): fleet.compute_propagation_s(each)
                 for each in (version - 1, version)
             }
         nursery.cancel_scope.cancel()
-    assert {case: each for case, each in late.items() if each > LATEST_S} == {}
+    assert {case: each for case, each in late.items() if each > MAX_PROPAGATION_S} == {}
 
 
 async def test_configuration_is_in_force_in_time_after_open_connections_fell_silent(
@@ -65,9 +81,9 @@
             await trio.sleep(rng.uniform(0.0, 1.0))
             fleet.publish(version, trio.current_time())
             await trio.sleep(3)
-            late[version] = fleet.find_latest(version)
+            late[version] = fleet.compute_propagation_s(version)
         nursery.cancel_scope.cancel()
-    assert {each: s for each, s in late.items() if s > 2 * LATEST_S} == {}
+    assert {each: s for each, s in late.items() if s > 2 * MAX_PROPAGATION_S} == {}
 
 
 async def test_lost_polls_are_replaced_once_a_change_is_known(
@@ -83,12 +99,12 @@
             await trio.sleep(rng.uniform(0.0, 4.0))
             fleet.store.lose_reads(node.name for node in fleet.nodes)
             fleet.publish(version, trio.current_time())
-            await trio.sleep(2 * LATEST_S + rng.uniform(0.0, 1.0))
+            await trio.sleep(2 * MAX_PROPAGATION_S + rng.uniform(0.0, 1.0))
             fleet.publish(version + 1, trio.current_time())
             await trio.sleep(1)
-            late.append(fleet.find_latest(version + 1))
+            late.append(fleet.compute_propagation_s(version + 1))
         nursery.cancel_scope.cancel()
-    assert max(late) <= AIM_S
+    assert max(late) <= TARGET_PROPAGATION_S
 
 
 async def test_calm_store_is_not_asked_more_often_for_bounded_ages(
@@ -119,15 +135,15 @@
         fleet.unlinked = {alone.name}
         for version, silent_s in enumerate((1.0, 2.0, 3.0, 4.5, 5.8, 7.0), start=2):
             await trio.sleep(rng.uniform(0.0, 4.0))
-            fleet.store.silence([alone.name])
+            fleet.store.stop_answering([alone.name])
             await trio.sleep(silent_s)
             fleet.store.restore()
             await trio.sleep(0.02)
             fleet.publish(version, trio.current_time())
             await trio.sleep(3)
-            late[silent_s] = fleet.find_latest(version)
+            late[silent_s] = fleet.compute_propagation_s(version)
         nursery.cancel_scope.cancel()
-    assert {each: s for each, s in late.items() if s > LATEST_S} == {}
+    assert {each: s for each, s in late.items() if s > MAX_PROPAGATION_S} == {}
 
 
 async def test_configuration_is_in_force_in_time_after_its_topic_alone_was_silent(
@@ -148,6 +164,6 @@
             await trio.sleep(0.02)
             fleet.publish(version, trio.current_time())
             await trio.sleep(3)
-            late[silent_s] = fleet.find_latest(version)
+            late[silent_s] = fleet.compute_propagation_s(version)
         nursery.cancel_scope.cancel()
-    assert {each: s for each, s in late.items() if s > LATEST_S} == {}
+    assert {each: s for each, s in late.items() if s > MAX_PROPAGATION_S} == {}
--- a/tests/toucanyard_node/test_configuration_campaign.py
+++ b/tests/toucanyard_node/test_configuration_campaign.py
@@ -12,12 +12,12 @@
 
 from .polling_fleet import PollingFleet
 
-LATEST_S = 2.0
+MAX_PROPAGATION_S = 2.0
 """How long after its confirmation a version must be in force everywhere."""
-LATEST_AFTER_FAULT_S = 1.0
+MAX_RECOVERY_S = 1.0
 """The same from the end of the last fault, if that is later."""
-PUBLISH_S = 0.4
-SETTLE_S = 2.0
+PUBLISH_INTERVAL_S = 0.4
+SETTLE_TIME_S = 2.0
 
 
 class Campaign:
@@ -36,21 +36,21 @@
             await trio.sleep(4)
             nursery.start_soon(self._publish)
             for _ in range(faults):
-                await self._disturb()
+                await self._inject_fault()
                 await trio.sleep(self.rng.uniform(0.3, 4.0))
-            await trio.sleep(SETTLE_S)
+            await trio.sleep(SETTLE_TIME_S)
             nursery.cancel_scope.cancel()
 
-    async def _disturb(self) -> None:
+    async def _inject_fault(self) -> None:
         store = self.fleet.store
         rng = self.rng
         some = set(rng.sample(self.names, rng.randint(1, len(self.names) - 1)))
         for_s = rng.uniform(0.2, 7.0)
         match rng.randrange(6):
             case 0:
-                store.silence(self.names)
+                store.stop_answering(self.names)
             case 1:
-                store.silence(some)
+                store.stop_answering(some)
             case 2:
                 store.silent_topics = {rng.choice(list(Topic))}
                 store.lose_reads(self.names)
@@ -61,7 +61,7 @@
                 self.fleet.unlinked = some
             case 5:
                 self.fleet.unlinked = some
-                store.silence(some)
+                store.stop_answering(some)
         await trio.sleep(for_s)
         store.restore()
         self.fleet.unlinked = set()
@@ -71,7 +71,7 @@
         version = 1
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(self.rng.uniform(0.05, 2 * PUBLISH_S))
+                await trio.sleep(self.rng.uniform(0.05, 2 * PUBLISH_INTERVAL_S))
                 version += 1
                 self.fleet.publish(version, trio.current_time())
                 nursery.start_soon(self._check, version)
@@ -85,8 +85,8 @@
                     store.silent_for or store.silent_topics or self.fleet.unlinked
                 )
                 due_s = max(
-                    self.fleet.published_s[version] + LATEST_S,
-                    self.fault_ended_s + LATEST_AFTER_FAULT_S,
+                    self.fleet.published_s[version] + MAX_PROPAGATION_S,
+                    self.fault_ended_s + MAX_RECOVERY_S,
                 )
                 now_s = trio.current_time()
                 if node.version >= version:
--- a/tests/toucanyard_node/test_connection_pool.py
+++ b/tests/toucanyard_node/test_connection_pool.py
@@ -31,7 +31,7 @@
 ADDRESS = Address("10.0.0.1:80")
 
 
-async def answer_in_parts(request: HttpRequest, responder: Responder) -> None:
+async def answer_in_chunks(request: HttpRequest, responder: Responder) -> None:
     await responder.start(200, ())
     await trio.sleep(0.1)
     await responder.write(b"first")
@@ -43,12 +43,12 @@
 async def open_pool() -> AsyncIterator[ConnectionPool]:
     async with trio.open_nursery() as nursery:
         network = MemoryNetwork(nursery)
-        network.serve(ADDRESS, answer_in_parts)
+        network.serve(ADDRESS, answer_in_chunks)
         yield ConnectionPool(StreamLimits(max_idle_connections=2), network.connect)
         nursery.cancel_scope.cancel()
 
 
-async def ask(connection: HttpConnection) -> None:
+async def send_request(connection: HttpConnection) -> None:
     await connection.send("GET", "/", ())
     await connection.read_head()
 
@@ -60,7 +60,7 @@
     """
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
-        await ask(connection)
+        await send_request(connection)
         await pool.release(connection)
         assert pool.count_idle(ADDRESS) == 0
 
@@ -69,7 +69,7 @@
     async with open_pool() as pool:
         first, is_used = await pool.acquire(ADDRESS)
         assert not is_used
-        await ask(first)
+        await send_request(first)
         await first.read_body()
         await pool.release(first)
         second, is_used = await pool.acquire(ADDRESS)
@@ -84,9 +84,9 @@
     """
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
-        await ask(connection)
+        await send_request(connection)
         await trio.sleep(1)
-        await pool.distrust(ADDRESS)
+        await pool.discard_idle(ADDRESS)
         await connection.read_body()
         await pool.release(connection)
         assert pool.count_idle(ADDRESS) == 0
@@ -95,7 +95,7 @@
 async def test_idle_for_long_is_not_lent(autojump_clock: MockClock) -> None:
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
-        await ask(connection)
+        await send_request(connection)
         await connection.read_body()
         await pool.release(connection)
         await trio.sleep(20)
@@ -166,7 +166,7 @@
     connection, with the rest still to come, isn't lent again."""
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
-        await ask(connection)
+        await send_request(connection)
         with pytest.raises(BodyTooLargeError):
             await connection.read_body(len(b"first"))
         await pool.release(connection)
@@ -193,14 +193,14 @@
     async with open_pool() as pool:
         connections = [await pool.open(ADDRESS) for _ in range(2)]
         for connection in connections:
-            await ask(connection)
+            await send_request(connection)
             await connection.read_body()
             await pool.release(connection)
         assert pool.count_idle(ADDRESS) == 2
         monkeypatch.setattr(HttpConnection, "is_quiet", is_first)
         monkeypatch.setattr(HttpConnection, "close", close_slowly)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(pool.distrust, ADDRESS)
+            nursery.start_soon(pool.discard_idle, ADDRESS)
             lent, is_used = await pool.acquire(ADDRESS)
         assert not is_used
         assert lent not in connections
--- a/tests/toucanyard_node/test_encoded_messages.py
+++ b/tests/toucanyard_node/test_encoded_messages.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from toucanyard_node.encoded_messages import KEPT, EncodedMessages
+from toucanyard_node.encoded_messages import CACHED_MESSAGES, EncodedMessageCache
 
 
 def test_messages_that_go_to_many_peers_in_turn_are_encoded_once_each() -> None:
@@ -15,7 +15,7 @@
         encoded.append(message)
         return message.encode()
 
-    messages = EncodedMessages(encode)
+    messages = EncodedMessageCache(encode)
     kinds = ["to its nodes", "to hubs", "standing by"]
     for peer in range(46):
         kind = kinds[peer % 3]
@@ -24,11 +24,11 @@
 
 
 def test_equal_messages_and_old_ones_are_encoded_anew() -> None:
-    messages: EncodedMessages[list[int]] = EncodedMessages(bytes)
+    messages: EncodedMessageCache[list[int]] = EncodedMessageCache(bytes)
     message = [1, 2]
     assert messages.find(message) == b"\x01\x02"
     message.append(3)
     assert messages.find([1, 2, 3]) == b"\x01\x02\x03"
-    for number in range(KEPT):
+    for number in range(CACHED_MESSAGES):
         messages.find([number])
     assert messages.find(message) == b"\x01\x02\x03"
--- a/tests/toucanyard_node/test_http_server.py
+++ b/tests/toucanyard_node/test_http_server.py
@@ -126,7 +126,7 @@
         await trio.sleep(1)
         server.stop()
         with trio.fail_after(1):
-            assert await idle.read_end()
+            assert await idle.wait_for_close()
         with pytest.raises(ConnectionFailedError):
             await network.connect(address, 1_000)
         await busy.read_head()
--- a/tests/toucanyard_node/test_silence_watch.py
+++ b/tests/toucanyard_node/test_idle_watch.py
@@ -7,9 +7,9 @@
 
 from toucanyard.names import Address
 from toucanyard_node.http_client import HttpConnection
-from toucanyard_node.silence_watch import SilenceTimer, SilenceWatch
+from toucanyard_node.idle_watch import IdleTimer, IdleWatch
 
-WATCH = SilenceWatch()
+WATCH = IdleWatch()
 
 
 class SlowlyClosed(HttpConnection):
@@ -19,7 +19,7 @@
         ours, _ = trio.testing.memory_stream_pair()
         super().__init__(Address("10.0.0.1:1"), ours, 0.0)
         self.closed = 0
-        self.other_timer: SilenceTimer | None = None
+        self.other_timer: IdleTimer | None = None
         self.is_other_reading_on = False
 
     async def close(self) -> None:
@@ -35,7 +35,7 @@
 async def close_two(is_reading_on: bool) -> int:
     """Let two readers be late at once; return how many connections were closed."""
     first, second = SlowlyClosed(), SlowlyClosed()
-    timers = [SilenceTimer(each, 100.0) for each in (first, second)]
+    timers = [IdleTimer(each, 100.0) for each in (first, second)]
     first.other_timer, second.other_timer = timers[1], timers[0]
     for each, timer in zip((first, second), timers, strict=True):
         each.is_other_reading_on = is_reading_on
--- a/tests/toucanyard_node/test_kept_streams.py
+++ b/tests/toucanyard_node/test_kept_streams.py
@@ -36,7 +36,7 @@
     connection = await served.open("POST", "/v1/completions", headers, body)
     await connection.read_head()
     for _ in range(parts):
-        await connection.read_part()
+        await connection.read_body_chunk()
     return connection
 
 
@@ -75,7 +75,7 @@
         new = await served.open("GET", STREAM, after(-1))
         with trio.fail_after(5):
             await new.read_head()
-            part = await new.read_part()
+            part = await new.read_body_chunk()
         assert part is not None
         assert read_text(part) == "".join(TOKENS[:3])
         with pytest.raises(ConnectionFailedError), trio.fail_after(5):
--- a/tests/toucanyard_node/test_peer_greeting.py
+++ b/tests/toucanyard_node/test_peer_handshake.py
@@ -16,12 +16,12 @@
     NodeId,
     NodeName,
 )
-from toucanyard_node.peer_greeting import (
-    GreetingError,
+from toucanyard_node.peer_handshake import (
+    HandshakeError,
     Hello,
     Side,
+    authenticate_peer,
     compute_mac,
-    greet,
 )
 
 SELF = NodeId(NodeName("n1"), Incarnation("a"))
@@ -43,16 +43,16 @@
     async def recv(self) -> bytes | str:
         await trio.lowlevel.checkpoint()
         if not self.frames:
-            raise GreetingError("hung up")
+            raise HandshakeError("hung up")
         return self.frames.pop(0)
 
 
-def greet_stranger(frames: Sequence[bytes | str]) -> Script:
+def check_rejected(frames: Sequence[bytes | str]) -> Script:
     """Greet on both sides; both must refuse."""
     for side in Side:
         script = Script(frames)
-        with pytest.raises(GreetingError):
-            trio.run(greet, cast(Connection, script), side, SELF, ["s"])
+        with pytest.raises(HandshakeError):
+            trio.run(authenticate_peer, cast(Connection, script), side, SELF, ["s"])
     return script
 
 
@@ -80,7 +80,7 @@
 def test_any_greeting_of_a_stranger_is_refused(frames: list[bytes | str]) -> None:
     """Who does not know the secret gets no link, and at most one hello and one proof,
     which is of no use on another connection."""
-    assert len(greet_stranger(frames).sent) <= 2
+    assert len(check_rejected(frames).sent) <= 2
 
 
 class Pipe:
@@ -94,16 +94,18 @@
         self.send, self.recv = out.send, inward.receive
 
 
-async def greet_both(
+async def run_handshakes(
     ours: Sequence[str], theirs: Sequence[str]
-) -> list[NodeId | GreetingError]:
+) -> list[NodeId | HandshakeError]:
     there, here = (trio.open_memory_channel[bytes](9) for _ in range(2))
-    found: list[NodeId | GreetingError] = []
+    found: list[NodeId | HandshakeError] = []
 
     async def run(pipe: Pipe, side: Side, own: NodeId, secrets: Sequence[str]) -> None:
         try:
-            found.append(await greet(cast(Connection, pipe), side, own, secrets))
-        except GreetingError as error:
+            found.append(
+                await authenticate_peer(cast(Connection, pipe), side, own, secrets)
+            )
+        except HandshakeError as error:
             found.append(error)
 
     async with trio.open_nursery() as nursery:
@@ -133,11 +135,11 @@
     Nodes one step apart stay linked. Two steps apart, or without the secret, they are
     refused: an old secret that was removed lets nobody in.
     """
-    found = await greet_both(ours, theirs)
+    found = await run_handshakes(ours, theirs)
     linked = [each for each in found if isinstance(each, NodeId)]
     assert (len(linked) == 2) == is_linked
     if not is_linked:
-        assert any(isinstance(each, GreetingError) for each in found)
+        assert any(isinstance(each, HandshakeError) for each in found)
 
 
 def test_proof_is_bound_to_its_side_names_and_nonces() -> None:
--- a/tests/toucanyard_node/test_peer_links.py
+++ b/tests/toucanyard_node/test_peer_links.py
@@ -22,7 +22,7 @@
 from toucanyard.options import MembershipTimings
 from toucanyard.vm_view import Vm
 from toucanyard_node.core_links import CORE_LINKS, LinkEvent
-from toucanyard_node.peer_greeting import Hello, Side, compute_mac, greet
+from toucanyard_node.peer_handshake import Hello, Side, authenticate_peer, compute_mac
 from toucanyard_node.peer_links import PeerLinks
 from toucanyard_node.rate_limit import RateLimit
 
@@ -43,7 +43,7 @@
             secrets,
             TIMINGS,
             self.find,
-            self.note,
+            self.record_event,
             random.Random(1),
             CORE_LINKS,
         )
@@ -53,7 +53,7 @@
     def find(self) -> list[Vm]:
         return [vm for vm in self.known if vm.name != self.identity.node]
 
-    async def note(self, event: LinkEvent) -> None:
+    async def record_event(self, event: LinkEvent) -> None:
         self.events.append(event)
 
     async def start(self, nursery: trio.Nursery) -> Vm:
@@ -70,16 +70,16 @@
     def find_messages(self) -> list[MessageRead]:
         return [each for each in self.events if isinstance(each, MessageRead)]
 
-    def tell(self, to: str, number: int) -> None:
+    def send_digest(self, to: str, number: int) -> None:
         digest = Digest(self.identity.node, float(number), -1.0, 0, 0, -1.0)
         self.outbox.send_nowait(SendMessage(NodeName(to), digest))
 
-    async def chat(self, to: str) -> None:
+    async def send_digests(self, to: str) -> None:
         """Send digests at every interval, as a node does."""
         number = 0
         while True:
             number += 1
-            self.tell(to, number)
+            self.send_digest(to, number)
             await trio.sleep(TIMINGS.digest_interval_ms / 1000)
 
 
@@ -94,8 +94,8 @@
     one, two = Peer("n1", ["s"], known), Peer("n2", ["s"], known)
     async with trio.open_nursery() as nursery:
         vms = [await each.start(nursery) for each in (one, two)]
-        nursery.start_soon(one.chat, "n2")
-        nursery.start_soon(two.chat, "n1")
+        nursery.start_soon(one.send_digests, "n2")
+        nursery.start_soon(two.send_digests, "n1")
         known += vms
         await wait_for_links(one, ["n2"])
         await wait_for_links(two, ["n1"])
@@ -116,8 +116,8 @@
         vms = [await each.start(nursery) for each in (old, new)]
         stranger = Peer("n3", ["other"], vms)
         await stranger.start(nursery)
-        nursery.start_soon(old.chat, "n2")
-        nursery.start_soon(new.chat, "n1")
+        nursery.start_soon(old.send_digests, "n2")
+        nursery.start_soon(new.send_digests, "n1")
         known += vms
         await wait_for_links(old, ["n2"])
         with trio.fail_after(10):
@@ -159,7 +159,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def say(port: int, frames: Sequence[bytes | str]) -> int:
+async def send_frames(port: int, frames: Sequence[bytes | str]) -> int:
     """Send frames that no node would; return how many answers came before the end."""
     answers = 0
     async with connect(f"ws://127.0.0.1:{port}/", proxy=None) as socket:
@@ -187,7 +187,7 @@
     async with trio.open_nursery() as nursery:
         one.known.append(await two.start(nursery))
         await one.start(nursery)
-        nursery.start_soon(two.chat, "n1")
+        nursery.start_soon(two.send_digests, "n1")
         await wait_for_links(one, ["n2"])
         for frames in (
             ["text"],
@@ -197,7 +197,7 @@
             [b"\x9f" * 5_000],
             [cbor2.dumps({"version": 2, "node": "n", "incarnation": "", "nonce": b""})],
         ):
-            assert await say(one.port, frames) <= 2
+            assert await send_frames(one.port, frames) <= 2
         assert one.links.counts.refused >= 6
         assert [each.node for each in one.find_links()] == ["n2"]
         nursery.cancel_scope.cancel()
@@ -220,11 +220,11 @@
     async with trio.open_nursery() as nursery:
         one.known.append(await two.start(nursery))
         await one.start(nursery)
-        nursery.start_soon(two.chat, "n1")
+        nursery.start_soon(two.send_digests, "n1")
         await wait_for_links(one, ["n2"])
         async with connect(f"ws://127.0.0.1:{one.port}/", proxy=None) as socket:
             identity = NodeId(NodeName("n2"), Incarnation(incarnation))
-            await greet(socket, Side.CLIENT, identity, ["s"])
+            await authenticate_peer(socket, Side.CLIENT, identity, ["s"])
             with trio.move_on_after(0.3) as scope, suppress(ConnectionClosed):
                 await socket.recv()
             assert scope.cancelled_caught == is_taken
@@ -242,6 +242,6 @@
         await one.start(nursery)
         await trio.sleep(0.1)
         one.known.append(await two.start(nursery))
-        nursery.start_soon(two.chat, "n1")
+        nursery.start_soon(two.send_digests, "n1")
         await wait_for_links(one, ["n2"])
         nursery.cancel_scope.cancel()
--- a/tests/toucanyard_node/test_part_following.py
+++ b/tests/toucanyard_node/test_prompt_block_follower.py
@@ -5,10 +5,10 @@
 from toucanyard.names import Address, EndpointName
 from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_events import PromptBlockChange
-from toucanyard_node.part_following import PartFollowing
-from toucanyard_node.relay_ports import PartPage
+from toucanyard_node.prompt_block_follower import PromptBlockFollower
+from toucanyard_node.relay_ports import PromptBlockPage
 
-from .relay_world import RelayWorld, ScriptedReplica, answer
+from .relay_harness import RelayHarness, ScriptedReplica, answer
 
 PART = (PromptBlock("p", 100),)
 
@@ -16,37 +16,37 @@
 class ScriptedHolder:
     """Tells pages one after the other; None is a call without an answer."""
 
-    def __init__(self, *pages: PartPage | None) -> None:
+    def __init__(self, *pages: PromptBlockPage | None) -> None:
         self.pages = list(pages)
         self.since: list[int] = []
 
-    async def read_parts(
+    async def read_prompt_blocks(
         self, address: Address, since: int, wait_ms: float
-    ) -> PartPage | None:
+    ) -> PromptBlockPage | None:
         self.since.append(since)
         await trio.sleep(0.01)
         if not self.pages:
             await trio.sleep(wait_ms / 1000)
-            return PartPage(1, since, False, ())
+            return PromptBlockPage(1, since, False, ())
         return self.pages.pop(0)
 
 
-def build_page(epoch: int, number: int, tokens: int) -> PartPage:
-    return PartPage(epoch, number, False, (PromptBlockChange("s", "p", tokens),))
+def build_page(epoch: int, number: int, tokens: int) -> PromptBlockPage:
+    return PromptBlockPage(epoch, number, False, (PromptBlockChange("s", "p", tokens),))
 
 
 async def follow(holder: ScriptedHolder, for_s: float) -> int:
     """Return the tokens of the part that the book knows after a time."""
-    world = RelayWorld([ScriptedReplica("x", answer())])
+    harness = RelayHarness([ScriptedReplica("x", answer())])
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(world.task.run)
-        world.tell_routes()
-        world.tell_replicas()
-        following = PartFollowing(world.core, world.task.client, holder)
+        nursery.start_soon(harness.task.run)
+        harness.publish_routes()
+        harness.publish_replicas()
+        following = PromptBlockFollower(harness.core, harness.task.client, holder)
         nursery.start_soon(following.run)
         await trio.sleep(for_s)
         nursery.cancel_scope.cancel()
-    block_index = world.core.flow.block_index
+    block_index = harness.core.flow.block_index
     return block_index.count_leading(EndpointName("x"), "s", PART, float("inf"))
 
 
@@ -63,7 +63,7 @@
 
     Believed, its parts would be fetched from where they no longer are.
     """
-    holder = ScriptedHolder(build_page(1, 5, 100), PartPage(2, 0, False, ()))
+    holder = ScriptedHolder(build_page(1, 5, 100), PromptBlockPage(2, 0, False, ()))
     assert await follow(holder, 3.0) == 0
 
 
--- a/tests/toucanyard_node/test_relay_exchange.py
+++ b/tests/toucanyard_node/test_relay_exchange.py
@@ -6,17 +6,17 @@
 
 from toucanyard.requests import Repeatability
 
-from .relay_world import (
-    RelayWorld,
+from .relay_harness import (
+    RelayHarness,
     Script,
     ScriptedReplica,
     answer,
     build_call,
     build_event,
+    close_without_answer,
     find_header,
-    hang_up,
-    open_world,
-    say_nothing,
+    never_answer,
+    start_harness,
     stream_events,
 )
 
@@ -47,9 +47,9 @@
 
 
 async def relay(replicas: list[ScriptedReplica], call: bytes, **route: object) -> bytes:
-    async with open_world(RelayWorld(replicas, **route)) as world:
-        received = await world.call(call)
-        assert world.core.flow.count_pending() == 0
+    async with start_harness(RelayHarness(replicas, **route)) as harness:
+        received = await harness.call(call)
+        assert harness.core.flow.count_pending() == 0
         return received
 
 
@@ -72,7 +72,9 @@
     assert sum(len(each.calls) for each in replicas) == 1
 
 
-@pytest.mark.parametrize("script", [hang_up, answer(200, b"cut", b"X-Cut: 1\r\n")])
+@pytest.mark.parametrize(
+    "script", [close_without_answer, answer(200, b"cut", b"X-Cut: 1\r\n")]
+)
 async def test_lost_call_that_may_run_once_is_unknown(script: Script) -> None:
     """The connection closes, or an answer comes that nobody signed, after a seat hold
     was sent. The hold may have run: the caller must not be told to hold another seat.
@@ -103,11 +105,11 @@
 async def test_replica_that_listens_no_more_costs_no_attempt() -> None:
     live = ScriptedReplica("y", answer())
     dead = ScriptedReplica("x")
-    async with open_world(RelayWorld([live], max_attempts=1, **ONCE)) as world:
-        world.replicas = [live, dead]
-        world.tell_replicas()
+    async with start_harness(RelayHarness([live], max_attempts=1, **ONCE)) as harness:
+        harness.replicas = [live, dead]
+        harness.publish_replicas()
         for _ in range(5):
-            assert find_status(await world.call(build_call())) == 200
+            assert find_status(await harness.call(build_call())) == 200
 
 
 async def test_answer_of_another_call_never_reaches_the_caller() -> None:
@@ -131,9 +133,9 @@
 async def test_bytes_behind_an_answer_belong_to_no_call() -> None:
     surplus = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra"
     replica = ScriptedReplica("x", answer(tail=surplus))
-    async with open_world(RelayWorld([replica])) as world:
+    async with start_harness(RelayHarness([replica])) as harness:
         for _ in range(3):
-            received = await world.call(build_call())
+            received = await harness.call(build_call())
             assert find_body(received) == b"whole"
 
 
@@ -237,18 +239,18 @@
 
 async def test_replica_is_told_when_the_caller_hangs_up() -> None:
     """The caller closes while its call runs. Work for nobody must not go on."""
-    replica = ScriptedReplica("x", say_nothing)
-    async with open_world(RelayWorld([replica])) as world:
-        await world.call(build_call(), for_s=0.1)
+    replica = ScriptedReplica("x", never_answer)
+    async with start_harness(RelayHarness([replica])) as harness:
+        await harness.call(build_call(), for_s=0.1)
         with trio.fail_after(10):
             await replica.closed.wait()
         await trio.testing.wait_all_tasks_blocked()
-        assert world.core.flow.count_pending() == 0
+        assert harness.core.flow.count_pending() == 0
 
 
 async def test_silent_replica_is_left_for_another() -> None:
     for _ in range(3):
-        replicas = [ScriptedReplica("x", say_nothing), ScriptedReplica("y", answer())]
+        replicas = [ScriptedReplica("x", never_answer), ScriptedReplica("y", answer())]
         received = await relay(replicas, build_call())
         assert find_status(received) == 200
 
@@ -259,7 +261,7 @@
 async def test_call_is_answered_at_its_timeout(
     route: dict[str, object], status: int
 ) -> None:
-    replica = ScriptedReplica("x", say_nothing)
+    replica = ScriptedReplica("x", never_answer)
     with trio.fail_after(10):
         received = await relay([replica], build_call(), **route, timeout_ms=500)
     assert find_status(received) == status
@@ -267,7 +269,7 @@
 
 
 async def test_callers_deadline_comes_before_the_timeout() -> None:
-    replica = ScriptedReplica("x", say_nothing)
+    replica = ScriptedReplica("x", never_answer)
     with trio.fail_after(10):
         received = await relay([replica], build_call("/a/x", "X-Deadline: 300"))
     assert find_status(received) == 504
@@ -280,7 +282,7 @@
     """
     moved = answer(421, b"", b"X-Replica: other\r\n")
     replicas = [ScriptedReplica("x", moved), ScriptedReplica("y", answer())]
-    async with open_world(RelayWorld(replicas, **ONCE)) as world:
+    async with start_harness(RelayHarness(replicas, **ONCE)) as harness:
         for _ in range(20):
-            assert find_status(await world.call(build_call())) == 200
+            assert find_status(await harness.call(build_call())) == 200
         assert len(replicas[0].calls) == 1
--- a/tests/toucanyard_node/test_relay_metrics.py
+++ b/tests/toucanyard_node/test_relay_metrics.py
@@ -12,13 +12,13 @@
 from toucanyard.requests import Repeatability
 from toucanyard_node.relay_metrics import MAX_GROUPS, RelayMetrics
 
-from .relay_world import (
+from .relay_harness import (
     SERVICE,
-    RelayWorld,
+    RelayHarness,
     ScriptedReplica,
     answer,
     build_call,
-    open_world,
+    start_harness,
 )
 
 REQUEST = RelayRequest(
@@ -41,13 +41,13 @@
 
 
 async def test_metrics_tell_what_was_served_and_what_is_known() -> None:
-    world = RelayWorld([ScriptedReplica("x", answer())])
-    async with open_world(world):
+    harness = RelayHarness([ScriptedReplica("x", answer())])
+    async with start_harness(harness):
         for _ in range(3):
-            await world.call(build_call())
-        await world.call(build_call("/none/"))
+            await harness.call(build_call())
+        await harness.call(build_call("/none/"))
         calls = Counter({"read operator": 2})
-        text = world.metrics.render(world.core, calls, 7, 1_000.0)
+        text = harness.metrics.render(harness.core, calls, 7, 1_000.0)
     lines = text.splitlines()
     assert "toucanyard_requests_quarantined 0" in lines
     labels = 'customer="c",call_class="repeatable"'
@@ -63,15 +63,15 @@
 async def test_call_under_quarantine_is_refused_and_counted() -> None:
     """Guards against a quarantine that operators can't see, or callers can't tell."""
     replica = ScriptedReplica("x", answer())
-    world = RelayWorld([replica])
+    harness = RelayHarness([replica])
     call = build_call(body=b"crash")
     fingerprint = compute_fingerprint("POST", "h", "/a/x", CustomerName("c"), b"crash")
     entry = QuarantinedRequest(fingerprint, "7a", CustomerName("c"), "r", ())
-    async with open_world(world):
-        world.put(Topic.NODES, f"quarantine/{fingerprint}", 9, entry)
-        refused = await world.call(call)
-        served = await world.call(build_call(body=b"harmless"))
-        text = world.metrics.render(world.core, Counter(), 0, 1_000.0)
+    async with start_harness(harness):
+        harness.put(Topic.NODES, f"quarantine/{fingerprint}", 9, entry)
+        refused = await harness.call(call)
+        served = await harness.call(build_call(body=b"harmless"))
+        text = harness.metrics.render(harness.core, Counter(), 0, 1_000.0)
     assert refused.startswith(b"HTTP/1.1 503 ")
     assert b"request_quarantined" in refused
     assert b"retry-after: " in refused.lower()
@@ -87,21 +87,21 @@
 
     A histogram for each would fill the node's memory.
     """
-    world = RelayWorld([])
+    harness = RelayHarness([])
     metrics = RelayMetrics()
     for number in range(3 * MAX_GROUPS):
         request = msgspec.structs.replace(REQUEST, customer=f"c{number}")
-        metrics.note_ended(request, "answered", 5.0)
-    text = metrics.render(world.core, Counter(), 0, 0.0)
+        metrics.record_dispatch_ended(request, "answered", 5.0)
+    text = metrics.render(harness.core, Counter(), 0, 0.0)
     counts = [line for line in text.splitlines() if "_call_ms_count" in line]
     assert len(counts) == MAX_GROUPS + 1
     assert f'call_class="other"}} {2 * MAX_GROUPS}' in text
 
 
 async def test_metrics_tell_of_limits_and_their_use() -> None:
-    world = RelayWorld([ScriptedReplica("x", answer())])
-    async with open_world(world):
-        await world.call(build_call())
-        text = world.metrics.render(world.core, Counter(), 0, 1_000.0)
+    harness = RelayHarness([ScriptedReplica("x", answer())])
+    async with start_harness(harness):
+        await harness.call(build_call())
+        text = harness.metrics.render(harness.core, Counter(), 0, 1_000.0)
     assert "toucanyard_limit_rejections_total 0" in text
     assert "toucanyard_limit_questions_total 0" in text
--- a/tests/toucanyard_node/test_relay_node.py
+++ b/tests/toucanyard_node/test_relay_node.py
@@ -11,7 +11,7 @@
 from toucanyard_node import relay_node
 from toucanyard_node.bounded_output import BoundedOutput
 from toucanyard_node.http_exchange import HttpRequest, Responder
-from toucanyard_node.relay_node import Pages, Ports, RelayNode
+from toucanyard_node.relay_node import AuxiliaryHandlers, Ports, RelayNode
 
 LISTEN = RelayListen(*(Address(f"127.0.0.1:{port}") for port in range(1, 6)))
 
@@ -45,7 +45,7 @@
     core = RelayCore(options, identity, lambda *_: None, rng)
     unused = Ports(None, None, None, None)  # type: ignore[arg-type]
     node = RelayNode(core, unused, BoundedOutput(1), rng)
-    pages = Pages(answer_nothing, answer_nothing, answer_nothing)
+    pages = AuxiliaryHandlers(answer_nothing, answer_nothing, answer_nothing)
     with pytest.raises(OpenedError):
         await node.run(pages)
     assert opened == [LISTEN.callers]
--- a/tests/toucanyard_node/test_relay_face.py
+++ b/tests/toucanyard_node/test_relay_server.py
@@ -3,33 +3,33 @@
 import trio
 import trio.testing
 
-from .relay_world import (
-    RelayWorld,
+from .relay_harness import (
+    RelayHarness,
     ScriptedReplica,
     answer,
     build_call,
     find_header,
-    open_world,
+    start_harness,
 )
 from .test_relay_exchange import find_status
 
 
 async def test_calls_that_no_route_or_key_allows_are_turned_away() -> None:
     replica = ScriptedReplica("x", answer())
-    async with open_world(RelayWorld([replica])) as world:
-        assert find_status(await world.call(build_call("/other/"))) == 404
+    async with start_harness(RelayHarness([replica])) as harness:
+        assert find_status(await harness.call(build_call("/other/"))) == 404
         wrong = build_call().replace(b"X-Key: key", b"X-Key: wrong")
-        assert find_status(await world.call(wrong)) == 401
+        assert find_status(await harness.call(wrong)) == 401
         without_id = build_call().replace(b"X-Id: q1\r\n", b"")
-        assert find_status(await world.call(without_id)) == 400
+        assert find_status(await harness.call(without_id)) == 400
         assert not replica.calls
 
 
 async def test_public_route_needs_no_key() -> None:
-    world = RelayWorld([ScriptedReplica("x", answer())], is_public=True)
-    async with open_world(world):
+    harness = RelayHarness([ScriptedReplica("x", answer())], is_public=True)
+    async with start_harness(harness):
         call = build_call().replace(b"X-Key: key\r\n", b"")
-        assert find_status(await world.call(call)) == 200
+        assert find_status(await harness.call(call)) == 200
 
 
 async def test_node_without_routes_refuses_with_a_time_to_come_back() -> None:
@@ -37,40 +37,40 @@
 
     A 404 or 401 would be final, and the call is proper.
     """
-    world = RelayWorld([])
+    harness = RelayHarness([])
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(world.task.run)
+        nursery.start_soon(harness.task.run)
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        world.port = listeners[0].socket.getsockname()[1]
-        nursery.start_soon(world.server.serve, listeners[0])
-        received = await world.call(build_call())
+        harness.port = listeners[0].socket.getsockname()[1]
+        nursery.start_soon(harness.server.serve, listeners[0])
+        received = await harness.call(build_call())
         assert find_status(received) == 503
         assert float(find_header(received, b"retry-after")) < 1
         nursery.cancel_scope.cancel()
 
 
 async def test_removed_route_is_turned_away_at_once() -> None:
-    world = RelayWorld([ScriptedReplica("x", answer())])
-    async with open_world(world):
-        assert find_status(await world.call(build_call())) == 200
-        world.route = type(world.route)(
+    harness = RelayHarness([ScriptedReplica("x", answer())])
+    async with start_harness(harness):
+        assert find_status(await harness.call(build_call())) == 200
+        harness.route = type(harness.route)(
             **{
-                name: getattr(world.route, name)
-                for name in world.route.__struct_fields__
+                name: getattr(harness.route, name)
+                for name in harness.route.__struct_fields__
                 if name != "path_prefix"
             },
             path_prefix="/b/",
         )
-        world.tell_routes(2)
+        harness.publish_routes(2)
         await trio.testing.wait_all_tasks_blocked()
-        assert find_status(await world.call(build_call())) == 404
+        assert find_status(await harness.call(build_call())) == 404
 
 
 async def test_stopping_node_asks_its_callers_to_close() -> None:
-    world = RelayWorld([ScriptedReplica("x", answer())])
-    async with open_world(world):
-        world.is_stopping = True
-        received = await world.call(build_call(is_last=False))
+    harness = RelayHarness([ScriptedReplica("x", answer())])
+    async with start_harness(harness):
+        harness.is_stopping = True
+        received = await harness.call(build_call(is_last=False))
         assert find_status(received) == 200
         assert find_header(received, b"connection") == b"close"
 
@@ -81,9 +81,9 @@
     Whoever wrote that body would have a call run under the first caller's name.
     """
     replica = ScriptedReplica("x", answer())
-    async with open_world(RelayWorld([replica])) as world:
+    async with start_harness(RelayHarness([replica])) as harness:
         smuggled = build_call(is_last=False)
-        received = await world.call(build_call(is_last=False) + smuggled)
+        received = await harness.call(build_call(is_last=False) + smuggled)
         assert received.count(b"HTTP/1.1 ") == 1
         assert len(replica.calls) == 1
 
@@ -101,7 +101,7 @@
         plain.replace(b"Host: h\r\n", b"Host: h\n"),
         plain.replace(b"\r\n\r\n", b"\n\n"),
     ]
-    async with open_world(RelayWorld([replica])) as world:
+    async with start_harness(RelayHarness([replica])) as harness:
         for call in unclear:
-            assert find_status(await world.call(call, for_s=1.0)) == 400
+            assert find_status(await harness.call(call, for_s=1.0)) == 400
         assert not replica.calls
--- a/tests/toucanyard_node/test_relay_store.py
+++ b/tests/toucanyard_node/test_relay_store.py
@@ -23,11 +23,11 @@
 from toucanyard.replicas import RETURN_SEEN_MS
 from toucanyard_node.relay_metrics import RelayMetrics
 from toucanyard_node.relay_ports import RecordsGoneError, StoreError, TopicPage
-from toucanyard_node.relay_store import StoreReader, keep_trying
-from toucanyard_node.relay_task import Errand, RelayTask
+from toucanyard_node.relay_store import StoreReader, retry_until_success
+from toucanyard_node.relay_task import BackgroundJob, RelayTask
 
 LOCAL = Address("127.0.0.1:1")
-GIVEN_UP_S = 1.2
+READ_TIMEOUT_S = 1.2
 """After this time a read without an answer ends."""
 LISTEN = RelayListen(LOCAL, LOCAL, LOCAL, LOCAL, LOCAL)
 OPTIONS = RelayOptions(NodeName("n"), DomainName("d"), LISTEN, LOCAL)
@@ -90,22 +90,22 @@
 
     async def _wait(self, wait_ms: float) -> None:
         if self.is_silent:
-            await trio.sleep(GIVEN_UP_S)
+            await trio.sleep(READ_TIMEOUT_S)
             raise StoreError("no answer")
         await trio.sleep(0.004 + wait_ms / 1000)
         if self.is_down:
             raise StoreError("status 503", is_refused=True)
 
 
-class World:
+class StoreReaderHarness:
     """A reader, the core that it feeds and the store that it reads."""
 
     def __init__(self) -> None:
         identity = NodeId(NodeName("n"), Incarnation("i"))
         self.core = RelayCore(OPTIONS, identity, decode, random.Random(1))
         messages, _ = trio.open_memory_channel[SendToPeer](1_000)
-        errands, _ = trio.open_memory_channel[Errand](1_000)
-        self.task = RelayTask(self.core, messages, errands, RelayMetrics())
+        jobs, _ = trio.open_memory_channel[BackgroundJob](1_000)
+        self.task = RelayTask(self.core, messages, jobs, RelayMetrics())
         self.store = ScriptedStore()
         self.reader = StoreReader(
             self.core, self.task.client, self.store, random.Random(2)
@@ -122,34 +122,34 @@
 async def test_records_reach_the_core_and_none_is_passed_over(
     autojump_clock: object,
 ) -> None:
-    world = World()
-    world.store.append(Topic.OPERATOR, "a", b"1")
+    harness = StoreReaderHarness()
+    harness.store.append(Topic.OPERATOR, "a", b"1")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(world.task.run)
-        nursery.start_soon(world.reader.run)
+        nursery.start_soon(harness.task.run)
+        nursery.start_soon(harness.reader.run)
         await trio.sleep(1)
-        assert world.list_facts(Topic.OPERATOR) == ["a=1"]
+        assert harness.list_facts(Topic.OPERATOR) == ["a=1"]
         for number in range(5):
-            world.store.append(Topic.OPERATOR, f"b{number}", b"2")
+            harness.store.append(Topic.OPERATOR, f"b{number}", b"2")
             await trio.sleep(4)
-        assert len(world.list_facts(Topic.OPERATOR)) == 6
+        assert len(harness.list_facts(Topic.OPERATOR)) == 6
         nursery.cancel_scope.cancel()
 
 
 async def test_forgotten_records_are_read_whole(autojump_clock: object) -> None:
     """The store forgets its log while the node waits; a key went meanwhile."""
-    world = World()
-    world.store.append(Topic.REPLICAS, "a", b"1")
-    world.store.append(Topic.REPLICAS, "b", b"1")
+    harness = StoreReaderHarness()
+    harness.store.append(Topic.REPLICAS, "a", b"1")
+    harness.store.append(Topic.REPLICAS, "b", b"1")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(world.task.run)
-        nursery.start_soon(world.reader.run)
+        nursery.start_soon(harness.task.run)
+        nursery.start_soon(harness.reader.run)
         await trio.sleep(1)
-        world.store.append(Topic.REPLICAS, "a", None)
-        world.store.forget(Topic.REPLICAS)
-        world.store.append(Topic.REPLICAS, "b", b"2")
+        harness.store.append(Topic.REPLICAS, "a", None)
+        harness.store.forget(Topic.REPLICAS)
+        harness.store.append(Topic.REPLICAS, "b", b"2")
         await trio.sleep(2)
-        assert world.list_facts(Topic.REPLICAS) == ["b=2"]
+        assert harness.list_facts(Topic.REPLICAS) == ["b=2"]
         nursery.cancel_scope.cancel()
 
 
@@ -157,27 +157,27 @@
     autojump_clock: object,
 ) -> None:
     """The store refuses for ten seconds. Every call counts for all nodes' rate."""
-    world = World()
-    world.store.is_down = True
+    harness = StoreReaderHarness()
+    harness.store.is_down = True
     failures: list[RelayEvent] = []
-    handle = world.core.handle
+    handle = harness.core.handle
 
-    def note(event: RelayEvent, now_ms: float) -> object:
+    def record_event(event: RelayEvent, now_ms: float) -> object:
         if isinstance(event, StoreFailed):
             failures.append(event)
         return handle(event, now_ms)
 
-    world.core.handle = note  # type: ignore[method-assign, assignment]
+    harness.core.handle = record_event  # type: ignore[method-assign, assignment]
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(world.task.run)
-        nursery.start_soon(world.reader.run)
+        nursery.start_soon(harness.task.run)
+        nursery.start_soon(harness.reader.run)
         await trio.sleep(10)
-        assert len(world.store.reads) < 100
+        assert len(harness.store.reads) < 100
         assert len(failures) > 10
-        world.store.is_down = False
-        world.store.append(Topic.OPERATOR, "a", b"1")
+        harness.store.is_down = False
+        harness.store.append(Topic.OPERATOR, "a", b"1")
         await trio.sleep(2)
-        assert world.list_facts(Topic.OPERATOR) == ["a=1"]
+        assert harness.list_facts(Topic.OPERATOR) == ["a=1"]
         nursery.cancel_scope.cancel()
 
 
@@ -189,21 +189,21 @@
     They count from when it is seen to be back. Were each read waited for, that would
     be up to 1.4 s late, and what was taken away would count past its end.
     """
-    world = World()
-    world.store.append(Topic.REPLICAS, "a", b"1")
+    harness = StoreReaderHarness()
+    harness.store.append(Topic.REPLICAS, "a", b"1")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(world.task.run)
-        nursery.start_soon(world.reader.run)
+        nursery.start_soon(harness.task.run)
+        nursery.start_soon(harness.reader.run)
         await trio.sleep(2)
         for silent_s in (2.1, 3.3, 4.0, 4.7, 5.2):
-            world.store.is_silent = True
-            begun = len(world.store.reads)
+            harness.store.is_silent = True
+            begun = len(harness.store.reads)
             await trio.sleep(silent_s)
-            assert len(world.store.reads) - begun < 8 * silent_s
-            world.store.is_silent = False
+            assert len(harness.store.reads) - begun < 8 * silent_s
+            harness.store.is_silent = False
             returned_ms = trio.current_time() * 1000
             await trio.sleep(2)
-            absence = world.core.exchange.views[
+            absence = harness.core.exchange.views[
                 Topic.REPLICAS
             ].availability.find_outage()
             assert absence is not None
@@ -219,7 +219,9 @@
     offsets: list[int] = []
 
     async def announce() -> None:
-        offsets.append(await keep_trying(lambda: store.append_node(record), "x"))
+        offsets.append(
+            await retry_until_success(lambda: store.append_node(record), "x")
+        )
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(announce)
--- a/tests/toucanyard_node/test_sse.py
+++ b/tests/toucanyard_node/test_sse.py
@@ -14,8 +14,8 @@
     MAX_EVENT_BYTES,
     Chunk,
     Event,
-    EventCutter,
     EventError,
+    EventParser,
     get_text,
     read_chunk,
     render_event,
@@ -41,18 +41,18 @@
 def test_any_bytes_are_events_or_refused(parts: list[bytes]) -> None:
     """What is passed on reads the same at the caller's end, also where the engine
     spread an event over lines; else the caller would lose a part of it."""
-    cutter = EventCutter()
+    cutter = EventParser()
     try:
         events = [event for part in parts for event in cutter.feed(part)]
     except EventError:
         return
     for event in events:
         if event.number is not None and not event.is_done():
-            assert EventCutter().feed(render_event(event.number, event.data)) == [event]
+            assert EventParser().feed(render_event(event.number, event.data)) == [event]
 
 
 def test_event_over_two_lines_is_passed_on_whole() -> None:
-    [event] = EventCutter().feed(b'id: 3\ndata: {"id":\ndata: "c"}\n\n')
+    [event] = EventParser().feed(b'id: 3\ndata: {"id":\ndata: "c"}\n\n')
     assert event == Event(3, b'{"id":\n"c"}')
     assert render_event(3, event.data) == b'id: 3\ndata: {"id":\ndata: "c"}\n\n'
 
@@ -62,7 +62,7 @@
 
     Taken for a part of the heartbeat, the event behind it would be lost.
     """
-    events = EventCutter().feed(
+    events = EventParser().feed(
         b": heartbeat\nid: 3\ndata: x\n\n"
         b": heartbeat\n\n: a\n: b\n\n"
         b": c\ndata: [DONE]\n\n"
@@ -71,7 +71,7 @@
 
 
 def test_event_without_an_end_is_refused() -> None:
-    cutter = EventCutter()
+    cutter = EventParser()
     with pytest.raises(EventError):
         for _ in range(MAX_EVENT_BYTES // 100_000 + 1):
             cutter.feed(b"x" * 100_000)
--- a/tests/toucanyard_node/test_vm_list.py
+++ b/tests/toucanyard_node/test_vm_list.py
@@ -13,7 +13,7 @@
 from toucanyard.names import Address
 from toucanyard.options import MembershipTimings
 from toucanyard.vm_view import VmState
-from toucanyard_node.http_client import is_possible
+from toucanyard_node.http_client import is_valid_address
 from toucanyard_node.http_exchange import (
     HttpRequest,
     Responder,
@@ -27,7 +27,7 @@
 )
 
 
-class Scene:
+class VmListHarness:
     """A platform whose answer can be set."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
@@ -39,12 +39,12 @@
             poll_vm_list,
             ADDRESS,
             MembershipTimings(),
-            self.note,
+            self.record_event,
             random.Random(1),
             network.connect,
         )
 
-    async def note(self, event: VmsRead) -> None:
+    async def record_event(self, event: VmsRead) -> None:
         self.seen.append(event)
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
@@ -56,10 +56,10 @@
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
+        harness = VmListHarness(nursery)
         await trio.sleep(5)
-        assert 5 <= len(scene.seen) <= 8
-        assert scene.seen[0].vms[0].state is VmState.LEAVING
+        assert 5 <= len(harness.seen) <= 8
+        assert harness.seen[0].vms[0].state is VmState.LEAVING
         nursery.cancel_scope.cancel()
 
 
@@ -78,13 +78,13 @@
     autojump_clock: trio.testing.MockClock, answer: tuple[int, bytes]
 ) -> None:
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
-        scene.answers = [answer]
+        harness = VmListHarness(nursery)
+        harness.answers = [answer]
         await trio.sleep(3)
-        assert scene.seen == []
-        scene.answers = [(200, GOOD)]
+        assert harness.seen == []
+        harness.answers = [(200, GOOD)]
         await trio.sleep(3)
-        assert scene.seen
+        assert harness.seen
         nursery.cancel_scope.cancel()
 
 
@@ -99,10 +99,10 @@
         b'"10.0.0.1:99999","callers":"10.0.0.1:80"}]',
     )
     async with trio.open_nursery() as nursery:
-        scene = Scene(nursery)
-        scene.answers = [(200, body)]
+        harness = VmListHarness(nursery)
+        harness.answers = [(200, body)]
         await trio.sleep(1)
-        endpoint, node = scene.seen[0].vms
+        endpoint, node = harness.seen[0].vms
         assert (node.peers, node.operators) == ("", "")
         assert (node.callers, endpoint.endpoint) == ("10.0.0.1:80", "10.0.0.1:80")
         nursery.cancel_scope.cancel()
@@ -128,16 +128,16 @@
 
     async def check() -> None:
         async with trio.open_nursery() as nursery:
-            scene = Scene(nursery)
-            scene.answers = [(status, body.encode())]
+            harness = VmListHarness(nursery)
+            harness.answers = [(status, body.encode())]
             await trio.sleep(1)
-            scene.answers = [(200, GOOD)]
+            harness.answers = [(200, GOOD)]
             await trio.sleep(3)
-            assert scene.seen[-1].vms[0].name == "e1"
-            vms = [vm for event in scene.seen for vm in event.vms]
+            assert harness.seen[-1].vms[0].name == "e1"
+            vms = [vm for event in harness.seen for vm in event.vms]
             for vm in vms:
                 given_addresses = [vm.callers, vm.operators, vm.peers, vm.endpoint]
-                assert all(is_possible(each) for each in given_addresses if each)
+                assert all(is_valid_address(each) for each in given_addresses if each)
             nursery.cancel_scope.cancel()
 
     trio.run(check, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/toucanyard_platform/test_calls.py
+++ b/tests/toucanyard_platform/test_calls.py
@@ -178,11 +178,11 @@
     facts = PlatformCalls().read_answer(ResponseHead(200, headers))
     assert facts.caller_id == "q1"
     assert facts.is_signed
-    assert not facts.is_unrun
+    assert not facts.is_not_run
     assert facts.incarnation == "i-1"
     assert facts.weights_version == 4
     bare = PlatformCalls().read_answer(ResponseHead(503, {"x-not-executed": "1"}))
-    assert bare.is_unrun
+    assert bare.is_not_run
     odd = {"x-weight-versions": "new"}
     assert PlatformCalls().read_answer(ResponseHead(200, odd)).weights_version is None
 
--- a/tests/toucanyard_platform/test_replica_client.py
+++ b/tests/toucanyard_platform/test_replica_client.py
@@ -90,7 +90,7 @@
     async with serve(lambda _: (200, (), EVENTS)) as (address, seen):
         client = PartClient()
         for _ in range(3):
-            page = await client.read_parts(address, 118, 800.0)
+            page = await client.read_prompt_blocks(address, 118, 800.0)
     assert page is not None
     assert (page.epoch, page.next_number, page.is_lost) == (7, 120, False)
     assert page.changes == (
@@ -103,5 +103,7 @@
 
 async def test_holder_that_refuses_or_is_away_tells_nothing() -> None:
     async with serve(lambda _: (429, (), b"")) as (address, _):
-        assert await PartClient().read_parts(address, 0, 10.0) is None
-    assert await PartClient().read_parts(Address("127.0.0.1:1"), 0, 10.0) is None
+        assert await PartClient().read_prompt_blocks(address, 0, 10.0) is None
+    assert (
+        await PartClient().read_prompt_blocks(Address("127.0.0.1:1"), 0, 10.0) is None
+    )
--- a/tests/toucanyard_standins/test_deployment.py
+++ b/tests/toucanyard_standins/test_deployment.py
@@ -228,7 +228,7 @@
     # The caller closes after the first events; the engine is told to stop.
     async with run_deployment(engines=1) as (harness, deployment):
         connection = await open_stream(deployment.nodes[0].address, LONG_BODY)
-        await connection.read_part()
+        await connection.read_body_chunk()
         await connection.close()
         with trio.fail_after(10):
             while True:
--- a/tests/toucanyard_standins/test_engine_face.py
+++ b/tests/toucanyard_standins/test_engine_face.py
@@ -134,11 +134,11 @@
 async def test_heartbeats_come_until_they_are_stopped(nursery: trio.Nursery) -> None:
     address = await start_engine(nursery, STALLED)
     connection = await open_stream(address, "r1", "a", 3)
-    assert await connection.read_part() == b": heartbeat\n\n"
+    assert await connection.read_body_chunk() == b": heartbeat\n\n"
     await control(address, StopHeartbeats(True))
     with trio.move_on_after(0.1) as scope:
         while True:
-            await connection.read_part()
+            await connection.read_body_chunk()
     assert scope.cancelled_caught
 
 
@@ -152,10 +152,10 @@
     await control(address, SilenceConnections())
     with trio.move_on_after(0.1) as scope:
         while True:
-            await connection.read_part()
+            await connection.read_body_chunk()
     assert scope.cancelled_caught
     resumed = await open_resumed(address, "r1", -1)
-    assert await resumed.read_part() == b": heartbeat\n\n"
+    assert await resumed.read_body_chunk() == b": heartbeat\n\n"
 
 
 async def test_idle_connection_that_went_silent_never_answers(
