--- a/packages/toucanyard-node/src/toucanyard_node/boot_clock.py
+++ b/packages/toucanyard-node/src/toucanyard_node/boot_clock.py
@@ -1,8 +1,9 @@
-"""Keep a node's time by a clock that counts while its VM is suspended.
+"""Clock for trio that includes the time during which the VM was suspended.
 
-Leases, windows of keys and deadlines are measured by this clock. The usual steady clock
-stands still while a VM is suspended: its node would wake up, take an ended lease for
-its own and send orders beside the next holder, or serve a stream whose peers are gone.
+Leases, key windows and deadlines are measured with this clock. The monotonic clock
+stops while a VM is suspended: after resuming, the node would treat an expired lease as
+still held and send orders alongside the new holder, or continue a stream whose peers
+have disconnected.
 """
 
 from __future__ import annotations
@@ -14,37 +15,37 @@
 
 
 def read_boot_s() -> float:
-    """Return the seconds since the VM started, the suspended ones included.
+    """Return the seconds since the VM booted, including time spent suspended.
 
-    Where the system has no such clock, the steady one is the nearest.
+    Falls back to the monotonic clock where the system has no boot-time clock.
     """
     clock = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
     return time.clock_gettime(clock)
 
 
 class BootClock(trio.abc.Clock):
-    """Trio's time as the seconds since the VM started.
+    """A trio clock that returns the seconds since the VM booted.
 
-    Known limit: a wait under way when the VM is suspended ends late by at most the time
-    that was left of it, since the system doesn't count the suspended time of waits. The
-    core's tick is 50 ms, so no decision lags by more.
+    Known limitation: a sleep in progress when the VM is suspended ends late by at most
+    its remaining time, because the kernel does not count suspended time for timeouts.
+    The core ticks every 50 ms, so no decision is delayed by more than that.
     """
 
     def __init__(self, read_s: Callable[[], float] = read_boot_s) -> None:
         self._read_s = read_s
 
     def start_clock(self) -> None:
-        """Begin a run; there is nothing to prepare."""
+        """Do nothing; the clock needs no setup."""
 
     def current_time(self) -> float:
-        """Return the present time in seconds."""
+        """Return the current time in seconds."""
         return self._read_s()
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return how long to sleep until a deadline, in seconds."""
+        """Return the number of seconds until a deadline."""
         return deadline - self._read_s()
 
 
 def find_now_ms() -> float:
-    """Return the node's time in milliseconds, by the clock that trio runs by."""
+    """Return the current trio time in milliseconds."""
     return trio.current_time() * 1000
--- a/packages/toucanyard-node/src/toucanyard_node/bounded_fetch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/bounded_fetch.py
@@ -1,4 +1,4 @@
-"""Read answers from endpoints and platform within a limit of size and time."""
+"""Make HTTP requests whose response size and duration are bounded."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     headers: Headers = (),
     body: bytes = b"",
 ) -> Response:
-    """Make one request on a connection, or raise ConnectionFailedError."""
+    """Make one request on an open connection, or raise ConnectionFailedError."""
     await connection.send(method, target, headers, body)
     head = await connection.read_head()
     received = await connection.read_body(max_bytes)
@@ -37,7 +37,7 @@
     max_bytes: int,
     connect_to: Connect = connect,
 ) -> Response:
-    """Get one answer on a connection of its own, or raise ConnectionFailedError."""
+    """Make a GET request on a new connection, or raise ConnectionFailedError."""
     connection = await connect_to(address, timeout_ms)
     try:
         with trio.fail_after(timeout_ms / 1000):
--- a/packages/toucanyard-node/src/toucanyard_node/bounded_output.py
+++ b/packages/toucanyard-node/src/toucanyard_node/bounded_output.py
@@ -1,8 +1,8 @@
-"""Write log lines to standard output without ever waiting for whoever reads it.
+"""Write log lines to standard output without blocking on a slow reader.
 
-Lines gather in a bounded buffer that one task writes out. When the reader is slow the
-buffer fills and further lines are dropped and counted; the count is a line of its own,
-so that a gap shows.
+Lines are collected in a bounded buffer that a single task writes out. When the reader
+is slow and the buffer is full, further lines are dropped and counted. The count is
+written as a separate line, which makes the gap visible.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 import trio
 
 MAX_LINES: Final = 5_000
-"""Lines kept for a slow reader: a few seconds of the busiest node's."""
+"""Maximum number of buffered lines: a few seconds of output of the busiest node."""
 FLUSH_INTERVAL_S: Final = 0.05
-"""Time between two writes; one write for many lines saves most of their cost."""
+"""Interval between writes; writing many lines at once saves most of the cost."""
 _WRITE_BYTES: Final = 65_536
 
 
 class BoundedOutput:
-    """The lines that wait to be written to one descriptor.
+    """Buffer of lines to be written to one file descriptor.
 
-    Invariant: at most MAX_LINES lines wait.
+    Invariant: at most MAX_LINES lines are buffered.
     """
 
     __slots__ = ("_descriptor", "_lines", "_unsent", "_wakeup", "dropped", "written")
@@ -33,12 +33,12 @@
         self._lines: deque[str] = deque()
         self._unsent = b""
         self._wakeup: trio.Event | None = None
-        """Set by the next line while the task has nothing to write."""
+        """Set by the next call of `write` while the buffer is empty."""
         self.dropped = 0
         self.written = 0
 
     def write(self, text: str) -> None:
-        """Take one line, without its end."""
+        """Append one line, given without its line break."""
         if len(self._lines) >= MAX_LINES:
             self.dropped += 1
             return
@@ -55,8 +55,8 @@
         reported = 0
         while True:
             if not self._lines and not self._unsent:
-                # Nodes of a large fleet mostly rest; looking for lines would wake them
-                # more often than anything else.
+                # Nodes of a large fleet are mostly idle. Polling the buffer would wake
+                # them more often than anything else.
                 self._wakeup = trio.Event()
                 await self._wakeup.wait()
             if self.dropped > reported:
@@ -68,7 +68,7 @@
             await trio.sleep(FLUSH_INTERVAL_S)
 
     def flush(self) -> None:
-        """Write what the reader takes at once."""
+        """Write as much as possible without blocking."""
         while self._unsent or self._lines:
             if not self._unsent:
                 self._unsent = self._take_lines()
@@ -77,7 +77,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; lines are dropped like those of a full buffer.
+                # The reader has closed the pipe: drop the lines as for a full buffer.
                 self.dropped += len(self._lines)
                 self._lines.clear()
                 self._unsent = b""
--- a/packages/toucanyard-node/src/toucanyard_node/buffered_answer.py
+++ b/packages/toucanyard-node/src/toucanyard_node/buffered_answer.py
@@ -1,4 +1,4 @@
-"""Hold an answer of a replica until it is known whether its caller gets it."""
+"""A complete response of a replica, buffered until it may be forwarded."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class AnswerLostError(Exception):
-    """One dispatch ended without an answer that can be passed on."""
+    """A dispatch ended without a response that can be forwarded."""
 
     def __init__(self, outcome: RelayOutcome) -> None:
         super().__init__(outcome.text)
@@ -15,7 +15,7 @@
 
 
 class BufferedAnswer:
-    """A whole answer of a replica."""
+    """A complete response of a replica."""
 
     __slots__ = ("body", "headers", "status")
 
--- a/packages/toucanyard-node/src/toucanyard_node/connection_pool.py
+++ b/packages/toucanyard-node/src/toucanyard_node/connection_pool.py
@@ -1,4 +1,4 @@
-"""Keep idle connections to endpoints, and drop those that can't be trusted."""
+"""Pool idle connections to endpoints and discard those that may be broken."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 class ConnectionPool:
-    """Lend connections, each to one request at a time.
+    """Pool of connections, each used by one request at a time.
 
-    Invariants: an idle connection has carried its last answer to the end, is younger
-    than the last silence of its address, and nothing unread waits on it.
+    Invariants: the last response on an idle connection was read completely, the
+    connection was opened after the last read timeout at its address, and it has no
+    unread input.
     """
 
     __slots__ = ("_connect", "_idle", "_limits", "_timed_out_at_ms")
@@ -29,24 +30,24 @@
         self._timed_out_at_ms: dict[Address, float] = {}
 
     async def acquire(self, address: Address) -> tuple[HttpConnection, bool]:
-        """Return a connection and whether it was used before."""
+        """Return a connection and whether it is a reused one."""
         now_ms = trio.current_time() * 1000
-        # Looked up anew each time: while one is closed, the rest may be distrusted.
+        # Looked up in each iteration: `discard_idle` may run while one is being closed.
         while idle := self._idle.get(address):
             connection, idle_since_ms = idle.pop()
-            # An endpoint that restarted has closed its end: the next request would
-            # be written into the void. Unread bytes are an answer nobody asked for.
+            # An endpoint that restarted has closed its side, so a request on this
+            # connection would be lost. Unread bytes belong to an unexpected response.
             if connection.is_quiet() and now_ms - idle_since_ms < _MAX_IDLE_MS:
                 return connection, True
             await connection.close()
         return await self.open(address), False
 
     async def open(self, address: Address) -> HttpConnection:
-        """Return a new connection, or raise ConnectionFailedError."""
+        """Open a new connection, or raise ConnectionFailedError."""
         return await self._connect(address, self._limits.connect_timeout_ms)
 
     async def release(self, connection: HttpConnection) -> None:
-        """Take a connection back; keep it only when its last answer was whole."""
+        """Return a connection; keep it only if its last response was complete."""
         now_ms = trio.current_time() * 1000
         timed_out_at_ms = self._timed_out_at_ms.get(connection.address, -1.0)
         idle = self._idle.setdefault(connection.address, [])
@@ -62,10 +63,11 @@
             await connection.close()
 
     async def discard_idle(self, address: Address) -> None:
-        """Drop every idle connection to an address on which one went silent.
+        """Close all idle connections to an address where a read timed out.
 
-        What lost track of one connection has often lost track of all that are as
-        old; each would cost its next request another silence.
+        A middlebox that dropped the state of one connection has often dropped the state
+        of all connections of the same age, and each of them would make its next request
+        wait for another timeout.
         """
         self._timed_out_at_ms[address] = trio.current_time() * 1000
         for connection, _ in self._idle.pop(address, []):
@@ -78,5 +80,5 @@
                 await connection.close()
 
     def count_idle(self, address: Address) -> int:
-        """Return how many idle connections to an address are kept."""
+        """Return the number of idle connections to an address."""
         return len(self._idle.get(address, []))
--- a/packages/toucanyard-node/src/toucanyard_node/drain.py
+++ b/packages/toucanyard-node/src/toucanyard_node/drain.py
@@ -1,4 +1,4 @@
-"""Stop a node as planned without cutting a request."""
+"""Shut down a node gracefully, without interrupting requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DrainState:
-    """Whether the planned stop has begun; `locate` and the faces ask it."""
+    """Whether draining has begun; read by `locate` and the HTTP servers."""
 
     __slots__ = ("_begun",)
 
@@ -24,15 +24,15 @@
         self._begun = trio.Event()
 
     def is_draining(self) -> bool:
-        """Tell whether the planned stop has begun."""
+        """Return whether draining has begun."""
         return self._begun.is_set()
 
     def begin(self) -> None:
-        """Begin the planned stop; a second call changes nothing."""
+        """Begin draining; further calls have no effect."""
         self._begun.set()
 
     async def wait_begun(self) -> None:
-        """Wait for the planned stop to begin."""
+        """Wait until draining begins."""
         await self._begun.wait()
 
 
@@ -42,11 +42,12 @@
     options: Options,
     wait_idle: Callable[[], Awaitable[None]],
 ) -> bool:
-    """Carry out a planned stop; return whether all requests came to their end.
+    """Drain the server; return whether all requests finished in time.
 
-    Callers keep a located address for a while, so the node serves new connections
-    for that long after it has left `locate`; closing at once would refuse them. The
-    minimal notice comes on top: peers name the node until its news has reached them.
+    Callers cache located addresses, so the node accepts new connections for that cache
+    time after it has left `locate`; closing the listener at once would refuse them.
+    The minimum notice period is added, because peers return the node's address until
+    they have received its gossip update.
     """
     state.begin()
     notice_ms = options.drain.min_notice_ms + options.callers.locate_ttl_ms
@@ -62,10 +63,10 @@
 async def wait_for_key_handover(
     is_handover_done: Callable[[], bool], limit_ms: int
 ) -> None:
-    """Wait until peers hold this node's ended keys and all are told so.
+    """Wait until peers store this node's ended keys and all nodes were informed.
 
-    Without this step a retry of what this node answered could only be told that the
-    outcome is unknown. The limit keeps a stop from waiting for peers that are gone.
+    Otherwise a retry of a request that this node answered could only get the reply
+    that its outcome is unknown. The limit bounds the wait if peers are unreachable.
     """
     with trio.move_on_after(limit_ms / 1000):
         while not is_handover_done():
--- a/packages/toucanyard-node/src/toucanyard_node/encoded_messages.py
+++ b/packages/toucanyard-node/src/toucanyard_node/encoded_messages.py
@@ -1,7 +1,7 @@
-"""Encode a message once that goes to many peers.
+"""Cache the encoding of messages that are sent to many peers.
 
-A hub sends its nodes, the nodes that stand by and other hubs one status each, in the
-order of their links. Encoding it anew for each of 46 peers would hold up its calls.
+A hub sends one kind of status each to its nodes, to standby nodes and to other hubs, in
+the order of its links. Encoding it again for each of 46 peers would delay its calls.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from toucanyard_node.link_codec import MessageT
 
 CACHED_MESSAGES: Final = 4
-"""Messages whose bytes are kept: those of one status are of so many kinds."""
+"""Number of cached messages, enough for the kinds of message in one status."""
 
 
 class EncodedMessageCache(Generic[MessageT]):
-    """The bytes of the messages that were encoded last.
+    """Cache of the most recently encoded messages.
 
-    Invariant: bytes are found by the message itself, not by one that equals it.
+    Invariant: messages are looked up by identity, not by equality.
     """
 
     __slots__ = ("_encode", "_cached")
@@ -29,7 +29,7 @@
         self._cached: deque[tuple[MessageT, bytes]] = deque(maxlen=CACHED_MESSAGES)
 
     def find(self, message: MessageT) -> bytes:
-        """Return the bytes of a message."""
+        """Return the encoding of a message."""
         for cached, data in self._cached:
             if cached is message:
                 return data
--- a/packages/toucanyard-node/src/toucanyard_node/http_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/http_client.py
@@ -1,8 +1,8 @@
-"""Speak HTTP/1.1 to endpoints and platform over trio with h11.
+"""HTTP/1.1 client for endpoints and the platform, based on trio and h11.
 
-One HttpConnection carries one request at a time. Who holds it decides whether it
-may be used again: a connection on which an answer was abandoned never is, since the
-late rest of that answer would be taken for the next one.
+An HttpConnection carries one request at a time. Its owner decides whether to reuse it.
+A connection on which a response was abandoned must not be reused, because the rest of
+that response would be read as the next one.
 """
 
 from __future__ import annotations
@@ -22,20 +22,21 @@
 from toucanyard_node.socket_io import receive
 
 _SEND_CHUNK_BYTES: Final = 65_536
-"""What is sent at once; a connection that takes none in time has gone silent."""
+"""Size of one send; a connection that does not accept it in time is stalled."""
 _MAX_PORT: Final = 65_535
 _NEEDS_DATA: Final = ((b"", False), (b"\r\n", False))
-"""What h11 has unread after a chunk when neither another nor the end has come."""
+"""Unread data in h11 after a chunk if neither the next chunk nor the end arrived."""
 MAX_BODY_BYTES: Final = 64_000_000
 
 Headers = tuple[tuple[str, str], ...]
 
 
 class ConnectionFailedError(Exception):
-    """The connection could not be made or died; `is_sent` tells if bytes left.
+    """The connection could not be opened or failed.
 
-    `is_closed` tells that the other side closed it before the answer was whole,
-    `has_no_listener` that no process listens at the address.
+    `is_sent` says whether any bytes were sent, `is_closed` whether the other side
+    closed the connection before the response was complete, and `has_no_listener`
+    whether no process listens at the address.
     """
 
     def __init__(
@@ -53,20 +54,20 @@
 
 
 class BodyTooLargeError(ConnectionFailedError):
-    """The other side sent more than this node takes in one answer."""
+    """The response body is larger than the limit of this node."""
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
-    """Status and headers of an answer; header names are lower case."""
+    """Status and headers of a response; header names are lower case."""
 
     status: int
     headers: dict[str, str]
     fields: Headers = ()
-    """All headers in their order, with names as they came."""
+    """All headers in their original order, with the original spelling of names."""
 
 
 class Response(msgspec.Struct, frozen=True):
-    """One whole answer."""
+    """One complete response."""
 
     status: int
     headers: dict[str, str]
@@ -80,7 +81,7 @@
 
 
 def is_valid_address(address: Address) -> bool:
-    """Tell whether an address is an IP number and a port that can be connected to."""
+    """Return whether an address consists of an IP address and a valid port."""
     try:
         host, port = split_address(address)
         ipaddress.ip_address(host)
@@ -92,7 +93,7 @@
 class HttpConnection:
     """One connection to one address.
 
-    Invariant: `is_reusable` is true only when the last answer was read to its end.
+    Invariant: `is_reusable` is true only if the last response was read completely.
     """
 
     __slots__ = (
@@ -119,14 +120,14 @@
         self._connection = h11.Connection(h11.CLIENT)
 
     def is_reusable(self) -> bool:
-        """Tell whether another request may be sent."""
+        """Return whether another request may be sent."""
         if self._pending_event is not None or self._has_unsent_body:
             return False
         states = (self._connection.our_state, self._connection.their_state)
         return states in ((h11.IDLE, h11.IDLE), (h11.DONE, h11.DONE))
 
     def is_quiet(self) -> bool:
-        """Tell whether nothing waits to be read: neither an end nor a late answer."""
+        """Return whether there is no unread input, neither EOF nor a late response."""
         if self._connection.trailing_data != (b"", False):
             return False
         if not isinstance(self._stream, trio.SocketStream):
@@ -145,7 +146,7 @@
     ) -> None:
         """Send one request, or raise ConnectionFailedError.
 
-        `stall_ms` bounds how long the other side may take none of it.
+        `stall_ms` bounds how long the other side may accept no data.
         """
         all_headers = (("Content-Length", str(len(body))), *headers)
         if not any(name.lower() == "host" for name, _ in headers):
@@ -157,11 +158,12 @@
     async def send_and_read_head(
         self, method: str, target: str, headers: Headers, body: bytes
     ) -> ResponseHead:
-        """Send a request whose headers are whole and read its answer's head.
+        """Send a request with complete headers and read the head of its response.
 
-        An answer may come before all of a long body is sent, and the other side may
-        then read no more of it: waiting to have sent everything would wait for ever.
-        Such a connection is not used again, as the rest of the body is still due on it.
+        A response may arrive before a long body has been sent completely, and the other
+        side may then stop reading, so waiting for the send to finish could block
+        forever. Such a connection is not reused, because the rest of the body was not
+        sent.
         """
         data = self._render(method, target, headers, body)
         sent_bytes = await self._send_once(data)
@@ -182,7 +184,7 @@
         return head
 
     async def _send_remaining_in_background(self, data: bytes, sent_bytes: int) -> None:
-        """Send what is left; a failure shows to whoever reads the answer."""
+        """Send the remaining bytes; the reader of the response sees any failure."""
         with suppress(ConnectionFailedError):
             await self._send_remaining(data, sent_bytes, math.inf)
             self._has_unsent_body = False
@@ -220,10 +222,10 @@
             raise ConnectionFailedError(text, is_sent=True) from error
 
     async def _send_once(self, data: bytes) -> int:
-        """Send the first bytes apart; return how many the kernel took.
+        """Call `send` on the socket once; return how many bytes the kernel accepted.
 
-        When the other side closed an idle connection, this first call fails and no
-        byte was taken. That proves that the request did not run; a failure later
+        If the other side has closed an idle connection, this first call fails and no
+        byte was accepted, which proves that the request did not run. A later failure
         proves nothing.
         """
         if not isinstance(self._stream, trio.SocketStream):
@@ -254,7 +256,7 @@
             return ResponseHead(event.status_code, headers, fields)
 
     async def read_body_chunk(self) -> bytes | None:
-        """Read what has come of the body, in one piece; None at its end."""
+        """Return the part of the body that has arrived; None at its end."""
         event = self._pending_event or await self._next_event()
         self._pending_event = None
         if not isinstance(event, h11.Data):
@@ -276,9 +278,9 @@
         return bytes(chunks[0]) if len(chunks) == 1 else b"".join(chunks)
 
     def _record_parser_state(self, event: h11.Data) -> bool:
-        """Tell whether h11 needs bytes after this event, and note it.
+        """Record and return whether h11 needs more input after this event.
 
-        It is asked twice for each token event otherwise, only to say so.
+        Otherwise h11 would be called twice per token event, just to report that.
         """
         rest = self._connection.trailing_data
         self._parser_needs_data = event.chunk_end and rest in _NEEDS_DATA
@@ -287,7 +289,7 @@
     async def read_body(self, max_bytes: int = MAX_BODY_BYTES) -> bytes:
         """Read the rest of the body, or raise ConnectionFailedError.
 
-        One over the limit is given up: whoever sends without end must not fill this
+        A larger body is abandoned, so that an endless response cannot exhaust this
         node's memory.
         """
         body = bytearray()
@@ -298,11 +300,11 @@
         return bytes(body)
 
     async def wait_for_close(self) -> bool:
-        """Wait while no request is under way; return whether the other side closed."""
+        """Wait for input outside a request; return whether it was a close."""
         return not await self._stream.receive_some(1)
 
     async def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         await trio.aclose_forcefully(self._stream)
 
     async def _next_event(self) -> object:
@@ -340,8 +342,8 @@
         with trio.fail_after(timeout_ms / 1000):
             stream = await _open_stream(host, port)
     except (OSError, OverflowError, trio.TooSlowError) as error:
-        # A port over 65535, which a configuration may name, overflows: without being
-        # caught it would end the task that watches this endpoint, and so the node.
+        # A configuration may contain a port over 65535, which raises OverflowError.
+        # Uncaught, it would end the task that watches this endpoint, and so the node.
         raise ConnectionFailedError(
             f"{address}: {error}",
             is_sent=False,
@@ -351,7 +353,7 @@
 
 
 async def _open_stream(host: str, port: int) -> trio.SocketStream:
-    """Connect to an IP number; there is no name to resolve and no address to race."""
+    """Connect to an IP address, without name resolution."""
     family = trio.socket.AF_INET6 if ":" in host else trio.socket.AF_INET
     socket = trio.socket.socket(family, trio.socket.SOCK_STREAM)
     try:
@@ -371,7 +373,7 @@
     timeout_ms: float = 5_000,
     max_bytes: int = MAX_BODY_BYTES,
 ) -> Response:
-    """Make one request on a connection of its own, or raise ConnectionFailedError."""
+    """Make one request on a new connection, or raise ConnectionFailedError."""
     connection = await connect(address, timeout_ms)
     try:
         with trio.fail_after(timeout_ms / 1000):
--- a/packages/toucanyard-node/src/toucanyard_node/http_exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP request and the means to answer it, apart from how they are served."""
+"""An HTTP request and the object that sends its response."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """One whole request; header names are lower case."""
+    """A complete request; header names are lower case."""
 
     method: str
     path: str
@@ -22,25 +22,25 @@
     headers: dict[str, str]
     body: bytes
     target: str = ""
-    """Path and query as they came."""
+    """Path and query as received."""
     fields: Headers = ()
-    """All headers in their order, with names as they came."""
+    """All headers in their original order, with the original spelling of names."""
 
 
 class CallerGoneError(Exception):
-    """The other side closed its connection before its answer was whole."""
+    """The client closed the connection before the response was complete."""
 
 
 class TargetInvalidError(Exception):
-    """A request's target is no path and no URL."""
+    """The target of a request is neither a path nor a URL."""
 
 
 class Responder:
-    """Send one answer: `send` for a whole body, or `start`, `write` and `finish`.
+    """Send one response: `send` for a complete body, or `start`, `write`, `finish`.
 
-    Invariant: at most one answer is started; a handler that returns without an
-    answer, or inside one, makes the server close the connection, so that the other
-    side can tell a cut answer from a whole one.
+    Invariant: at most one response is started. If a handler returns without having
+    sent a response, or before it is complete, the server closes the connection, so
+    that the client can recognize a truncated response.
     """
 
     __slots__ = ("_connection", "_is_head_only", "_stream", "is_closing", "is_started")
@@ -52,7 +52,7 @@
         *,
         is_head_only: bool = False,
     ) -> None:
-        """`is_head_only` leaves bodies out, as the answer to HEAD has to."""
+        """`is_head_only` omits the body, as required for a response to HEAD."""
         self._connection = connection
         self._stream = stream
         self._is_head_only = is_head_only
@@ -60,34 +60,34 @@
         self.is_closing = False
 
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer in one write."""
+        """Send a complete response in one write."""
         head = self._render_head(status, (*headers, ("Content-Length", str(len(body)))))
         data = self._render_chunk(body)
         tail = self._connection.send(h11.EndOfMessage()) or b""
         await self._send_data(head + data + tail)
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose body follows in parts."""
+        """Send the head of a response whose body follows in chunks."""
         head = self._render_head(status, (*headers, ("Transfer-Encoding", "chunked")))
         await self._send_data(head)
 
     async def write(self, data: bytes) -> None:
-        """Send one part of the body; blocks while the other side is slow."""
+        """Send one chunk of the body; blocks while the client reads slowly."""
         await self._send_data(self._render_chunk(data))
 
     async def finish(self) -> None:
-        """Mark the body as whole."""
+        """Send the end of the body."""
         await self._send_data(self._connection.send(h11.EndOfMessage()) or b"")
 
     def close_after(self) -> None:
-        """Ask the other side to close after this answer."""
+        """Close the connection after this response and announce it to the client."""
         self.is_closing = True
 
     def _render_head(self, status: int, headers: Headers) -> bytes:
         if self.is_closing:
             headers = (*headers, ("Connection", "close"))
-        # Endpoints' values are passed on and needn't be ASCII; the library takes text
-        # in ASCII only.
+        # Header values forwarded from endpoints may contain characters outside ASCII,
+        # and h11 accepts str values only in ASCII.
         encoded = [
             (name.encode("ascii"), value.encode("latin-1", "replace"))
             for name, value in headers
--- a/packages/toucanyard-node/src/toucanyard_node/http_server.py
+++ b/packages/toucanyard-node/src/toucanyard_node/http_server.py
@@ -1,7 +1,7 @@
-"""Serve HTTP/1.1 over trio with h11: limits, keep-alive and caller-gone detection.
+"""HTTP/1.1 server on trio and h11 with limits, keep-alive and disconnect detection.
 
-The faces towards callers and operators, and the stand-ins, pass a handler; this
-module knows nothing of what they answer.
+The client server, the operator server and the stand-ins each pass a handler. This
+module does not depend on what they serve.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 _USER_TIMEOUT: Final[int | None] = getattr(socket, "TCP_USER_TIMEOUT", None)
 _RETRY_AFTER_MS: Final = 1_000
 _STOPPING_IDLE_TIMEOUT_MS: Final = 20
-"""How long a stopping server waits for a request on an open connection."""
+"""How long a stopping server still waits for a request on an open connection."""
 _CONNECT_METHOD: Final = b"CONNECT"
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
-    """Limits that a server applies before its handler sees a request."""
+    """Limits that are applied before the handler receives a request."""
 
     max_connections: int = 2_000
     max_body_bytes: int = 4_000_000
@@ -46,9 +46,9 @@
     header_timeout_ms: int = 5_000
     idle_timeout_ms: int = 60_000
     write_timeout_ms: int = 30_000
-    """How long the other side may take nothing of an answer that waits for it."""
+    """How long the client may accept no data of a pending response."""
     is_pipelined: bool = True
-    """Whether a request may come before the answer to the one before it."""
+    """Whether a client may send a request before the previous response."""
 
 
 Handler = Callable[[HttpRequest, Responder], Awaitable[None]]
@@ -81,11 +81,11 @@
         self._listener: trio.SocketListener | None = None
 
     def apply_limits(self, limits: ServerLimits) -> None:
-        """Serve what arrives from now on within these limits."""
+        """Apply new limits to subsequent connections and requests."""
         self._limits = limits
 
     async def serve(self, listener: trio.SocketListener) -> None:
-        """Serve until stopped and the last request has its answer."""
+        """Serve until stopped and all requests have been answered."""
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery, self._listener = nursery, listener
@@ -99,11 +99,11 @@
             self._stopped.set()
 
     def stop(self) -> None:
-        """Take no new connection and close idle ones; requests go on to their end."""
+        """Stop accepting and close idle connections; running requests finish."""
         self._is_stopping = True
         self._accept_scope.cancel()
-        # Closing the listener resets what the kernel has connected already, with the
-        # requests on it; their callers could not tell whether they ran.
+        # Closing the listener resets the connections in the kernel's accept queue, with
+        # any requests on them. Their callers could not know whether those ran.
         if self._nursery is not None and self._listener is not None:
             for stream in accept_pending(self._listener):
                 self._nursery.start_soon(self._serve_stream, stream)
@@ -122,7 +122,7 @@
         except (CallerGoneError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         except Exception:
-            # Out of here it would end the server and every other connection.
+            # Propagated, the error would end the server and all other connections.
             _LOG.exception("connection_failed")
         finally:
             self._open_connections -= 1
@@ -135,7 +135,7 @@
             h11.SERVER, max_incomplete_event_size=self._limits.max_header_bytes
         )
         if self._open_connections > self._limits.max_connections:
-            await self._refuse(connection, stream, ErrorKind.TOO_MANY_CONNECTIONS)
+            await self._reject(connection, stream, ErrorKind.TOO_MANY_CONNECTIONS)
             return
         is_first = True
         while await self._serve_one(connection, stream, is_first):
@@ -148,16 +148,16 @@
         try:
             request = await self._read_request(connection, stream, is_first)
         except (h11.RemoteProtocolError, TargetInvalidError):
-            await self._refuse(connection, stream, ErrorKind.BAD_REQUEST)
+            await self._reject(connection, stream, ErrorKind.BAD_REQUEST)
             return False
         if request is None:
             return False
         if isinstance(request, ErrorKind):
-            await self._refuse(connection, stream, request)
+            await self._reject(connection, stream, request)
             return False
         is_head_only = request.method == "HEAD"
         responder = Responder(connection, stream, is_head_only=is_head_only)
-        if self._is_stopping or self._has_surplus(connection):
+        if self._is_stopping or self._has_trailing_input(connection):
             responder.close_after()
         await self._run_handler(request, responder, connection, stream)
         if connection.our_state is not h11.DONE:
@@ -167,11 +167,11 @@
         connection.start_next_cycle()
         return True
 
-    def _has_surplus(self, connection: h11.Connection) -> bool:
-        """Tell whether there is more behind a request than there should be.
+    def _has_trailing_input(self, connection: h11.Connection) -> bool:
+        """Return whether unexpected bytes follow a request.
 
-        It may be a second request that someone smuggled into the body of the first.
-        Closing after the answer makes sure that it is never read.
+        They may be a second request that was smuggled into the body of the first one.
+        Closing the connection after the response ensures that they are never parsed.
         """
         return not self._limits.is_pipelined and bool(connection.trailing_data[0])
 
@@ -182,7 +182,7 @@
         connection: h11.Connection,
         stream: trio.SocketStream,
     ) -> None:
-        """Run the handler and cancel it as soon as the other side hangs up."""
+        """Run the handler and cancel it as soon as the client disconnects."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
                 _cancel_on_disconnect, connection, stream, nursery.cancel_scope
@@ -191,10 +191,11 @@
             nursery.cancel_scope.cancel()
 
     async def _run_guarded(self, request: HttpRequest, responder: Responder) -> None:
-        """Run the handler so that its failure ends this connection and no other.
+        """Run the handler so that its failure ends only this connection.
 
-        An error that left the nursery would come out of it as a group, pass the
-        handlers of single errors, and end the server with every connection it holds.
+        An error that leaves the nursery is wrapped in an exception group, which the
+        `except` clauses for single errors do not match. It would end the server and
+        all its connections.
         """
         try:
             await self._handler(request, responder)
@@ -211,8 +212,8 @@
         idle_ms = limits.header_timeout_ms if is_first else limits.idle_timeout_ms
         if not await self._receive_first_bytes(connection, stream, idle_ms):
             return None
-        # A sender of one byte a second would hold its connection for ever; the
-        # bound counts from the first byte and covers head and body.
+        # Without this limit, a client that sends one byte a second would occupy its
+        # connection forever. It applies from the first byte to the end of the body.
         with trio.move_on_after(limits.header_timeout_ms / 1000) as scope:
             return await self._read_message(connection, stream)
         assert scope.cancelled_caught
@@ -221,15 +222,15 @@
     async def _receive_first_bytes(
         self, connection: h11.Connection, stream: trio.SocketStream, idle_ms: int
     ) -> bool:
-        """Wait for a request's first bytes; return whether any came."""
+        """Wait for the first bytes of a request; return whether any arrived."""
         if connection.trailing_data[0]:
             return True
         data: bytes | None = None
         if not self._is_stopping:
             data = await self._receive_idle(stream, idle_ms)
         if data is None and self._is_stopping:
-            # A request may have reached the kernel before the stop did; closing now
-            # would reset it, and its caller could not tell whether it ran.
+            # A request may have reached the kernel before the server stopped. Closing
+            # now would reset it, and its caller could not know whether it ran.
             data = await self._receive_idle(stream, _STOPPING_IDLE_TIMEOUT_MS)
         if data is None:
             return False
@@ -239,7 +240,7 @@
     async def _receive_idle(
         self, stream: trio.SocketStream, idle_ms: int
     ) -> bytes | None:
-        """Return what comes in time and before the server stops, else None."""
+        """Return received bytes; None after a timeout or when the server stops."""
         with trio.move_on_after(idle_ms / 1000) as scope:
             self._idle_scopes.add(scope)
             try:
@@ -277,7 +278,7 @@
             return ErrorKind.BAD_REQUEST
         if head.method == _CONNECT_METHOD:
             return ErrorKind.METHOD_NOT_ALLOWED
-        # h11 bounds what it has to wait for, not what came in one piece.
+        # h11 limits only incomplete heads, not one that is received at once.
         if _compute_head_bytes(head) > self._limits.max_header_bytes:
             return ErrorKind.BAD_REQUEST
         if _find_content_length(head) > self._limits.max_body_bytes:
@@ -294,10 +295,10 @@
         connection.receive_data(data)
         return data
 
-    async def _refuse(
+    async def _reject(
         self, connection: h11.Connection, stream: trio.SocketStream, kind: ErrorKind
     ) -> None:
-        # The request was not read, so it may carry a key whose earlier try ran.
+        # The request was not read, so it may have a key whose earlier attempt ran.
         refusal = render_refusal(
             Refuse(RequestId(""), kind, Ending.UNKNOWN, kind.value, _RETRY_AFTER_MS)
         )
@@ -310,21 +311,21 @@
 
 
 def _set_user_timeout(stream: trio.SocketStream, timeout_ms: int) -> None:
-    """End the connection when what was sent stays unread or unacknowledged.
+    """Let the kernel end the connection if sent data stays unacknowledged.
 
-    A caller that is gone without a word, or never reads, would hold its handler, an
-    engine's stream and a place for ever. The kernel watches for it at no cost to each
-    write; a timer of our own for each would cost more than the write.
+    A caller that vanished without closing, or never reads, would otherwise occupy its
+    handler, a stream of an engine and a connection slot forever. The kernel checks this
+    at no cost per write, whereas a timer in this process costs more than the write.
     """
     if isinstance(stream, trio.SocketStream) and _USER_TIMEOUT is not None:
         stream.setsockopt(socket.IPPROTO_TCP, _USER_TIMEOUT, timeout_ms)
 
 
 async def _discard_input(stream: trio.SocketStream) -> None:
-    """Read what is under way for a moment before closing.
+    """Read and discard input for a short time before closing.
 
-    Closing with unread input resets the connection, and the reset can overtake the
-    refusal: the sender of a body that is too large would see a reset, not a 413.
+    Closing a socket with unread input resets the connection, and the reset can arrive
+    before the response: the sender of an oversized body would see a reset, not a 413.
     """
     await stream.send_eof()
     with trio.move_on_after(0.25):
@@ -335,7 +336,7 @@
 async def _cancel_on_disconnect(
     connection: h11.Connection, stream: trio.SocketStream, scope: trio.CancelScope
 ) -> None:
-    """Cancel the scope when the other side closes; keep what it sends early."""
+    """Cancel the scope when the client disconnects; buffer pipelined input."""
     kept_bytes = 0
     while kept_bytes < _READ_BYTES:
         try:
@@ -351,10 +352,11 @@
 
 
 def has_ambiguous_framing(head: h11.Request, raw: bytes) -> bool:
-    """Tell whether another reader could see this request end elsewhere.
+    """Return whether another parser could find the end of this request elsewhere.
 
-    The library takes lines that end in a bare line feed, and a length beside chunks. A
-    reader that doesn't would find a second request inside the body, and run it.
+    h11 accepts lines that end in a bare line feed, and Content-Length together with
+    Transfer-Encoding. A stricter server could parse a second request from within the
+    body and execute it.
     """
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
@@ -365,13 +367,13 @@
 
 
 def _compute_head_bytes(head: h11.Request) -> int:
-    """Return about how many bytes a request's head had."""
+    """Return the approximate size of a request head in bytes."""
     headers = sum(len(name) + len(value) + 4 for name, value in head.headers)
     return len(head.target) + headers
 
 
 def _find_content_length(head: h11.Request) -> int:
-    """Return the size that a request declares for its body; h11 has checked it."""
+    """Return the declared size of the body, which h11 has validated."""
     for name, value in head.headers:
         if name == b"content-length":
             return int(value)
@@ -379,7 +381,7 @@
 
 
 async def open_listener(host: str, port: int) -> trio.SocketListener:
-    """Listen on one IP number and port; port 0 lets the kernel choose."""
+    """Listen on an IP address and port; port 0 lets the kernel choose."""
     listeners = await trio.open_tcp_listeners(port, host=host, backlog=1024)
     return listeners[0]
 
--- a/packages/toucanyard-node/src/toucanyard_node/idle_watch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/idle_watch.py
@@ -1,7 +1,8 @@
-"""Find connections that have gone silent, with one task for all streams.
+"""Detect idle connections with a single task for all streams.
 
-A cancel scope around each read would do the same, at a cost for each token event. A
-reader here only notes when it began to wait; closing its connection wakes it.
+A cancel scope around each read would have the same effect, but at a cost per token
+event. Here a reader only records when it began to wait, and closing its connection
+wakes it.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 
 class IdleTimer:
-    """When one reader began to wait for bytes; infinity while it doesn't wait.
+    """Records when a reader began to wait for bytes; infinity while it doesn't wait.
 
-    Invariant: `has_expired` is set before the connection is closed for silence, so
-    that its reader can tell this from a connection that broke.
+    Invariant: `has_expired` is set before the connection is closed by the watch, so
+    that its reader can distinguish a timeout from a broken connection.
     """
 
     __slots__ = ("connection", "has_expired", "timeout_s", "waiting_since_s")
@@ -31,12 +32,12 @@
         self.has_expired = False
 
     def is_expired(self, now_s: float) -> bool:
-        """Tell whether the reader has waited too long."""
+        """Return whether the reader has waited too long."""
         return now_s - self.waiting_since_s >= self.timeout_s
 
 
 class IdleWatch:
-    """Close connections whose reader has waited too long."""
+    """Closes connections whose reader has waited too long."""
 
     __slots__ = ("_timers",)
 
@@ -44,21 +45,21 @@
         self._timers: set[IdleTimer] = set()
 
     def add(self, timer: IdleTimer) -> None:
-        """Watch a reader."""
+        """Start watching a reader."""
         self._timers.add(timer)
 
     def discard(self, timer: IdleTimer) -> None:
-        """Watch a reader no longer."""
+        """Stop watching a reader."""
         self._timers.discard(timer)
 
     async def run(self) -> None:
-        """Look at all readers again and again, until cancelled."""
+        """Check all readers periodically until cancelled."""
         while True:
             await trio.sleep(_CHECK_INTERVAL_S)
             for timer in self._find_expired(trio.current_time()):
-                # While another one was closed, this one's reader may have got its
-                # bytes: the stream goes on, or has ended and lent its connection back,
-                # and the request that it is lent to next would fail.
+                # While another connection was being closed, this reader may have
+                # received data. Its stream continues, or it ended and returned the
+                # connection to the pool, whose next request would then fail.
                 if timer in self._timers and timer.is_expired(trio.current_time()):
                     timer.has_expired = True
                     self._timers.discard(timer)
--- a/packages/toucanyard-node/src/toucanyard_node/link_codec.py
+++ b/packages/toucanyard-node/src/toucanyard_node/link_codec.py
@@ -1,4 +1,4 @@
-"""Say how links between nodes encode what they carry, and what they tell of it."""
+"""Encoding of the messages on node links, and the events built from them."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class Addressed(Protocol[MessageT_co]):
-    """A message to one peer."""
+    """A message addressed to one peer."""
 
     @property
     def node(self) -> NodeName:
-        """Return the peer's name."""
+        """Return the name of the peer."""
         ...
 
     @property
     def message(self) -> MessageT_co:
-        """Return what to send."""
+        """Return the message to send."""
         ...
 
 
 class LinkCodec(Generic[MessageT, EventT]):
-    """The messages of one kind of link, and the events for whoever takes them.
+    """Message format of one kind of link, and constructors of its events.
 
     `decode` raises MessageInvalidError.
     """
--- a/packages/toucanyard-node/src/toucanyard_node/logs.py
+++ b/packages/toucanyard-node/src/toucanyard_node/logs.py
@@ -1,6 +1,6 @@
-"""Set up logs: one line of key=value pairs for each event.
+"""Configure logging: one line of key=value pairs per event.
 
-Prompts and keys never reach a log call; only names, ids, counts and times do.
+Prompts and keys are never passed to a log call, only names, ids, counts and times.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 def configure_logs(
     node: NodeName, level: str, output: BoundedOutput | None = None
 ) -> None:
-    """Send every event as one key=value line to an output, or to standard error."""
+    """Write each event as one key=value line to an output, or to standard error."""
     factory = structlog.PrintLoggerFactory(sys.stderr)
     structlog.configure(
         processors=[
--- a/packages/toucanyard-node/src/toucanyard_node/main.py
+++ b/packages/toucanyard-node/src/toucanyard_node/main.py
@@ -1,4 +1,4 @@
-"""Start one node: parse the command line, read the settings, run until stopped."""
+"""Command line entry point: read the settings and run one node until stopped."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def main(settings_file: Path, log_level: str) -> None:
     """Route requests on this VM as SETTINGS_FILE says.
 
-    SIGTERM begins a planned stop; a second one ends the process at once.
+    SIGTERM starts a graceful shutdown; a second one ends the process immediately.
     """
     try:
         options = load_options(settings_file)
@@ -38,7 +38,7 @@
         click.echo(error, err=True)
         sys.exit(_EXIT_BAD_SETTINGS)
     configure_logs(options.name, log_level)
-    # A full pass of the collector of cycles stops every stream. What was loaded up to
-    # here stays for good, so no pass has to look at it again.
+    # A full garbage collection pauses every stream. The objects loaded so far live as
+    # long as the process, so freezing them removes them from all later collections.
     gc.freeze()
     trio.run(run_node, options, clock=BootClock())
--- a/packages/toucanyard-node/src/toucanyard_node/peer_handshake.py
+++ b/packages/toucanyard-node/src/toucanyard_node/peer_handshake.py
@@ -1,9 +1,9 @@
-"""Let two nodes prove to each other that they know a shared secret.
+"""Mutual authentication of two nodes by a shared secret.
 
-Each sends a Hello with a nonce, then a proof over both nonces and both names. A proof
-is of no use on another connection, nor in the other direction, so replaying or
-reflecting one gets nobody in. The first secret signs and all are accepted, so that a
-new secret can be brought in without a cut.
+Each node sends a Hello with a nonce, then a proof over both nonces and both names. A
+proof is not valid on another connection or in the opposite direction, which prevents
+replay and reflection attacks. The first secret signs and all secrets are accepted, so
+that secrets can be rotated without losing links.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 
 class Side(enum.StrEnum):
-    """Which end of a link a node is."""
+    """The role of a node on a link."""
 
     CLIENT = "client"
     SERVER = "server"
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """The first message each way; more fields may come in later versions."""
+    """The first message in each direction; later versions may add fields."""
 
     version: int
     node: str
@@ -49,27 +49,27 @@
 
 
 class Proof(msgspec.Struct, frozen=True):
-    """The second message each way."""
+    """The second message in each direction."""
 
     mac: bytes
 
 
 class HandshakeError(Exception):
-    """The other end speaks another version or doesn't know the secret."""
+    """The peer uses another protocol version or does not know the secret."""
 
 
 async def authenticate_peer(
     socket: Connection, side: Side, identity: NodeId, secrets: Sequence[str]
 ) -> NodeId:
-    """Return who the other end is, or raise GreetingError."""
+    """Return the identity of the peer, or raise HandshakeError."""
     nonce = os.urandom(_NONCE_BYTES)
     own = Hello(PROTOCOL_VERSION, identity.node, identity.incarnation, nonce)
     await _send(socket, own)
     other = await _receive(socket, Hello)
     if other.version != PROTOCOL_VERSION:
-        raise HandshakeError(f"found protocol version {other.version}")
+        raise HandshakeError(f"unsupported protocol version {other.version}")
     if len(other.nonce) != _NONCE_BYTES or not other.node or not other.incarnation:
-        raise HandshakeError("found an incomplete hello")
+        raise HandshakeError("incomplete hello message")
     await _send(socket, Proof(compute_mac(secrets[0], side, own, other)))
     proof = await _receive(socket, Proof)
     other_side = Side.SERVER if side is Side.CLIENT else Side.CLIENT
@@ -80,7 +80,7 @@
 
 
 def compute_mac(secret: str, side: Side, sender: Hello, receiver: Hello) -> bytes:
-    """Return the proof that a sender on one side knows the secret."""
+    """Return the proof that the sender, in its role, knows the secret."""
     text = cbor2.dumps([side.value, *msgspec.structs.astuple(sender)])
     text += cbor2.dumps(msgspec.structs.astuple(receiver))
     return hmac.digest(secret.encode(), text, hashlib.sha256)
@@ -93,7 +93,7 @@
 async def _receive(socket: Connection, kind: type[T]) -> T:
     data = await socket.recv()
     if isinstance(data, str) or len(data) > _MAX_HANDSHAKE_BYTES:
-        raise HandshakeError("found text or too much")
+        raise HandshakeError("received a text frame or an oversized message")
     try:
         return msgspec.convert(cbor2.loads(data), kind, builtin_types=(bytes,))
     except (cbor2.CBORDecodeError, msgspec.ValidationError, RecursionError) as error:
--- a/packages/toucanyard-node/src/toucanyard_node/peer_links.py
+++ b/packages/toucanyard-node/src/toucanyard_node/peer_links.py
@@ -1,8 +1,8 @@
-"""Keep websocket links to other nodes and carry messages over them.
+"""Maintain websocket links to other nodes and transfer messages over them.
 
-Each link is owned by its two tasks, one that reads and one that writes; a full queue
-drops messages, which every message of the protocol allows for. Both ends prove that
-they know a shared secret before anything else is read.
+Each link is owned by a reading and a writing task. A full queue drops messages, which
+the protocol tolerates for every message. Both ends prove that they know a shared secret
+before anything else is read.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 _LOG: Final = structlog.get_logger()
 _HANDSHAKE_TIMEOUT_S: Final = 2.0
 _DIAL_INTERVAL_S: Final = 0.25
-"""Time between two looks at whom to dial while a wanted link is missing."""
+"""Interval between checks of whom to dial while a wanted link is missing."""
 _LINKED_INTERVAL_S: Final = 0.5
-"""The same while there is none; a link that is lost ends the rest."""
+"""The same while no link is missing; a lost link triggers a check at once."""
 _MIN_BACKOFF_S: Final = 0.5
 _MAX_BACKOFF_S: Final = 5.0
 _IDLE_TIMEOUT_DIGESTS: Final = 5
@@ -46,7 +46,7 @@
 
 
 class LinkCounts(msgspec.Struct):
-    """What happened on all links since the start."""
+    """Counters over all links since the process started."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -63,10 +63,10 @@
 
 
 class PeerLinks(Generic[MessageT, EventT]):
-    """Hold this node's links.
+    """The links of this node.
 
-    Invariants: one link at most to each node name, and a bounded number in all; every
-    message that is emitted came from the node and incarnation that it names.
+    Invariants: there is at most one link per node name, and the total is bounded; each
+    emitted message was received from the node and incarnation that it names.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._codec = codec
         self._links: dict[NodeName, _Link[MessageT]] = {}
         self._names_by_address: dict[Address, NodeName] = {}
-        """Who answered at the addresses of peers without a known name."""
+        """Names of the nodes found at the addresses of peers without a known name."""
         self._dialing: set[str] = set()
         self._dial_after_s: dict[str, float] = {}
         self._backoff_s: dict[str, float] = {}
@@ -102,7 +102,7 @@
         listener: trio.SocketListener,
         outbox: trio.MemoryReceiveChannel[Addressed[MessageT]],
     ) -> None:
-        """Accept, dial and carry messages until cancelled."""
+        """Accept and open links and transfer messages until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._serve, listener)
             nursery.start_soon(self._dial_all, nursery)
@@ -117,7 +117,7 @@
         try:
             link.queue.send_nowait(message.message)
         except (trio.WouldBlock, trio.BrokenResourceError):
-            # The peer reads too slowly. Waiting here would hold up all others.
+            # The peer reads too slowly. Waiting here would delay all other peers.
             self.counts.dropped += 1
 
     async def _serve(self, listener: trio.SocketListener) -> None:
@@ -171,7 +171,7 @@
         return bool(vm.peers) and is_other and name not in self._links
 
     def _drop_stale_dials(self, kept: set[str]) -> None:
-        """Drop what is held of nodes that are gone; VMs are replaced all the time."""
+        """Remove the state of nodes that are gone; VMs are replaced continually."""
         for name in set(self._dial_after_s) - kept:
             del self._dial_after_s[name]
             self._backoff_s.pop(name, None)
@@ -186,7 +186,7 @@
             ValueError,
             websockets.exceptions.WebSocketException,
         ) as error:
-            # An address that is none is a ValueError; it must not end other links.
+            # An invalid address raises ValueError, which must not end other links.
             _LOG.debug("dial_failed", peer=vm.name, error=str(error)[:200])
         finally:
             self._dialing.discard(vm.name)
@@ -214,7 +214,7 @@
             if vm.runs == UNNAMED:
                 self._names_by_address[vm.peers] = peer.node
             elif peer.node != vm.name:
-                # The address was given to another node since the list was made.
+                # The address was reassigned to another node after the list was read.
                 _LOG.info("unexpected_peer", wanted=vm.name, found=peer.node)
                 return
             self._backoff_s.pop(vm.name, None)
@@ -268,11 +268,11 @@
                     await self._report_links()
 
     def _is_preferred(self, link: _Link[MessageT]) -> bool:
-        """Tell whether a new link takes the place of one to the same node.
+        """Return whether a new link replaces the existing one to the same node.
 
-        When two nodes dial each other at once, both keep the link that the lower
-        name dialed. A new incarnation, or a new try of the same dialer, means that
-        the old link is dead.
+        If two nodes dial each other at the same time, both keep the link dialed by the
+        node with the lower name. A new incarnation, or another attempt by the same
+        dialer, means that the old link is dead.
         """
         before = self._links.get(link.peer.node)
         if before is None or before.peer != link.peer:
@@ -285,8 +285,8 @@
         limit = RateLimit(_MESSAGES_PER_S, _BYTES_PER_S, self._codec.max_bytes)
         idle_timeout_s = _IDLE_TIMEOUT_DIGESTS * self._timings.digest_interval_ms / 1000
         while True:
-            # Digests come at every interval, so silence means that something between
-            # lost track of the connection; it would stay open for good.
+            # Peers send a digest in every interval. If none arrives, the network has
+            # lost the state of the connection, which would otherwise stay open forever.
             with trio.move_on_after(idle_timeout_s) as idle_scope:
                 data = await socket.recv()
             if idle_scope.cancelled_caught:
@@ -295,7 +295,7 @@
             self.counts.received_bytes += len(data)
             try:
                 if isinstance(data, str):
-                    raise MessageInvalidError("found text")
+                    raise MessageInvalidError("received a text frame")
                 message = self._codec.decode(data)
             except MessageInvalidError as error:
                 self.counts.malformed += 1
--- a/packages/toucanyard-node/src/toucanyard_node/prompt_block_follower.py
+++ b/packages/toucanyard-node/src/toucanyard_node/prompt_block_follower.py
@@ -1,4 +1,4 @@
-"""Follow what replicas and stores keep of prompts, with one call at a time to each."""
+"""Poll replicas and prompt stores for changes of the prompt blocks they hold."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from toucanyard_node.relay_task import RelayClient
 
 CHECK_INTERVAL_S: Final = 0.5
-"""Time between two looks at whom to follow."""
+"""Interval between updates of the set of followed holders."""
 MAX_POLL_WAIT_MS: Final = 1_000.0
-"""How long a call may wait for something to tell."""
+"""How long a holder may delay its response until something changes."""
 BATCH_INTERVAL_S: Final = 0.15
-"""Pause between two calls to one holder: what it tells in that time comes together."""
+"""Pause between calls to one holder, so that changes are reported in batches."""
 RETRY_DELAY_S: Final = 0.5
 _LOG: Final = structlog.get_logger()
 
 
 class PromptBlockFollower:
-    """The tasks that follow holders. Invariant: at most one for each holder."""
+    """Tasks that poll holders. Invariant: at most one task per holder."""
 
     __slots__ = ("_client", "_core", "_follower", "_scopes")
 
@@ -38,7 +38,7 @@
         self._scopes: dict[EndpointName, trio.CancelScope] = {}
 
     async def run(self) -> None:
-        """Start and end tasks as holders come and go, until cancelled."""
+        """Start and cancel tasks as the set of holders changes, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 now_ms = trio.current_time() * 1000
--- a/packages/toucanyard-node/src/toucanyard_node/rate_limit.py
+++ b/packages/toucanyard-node/src/toucanyard_node/rate_limit.py
@@ -1,13 +1,13 @@
-"""Limit how fast messages of one peer are read."""
+"""Limit the rate at which messages of one peer are read."""
 
 from __future__ import annotations
 
 
 class RateLimit:
-    """Two token buckets, for messages and for bytes, that go into debt.
+    """Two token buckets, for messages and for bytes, whose level may become negative.
 
-    Who reads waits off the debt before the next message, and the peer's sending then
-    blocks: nothing is dropped and nothing is kept.
+    The reader waits until the deficit is refilled before it reads the next message, so
+    that the sending peer blocks. Nothing is dropped and nothing is buffered.
     """
 
     __slots__ = (
@@ -28,7 +28,7 @@
         self._updated_s: float | None = None
 
     def spend(self, size_bytes: int, now_s: float) -> float:
-        """Take one message off; return how long to wait before the next, in seconds."""
+        """Charge one message; return the time to wait before the next, in seconds."""
         elapsed_s = 0.0 if self._updated_s is None else now_s - self._updated_s
         self._updated_s = now_s
         refilled = self._messages + elapsed_s * self._per_s
--- a/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
@@ -1,8 +1,9 @@
-"""Carry one relayed call through its dispatches and pass its answer on unchanged.
+"""Dispatch one relayed call to replicas and forward the answer unchanged.
 
-Each dispatch has a connection of its own: one that was idle may have gone silent, and
-what is written to it may or may not run. The core decides where a call goes and whether
-it goes on elsewhere; this module tells it what was seen and keeps to what it says.
+Each dispatch opens a new connection: an idle one may have been lost unnoticed, and a
+request written to it may or may not run. The core decides which replica gets a call and
+whether it is retried on another. This module reports the outcomes to the core and
+follows its verdicts.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 from toucanyard_node.relay_task import RelayClient
 
 STREAM_IDLE_FACTOR: Final = 2.5
-"""Longest pauses after which a silent stream that may be resumed is."""
+"""Multiple of the route's longest gap after which a silent stream is resumed."""
 MIN_STREAM_IDLE_MS: Final = 900.0
 MISDIRECTED: Final = 421
 SERVER_ERROR: Final = 500
@@ -48,10 +49,10 @@
 
 
 class RelayExchange:
-    """One call from its arrival to its answer.
+    """Processing of one call from its arrival to its answer.
 
-    Invariants: a caller gets one answer, begun at most once; a dispatch that the core
-    gave is reported to it exactly once, or the caller is said to have left.
+    Invariants: a caller gets one answer, started at most once. Each dispatch received
+    from the core is reported to it exactly once, or the caller is reported as gone.
     """
 
     def __init__(
@@ -77,11 +78,11 @@
         self._is_in_flight = False
         self._may_have_run = False
         self._first_ms: float | None = None
-        """From the call's arrival to the first part of its answer."""
+        """Time from the arrival of the call to the first event of its answer."""
         self._buffered_answer: BufferedAnswer | None = None
 
     async def run(self) -> None:
-        """Dispatch until there is an answer or a final refusal, and send it."""
+        """Dispatch until there is an answer or a final refusal, and send that."""
         try:
             with trio.CancelScope(deadline=self._request.deadline_ms / 1000):
                 await self._run()
@@ -113,7 +114,7 @@
             self._may_have_run = True
 
     def _report_cancelled(self) -> None:
-        """Tell the core that a dispatch without an end is over."""
+        """Report a dispatch that has not ended as cancelled."""
         dispatch, self._dispatch = self._dispatch, None
         if dispatch is not None:
             outcome = self._build_outcome(
@@ -123,7 +124,7 @@
             self._record_ended(dispatch, "given_up", 0)
 
     async def _handle_deadline(self) -> None:
-        """Answer a call whose time is over; a stream that has begun is cut."""
+        """Refuse a call whose deadline passed; a started stream is cut off."""
         self._report_cancelled()
         if self._responder.is_started:
             return
@@ -138,14 +139,14 @@
 
     async def _refuse(self, refusal: Refuse) -> None:
         if self._responder.is_started:
-            # The caller must see that the stream is cut, not that it ended.
+            # Closing lets the caller see that the stream is truncated.
             self._responder.close_after()
             return
         rendered = render_refusal(refusal, is_exact=True)
         await self._responder.send(rendered.status, rendered.headers, rendered.body)
 
     async def _send_dispatch(self, dispatch: RelayDispatch) -> None:
-        """Make one dispatch and send its answer, or raise AnswerLostError."""
+        """Perform one dispatch and send its answer, or raise AnswerLostError."""
         try:
             connection = await connect(dispatch.address, dispatch.connect_ms)
         except ConnectionFailedError as error:
@@ -155,7 +156,7 @@
         try:
             await self._exchange(dispatch, connection)
         finally:
-            # Closing tells the replica to stop work that nobody waits for.
+            # Closing lets the replica stop work whose result is no longer needed.
             with trio.CancelScope(shield=True):
                 await connection.close()
 
@@ -177,7 +178,7 @@
             text = f"status {head.status}"
             raise self._build_failure(dispatch, DispatchEnding.FAILED, text, facts)
         if self._responder.is_started:
-            # A stream can't go on with something that is none.
+            # A stream cannot be resumed with an answer that is not a stream.
             raise self._build_failure(dispatch, DispatchEnding.LOST, "no stream", facts)
         self._complete(dispatch, facts, head.status)
         await self._send_whole(answer)
@@ -212,7 +213,7 @@
             raise self._build_failure(dispatch, DispatchEnding.LOST, text) from error
 
     def _report_limit(self, dispatch: RelayDispatch, facts: AnswerFacts) -> None:
-        """Tell the core of a limit that a replica names, or has ceased to name."""
+        """Report the limit declared by a replica, or that it no longer declares one."""
         if facts.incarnation and facts.incarnation != dispatch.listed_as:
             return
         has_named = facts.limit_per_s is not None or facts.invalid_limit
@@ -226,7 +227,7 @@
     def _check_answer(
         self, dispatch: RelayDispatch, head: ResponseHead, facts: AnswerFacts
     ) -> None:
-        """Raise AnswerLostError for an answer that must not be passed on."""
+        """Raise AnswerLostError for an answer that must not be forwarded."""
         is_foreign = bool(facts.caller_id) and (
             facts.caller_id != self._request.caller_id
         )
@@ -325,7 +326,7 @@
             ) from error
 
     def _compute_idle_timeout(self, dispatch: RelayDispatch) -> float:
-        """Return the silence after which a stream is resumed elsewhere, in ms."""
+        """Return the idle time after which a stream is resumed elsewhere, in ms."""
         if math.isinf(dispatch.patience_ms):
             return math.inf
         if self._first_ms is None:
--- a/packages/toucanyard-node/src/toucanyard_node/relay_log.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_log.py
@@ -1,4 +1,4 @@
-"""Write the log lines of relayed calls: one for each decision, with its inputs."""
+"""Log relayed calls: one line per decision, with its inputs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def log_sent(dispatch: RelayDispatch) -> None:
-    """Say where a call goes and what decided that."""
+    """Log the chosen replica of a call and the inputs of that decision."""
     reason = dispatch.reason
     assert reason is not None
     _LOG.info(
@@ -35,7 +35,7 @@
 
 
 def log_refused(refusal: Refuse, version: int) -> None:
-    """Say why a call is refused, and when its caller is to come back."""
+    """Log why a call is refused and when its caller may retry."""
     _LOG.info(
         "refused",
         call=refusal.request_id,
@@ -58,7 +58,7 @@
     *,
     is_closed: bool = False,
 ) -> None:
-    """Say how a dispatch ended."""
+    """Log how a dispatch ended."""
     _LOG.info(
         "ended",
         call=request.request_id,
--- a/packages/toucanyard-node/src/toucanyard_node/relay_metrics.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_metrics.py
@@ -1,7 +1,8 @@
-"""Count relayed calls and their latencies, and render all metrics as text.
+"""Count relayed calls, record their latencies and render all metrics as text.
 
-One line a figure, `name{label="value"} number`, as scrapers read it. Customers and
-classes are bounded: those that come when the table is full share one row.
+Each value is one line `name{label="value"} number` in the text exposition format. The
+number of customers and call classes is bounded: those that appear after the limit is
+reached share one group.
 """
 
 from __future__ import annotations
@@ -20,23 +21,23 @@
 from toucanyard.requests import Repeatability
 
 MAX_GROUPS: Final = 64
-"""Customers and classes with figures of their own; a histogram takes 10 KB."""
+"""Maximum number of groups with separate values; a histogram takes 10 KB."""
 HIGHEST_MS: Final = 600_000
 MAX_QUARANTINED: Final = 50
-"""Requests under quarantine with a line of their own."""
+"""Maximum number of requests under quarantine that are listed."""
 MAX_LIMITED: Final = 50
-"""Customers with limits that have lines of their own."""
+"""Maximum number of customers or replicas whose limits are listed."""
 SIGNIFICANT_DIGITS: Final = 1
-"""Values are told apart by 6% or less."""
+"""Precision of the histograms: values are accurate to 6% or better."""
 QUANTILES: Final = (50.0, 95.0, 99.0)
 OVERFLOW_GROUP: Final = ("", "other")
 
 Group = tuple[str, str]
-"""Customer and class."""
+"""Customer and call class."""
 
 
 def classify_call(request: RelayRequest) -> str:
-    """Return the class of a call: what may be done with it."""
+    """Return the class of a call: how it may be retried or resumed."""
     if request.is_stream:
         return "resumable_stream" if request.is_resumable else "stream"
     is_once = request.repeatability is Repeatability.RUN_ONCE
@@ -44,7 +45,7 @@
 
 
 class RelayMetrics:
-    """Figures of one node since it started. Invariant: totals only grow."""
+    """Metrics of one node since it started. Invariant: totals only increase."""
 
     __slots__ = ("_endings", "_first_ms", "_refusals", "_total_ms")
 
@@ -55,7 +56,7 @@
         self._total_ms: dict[Group, HdrHistogram] = {}
 
     def record_first_part(self, request: RelayRequest, after_ms: float) -> None:
-        """Record the time from a call's arrival to the first part of its answer."""
+        """Record the time from a call's arrival to the first event of its answer."""
         _record(self._first_ms, self._find_group(request), after_ms)
 
     def record_dispatch_ended(
@@ -158,7 +159,7 @@
 
 
 def _render_limits(core: RelayCore) -> Iterator[str]:
-    """Render the limits of which this node is the home, the most denied first."""
+    """Render the limits that this node coordinates, the most denied first."""
     yield _format("limit_rejections_total", core.limits.rejected)
     yield _format("limit_questions_total", core.limits.accounts.asked)
     usages = core.shares.list_uses()
@@ -173,7 +174,7 @@
 
 
 def _render_replica_limits(core: RelayCore) -> Iterator[str]:
-    """Render the limits that replicas name, and what this node gives out of them."""
+    """Render the limits declared by replicas and what this node granted of them."""
     for name, rate_per_s in core.replica_limits.list_limited()[:MAX_LIMITED]:
         yield _format("replica_limit_per_s", rate_per_s, replica=name)
     yield _format("replica_limit_questions_total", core.credits.accounts.asked)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_node.py
@@ -1,4 +1,4 @@
-"""Assemble a node that relays calls: open its sockets, start its tasks, stop it."""
+"""Assemble a relaying node: open its sockets, start its tasks, shut it down."""
 
 from __future__ import annotations
 
@@ -52,17 +52,17 @@
 
 OUTBOX_SIZE: Final = 10_000
 RESERVED_DESCRIPTORS: Final = 400
-"""Descriptors kept free of callers' connections, for files, peers and the store."""
+"""File descriptors reserved for files, peers and the store."""
 DESCRIPTORS_PER_CALL: Final = 2
-"""One towards the caller, one towards the replica."""
+"""One for the caller and one for the replica."""
 STOP_MARGIN_MS: Final = 600.0
-"""How long before the process is killed it ends by itself."""
+"""How long before the process would be killed it ends by itself."""
 CLOSE_MARGIN_MS: Final = 300.0
-"""Time beyond what callers keep addresses for until idle connections are closed."""
+"""Time after the end of callers' address caching until idle connections close."""
 HUB_CLOSE_MARGIN_MS: Final = 800.0
-"""The same in a fleet where hubs pass on that this node stops."""
+"""The same in a fleet where hubs forward that this node stops."""
 LIMITS_INTERVAL_S: Final = 1.0
-"""Time between two looks at the limits that operators set for callers."""
+"""Interval between updates of the server limits from the configuration."""
 _LOG: Final = structlog.get_logger()
 
 RELAY_LINKS: Final[LinkCodec[object, RelayEvent]] = LinkCodec(
@@ -75,7 +75,7 @@
 
 
 class Ports(msgspec.Struct, frozen=True):
-    """What the node is given to speak to the outside."""
+    """Implementations of the node's external interfaces."""
 
     calls: CallCodec
     store: Store
@@ -84,7 +84,7 @@
 
 
 class AuxiliaryHandlers(msgspec.Struct, frozen=True):
-    """Handlers beside the callers' face, each with an address of its own."""
+    """Handlers besides the relay server, each on a separate address."""
 
     readiness: Handler
     locator: Handler
@@ -92,7 +92,7 @@
 
 
 class RelayNode:
-    """All tasks of one node and the channels between them."""
+    """The tasks of one node and the channels between them."""
 
     def __init__(
         self, core: RelayCore, ports: Ports, output: BoundedOutput, rng: random.Random
@@ -134,10 +134,10 @@
         )
 
     async def run(self, handlers: AuxiliaryHandlers) -> None:
-        """Run until the planned stop is over."""
+        """Run until the graceful shutdown is complete."""
         listen = self._options.listen
-        # Peers send a starting node the routes within milliseconds, and callers come
-        # right after. They are refused if this socket is not open by that time.
+        # Peers send a starting node the routes within milliseconds, and calls arrive
+        # immediately after. They are refused if this socket is not open by then.
         callers = await _listen(listen.callers)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._output.run)
@@ -167,7 +167,7 @@
         self._output.flush()
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether this node may receive calls."""
         return self.core.is_ready() and not self._stopping.is_set()
 
     async def _emit(self, event: RelayEvent) -> None:
@@ -191,14 +191,14 @@
             await trio.sleep(LIMITS_INTERVAL_S)
 
     async def _announce(self) -> None:
-        """Write where this node can be reached, so that others find it."""
+        """Write the addresses of this node to the store, so that peers find it."""
         record = self.core.own_record
         await retry_until_success(
             lambda: self._ports.store.append_node(record), "announce"
         )
 
     async def _watch_signals(self, scope: trio.CancelScope) -> None:
-        """Begin the planned stop on SIGTERM or SIGINT; end on the second one."""
+        """Start the shutdown on SIGTERM or SIGINT; end at once on the second one."""
         wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
         with trio.open_signal_receiver(*wanted) as signals:
             async for number in signals:
@@ -213,10 +213,10 @@
                     self._stopping.set()
 
     async def _stop(self) -> None:
-        """Wait for a planned stop and carry it out without cutting a call.
+        """Wait for the shutdown signal, then stop without interrupting calls.
 
-        Callers go on to use the addresses that they know for a while, so the node
-        serves until that is over; only then it closes connections that are idle.
+        Callers continue to use cached addresses for some time. The node serves until
+        these caches have expired, and closes idle connections only then.
         """
         await self._stopping.wait()
         begun_s = trio.current_time()
--- a/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
@@ -1,8 +1,7 @@
-"""Name what a node that relays calls needs from outside.
+"""Interfaces of a relaying node to the platform, implemented by an adapter.
 
-Whoever speaks to callers' headers, the store and replicas implements it.
-
-All names and formats of the outside stay behind them; what passes is typed.
+The adapter handles the headers of calls, the store and the replicas. It hides all
+external names and formats; only typed values pass through these interfaces.
 """
 
 from __future__ import annotations
@@ -24,45 +23,45 @@
 
 
 class CallFacts(msgspec.Struct, frozen=True):
-    """What a caller's headers say."""
+    """Values from the headers of a call."""
 
     caller_id: str
-    """The caller's name for this try."""
+    """The caller's id of this attempt."""
     key: str
-    """Empty without one."""
+    """Empty if the call has no key."""
     deadline_ms: int | None
     prompt: Prompt | None
     last_event_id: str
     tokens: int | None = None
-    """Prompt tokens and the most output tokens; None if the caller doesn't say."""
+    """Sum of prompt tokens and maximum output tokens; None if not declared."""
 
 
 class AnswerFacts(msgspec.Struct, frozen=True):
-    """What a replica's headers say."""
+    """Values from the headers of a replica's answer."""
 
     caller_id: str
     is_signed: bool
-    """Whether the replica vouches for the answer."""
+    """Whether the replica signed the answer."""
     is_not_run: bool
-    """Whether the replica says that it did not run the call."""
+    """Whether the replica declares that it did not run the call."""
     incarnation: str
-    """Which replica answered; empty if it doesn't say."""
+    """Which replica answered; empty if not declared."""
     weights_version: int | None
     limit_per_s: float | None = None
-    """Requests a second that the replica takes from all nodes; None without a limit."""
+    """Requests per second accepted from all nodes together; None without a limit."""
     invalid_limit: str = ""
-    """What stands in the limit's place and can't be read."""
+    """The value of the limit header if it cannot be parsed."""
 
 
 class CallInvalidError(Exception):
-    """A caller's headers are missing or can't be read."""
+    """Headers of a call are missing or cannot be parsed."""
 
 
 class CallCodec(Protocol):
-    """Reads and writes the headers of calls and answers."""
+    """Parses and builds the headers of calls and answers."""
 
     def read_call(self, http: HttpRequest) -> CallFacts:
-        """Return what a call's headers say, or raise CallInvalidError."""
+        """Parse the headers of a call, or raise CallInvalidError."""
         ...
 
     def build_headers(
@@ -73,20 +72,20 @@
         left_ms: int,
         last_event_id: str,
     ) -> Headers:
-        """Return all headers of a call to a replica but those of its length."""
+        """Return all headers of a call to a replica except those of its length."""
         ...
 
     def read_answer(self, head: ResponseHead) -> AnswerFacts:
-        """Return what an answer's headers say."""
+        """Parse the headers of an answer."""
         ...
 
     def filter_answer(self, head: ResponseHead) -> Headers:
-        """Return the headers of an answer that its caller gets."""
+        """Return the headers of an answer that are forwarded to the caller."""
         ...
 
 
 class StoreError(Exception):
-    """A call to the store had no result; `is_refused` if it surely did nothing."""
+    """A store call failed; `is_refused` if it certainly had no effect."""
 
     def __init__(self, reason: str, *, is_refused: bool = False) -> None:
         super().__init__(reason)
@@ -95,11 +94,11 @@
 
 
 class RecordsGoneError(Exception):
-    """The store has forgotten the records that were asked for."""
+    """The store has deleted some of the requested records."""
 
 
 class LeaseConflictError(Exception):
-    """An append to the turns failed its condition."""
+    """The condition of an append to the lease topic failed."""
 
     def __init__(self, end: int) -> None:
         super().__init__(f"the topic ends at {end}")
@@ -107,30 +106,30 @@
 
 
 class TopicPage(msgspec.Struct, frozen=True):
-    """Records of a topic and where it ends."""
+    """Records of a topic and its end offset."""
 
     records: tuple[KeyedRecord, ...]
     end: int
 
 
 class PromptBlockPage(msgspec.Struct, frozen=True):
-    """What a holder of parts has told since it was last asked."""
+    """Changes reported by a holder of prompt blocks since the last call."""
 
     epoch: int
-    """Changes when the holder starts anew."""
+    """Changes when the holder restarts."""
     next_number: int
     is_lost: bool
-    """Whether something between is missing."""
+    """Whether changes since the last call are missing."""
     changes: tuple[PromptBlockChange, ...]
 
 
 class PromptBlockReader(Protocol):
-    """Asks holders of parts what they keep."""
+    """Reads from holders which prompt blocks they store."""
 
     async def read_prompt_blocks(
         self, address: Address, since: int, wait_ms: float
     ) -> PromptBlockPage | None:
-        """Return what has changed; None without an answer."""
+        """Return the changes; None without an answer."""
         ...
 
 
@@ -138,22 +137,22 @@
     """The platform's store; every method may raise StoreError."""
 
     async def read_newest(self, topic: Topic) -> TopicPage:
-        """Return the newest record of each key; `end` is from before the read."""
+        """Return the newest record of each key; `end` was determined before."""
         ...
 
     async def read_since(self, topic: Topic, offset: int, wait_ms: float) -> TopicPage:
-        """Return the records from an offset on, waiting for one if asked to.
+        """Return the records from an offset on, waiting for one if requested.
 
-        Raise RecordsGoneError if some of them are gone.
+        Raise RecordsGoneError if some of them have been deleted.
         """
         ...
 
     async def append_node(self, record: NodeRecord) -> int:
-        """Write where a node can be reached; return the record's offset."""
+        """Write the addresses of a node; return the offset of the record."""
         ...
 
     async def write_quarantine(self, request: QuarantinedRequest) -> None:
-        """Write a request under quarantine, in place of an older record of it."""
+        """Write a request under quarantine, replacing any older record of it."""
         ...
 
     async def erase_quarantine(self, fingerprint: Fingerprint) -> None:
@@ -161,26 +160,26 @@
         ...
 
     async def read_leases(self, offset: int) -> tuple[Sequence[tuple[int, bytes]], int]:
-        """Return the turns' records from an offset on, and where they end."""
+        """Return the lease records from an offset on, and their end offset."""
         ...
 
     async def append_lease(self, value: bytes, at: int) -> int:
-        """Append if the turns end there; return the offset or raise TurnTakenError."""
+        """Append at offset `at` and return it, or raise LeaseConflictError."""
         ...
 
 
 class StateAnswer(msgspec.Struct, frozen=True):
-    """What came of asking a replica for its state."""
+    """Result of reading the state of a replica."""
 
     reach: Reach
     state: ReplicaState | None = None
 
 
 class ReplicaControl(Protocol):
-    """Asks replicas for their state and gives them orders."""
+    """Reads the state of replicas and sends them orders."""
 
     async def read_state(self, address: Address, listed_as: ReplicaId) -> StateAnswer:
-        """Return a replica's state, or what was found instead."""
+        """Return the state of a replica, or why it could not be read."""
         ...
 
     async def send_order(self, order: WeightsOrder) -> int | None:
--- a/packages/toucanyard-node/src/toucanyard_node/relay_server.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_server.py
@@ -1,4 +1,4 @@
-"""Serve callers whose calls are relayed: route, key, limits, then the exchange."""
+"""Handle relayed calls: find the route, check the key and run the exchange."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 from toucanyard_node.relay_task import RelayClient
 
 NO_ROUTES_RETRY_MS: Final = 300
-"""When to come back to a node that has just started; it reads its routes by then."""
+"""Retry delay while a node starts; it has read its routes by then."""
 MAX_RANK: Final = 9
 _LOG: Final = structlog.get_logger()
 
 
 class RelayServer:
-    """Serve relayed calls."""
+    """HTTP handler for relayed calls."""
 
     __slots__ = (
         "_client",
@@ -65,7 +65,7 @@
         self._rng = rng
 
     async def handle(self, http: HttpRequest, responder: Responder) -> None:
-        """Answer one call."""
+        """Handle one call."""
         if self._is_stopping():
             responder.close_after()
         arrived_ms = trio.current_time() * 1000
@@ -79,11 +79,11 @@
     def _prepare(
         self, http: HttpRequest, responder: Responder, arrived_ms: float
     ) -> RelayExchange:
-        """Return the exchange of a call that may be sent on, or raise RouterError."""
+        """Return the exchange for a call to be relayed, or raise RouterError."""
         index = self._find_index()
         if not index.table.version:
-            # A refusal for a missing route or key would be final to its caller, and
-            # nothing is known of routes and keys yet.
+            # Callers treat a refusal for an unknown route or key as final, but this
+            # node has not read any routes and keys yet.
             text = "no routes are known yet"
             raise RouterError(ErrorKind.NO_CONFIGURATION, text, NO_ROUTES_RETRY_MS)
         path = http.target.partition("?")[0]
--- a/packages/toucanyard-node/src/toucanyard_node/relay_store.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_store.py
@@ -1,4 +1,4 @@
-"""Read the platform's store for the core, and run the errands that it asks for."""
+"""Read the platform's store for the core and run its background jobs."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 from toucanyard_node.relay_task import BackgroundJob, RelayClient
 
 CHECK_INTERVAL_S: Final = {Topic.REPLICAS: 0.05, Topic.NODES: 0.25, Topic.OPERATOR: 0.1}
-"""Time between two looks at whether a read of a topic is due."""
+"""Interval between checks whether a read of a topic is due."""
 SPARSE_CHECK_INTERVAL_S: Final = 0.15
-"""The least such time in a fleet that is not meshed, where few of many nodes read."""
+"""Minimum interval in a fleet without a full mesh, where few nodes read."""
 MAX_SPARSE_CHECK_INTERVAL_S: Final = 0.3
-"""The longest such time there: who reads may have died since the last look."""
+"""Maximum interval there, since a reading node may have died meanwhile."""
 RETRY_DELAY_S: Final = 0.25
 """Pause after a failed read."""
 MAX_RETRY_DELAY_S: Final = 1.0
@@ -58,7 +58,7 @@
 
 
 class _Poll:
-    """A long poll under way."""
+    """A long poll in progress."""
 
     __slots__ = ("missed_ms", "scope", "since", "topic")
 
@@ -67,14 +67,14 @@
         self.since = since
         self.scope = trio.CancelScope()
         self.missed_ms: float | None = None
-        """When a record beyond `since` was first seen that the poll did not bring."""
+        """When a record after `since` was first known without the poll returning it."""
 
 
 class StoreReader:
-    """Keep the core's views of all topics up to date.
+    """Keeps the core's views of all topics up to date.
 
-    Invariant: no record is passed over: a topic whose records were forgotten before
-    they were read is read whole again.
+    Invariant: no record is skipped. A topic whose records were deleted before they were
+    read is read again completely.
     """
 
     __slots__ = (
@@ -99,7 +99,7 @@
         self._needs_full_read = set(Topic)
         self._next_offsets = dict.fromkeys(Topic, 0)
         self._running_reads = Counter[Topic]()
-        """Reads of each topic that are not over."""
+        """Number of running reads per topic."""
         self._is_down = False
         self._poll: _Poll | None = None
 
@@ -111,7 +111,7 @@
                 nursery.start_soon(self._read_when_due, topic)
 
     async def _poll_repeatedly(self, topic: Topic) -> None:
-        """Hear soon of changes of a topic that seldom changes."""
+        """Learn of changes of a rarely changing topic without delay."""
         pause_s = RETRY_DELAY_S
         while True:
             if await self._poll_once(topic):
@@ -121,7 +121,7 @@
             pause_s = min(2 * pause_s, MAX_RETRY_DELAY_S)
 
     async def _poll_once(self, topic: Topic) -> bool:
-        """Return whether the poll was answered, or lost and is to be made again."""
+        """Return whether the poll was answered, or is lost and must be repeated."""
         now_ms = trio.current_time() * 1000
         self._core.reads.record_read_started(topic, now_ms)
         self._poll = poll = _Poll(topic, self._find_next_offset(topic))
@@ -137,7 +137,7 @@
         return is_read
 
     def _check_poll(self, now_ms: float) -> None:
-        """Give up a poll whose connection must be lost: it misses a known record."""
+        """Cancel a poll that misses a known record: its connection must be lost."""
         poll = self._poll
         if poll is None or self._core.exchange.views[poll.topic].end <= poll.since:
             return
@@ -147,11 +147,11 @@
             poll.scope.cancel()
 
     def _find_next_offset(self, topic: Topic) -> int:
-        # What a peer has told makes reading everything needless.
+        # Records received from a peer need not be read again.
         return max(self._core.exchange.views[topic].end, self._next_offsets[topic])
 
     async def _read_when_due(self, topic: Topic) -> None:
-        """Read a topic once what is known of it is too old."""
+        """Read a topic whenever its view becomes too old."""
         async with trio.open_nursery() as nursery:
             while True:
                 now_ms = trio.current_time() * 1000
@@ -210,7 +210,8 @@
         self._needs_full_read.discard(topic)
         seen_ms = asked_ms
         if not is_full_read:
-            # Nothing came before a record that was waited for, or until the wait's end.
+            # There was no earlier record than the one waited for, or none until the end
+            # of the wait.
             now_ms = trio.current_time() * 1000
             seen_ms = now_ms if wait_ms and page.records else asked_ms + wait_ms
             seen_ms = min(seen_ms, now_ms)
@@ -219,7 +220,7 @@
                 topic, page.records, page.end, is_full_read, seen_ms, wait_ms > 0.0
             )
         )
-        # The core may not have taken it in when the next read asks where to go on.
+        # The core may not have applied the page when the next read looks up its offset.
         self._next_offsets[topic] = max(page.end, self._next_offsets[topic])
         return True
 
@@ -244,7 +245,7 @@
 
 
 class BackgroundJobRunner:
-    """Do what the core asks for at the store and at replicas, and tell how it went."""
+    """Runs the core's jobs at the store and at replicas and reports the results."""
 
     __slots__ = ("_client", "_control", "_store")
 
@@ -256,7 +257,7 @@
         self._control = control
 
     async def run(self, jobs: trio.MemoryReceiveChannel[BackgroundJob]) -> None:
-        """Do errands until cancelled, each in a task of its own."""
+        """Run jobs until cancelled, each in a separate task."""
         async with trio.open_nursery() as nursery:
             async for job in jobs:
                 nursery.start_soon(self._run_job, job)
@@ -336,7 +337,7 @@
 
 
 async def retry_until_success(attempt: Callable[[], Awaitable[T]], purpose: str) -> T:
-    """Return what a call to the store gives, trying again until it does."""
+    """Return the result of a store call, retrying until it succeeds."""
     pause_s = RETRY_DELAY_S
     while True:
         try:
--- a/packages/toucanyard-node/src/toucanyard_node/relay_task.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_task.py
@@ -1,7 +1,8 @@
-"""Own the core of a relaying node: feed it events in one order, carry out its actions.
+"""The task that owns the core of a relaying node.
 
-Every other task talks to this one through its inbox; replies go back on the channel
-that came with the question. Each decision is one log line.
+It passes events to the core one at a time and executes the actions that the core
+returns. All other tasks communicate with it through its inbox; a reply is sent on the
+channel that came with the request. Each decision is logged as one line.
 """
 
 from __future__ import annotations
@@ -55,14 +56,14 @@
 
 
 class VerdictRequest(msgspec.Struct, frozen=True):
-    """An event that is answered by one verdict."""
+    """An event that the core answers with one verdict."""
 
     event: CallArrived | DispatchEnded
     reply: Reply
 
 
 class RelayClient:
-    """Ask the core's task from any other task."""
+    """Interface to the core's task for all other tasks."""
 
     __slots__ = ("_inbox",)
 
@@ -72,7 +73,7 @@
         self._inbox = inbox
 
     async def decide(self, request: RelayRequest) -> RelayVerdict:
-        """Ask what to do with a new call; waits while it is queued."""
+        """Return the verdict on a new call; waits while it is queued."""
         try:
             verdict = await self._request_verdict(CallArrived(request))
         except trio.Cancelled:
@@ -82,7 +83,7 @@
         return verdict
 
     async def report(self, outcome: RelayOutcome) -> RelayVerdict | None:
-        """Tell how a dispatch ended; return what to do next, if anything."""
+        """Report how a dispatch ended; return the next verdict, if any."""
         try:
             return await self._request_verdict(DispatchEnded(outcome))
         except trio.Cancelled:
@@ -90,19 +91,19 @@
             raise
 
     def send_event(self, event: RelayEvent) -> None:
-        """Tell the core something without waiting.
+        """Send an event to the core without waiting.
 
-        The inbox has no bound, so this never blocks or drops; callers' connections
-        bound it, since each has at most two messages under way.
+        The inbox is unbounded, so this never blocks or drops an event. Its length is
+        limited by the callers' connections, each with at most two pending messages.
         """
         self._inbox.send_nowait(event)
 
     def report_first_event(self, request_id: RequestId) -> None:
-        """Tell that the first part of an answer came."""
+        """Report the first event of an answer."""
         self.send_event(FirstEventSeen(request_id))
 
     def report_dispatch_ended(self, outcome: RelayOutcome) -> None:
-        """Tell how a dispatch ended that needs no further verdict."""
+        """Report how a dispatch ended that needs no further verdict."""
         self.send_event(DispatchEnded(outcome))
 
     async def _request_verdict(
@@ -116,7 +117,7 @@
 class RelayTask:
     """The task that owns the core.
 
-    Invariant: at most one reply channel is kept for each call, and it is used once.
+    Invariant: there is at most one reply channel per call, and it is used once.
     """
 
     def __init__(
@@ -137,7 +138,7 @@
         self.client = RelayClient(self.inbox)
 
     async def run(self) -> None:
-        """Take messages until cancelled."""
+        """Process messages until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._tick)
             async for message in self._receive:
--- a/packages/toucanyard-node/src/toucanyard_node/settings_watch.py
+++ b/packages/toucanyard-node/src/toucanyard_node/settings_watch.py
@@ -1,4 +1,4 @@
-"""Read the settings anew on a signal, or when their file has changed without one."""
+"""Reload the settings on a signal or when the settings file has changed."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from toucanyard.relay_options import RelayOptions
 
 CHECK_INTERVAL_S: Final = 2.0
-"""Time between two looks at the file."""
+"""Interval between checks of the file."""
 _LOG: Final = structlog.get_logger()
 
 
 class SettingsInvalidError(Exception):
-    """The settings can't be read; at a start the process ends with status 2."""
+    """The settings are invalid; during startup the process exits with status 2."""
 
 
 class SettingsWatch:
-    """The settings in force, and the file that they come from.
+    """The settings in effect and the file that they were read from.
 
-    Invariant: settings that can't be read change nothing.
+    Invariant: invalid settings change nothing.
     """
 
     __slots__ = ("_apply", "_file", "_load", "_options", "_applied_stamp")
@@ -43,14 +43,14 @@
         self._applied_stamp = self._read_file_stamp()
 
     async def run(self) -> None:
-        """Look for changes until cancelled."""
+        """Check the file for changes until cancelled."""
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
             if self._read_file_stamp() != self._applied_stamp:
                 self.reload()
 
     def reload(self) -> None:
-        """Read the file and apply what can change while the node runs: the seeds."""
+        """Read the file and apply what may change at run time: the seeds."""
         self._applied_stamp = self._read_file_stamp()
         try:
             options = self._load(self._file)
--- a/packages/toucanyard-node/src/toucanyard_node/shielded.py
+++ b/packages/toucanyard-node/src/toucanyard_node/shielded.py
@@ -1,4 +1,4 @@
-"""Run work to its end although the task that wants the result may go away."""
+"""Run work to completion even if the waiting task is cancelled."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 T = TypeVar("T")
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
-"""Start a task that outlives the caller's connection."""
+"""Starts a task that outlives the caller's connection."""
 
 
 class _PendingResult(Generic[T]):
-    """Where the result goes; `is_wanted` turns false when the waiter leaves."""
+    """Holds the result; `is_awaited` becomes false if the waiter is cancelled."""
 
     __slots__ = ("done", "error", "is_awaited", "values")
 
@@ -29,10 +29,11 @@
     work: Callable[[], Awaitable[T]],
     on_abandoned: Callable[[T], Awaitable[None]],
 ) -> T:
-    """Return what `work` returns; when cancelled, let it end without the caller.
+    """Return the result of `work`; when cancelled, let it finish in the background.
 
-    A request with a key is the case: its caller may hang up and ask again, and must
-    then find the one answer, not a try that was cut off with an unknown outcome.
+    Used for requests with an idempotency key. Their caller may disconnect and retry,
+    and must then get the answer of the first attempt, instead of an unknown outcome
+    because that attempt was cancelled. `on_abandoned` gets a result without a waiter.
     """
     pending: _PendingResult[T] = _PendingResult()
 
--- a/packages/toucanyard-node/src/toucanyard_node/socket_io.py
+++ b/packages/toucanyard-node/src/toucanyard_node/socket_io.py
@@ -1,8 +1,8 @@
-"""Read from and write to a stream with fewer turns of the scheduler.
+"""Socket reads and writes that yield to the scheduler less often than trio's.
 
 `receive_some` of trio tries to read before it waits, which fails for each token event,
-and `send_all` yields after each write that didn't have to wait. A relay waits for each
-event anyway, so it needs neither: it stays fair, since reading always yields.
+and `send_all` yields even after a write that did not have to wait. A relay waits for
+each event anyway and needs neither. It remains fair, because reading always yields.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 async def receive(stream: trio.abc.ReceiveStream) -> bytes:
-    """Wait for bytes and return them; empty when the other side has closed.
+    """Wait for bytes and return them; empty if the other side has closed.
 
-    Raise trio.BrokenResourceError or trio.ClosedResourceError when there are none.
+    Raise trio.BrokenResourceError or trio.ClosedResourceError on failure.
     """
     if not isinstance(stream, trio.SocketStream):
         return bytes(await stream.receive_some(READ_BYTES))
     while True:
         await trio.lowlevel.wait_readable(_find_descriptor(stream))
-        # Another task may have closed the stream after this one was woken, and its
-        # descriptor may belong to another connection by now, whose bytes would be
-        # taken for this one's. Nothing can close it between here and the read.
+        # Another task may have closed the stream after this one was woken. The old
+        # descriptor may now belong to another connection, whose bytes would be read as
+        # those of this one. Nothing can close it between this line and the read.
         descriptor = _find_descriptor(stream)
         try:
             return os.read(descriptor, READ_BYTES)
@@ -39,9 +39,9 @@
 
 
 async def send(stream: trio.abc.SendStream, data: bytes) -> None:
-    """Send all bytes; yield only while the other side is slow.
+    """Send all bytes; yield only while the socket buffer is full.
 
-    Raise trio.BrokenResourceError or trio.ClosedResourceError when it can't be sent.
+    Raise trio.BrokenResourceError or trio.ClosedResourceError on failure.
     """
     sent_bytes = _send_nonblocking(stream, data)
     if sent_bytes < len(data):
@@ -51,7 +51,7 @@
 def accept_pending(
     listener: trio.abc.Listener[trio.SocketStream],
 ) -> list[trio.SocketStream]:
-    """Accept the connections that the kernel has made already, without waiting."""
+    """Accept the connections in the kernel's accept queue, without waiting."""
     streams: list[trio.SocketStream] = []
     if not isinstance(listener, trio.SocketListener):
         return streams
@@ -71,7 +71,7 @@
 
 
 def _send_nonblocking(stream: trio.abc.SendStream, data: bytes) -> int:
-    """Send what the kernel takes without waiting; return how much that was."""
+    """Send without blocking; return how many bytes the kernel accepted."""
     if not isinstance(stream, trio.SocketStream):
         return 0
     try:
--- a/packages/toucanyard-node/src/toucanyard_node/sse.py
+++ b/packages/toucanyard-node/src/toucanyard_node/sse.py
@@ -1,4 +1,4 @@
-"""Cut, number and read server-sent events on bytes, with little work for each."""
+"""Parse, number and render server-sent events as bytes, at a low cost per event."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 _MAX_COUNT: Final = 10**9
 _NO_ERROR: Final = msgspec.Raw(b"null")
 
-# Numbers that an engine makes up end in histograms and in other nodes' messages, where
-# one of a thousand digits would raise.
+# Numbers sent by an engine are put into histograms and into messages to other nodes,
+# where a number with a thousand digits would raise an exception.
 _Count = Annotated[int, msgspec.Meta(ge=0, le=_MAX_COUNT)]
 _TimeS = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
 class EventError(Exception):
-    """The events of a stream are not what the protocol says."""
+    """The events of a stream violate the protocol."""
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """What a chunk of a chat adds."""
+    """The text added by one chunk of a chat completion."""
 
     role: str | None = None
     content: str | None = None
@@ -47,7 +47,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Counts of tokens in the last chunk."""
+    """Token counts in the last chunk."""
 
     prompt_tokens: _Count = 0
     completion_tokens: _Count = 0
@@ -56,7 +56,7 @@
 
 
 class Chunk(msgspec.Struct, frozen=True):
-    """One event's data, as far as the node reads it."""
+    """The fields of an event's data that the node uses."""
 
     id: str = ""
     created: _TimeS = 0
@@ -67,13 +67,13 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One event: its number, or None when it has none, and its data line."""
+    """One event: its number, or None without one, and its data."""
 
     number: int | None
     data: bytes
 
     def is_done(self) -> bool:
-        """Tell whether this is the final event of a whole stream."""
+        """Return whether this is the final event of a complete stream."""
         return self.data == b"[DONE]"
 
 
@@ -89,16 +89,16 @@
 
 
 def check_error(chunk: Chunk) -> None:
-    """Raise EventError when the engine tells of its failure in place of a token.
+    """Raise EventError if the engine reports a failure instead of a token.
 
-    Engines do so in mid-stream, where the status was sent long ago.
+    Engines do this in the middle of a stream, after the status has been sent.
     """
     if chunk.error != _NO_ERROR:
         raise EventError("the engine reports an error")
 
 
 def get_text(chunk: Chunk) -> str:
-    """Return the text that a chunk adds."""
+    """Return the text of a chunk."""
     if not chunk.choices:
         return ""
     choice = chunk.choices[0]
@@ -108,7 +108,7 @@
 
 
 class EventParser:
-    """Cut received bytes at the ends of events; an unfinished one waits inside."""
+    """Splits received bytes into events and buffers an incomplete event."""
 
     __slots__ = ("_buffer",)
 
@@ -116,7 +116,7 @@
         self._buffer = b""
 
     def feed(self, part: bytes) -> list[Event]:
-        """Take received bytes and return the events that they finish."""
+        """Add received bytes and return the events that they complete."""
         if self._buffer:
             part = self._buffer + part
         texts = part.split(_BOUNDARY)
@@ -128,7 +128,7 @@
 
 
 def _parse_event(text: bytes) -> Event | None:
-    """Parse what stands between two blank lines; None when it is no event."""
+    """Parse the text between two blank lines; None if it is not an event."""
     if text.startswith(_ID):
         head, _, rest = text.partition(b"\n")
         number = head[4:]
@@ -147,8 +147,8 @@
 def _parse_lines(text: bytes) -> Event | None:
     """Parse an event whose lines are in another order, or raise EventError.
 
-    Lines without data are no event, as the protocol says: comments, for one, though
-    one that has no blank line behind it may stand before an event.
+    By the protocol, lines without data, such as comments, are not an event. A comment
+    that is not followed by a blank line may precede an event, though.
     """
     number: int | None = None
     data: list[bytes] = []
@@ -165,7 +165,7 @@
 
 
 def render_event(number: int, data: bytes, name: bytes = b"") -> bytes:
-    """Build the bytes of one event; each line of its data gets a field of its own."""
+    """Render one event; each line of its data becomes a separate field."""
     if b"\n" in data:
         data = data.replace(b"\n", b"\ndata: ")
     if name:
--- a/packages/toucanyard-node/src/toucanyard_node/vm_list.py
+++ b/packages/toucanyard-node/src/toucanyard_node/vm_list.py
@@ -1,4 +1,4 @@
-"""Poll the platform's VM list and pass on what it shows."""
+"""Poll the VM list of the platform and emit its contents."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 
 class VmListBody(msgspec.Struct, frozen=True):
-    """The platform's answer."""
+    """Body of the platform's response."""
 
     vms: tuple[Vm, ...]
 
 
 def compute_wait_ms(timings: MembershipTimings, body_bytes: int) -> float:
-    """Return how long to wait before the next read, by the size of the last.
+    """Return how long to wait before the next read, by the size of the last one.
 
-    The list is sent whole. Where it is large, each node reads it rarely: among many
-    nodes one reads it every second or two, and what it finds travels as news.
+    The list is always sent completely. If it is large, each node reads it rarely: among
+    many nodes one reads it every second or two, and distributes changes by gossip.
     """
     large_bytes = max(0, body_bytes - _SMALL_LIST_BYTES)
     return max(float(timings.vm_list_poll_ms), large_bytes * 1000 / _BYTES_PER_S)
@@ -55,15 +55,15 @@
     rng: random.Random,
     connect_to: Connect = connect,
 ) -> None:
-    """Read the list again and again until cancelled; failures leave the last one."""
+    """Read the list periodically until cancelled; failures keep the last one."""
     while True:
         body = await _read(address, connect_to)
         size = 0
         if body is not None and await _emit_vms(body, emit):
-            # A large answer that is broken mustn't put off the next try.
+            # A large but malformed response must not delay the next attempt.
             size = len(body)
         wait_ms = compute_wait_ms(timings, size)
-        # Nodes that started together would else read at the same moment for ever.
+        # Without jitter, nodes started together would always read at the same time.
         await trio.sleep(wait_ms * rng.uniform(0.75, 1.0) / 1000)
 
 
@@ -92,7 +92,7 @@
 
 
 def _clear_invalid_addresses(vm: Vm) -> Vm:
-    """Return a VM without those addresses that nobody could connect to."""
+    """Return a VM with invalid addresses replaced by empty ones."""
     addresses = {name: getattr(vm, name) for name in _ADDRESSES}
     invalid = {
         name for name, each in addresses.items() if each and not is_valid_address(each)
