--- a/tests/toucanyard_node/polling_fleet.py
+++ b/tests/toucanyard_node/polling_fleet.py
@@ -1,7 +1,7 @@
-"""Run the store readers and cores of many nodes against one store in memory.
+"""Run the store readers and cores of many nodes against one in-memory store.
 
-A silent store answers nothing, and what was asked of it before is never answered, as on
-connections whose other end is gone. Such a read ends by its timeout alone.
+A silent store answers no new reads, and never answers those already pending, as if the
+other end of their connections were gone. Such a read ends only by its timeout.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class SharedStore:
-    """Topics in memory that answer some nodes, all, or none."""
+    """In-memory topics that can stop answering some or all nodes."""
 
     def __init__(self) -> None:
         self.records: dict[Topic, list[KeyedRecord]] = {topic: [] for topic in Topic}
@@ -44,7 +44,7 @@
         self.reads: list[tuple[float, NodeName, Topic]] = []
         self._grown = {topic: trio.Event() for topic in Topic}
         self._lost: dict[NodeName, int] = {}
-        """How often a node has lost all that it had asked."""
+        """How often all pending reads of a node were lost."""
 
     def append(self, topic: Topic, key: str, value: bytes) -> None:
         records = self.records[topic]
@@ -53,13 +53,13 @@
         self._grown[topic] = trio.Event()
 
     def stop_answering(self, names: Iterable[NodeName]) -> None:
-        """Answer some nodes no more, neither old reads nor new ones."""
+        """Stop answering some nodes, for pending and for new reads."""
         wanted = set(names)
         self.silent_for |= wanted
         self.lose_reads(wanted)
 
     def lose_reads(self, names: Iterable[NodeName]) -> None:
-        """Never answer what some nodes have asked until now."""
+        """Never answer the pending reads of some nodes."""
         for name in names:
             self._lost[name] = self._lost.get(name, 0) + 1
 
@@ -93,7 +93,7 @@
 
 
 class NodeStore:
-    """What one node sees of the store."""
+    """The store as accessed by one node."""
 
     def __init__(self, name: NodeName, shared: SharedStore) -> None:
         self._name = name
@@ -122,7 +122,7 @@
 
 
 class PollingNode:
-    """A core, its task and its reader of the store."""
+    """A core, its task and its store reader."""
 
     def __init__(self, number: int, store: SharedStore) -> None:
         self.name = NodeName(f"n{number}")
@@ -153,13 +153,13 @@
 
 
 class PollingFleet:
-    """Nodes with links between them, a store, and when versions came into force."""
+    """Linked nodes, their store, and the times at which versions took effect."""
 
     def __init__(self, count: int) -> None:
         self.store = SharedStore()
         self.nodes = [PollingNode(number, self.store) for number in range(count)]
         self.unlinked: set[NodeName] = set()
-        """Nodes that reach no other node."""
+        """Nodes that cannot reach any other node."""
         self.in_force_s: dict[tuple[NodeName, int], float] = {}
         self.published_s: dict[int, float] = {}
         self._by_name = {node.name: node for node in self.nodes}
@@ -183,7 +183,7 @@
                 nursery.start_soon(self._deliver, node)
 
     def compute_propagation_s(self, version: int) -> float:
-        """Return how long after its publication all nodes had a version, in s."""
+        """Return the time from publication until all nodes had a version, in s."""
         return max(
             self.in_force_s.get((node.name, version), float("inf"))
             - self.published_s[version]
--- a/tests/toucanyard_node/relay_harness.py
+++ b/tests/toucanyard_node/relay_harness.py
@@ -1,4 +1,4 @@
-"""Run the relaying parts of a node against replicas that follow a script."""
+"""Run the relaying part of a node against scripted replicas."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class PlainCallCodec:
-    """Headers of a protocol of the tests' own."""
+    """Call codec for a header format that only the tests use."""
 
     def read_call(self, http: HttpRequest) -> CallFacts:
         headers = http.headers
@@ -106,7 +106,7 @@
 
 
 class ScriptedReplica:
-    """Listens on a port of the kernel's and answers each call by the next script."""
+    """Listens on an ephemeral port and answers each call by the next script."""
 
     def __init__(self, name: str, *scripts: Script) -> None:
         self.name = name
@@ -160,7 +160,7 @@
 def answer(
     status: int = 200, body: bytes = b"whole", extra: bytes = SIGNED, tail: bytes = b""
 ) -> Script:
-    """Return a script that answers with a length, and `tail` behind it."""
+    """Return a script that answers with a Content-Length, followed by `tail`."""
 
     async def run(stream: trio.SocketStream, call: bytes) -> None:
         head = b"HTTP/1.1 %d X\r\nX-Id: %s\r\nContent-Length: %d\r\n%s\r\n" % (
@@ -177,7 +177,7 @@
 def stream_events(
     *events: bytes, is_whole: bool = True, end: bytes = b"", hold_s: float = 0.0
 ) -> Script:
-    """Return a script that streams events in chunks; `end` are bytes of a cut one."""
+    """Return a script that streams events in chunks; `end` is an incomplete event."""
 
     async def run(stream: trio.SocketStream, call: bytes) -> None:
         await stream.send_all(
@@ -196,13 +196,13 @@
 
 
 async def never_answer(stream: trio.SocketStream, _: bytes) -> None:
-    """Take a call and wait until the other side hangs up."""
+    """Accept a call and wait until the other side disconnects."""
     while await stream.receive_some(1):
         pass
 
 
 async def close_without_answer(_: trio.SocketStream, __: bytes) -> None:
-    """Take a call and close without an answer."""
+    """Accept a call and close the connection without an answer."""
 
 
 def build_event(number: int) -> bytes:
@@ -210,7 +210,7 @@
 
 
 class RelayHarness:
-    """One node's face, core and replicas."""
+    """The relay server and the core of one node, and its replicas."""
 
     def __init__(self, replicas: list[ScriptedReplica], **route: object) -> None:
         self.replicas = replicas
@@ -285,7 +285,7 @@
             self.put(Topic.REPLICAS, each.name, number, replica)
 
     async def call(self, text: bytes, for_s: float = 5.0) -> bytes:
-        """Send bytes on a new connection and return all that comes back."""
+        """Send bytes on a new connection and return everything received."""
         stream = await trio.open_tcp_stream("127.0.0.1", self.port)
         received = b""
         with trio.move_on_after(for_s):
--- a/tests/toucanyard_node/test_back_pressure.py
+++ b/tests/toucanyard_node/test_back_pressure.py
@@ -1,4 +1,4 @@
-"""A caller that reads slowly holds its engine back, on real sockets."""
+"""Backpressure from a slow caller to the engine, on real sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def wait_until_still(engine: ScriptedEngine) -> int:
-    """Return how many events were sent when no more leave."""
+    """Return the number of sent events once it stops growing."""
     sent = -1
     while sent != engine.events_sent:
         sent = engine.events_sent
@@ -27,11 +27,11 @@
 
 
 async def test_slow_caller_stops_engine() -> None:
-    """A caller asks for 32 MB of events and does not read them.
+    """A caller requests 32 MB of events and does not read them.
 
-    The node stops reading from the engine, and the sockets' buffers fill up, so the
-    engine can't send on. What the node itself holds stays within its replay buffer.
-    When the caller reads, all of it arrives.
+    The node must stop reading from the engine, so that the socket buffers fill up and
+    the engine blocks. The node itself buffers no more than its replay buffer. Once the
+    caller reads, all events arrive.
     """
     engine = ScriptedEngine(TOKENS)
     listener = await open_listener("127.0.0.1", 0)
--- a/tests/toucanyard_node/test_boot_clock.py
+++ b/tests/toucanyard_node/test_boot_clock.py
@@ -1,4 +1,4 @@
-"""Tests for the node's time, which counts while the VM is suspended."""
+"""Tests for the node's clock, which advances while the VM is suspended."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SuspendedVm:
-    """The time of a VM that is suspended now and then."""
+    """Simulated clock of a VM that can be suspended."""
 
     def __init__(self) -> None:
         self.suspended_s = 0.0
@@ -26,10 +26,10 @@
 
 
 def test_lease_ends_while_the_vm_is_suspended() -> None:
-    """A holder's VM is suspended for longer than its lease and wakes up.
+    """The VM of a lease holder is suspended for longer than the lease lasts.
 
-    The holder would send its next order beside the new holder's. It must find its
-    lease over at the first look, though none of its waits has passed.
+    Otherwise it would continue to send orders alongside the new holder. The lease must
+    count as expired at the first check, although no sleep has finished.
     """
     vm = SuspendedVm()
 
--- a/tests/toucanyard_node/test_bounded_output.py
+++ b/tests/toucanyard_node/test_bounded_output.py
@@ -8,9 +8,9 @@
 
 
 def test_slow_reader_never_holds_up_the_node() -> None:
-    """Whoever reads the log stops reading. The pipe fills, then the buffer.
+    """The log reader stops reading, so that the pipe and then the buffer fill up.
 
-    A write that waited would stop every stream of the node.
+    A blocking write would stop every stream of the node.
     """
     read_end, write_end = os.pipe()
     os.set_blocking(write_end, False)
@@ -65,7 +65,7 @@
 
 
 async def test_line_that_ends_a_rest_is_written(autojump_clock: object) -> None:
-    """A node has nothing to tell for an hour, then writes lines, then rests again."""
+    """A node logs nothing for an hour, then writes lines, then is idle again."""
     read_end, write_end = os.pipe()
     output = BoundedOutput(write_end)
     async with trio.open_nursery() as nursery:
--- a/tests/toucanyard_node/test_configuration_after_outages.py
+++ b/tests/toucanyard_node/test_configuration_after_outages.py
@@ -10,9 +10,9 @@
 from .polling_fleet import PollingFleet
 
 MAX_PROPAGATION_S = 1.0
-"""How long after a confirmation by a store that answers all nodes must have it."""
+"""Time after confirmation by an answering store until all nodes have a version."""
 TARGET_PROPAGATION_S = 0.5
-"""The same where polls stand."""
+"""The same while long polls are working."""
 OUTAGE_DURATIONS_S = (
     0.5,
     1.0,
@@ -41,7 +41,7 @@
 async def test_configuration_is_in_force_in_time_after_the_store_was_silent(
     autojump_clock: object, count: int
 ) -> None:
-    """A long poll that began while the store was silent hides all later versions."""
+    """A long poll that began while the store was silent misses later versions."""
     rng = random.Random(count)
     fleet = PollingFleet(count)
     version = 1
@@ -69,7 +69,7 @@
 async def test_configuration_is_in_force_in_time_after_open_connections_fell_silent(
     autojump_clock: object,
 ) -> None:
-    """Polls under way are never answered, while each new connection is."""
+    """Pending polls are never answered, while new connections are."""
     rng = random.Random(3)
     fleet = PollingFleet(9)
     late = {}
@@ -89,7 +89,7 @@
 async def test_lost_polls_are_replaced_once_a_change_is_known(
     autojump_clock: object,
 ) -> None:
-    """Without new polls each later change would wait until it is looked for."""
+    """Without new polls, later changes would wait for the next periodic read."""
     rng = random.Random(6)
     fleet = PollingFleet(9)
     late = []
@@ -110,7 +110,7 @@
 async def test_calm_store_is_not_asked_more_often_for_bounded_ages(
     autojump_clock: object,
 ) -> None:
-    """Polls of 3.9 s alone made 207 reads of all topics in 40 s."""
+    """With polls of 3.9 s alone, there were 207 reads of all topics in 40 s."""
     fleet = PollingFleet(9)
     async with trio.open_nursery() as nursery:
         await start(fleet, nursery)
@@ -125,7 +125,7 @@
 async def test_configuration_is_in_force_in_time_at_a_node_that_only_reaches_the_store(
     autojump_clock: object,
 ) -> None:
-    """The store was silent for one node, which no other node can tell of changes."""
+    """The store was silent for one node, which has no links to other nodes."""
     rng = random.Random(4)
     fleet = PollingFleet(9)
     alone = fleet.nodes[4]
@@ -149,7 +149,7 @@
 async def test_configuration_is_in_force_in_time_after_its_topic_alone_was_silent(
     autojump_clock: object,
 ) -> None:
-    """Reads of other topics were answered all the while."""
+    """Reads of other topics were answered during the outage."""
     rng = random.Random(5)
     fleet = PollingFleet(9)
     late = {}
--- a/tests/toucanyard_node/test_configuration_campaign.py
+++ b/tests/toucanyard_node/test_configuration_campaign.py
@@ -1,4 +1,4 @@
-"""Draw outages of the store and cuts between nodes, and publish all the while."""
+"""Publish versions during random store outages and network partitions."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from .polling_fleet import PollingFleet
 
 MAX_PROPAGATION_S = 2.0
-"""How long after its confirmation a version must be in force everywhere."""
+"""Time after its confirmation until a version must be in effect everywhere."""
 MAX_RECOVERY_S = 1.0
-"""The same from the end of the last fault, if that is later."""
+"""The same, counted from the end of the last fault, if that is later."""
 PUBLISH_INTERVAL_S = 0.4
 SETTLE_TIME_S = 2.0
 
 
 class Campaign:
-    """Faults drawn from a seed, versions published meanwhile, and who has them late."""
+    """Random faults from a seed, published versions, and nodes that got them late."""
 
     def __init__(self, seed: int, count: int) -> None:
         self.rng = random.Random(seed)
@@ -77,7 +77,7 @@
                 nursery.start_soon(self._check, version)
 
     async def _check(self, version: int) -> None:
-        """Note who has not got a version in time after the last fault ended."""
+        """Record the nodes without a version after its deadline."""
         store = self.fleet.store
         for node in self.fleet.nodes:
             while True:
@@ -103,7 +103,7 @@
 async def test_configuration_is_in_force_in_time_after_drawn_faults(
     autojump_clock: object, seed: int, count: int, faults: int
 ) -> None:
-    """Guards against a series of faults that leaves a node with what it knew."""
+    """Guards against a sequence of faults that leaves a node with an old version."""
     campaign = Campaign(seed, count)
     await campaign.run(faults)
     assert campaign.late == []
--- a/tests/toucanyard_node/test_connection_pool.py
+++ b/tests/toucanyard_node/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connections a pool lends again, and what proves that nothing was sent."""
+"""Tests for the reuse of connections and the detection of unsent requests."""
 
 from __future__ import annotations
 
@@ -54,9 +54,9 @@
 
 
 async def test_unfinished_answer_is_not_lent_again(autojump_clock: MockClock) -> None:
-    """A caller leaves inside an answer; its rest is still to come.
+    """A caller disconnects before its response is complete.
 
-    Whoever got that connection next would read the rest as its own answer.
+    The next request on that connection would read the rest as its own response.
     """
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
@@ -78,9 +78,9 @@
 
 
 async def test_older_than_silence_is_not_kept(autojump_clock: MockClock) -> None:
-    """A connection was in use while another to the same address went silent.
+    """A connection is in use while another to the same address times out.
 
-    It is as old as that one, so it is not kept when its answer has ended.
+    Both may have been lost in the same way, so it must not be pooled after use.
     """
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
@@ -106,8 +106,7 @@
 async def test_closed_while_idle_is_not_lent() -> None:
     """An engine restarts while a connection to it is idle.
 
-    Its end is waiting on the socket, so the pool sees it before a request is
-    written to nobody.
+    The pool must notice the EOF on the socket before a request is sent and lost.
     """
     listener = await open_listener("127.0.0.1", 0)
     address = Address(f"127.0.0.1:{find_port(listener)}")
@@ -131,7 +130,7 @@
 
 
 async def test_nothing_sent_is_known() -> None:
-    """The kernel takes no byte of a request: that proves that it did not run."""
+    """The kernel accepts no byte of a request, so the request did not run."""
     listener = await open_listener("127.0.0.1", 0)
     address = Address(f"127.0.0.1:{find_port(listener)}")
     connection = await connect(address, 1_000)
@@ -151,10 +150,10 @@
 
 
 async def test_impossible_port_is_a_failed_connection() -> None:
-    """A configuration names a port that doesn't exist; its pattern allows five digits.
+    """A configuration contains an invalid port of five digits.
 
-    The kernel is never asked, and the library's error is no OSError. Left as it is, it
-    ends the task that watches the endpoint, and with it the node.
+    The socket library raises an error that is not an OSError. If it were not caught, it
+    would end the task that watches the endpoint, and with it the node.
     """
     with pytest.raises(ConnectionFailedError) as caught:
         await connect(Address("127.0.0.1:99999"), 1_000)
@@ -162,8 +161,8 @@
 
 
 async def test_answer_over_the_bound_is_given_up(autojump_clock: MockClock) -> None:
-    """An endpoint sends without an end; its answer must not fill the memory. The
-    connection, with the rest still to come, isn't lent again."""
+    """An endless response must not exhaust the memory. Its connection must not be
+    reused, because the rest of the response is still unread."""
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
         await send_request(connection)
@@ -176,10 +175,10 @@
 async def test_connection_distrusted_while_another_is_closed(
     autojump_clock: MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """While a dead idle connection is being closed, another one goes silent.
+    """While a dead idle connection is being closed, a read on another times out.
 
-    The idle ones are dropped then; whoever waits for the closing must not get one of
-    them, or its request waits for a silence, too.
+    All idle connections are then discarded. A request waiting for the close must not
+    get one of them, or it would run into a timeout, too.
     """
     close = HttpConnection.close
 
--- a/tests/toucanyard_node/test_drain.py
+++ b/tests/toucanyard_node/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop, in memory under a clock that jumps."""
+"""Tests for the graceful shutdown, in memory on a mock clock."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 async def test_planned_stop_cuts_nothing(autojump_clock: MockClock) -> None:
-    """A node is told to stop while a stream is under way.
+    """A node is shut down while a stream is running.
 
-    Callers that still hold its address are served for as long as they may keep it,
-    and told to close; the stream, which takes longer than that, comes to its end;
-    only then is the node done.
+    Callers with a cached address are served until the cache expires, and are asked to
+    close their connections. The stream, which takes longer, finishes before the
+    shutdown is complete.
     """
     results: list[bool] = []
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.5))
@@ -50,8 +50,9 @@
         answer = await served.complete(is_stream=False)
         assert answer.status == 200
         assert answer.headers["connection"] == "close"
-        # Another node may have named this one until its news came, a moment after
-        # the stop began; a caller keeps that address for its whole time.
+        # Another node may have returned this node's address until it received the
+        # gossip update shortly after the shutdown began. A caller caches that address
+        # for the full cache time.
         await trio.sleep(5)
         assert (await served.complete(is_stream=False)).status == 200
         await trio.sleep(2)
@@ -65,7 +66,7 @@
 async def test_planned_stop_waits_for_keyed_request(
     autojump_clock: MockClock,
 ) -> None:
-    """A keyed request runs on for a caller that hung up; the stop waits for it."""
+    """A keyed request continues after its caller disconnects; the shutdown waits."""
     results: list[bool] = []
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.5))
     async with serve_in_memory([engine]) as served, trio.open_nursery() as nursery:
--- a/tests/toucanyard_node/test_encoded_messages.py
+++ b/tests/toucanyard_node/test_encoded_messages.py
@@ -6,8 +6,7 @@
 def test_messages_that_go_to_many_peers_in_turn_are_encoded_once_each() -> None:
     """A hub sends three kinds of status to 46 peers, in the order of their links.
 
-    Encoded for each peer anew, the hub would be late with what it passes on and calls
-    at it would wait.
+    Encoding them again for each peer would delay the hub's messages and calls.
     """
     encoded: list[str] = []
 
--- a/tests/toucanyard_node/test_http_client.py
+++ b/tests/toucanyard_node/test_http_client.py
@@ -1,4 +1,4 @@
-"""Tests for reading answers off one connection, however they are cut."""
+"""Tests for reading responses that arrive in arbitrary packets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def render(parts: list[bytes], is_chunked: bool) -> bytes:
-    """Return the bytes of one whole answer."""
+    """Return the bytes of one complete response."""
     if not is_chunked:
         body = b"".join(parts)
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
@@ -32,7 +32,7 @@
 
 
 async def read_answer(packets: list[bytes], then_closes: bool) -> tuple[bytes, bool]:
-    """Return the body of an answer in packets, and whether a next request may go."""
+    """Return the body of a response and whether the connection is reusable."""
     near, far = trio.testing.memory_stream_pair()
     connection = HttpConnection(ADDRESS, near, 0.0)
     await connection.send("GET", "/", ())
@@ -53,13 +53,13 @@
 
 
 def run_answer(packets: list[bytes], then_closes: bool) -> tuple[bytes, bool]:
-    """Read an answer on a clock that jumps, so that waiting in vain fails at once."""
+    """Read a response on a mock clock, so that a timeout fails at once."""
     clock = trio.testing.MockClock(autojump_threshold=0)
     return trio.run(read_answer, packets, then_closes, clock=clock)
 
 
 def cut(data: bytes, places: list[int]) -> list[bytes]:
-    """Return the data cut at these places."""
+    """Return the data split at these offsets."""
     edges = [0, *sorted({place % len(data) for place in places} - {0}), len(data)]
     return [data[begin:end] for begin, end in zip(edges, edges[1:], strict=False)]
 
@@ -69,9 +69,9 @@
 def test_answer_is_whole_however_it_is_cut(
     parts: list[bytes], is_chunked: bool, places: list[int]
 ) -> None:
-    """Packets end anywhere: inside a chunk, its size, the line behind it.
+    """Packets may end within a chunk, its size or the line break after it.
 
-    The body must come whole, and its end be seen without waiting for more bytes.
+    The body must be complete, and its end found without waiting for more bytes.
     """
     packets = cut(render(parts, is_chunked), places)
     body = b"".join(parts)
@@ -82,7 +82,7 @@
 def test_answer_that_ends_early_is_never_whole(
     parts: list[bytes], is_chunked: bool, places: list[int], missing: int
 ) -> None:
-    """The engine dies inside its answer: what has come must not pass for all of it."""
+    """The engine fails during its response: a partial body must not look complete."""
     data = render(parts, is_chunked)
     short = data[: max(1, len(data) - missing)]
     with pytest.RaisesGroup(ConnectionFailedError):
--- a/tests/toucanyard_node/test_http_server.py
+++ b/tests/toucanyard_node/test_http_server.py
@@ -1,4 +1,4 @@
-"""Limits of the server, and its end, on real sockets."""
+"""Tests for the limits and the shutdown of the HTTP server."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 async def exchange(port: int, data: bytes) -> bytes:
-    """Send bytes and return all that comes back."""
+    """Send bytes and return everything received."""
     stream = await trio.open_tcp_stream("127.0.0.1", port)
     async with stream:
         await stream.send_all(data)
@@ -55,7 +55,7 @@
 
 
 async def test_slow_headers() -> None:
-    """A caller sends half a head and no more. It is refused and let go."""
+    """A client that sends only half of a request head is refused."""
     async with serve(ServerLimits(header_timeout_ms=50)) as (_, port):
         answer = await exchange(port, b"GET / HTTP/1.1\r\nHost:")
         assert read_code(answer) == (408, "headers_too_slow")
@@ -72,8 +72,8 @@
     ],
 )
 async def test_bad_requests(data: bytes) -> None:
-    """Anyone can send one line that is no request. It gets its refusal, and the
-    server, with the connections of all others, goes on."""
+    """A malformed request is refused, and the server and all its other connections
+    continue."""
     async with serve(ServerLimits()) as (_, port):
         for _ in range(2):
             assert read_code(await exchange(port, data)) == (400, "bad_request")
@@ -87,7 +87,7 @@
     ],
 )
 async def test_body_too_large(head: bytes) -> None:
-    """A body is declared, or turns out, too large; the refusal gets through."""
+    """The declared or actual body size is too large; the client gets the refusal."""
     async with serve(ServerLimits(max_body_bytes=1_000)) as (_, port):
         data = b"POST / HTTP/1.1\r\nHost: a\r\n" + head
         assert read_code(await exchange(port, data)) == (413, "body_too_large")
@@ -104,10 +104,10 @@
 
 
 async def test_stop_lets_requests_end(autojump_clock: MockClock) -> None:
-    """The server stops while one request runs and another connection is idle.
+    """The server stops while one request is running and a connection is idle.
 
-    The request gets its whole answer, the idle connection is closed, a new one is
-    refused, and `serve` ends after that.
+    The request gets its complete response, the idle connection is closed, a new one is
+    refused, and then `serve` returns.
     """
 
     async def answer_slowly(request: HttpRequest, responder: Responder) -> None:
@@ -136,10 +136,10 @@
 
 @pytest.mark.parametrize("error", [CallerGoneError(), ValueError("a fault")])
 async def test_failing_handler_ends_its_connection_only(error: Exception) -> None:
-    """A caller hangs up while its answer is written, or a handler has a fault.
+    """A caller disconnects during its response, or a handler raises an error.
 
-    The error leaves a nursery as a group; a server that catches single errors only
-    would end with it, and every other caller's connection with the server.
+    The nursery wraps the error in an exception group. A server that catches only single
+    errors would end, and with it the connections of all other callers.
     """
 
     async def fail(request: HttpRequest, responder: Responder) -> None:
@@ -164,8 +164,8 @@
 
 @pytest.mark.parametrize("method", ["HEAD", "GET"])
 async def test_head_gets_the_head_only(method: str) -> None:
-    """A caller asks with HEAD. A body may not follow, and the library refuses to send
-    one; the caller would see its connection close without any answer."""
+    """A response to HEAD has no body, and h11 refuses to send one. Without special
+    handling, the connection would be closed without a response."""
 
     async def answer(request: HttpRequest, responder: Responder) -> None:
         if request.path == "/stream":
@@ -189,16 +189,16 @@
 
 
 async def test_connect_is_refused() -> None:
-    """CONNECT asks for a tunnel. Passed on to a service, it would turn a connection
-    of the node's pool into one."""
+    """CONNECT requests a tunnel. Forwarded to a service, it would turn a pooled
+    connection of the node into a tunnel."""
     async with serve(ServerLimits()) as (_, port):
         data = b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n"
         assert read_code(await exchange(port, data)) == (405, "method_not_allowed")
 
 
 async def test_header_outside_ascii_is_sent() -> None:
-    """A service names a content type in Latin-1. It is passed on as it came; refusing
-    to render it would cut an answer that is whole."""
+    """A Content-Type of a service with Latin-1 characters must be forwarded unchanged.
+    An encoding error would truncate a complete response."""
 
     async def answer(request: HttpRequest, responder: Responder) -> None:
         await responder.send(200, (("Content-Type", "text/caf\u00e9"),), b"whole")
@@ -216,10 +216,10 @@
 
 
 async def test_caller_that_never_reads() -> None:
-    """A caller asks for a long answer, reads nothing and keeps its connection.
+    """A caller requests a long response, reads nothing and keeps its connection open.
 
-    Its handler must not wait for ever: an engine's stream and a place would be held for
-    nobody. The connection ends once nothing has been taken for the time allowed.
+    Its handler must not wait forever and occupy a stream of an engine and a connection
+    slot. The connection must end after the write timeout.
     """
     ended = trio.Event()
 
@@ -246,23 +246,23 @@
 
 
 async def read_whole(end: socket.socket) -> bytes:
-    """Return all that comes on a connection until the other side closes it."""
+    """Return everything received until the other side closes the connection."""
     stream = trio.SocketStream(trio.socket.from_stdlib_socket(end))
     async with stream:
         return b"".join([part async for part in stream])
 
 
 def open_blocking(port: int) -> socket.socket:
-    """Connect without giving the server a turn."""
+    """Connect without yielding to the server's task."""
     return socket.create_connection(("127.0.0.1", port))
 
 
 async def test_request_at_the_door_when_the_server_stops() -> None:
-    """A request reaches the machine in the moment in which the server stops.
+    """A request arrives at the moment in which the server stops.
 
-    It waits in the kernel, on an idle connection or on one not yet accepted. Closing
-    either would reset it, and its caller, who reached a node that was named to it,
-    could not tell whether it ran.
+    It is in the kernel's buffer of an idle connection or of one not yet accepted.
+    Closing either connection would reset it, and the caller, who used a valid address,
+    could not know whether the request ran.
     """
     async with serve(ServerLimits()) as (server, port):
         idle = open_blocking(port)
@@ -282,9 +282,9 @@
 
 
 async def test_hang_up_behind_more_bytes(autojump_clock: MockClock) -> None:
-    """A caller sends more than its request, as some do an empty line, and hangs up.
+    """A caller sends an extra empty line after its request and disconnects.
 
-    Its handler is cancelled all the same; an engine would compute for nobody.
+    Its handler must be cancelled, so that the engine does no useless work.
     """
     cancelled = trio.Event()
 
@@ -310,7 +310,7 @@
 
 
 async def test_pipelined_requests_are_answered_in_order() -> None:
-    """A caller sends its next requests before the first has its answer."""
+    """A caller sends further requests before the first response."""
     async with serve(ServerLimits()) as (_, port):
         bodies = (b"uno", b"dos", b"tres")
         heads = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n%s\r\n%s"
--- a/tests/toucanyard_node/test_idle_watch.py
+++ b/tests/toucanyard_node/test_idle_watch.py
@@ -1,4 +1,4 @@
-"""Tests for the task that closes connections which have gone silent."""
+"""Tests for the task that closes idle connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SlowlyClosed(HttpConnection):
-    """A connection during whose closing another stream comes to its end."""
+    """A connection during whose close another stream receives data or ends."""
 
     def __init__(self) -> None:
         ours, _ = trio.testing.memory_stream_pair()
@@ -33,7 +33,7 @@
 
 
 async def close_two(is_reading_on: bool) -> int:
-    """Let two readers be late at once; return how many connections were closed."""
+    """Let two readers time out at once; return how many connections are closed."""
     first, second = SlowlyClosed(), SlowlyClosed()
     timers = [IdleTimer(each, 100.0) for each in (first, second)]
     first.other_timer, second.other_timer = timers[1], timers[0]
@@ -51,11 +51,11 @@
 async def test_connection_that_was_lent_meanwhile_is_not_closed(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A node was paused and wakes; all its streams have waited too long.
+    """A node resumes after a pause, and all its streams have timed out.
 
-    While the first connection is closed, the bytes of the second come and end its
-    stream; the connection goes back to the pool. Closed there, it failed the next
-    request that it was lent to, with an internal error for its caller.
+    While the first connection is being closed, the second stream receives its last
+    bytes and its connection returns to the pool. When it was closed there, the next
+    request on it failed with an internal error.
     """
     assert await close_two(is_reading_on=False) == 1
 
@@ -63,5 +63,5 @@
 async def test_reader_that_got_its_bytes_meanwhile_goes_on(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """As above, but the second stream goes on: it is not silent any more."""
+    """As above, but the second stream continues and is no longer idle."""
     assert await close_two(is_reading_on=True) == 1
--- a/tests/toucanyard_node/test_peer_handshake.py
+++ b/tests/toucanyard_node/test_peer_handshake.py
@@ -1,4 +1,4 @@
-"""Greetings of strangers: whatever comes, it is refused, and nothing else happens."""
+"""Tests for handshakes with peers, including malformed and forged messages."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Script:
-    """A socket on which a stranger says what was lined up, whatever it hears."""
+    """A socket that returns the given frames, whatever is sent to it."""
 
     def __init__(self, frames: Sequence[bytes | str]) -> None:
         self.frames = list(frames)
@@ -48,7 +48,7 @@
 
 
 def check_rejected(frames: Sequence[bytes | str]) -> Script:
-    """Greet on both sides; both must refuse."""
+    """Run the handshake in both roles; both must reject the frames."""
     for side in Side:
         script = Script(frames)
         with pytest.raises(HandshakeError):
@@ -78,13 +78,13 @@
 @example([b"\xd8\x1c\x81\xd8\x1d\x00"])
 @settings(max_examples=100)
 def test_any_greeting_of_a_stranger_is_refused(frames: list[bytes | str]) -> None:
-    """Who does not know the secret gets no link, and at most one hello and one proof,
-    which is of no use on another connection."""
+    """A peer without the secret gets no link. It receives at most one hello and one
+    proof, which is not valid on another connection."""
     assert len(check_rejected(frames).sent) <= 2
 
 
 class Pipe:
-    """One end of a connection between two greetings."""
+    """One end of an in-memory connection between two handshakes."""
 
     def __init__(
         self,
@@ -130,10 +130,11 @@
 async def test_secrets_are_rotated_step_by_step(
     ours: list[str], theirs: list[str], is_linked: bool
 ) -> None:
-    """A new secret is first accepted everywhere, then signs, then the old one goes.
+    """A new secret is first accepted by all nodes, then used to sign, then the old one
+    is removed.
 
-    Nodes one step apart stay linked. Two steps apart, or without the secret, they are
-    refused: an old secret that was removed lets nobody in.
+    Nodes one step apart must stay linked. Nodes two steps apart or without the secret
+    must be refused; in particular, a removed secret is no longer accepted.
     """
     found = await run_handshakes(ours, theirs)
     linked = [each for each in found if isinstance(each, NodeId)]
@@ -143,8 +144,8 @@
 
 
 def test_proof_is_bound_to_its_side_names_and_nonces() -> None:
-    """A proof that was overheard is sent again: back to its sender, on another
-    connection, or under another name. It fits none of them."""
+    """A recorded proof is replayed to its sender, on another connection or under
+    another name. It must not be valid in any of these cases."""
     one, two = Hello(1, "n1", "a", NONCE), Hello(1, "n2", "b", b"m" * 32)
     other = Hello(1, "n2", "b", b"o" * 32)
     macs = {
--- a/tests/toucanyard_node/test_peer_links.py
+++ b/tests/toucanyard_node/test_peer_links.py
@@ -30,7 +30,7 @@
 
 
 class Peer:
-    """One node's links on a port that the kernel chose."""
+    """The links of one node on an ephemeral port."""
 
     def __init__(
         self, name: str, secrets: Sequence[str], known: list[Vm], incarnation: str = "a"
@@ -75,7 +75,7 @@
         self.outbox.send_nowait(SendMessage(NodeName(to), digest))
 
     async def send_digests(self, to: str) -> None:
-        """Send digests at every interval, as a node does."""
+        """Send a digest in every interval, as a node does."""
         number = 0
         while True:
             number += 1
@@ -108,8 +108,8 @@
 
 
 async def test_secret_is_rotated_without_a_cut_and_a_wrong_one_refused() -> None:
-    """Half of the nodes already sign with the new secret. Both halves accept both, so
-    they stay linked; a node that knows neither gets nobody's messages."""
+    """Half of the nodes already sign with the new secret, and all accept both, so they
+    stay linked. A node that knows neither must not receive any messages."""
     known: list[Vm] = []
     old, new = Peer("n1", ["old", "new"], known), Peer("n2", ["new", "old"], known)
     async with trio.open_nursery() as nursery:
@@ -129,8 +129,8 @@
 
 
 async def test_silent_link_is_given_up() -> None:
-    """What lies between two nodes loses track of their connection: it stays open and
-    nothing ever comes. The node must drop it, or it would never dial anew."""
+    """A middlebox loses the state of a connection, which stays open without receiving
+    anything. The node must close it, or it would never dial again."""
     one, two = Peer("n1", ["s"], []), Peer("n2", ["s"], [])
     async with trio.open_nursery() as nursery:
         one.known.append(await two.start(nursery))
@@ -160,7 +160,7 @@
 
 
 async def send_frames(port: int, frames: Sequence[bytes | str]) -> int:
-    """Send frames that no node would; return how many answers came before the end."""
+    """Send invalid frames; return the number of frames received until the close."""
     answers = 0
     async with connect(f"ws://127.0.0.1:{port}/", proxy=None) as socket:
         try:
@@ -176,8 +176,8 @@
 
 
 async def test_strangers_words_end_their_connection_only() -> None:
-    """Anyone who reaches the port can send anything. Each is refused; the links of
-    others stay, and no proof is given away that could be sent back."""
+    """Unauthenticated clients send arbitrary frames. They must be refused without
+    affecting other links or receiving a proof that could be reflected."""
     one, two = Peer("n1", ["s"], []), Peer("n2", ["s"], [])
     mine = Hello(1, "n2", "a", b"0" * 32)
     reflected = compute_mac("wrong", Side.CLIENT, mine, mine)
@@ -214,8 +214,8 @@
 async def test_second_link_replaces_the_first_only_after_a_restart(
     incarnation: str, is_taken: bool
 ) -> None:
-    """Two nodes dial each other at once. If each kept the later link, each could drop
-    the one that the other kept. A restarted node, though, must get through."""
+    """Two nodes dial each other at the same time. If each kept the later link, each
+    could drop the link that the other kept. A restarted node must be accepted."""
     one, two = Peer("n1", ["s"], []), Peer("n2", ["s"], [])
     async with trio.open_nursery() as nursery:
         one.known.append(await two.start(nursery))
@@ -234,8 +234,8 @@
 
 @pytest.mark.parametrize("address", ["127.0.0.1:99999", "127.0.0.1:x", "[x", "[x]:1"])
 async def test_address_that_is_none_fails_its_dial_only(address: str) -> None:
-    """The VM list names an address that is none. Dialing it fails like a node that is
-    gone; the links to other nodes stay."""
+    """The VM list contains an invalid address. Dialing it must fail like dialing an
+    unreachable node, without affecting other links."""
     one, two = Peer("n1", ["s"], []), Peer("n2", ["s"], [])
     one.known.append(Vm("n3", DomainName("d"), peers=Address(address)))
     async with trio.open_nursery() as nursery:
--- a/tests/toucanyard_node/test_prompt_block_follower.py
+++ b/tests/toucanyard_node/test_prompt_block_follower.py
@@ -14,7 +14,7 @@
 
 
 class ScriptedHolder:
-    """Tells pages one after the other; None is a call without an answer."""
+    """Returns the given pages in order; None is a call without an answer."""
 
     def __init__(self, *pages: PromptBlockPage | None) -> None:
         self.pages = list(pages)
@@ -36,7 +36,7 @@
 
 
 async def follow(holder: ScriptedHolder, for_s: float) -> int:
-    """Return the tokens of the part that the book knows after a time."""
+    """Return the tokens of the prompt block that the index has after a time."""
     harness = RelayHarness([ScriptedReplica("x", answer())])
     async with trio.open_nursery() as nursery:
         nursery.start_soon(harness.task.run)
@@ -59,9 +59,9 @@
 async def test_holder_that_lost_its_memory_is_forgotten(
     autojump_clock: object,
 ) -> None:
-    """A store of prompts restarts empty under its old address.
+    """A prompt store restarts empty under its old address.
 
-    Believed, its parts would be fetched from where they no longer are.
+    If its old prompt blocks were kept in the index, calls would try to fetch them.
     """
     holder = ScriptedHolder(build_page(1, 5, 100), PromptBlockPage(2, 0, False, ()))
     assert await follow(holder, 3.0) == 0
--- a/tests/toucanyard_node/test_relay_exchange.py
+++ b/tests/toucanyard_node/test_relay_exchange.py
@@ -35,7 +35,7 @@
 
 
 def join_chunks(received: bytes) -> tuple[bytes, bool]:
-    """Return the body and whether its end came."""
+    """Return the body and whether it is complete."""
     rest, body = find_body(received), b""
     while b"\r\n" in rest:
         size, _, rest = rest.partition(b"\r\n")
@@ -76,8 +76,9 @@
     "script", [close_without_answer, answer(200, b"cut", b"X-Cut: 1\r\n")]
 )
 async def test_lost_call_that_may_run_once_is_unknown(script: Script) -> None:
-    """The connection closes, or an answer comes that nobody signed, after a seat hold
-    was sent. The hold may have run: the caller must not be told to hold another seat.
+    """After a seat hold was sent, the connection closes or an unsigned answer arrives.
+
+    The hold may have run, so the caller must not be told that a retry is safe.
     """
     replicas = [ScriptedReplica(n, script) for n in "xy"]
     received = await relay(replicas, build_call(), **ONCE)
@@ -113,9 +114,9 @@
 
 
 async def test_answer_of_another_call_never_reaches_the_caller() -> None:
-    """A late answer to an earlier call stands where this call's is expected.
+    """A late answer to an earlier call arrives instead of the answer to this call.
 
-    The caller would get another caller's booking.
+    The caller would otherwise receive another caller's booking.
     """
 
     async def answer_another(stream: trio.SocketStream, _: bytes) -> None:
@@ -154,9 +155,9 @@
 
 
 async def test_answer_before_a_long_body_was_read() -> None:
-    """A replica refuses a long call before it has read it, and reads no more of it.
+    """A replica refuses a long call before reading all of it, and then stops reading.
 
-    Sending on before looking for an answer would wait for ever.
+    Sending the complete body before reading the answer would block forever.
     """
 
     async def refuse_early(stream: trio.SocketStream, _: bytes) -> None:
@@ -185,9 +186,9 @@
 
 
 async def test_cut_stream_goes_on_elsewhere_without_a_gap() -> None:
-    """A replica dies inside the third event of a stream that may be resumed.
+    """A replica fails during the third event of a resumable stream.
 
-    Half an event before the next replica's would be a piece of neither.
+    The partial event must not be sent before the events of the next replica.
     """
     events = [build_event(n) for n in range(1, 6)]
     first = stream_events(*events[:2], is_whole=False, end=events[2][:9])
@@ -238,7 +239,7 @@
 
 
 async def test_replica_is_told_when_the_caller_hangs_up() -> None:
-    """The caller closes while its call runs. Work for nobody must not go on."""
+    """The caller disconnects while its call runs. The replica must stop working."""
     replica = ScriptedReplica("x", never_answer)
     async with start_harness(RelayHarness([replica])) as harness:
         await harness.call(build_call(), for_s=0.1)
@@ -276,9 +277,9 @@
 
 
 async def test_other_replica_at_the_address_did_not_run_the_call() -> None:
-    """A replica ended and its address was given to another service's.
+    """A replica ended and its address was reassigned to a replica of another service.
 
-    The call comes back unrun; the old entry must get no further call.
+    The call is rejected without running; the old entry must get no further calls.
     """
     moved = answer(421, b"", b"X-Replica: other\r\n")
     replicas = [ScriptedReplica("x", moved), ScriptedReplica("y", answer())]
--- a/tests/toucanyard_node/test_relay_metrics.py
+++ b/tests/toucanyard_node/test_relay_metrics.py
@@ -61,7 +61,7 @@
 
 
 async def test_call_under_quarantine_is_refused_and_counted() -> None:
-    """Guards against a quarantine that operators can't see, or callers can't tell."""
+    """Guards against a quarantine that operators or callers cannot recognize."""
     replica = ScriptedReplica("x", answer())
     harness = RelayHarness([replica])
     call = build_call(body=b"crash")
@@ -83,9 +83,9 @@
 
 
 async def test_customers_without_end_share_a_row() -> None:
-    """A caller invents customers, or a fleet has thousands.
+    """A caller invents customers, or there are thousands of real ones.
 
-    A histogram for each would fill the node's memory.
+    A histogram for each would exhaust the node's memory.
     """
     harness = RelayHarness([])
     metrics = RelayMetrics()
--- a/tests/toucanyard_node/test_relay_node.py
+++ b/tests/toucanyard_node/test_relay_node.py
@@ -17,7 +17,7 @@
 
 
 class OpenedError(Exception):
-    """Ends a run at its first listening socket."""
+    """Ends a run when its first listening socket is opened."""
 
 
 async def answer_nothing(_: HttpRequest, __: Responder) -> None:
@@ -27,10 +27,10 @@
 async def test_callers_socket_is_open_before_the_node_can_be_ready(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A node starts, and a peer tells it the routes within milliseconds.
+    """A starting node receives the routes from a peer within milliseconds.
 
-    Its readiness is then asked for and it is named to callers; were its socket for them
-    opened after that, the first of them would be refused.
+    It then reports readiness and its address is given to callers. If the socket for
+    callers were opened later, the first connections would be refused.
     """
     opened: list[Address] = []
 
--- a/tests/toucanyard_node/test_relay_server.py
+++ b/tests/toucanyard_node/test_relay_server.py
@@ -33,9 +33,9 @@
 
 
 async def test_node_without_routes_refuses_with_a_time_to_come_back() -> None:
-    """A node has just started and has read nothing yet.
+    """A node has just started and has not read any routes yet.
 
-    A 404 or 401 would be final, and the call is proper.
+    The call is valid, but its caller would treat a 404 or 401 as final.
     """
     harness = RelayHarness([])
     async with trio.open_nursery() as nursery:
@@ -76,9 +76,9 @@
 
 
 async def test_second_call_inside_a_body_is_never_run() -> None:
-    """A caller sends a whole second call behind the body of the first.
+    """A complete second call follows the body of the first one.
 
-    Whoever wrote that body would have a call run under the first caller's name.
+    The author of that body could have a call run in the name of the first caller.
     """
     replica = ScriptedReplica("x", answer())
     async with start_harness(RelayHarness([replica])) as harness:
@@ -89,7 +89,7 @@
 
 
 async def test_calls_whose_end_is_unclear_are_refused() -> None:
-    """Two readers could see different ends of such a call, and one a second call."""
+    """Two parsers could find different ends of such a call, and one a second call."""
     replica = ScriptedReplica("x", answer())
     plain = build_call(is_last=False)
     unclear = [
--- a/tests/toucanyard_node/test_relay_store.py
+++ b/tests/toucanyard_node/test_relay_store.py
@@ -28,13 +28,13 @@
 
 LOCAL = Address("127.0.0.1:1")
 READ_TIMEOUT_S = 1.2
-"""After this time a read without an answer ends."""
+"""Time after which a read without an answer fails."""
 LISTEN = RelayListen(LOCAL, LOCAL, LOCAL, LOCAL, LOCAL)
 OPTIONS = RelayOptions(NodeName("n"), DomainName("d"), LISTEN, LOCAL)
 
 
 class ScriptedStore:
-    """Topics in memory that can be down, forget, and wait."""
+    """In-memory topics that can be down or silent, delete records and wait."""
 
     def __init__(self) -> None:
         self.records: dict[Topic, list[KeyedRecord]] = {topic: [] for topic in Topic}
@@ -98,7 +98,7 @@
 
 
 class StoreReaderHarness:
-    """A reader, the core that it feeds and the store that it reads."""
+    """A store reader with its core and its store."""
 
     def __init__(self) -> None:
         identity = NodeId(NodeName("n"), Incarnation("i"))
@@ -137,7 +137,7 @@
 
 
 async def test_forgotten_records_are_read_whole(autojump_clock: object) -> None:
-    """The store forgets its log while the node waits; a key went meanwhile."""
+    """The store deletes old records while the node waits; a key was removed."""
     harness = StoreReaderHarness()
     harness.store.append(Topic.REPLICAS, "a", b"1")
     harness.store.append(Topic.REPLICAS, "b", b"1")
@@ -156,7 +156,7 @@
 async def test_store_that_is_down_is_asked_at_a_bounded_rate(
     autojump_clock: object,
 ) -> None:
-    """The store refuses for ten seconds. Every call counts for all nodes' rate."""
+    """The store refuses calls for ten seconds; calls count against a shared rate."""
     harness = StoreReaderHarness()
     harness.store.is_down = True
     failures: list[RelayEvent] = []
@@ -184,10 +184,11 @@
 async def test_return_of_a_silent_store_is_seen_before_a_read_is_given_up(
     autojump_clock: object,
 ) -> None:
-    """The store falls silent for some seconds and comes back; entries have lapsed.
+    """The store does not answer for some seconds and then returns.
 
-    They count from when it is seen to be back. Were each read waited for, that would
-    be up to 1.4 s late, and what was taken away would count past its end.
+    Entries that lapsed count from the moment at which its return is noticed. If the
+    reader waited for each pending read, that would be up to 1.4 s late, and removed
+    entries would count for too long.
     """
     harness = StoreReaderHarness()
     harness.store.append(Topic.REPLICAS, "a", b"1")
--- a/tests/toucanyard_node/test_settings_watch.py
+++ b/tests/toucanyard_node/test_settings_watch.py
@@ -35,9 +35,9 @@
 
 
 def test_settings_that_cannot_be_read_change_nothing(tmp_path: Path) -> None:
-    """The platform replaces the file while the node reads it, or an operator errs.
+    """The file is read while being replaced, or contains an operator's mistake.
 
-    A node that ended for it would come back with the same file, and none would serve.
+    If nodes exited because of it, they would restart with the same file and fail again.
     """
     file = tmp_path / "settings"
     file.write_text("wrong")
--- a/tests/toucanyard_node/test_socket_io.py
+++ b/tests/toucanyard_node/test_socket_io.py
@@ -1,4 +1,4 @@
-"""Tests for reading and writing with fewer turns of the scheduler."""
+"""Tests for socket reads and writes with fewer scheduler yields."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 async def test_descriptor_of_closed_stream_is_not_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A reader is woken; before it runs, its stream is closed for silence, and a new
-    connection gets the same descriptor, with bytes of another answer on it.
+    """After a reader is woken and before it runs, the idle watch closes its stream, and
+    a new connection with another response gets the same descriptor.
 
-    Reading the descriptor would hand one caller what belongs to another.
+    Reading the descriptor would deliver the response to the wrong caller.
     """
     stream, far = open_pair()
     other, other_far = open_pair()
@@ -43,7 +43,7 @@
 
 
 async def test_stream_closed_while_waiting() -> None:
-    """The silence watch closes a connection under its reader, which has to wake up."""
+    """The idle watch closes a connection while its reader waits; it must wake up."""
     stream, _ = open_pair()
     with pytest.RaisesGroup(trio.ClosedResourceError):
         async with trio.open_nursery() as nursery:
@@ -57,7 +57,7 @@
 
 
 async def test_all_bytes_arrive_in_order_at_slow_reader() -> None:
-    """The kernel takes a part of a large write; the rest follows as it is read."""
+    """The kernel accepts part of a large write; the rest is sent as it is read."""
     near, far = open_pair()
     sent = bytes(range(256)) * 16 * (READ_BYTES // 256)
     received = bytearray()
@@ -76,7 +76,7 @@
 
 
 async def test_reader_that_is_gone_is_reported() -> None:
-    """Writing to a closed connection raises, so that its stream is kept for later."""
+    """Writing to a closed connection raises, so that its stream can be stored."""
     near, far = open_pair()
     await far.aclose()
     with pytest.raises(trio.BrokenResourceError):
--- a/tests/toucanyard_node/test_sse.py
+++ b/tests/toucanyard_node/test_sse.py
@@ -1,4 +1,4 @@
-"""Events from engines: whatever the bytes, they are events or an EventError."""
+"""Tests for parsing events: any bytes give events or an EventError."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 @example([b"id: 1\ndata: a\rb\n\n"])
 @settings(max_examples=150)
 def test_any_bytes_are_events_or_refused(parts: list[bytes]) -> None:
-    """What is passed on reads the same at the caller's end, also where the engine
-    spread an event over lines; else the caller would lose a part of it."""
+    """A forwarded event must parse to the same data, even if the engine split it into
+    several lines; otherwise the caller would lose some of it."""
     cutter = EventParser()
     try:
         events = [event for part in parts for event in cutter.feed(part)]
@@ -58,9 +58,9 @@
 
 
 def test_comment_hides_no_event() -> None:
-    """An engine sends a heartbeat without a blank line behind it, as this node does.
+    """An engine sends a heartbeat without a following blank line, as this node does.
 
-    Taken for a part of the heartbeat, the event behind it would be lost.
+    The next event must not be lost as part of that comment.
     """
     events = EventParser().feed(
         b": heartbeat\nid: 3\ndata: x\n\n"
@@ -112,7 +112,7 @@
 @example(b'{"usage":{"prompt_tokens":-1}}')
 @settings(max_examples=150)
 def test_any_data_is_a_chunk_or_refused(data: bytes) -> None:
-    """Counts out of any range would overflow in statistics and in the answer."""
+    """Counts outside the valid range would overflow in statistics and answers."""
     try:
         chunk = read_chunk(data)
     except EventError:
--- a/tests/toucanyard_node/test_vm_list.py
+++ b/tests/toucanyard_node/test_vm_list.py
@@ -28,7 +28,7 @@
 
 
 class VmListHarness:
-    """A platform whose answer can be set."""
+    """A platform with configurable responses and a node that polls it."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.answers = [(200, GOOD)]
@@ -91,8 +91,8 @@
 async def test_address_that_is_none_counts_as_not_given(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The list names an address that is none. A node that asked it, to dial or to have
-    a request explained, would fail in an unforeseen way."""
+    """The list contains invalid addresses. Connecting to one, to dial a peer or to
+    explain a request, would raise an unexpected exception."""
     body = GOOD.replace(
         b'"domain":"d"}]',
         b'"domain":"d","peers":"[x","operators":'
@@ -123,8 +123,8 @@
 @example(200, '{"x":' + "[" * 100_000)
 @settings(max_examples=60)
 def test_any_list_is_taken_or_passed_over(status: int, body: str) -> None:
-    """Whatever the platform says, what is taken can be connected to, and the next
-    answer that makes sense is read."""
+    """For any response, all accepted addresses must be valid, and the next valid
+    response must be read."""
 
     async def check() -> None:
         async with trio.open_nursery() as nursery:
