--- a/packages/toucanyard-node/src/toucanyard_node/peer_links.py
+++ b/packages/toucanyard-node/src/toucanyard_node/peer_links.py
@@ -248,9 +248,9 @@
         if not self._is_preferred(link):
             await socket.aclose(1000)
             return
-        before = self._links.get(peer.node)
-        if before is not None:
-            before.scope.cancel()
+        current = self._links.get(peer.node)
+        if current is not None:
+            current.scope.cancel()
         self._links[peer.node] = link
         await self._report_links()
         try:
@@ -274,10 +274,10 @@
         node with the lower name. A new incarnation, or another attempt by the same
         dialer, means that the old link is dead.
         """
-        before = self._links.get(link.peer.node)
-        if before is None or before.peer != link.peer:
+        current = self._links.get(link.peer.node)
+        if current is None or current.peer != link.peer:
             return True
-        if before.is_dialed == link.is_dialed:
+        if current.is_dialed == link.is_dialed:
             return True
         return link.is_dialed == (self._identity.node < link.peer.node)
 
--- a/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_exchange.py
@@ -186,13 +186,13 @@
     async def _read_head(
         self, dispatch: RelayDispatch, connection: HttpConnection
     ) -> ResponseHead:
-        left_ms = int(self._request.deadline_ms - trio.current_time() * 1000)
-        if left_ms <= 0:
+        remaining_ms = int(self._request.deadline_ms - trio.current_time() * 1000)
+        if remaining_ms <= 0:
             raise self._build_failure(
                 dispatch, DispatchEnding.NOT_SENT, "the deadline passed"
             )
         headers = self._codec.build_headers(
-            self._http, self._request, dispatch, left_ms, self._splitter.last_id
+            self._http, self._request, dispatch, remaining_ms, self._splitter.last_id
         )
         body = self._http.body
         if body or self._http.method not in ("GET", "HEAD", "DELETE"):
--- a/packages/toucanyard-node/src/toucanyard_node/relay_node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_node.py
@@ -227,10 +227,10 @@
         is_full_mesh = self.core.roster.is_full_mesh()
         margin_ms = CLOSE_MARGIN_MS if is_full_mesh else HUB_CLOSE_MARGIN_MS
         keep_ms = stop.locate_ttl_ms * stop.keep_factor + margin_ms
-        last_s = begun_s + (stop.grace_ms - STOP_MARGIN_MS) / 1000
+        deadline_s = begun_s + (stop.grace_ms - STOP_MARGIN_MS) / 1000
         await trio.sleep(keep_ms / 1000)
         self._http_server.stop()
-        with trio.CancelScope(deadline=last_s):
+        with trio.CancelScope(deadline=deadline_s):
             await self._http_server.wait_stopped()
             _LOG.info("stop_ended", is_clean=True)
             return
--- a/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_ports.py
@@ -69,7 +69,7 @@
         http: HttpRequest,
         request: RelayRequest,
         dispatch: RelayDispatch,
-        left_ms: int,
+        remaining_ms: int,
         last_event_id: str,
     ) -> Headers:
         """Return all headers of a call to a replica except those of its length."""
--- a/tests/toucanyard_node/relay_harness.py
+++ b/tests/toucanyard_node/relay_harness.py
@@ -58,11 +58,11 @@
         if "x-id" not in headers:
             raise CallInvalidError("no id")
         deadline = headers.get("x-deadline")
-        parts = headers.get("x-parts")
+        blocks = headers.get("x-parts")
         prompt = None
-        if parts is not None:
+        if blocks is not None:
             prompt = Prompt(
-                "m", tuple(PromptBlock(each, 100) for each in parts.split(",")), 9
+                "m", tuple(PromptBlock(each, 100) for each in blocks.split(",")), 9
             )
         return CallFacts(
             headers["x-id"],
@@ -77,13 +77,13 @@
         http: HttpRequest,
         request: RelayRequest,
         dispatch: RelayDispatch,
-        left_ms: int,
+        remaining_ms: int,
         last_event_id: str,
     ) -> Headers:
         return (
             ("Host", http.headers["host"]),
             ("X-Id", request.caller_id),
-            ("X-Left", str(left_ms)),
+            ("X-Left", str(remaining_ms)),
             ("X-Last", last_event_id),
         )
 
@@ -284,11 +284,11 @@
             )
             self.put(Topic.REPLICAS, each.name, number, replica)
 
-    async def call(self, text: bytes, for_s: float = 5.0) -> bytes:
+    async def call(self, text: bytes, wait_s: float = 5.0) -> bytes:
         """Send bytes on a new connection and return everything received."""
         stream = await trio.open_tcp_stream("127.0.0.1", self.port)
         received = b""
-        with trio.move_on_after(for_s):
+        with trio.move_on_after(wait_s):
             async with stream:
                 await stream.send_all(text)
                 while more := await stream.receive_some(65_536):
--- a/tests/toucanyard_node/test_configuration_campaign.py
+++ b/tests/toucanyard_node/test_configuration_campaign.py
@@ -45,7 +45,7 @@
         store = self.fleet.store
         rng = self.rng
         some = set(rng.sample(self.names, rng.randint(1, len(self.names) - 1)))
-        for_s = rng.uniform(0.2, 7.0)
+        duration_s = rng.uniform(0.2, 7.0)
         match rng.randrange(6):
             case 0:
                 store.stop_answering(self.names)
@@ -56,13 +56,13 @@
                 store.lose_reads(self.names)
             case 3:
                 store.lose_reads(self.names)
-                for_s = 0.0
+                duration_s = 0.0
             case 4:
                 self.fleet.unlinked = some
             case 5:
                 self.fleet.unlinked = some
                 store.stop_answering(some)
-        await trio.sleep(for_s)
+        await trio.sleep(duration_s)
         store.restore()
         self.fleet.unlinked = set()
         self.fault_ended_s = trio.current_time()
--- a/tests/toucanyard_node/test_http_client.py
+++ b/tests/toucanyard_node/test_http_client.py
@@ -31,7 +31,7 @@
     return head + chunks + b"0\r\n\r\n"
 
 
-async def read_answer(packets: list[bytes], then_closes: bool) -> tuple[bytes, bool]:
+async def read_response(packets: list[bytes], then_closes: bool) -> tuple[bytes, bool]:
     """Return the body of a response and whether the connection is reusable."""
     near, far = trio.testing.memory_stream_pair()
     connection = HttpConnection(ADDRESS, near, 0.0)
@@ -52,41 +52,41 @@
     return body, connection.is_reusable()
 
 
-def run_answer(packets: list[bytes], then_closes: bool) -> tuple[bytes, bool]:
+def run_response(packets: list[bytes], then_closes: bool) -> tuple[bytes, bool]:
     """Read a response on a mock clock, so that a timeout fails at once."""
     clock = trio.testing.MockClock(autojump_threshold=0)
-    return trio.run(read_answer, packets, then_closes, clock=clock)
+    return trio.run(read_response, packets, then_closes, clock=clock)
 
 
-def cut(data: bytes, places: list[int]) -> list[bytes]:
+def cut(data: bytes, offsets: list[int]) -> list[bytes]:
     """Return the data split at these offsets."""
-    edges = [0, *sorted({place % len(data) for place in places} - {0}), len(data)]
+    edges = [0, *sorted({offset % len(data) for offset in offsets} - {0}), len(data)]
     return [data[begin:end] for begin, end in zip(edges, edges[1:], strict=False)]
 
 
 @given(BODIES, st.booleans(), CUTS)
 @example([b"a", b"\r\n"], False, [41])
 def test_answer_is_whole_however_it_is_cut(
-    parts: list[bytes], is_chunked: bool, places: list[int]
+    parts: list[bytes], is_chunked: bool, offsets: list[int]
 ) -> None:
     """Packets may end within a chunk, its size or the line break after it.
 
     The body must be complete, and its end found without waiting for more bytes.
     """
-    packets = cut(render(parts, is_chunked), places)
+    packets = cut(render(parts, is_chunked), offsets)
     body = b"".join(parts)
-    assert run_answer(packets, False) == (body, True)
+    assert run_response(packets, False) == (body, True)
 
 
 @given(BODIES, st.booleans(), CUTS, st.integers(1, 200))
 def test_answer_that_ends_early_is_never_whole(
-    parts: list[bytes], is_chunked: bool, places: list[int], missing: int
+    parts: list[bytes], is_chunked: bool, offsets: list[int], missing: int
 ) -> None:
     """The engine fails during its response: a partial body must not look complete."""
     data = render(parts, is_chunked)
     short = data[: max(1, len(data) - missing)]
     with pytest.RaisesGroup(ConnectionFailedError):
-        run_answer(cut(short, places), True)
+        run_response(cut(short, offsets), True)
 
 
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"
@@ -97,14 +97,14 @@
     with pytest.RaisesGroup(
         pytest.RaisesExc(ConnectionFailedError, check=lambda error: error.is_closed)
     ):
-        run_answer([WHOLE[:size]], then_closes=True)
+        run_response([WHOLE[:size]], then_closes=True)
 
 
 def test_answer_that_is_no_http_is_not_taken_for_a_closed_connection() -> None:
     with pytest.RaisesGroup(
         pytest.RaisesExc(ConnectionFailedError, check=lambda error: not error.is_closed)
     ):
-        run_answer([b"\x00\x01\r\n\r\n"], then_closes=False)
+        run_response([b"\x00\x01\r\n\r\n"], then_closes=False)
 
 
 async def test_address_without_a_listener_is_noticed() -> None:
--- a/tests/toucanyard_node/test_peer_handshake.py
+++ b/tests/toucanyard_node/test_peer_handshake.py
@@ -29,7 +29,7 @@
 NONCE = b"n" * 32
 
 
-class Script:
+class ScriptedSocket:
     """A socket that returns the given frames, whatever is sent to it."""
 
     def __init__(self, frames: Sequence[bytes | str]) -> None:
@@ -47,25 +47,27 @@
         return self.frames.pop(0)
 
 
-def check_rejected(frames: Sequence[bytes | str]) -> Script:
+def check_rejected(frames: Sequence[bytes | str]) -> ScriptedSocket:
     """Run the handshake in both roles; both must reject the frames."""
     for side in Side:
-        script = Script(frames)
+        script = ScriptedSocket(frames)
         with pytest.raises(HandshakeError):
             trio.run(authenticate_peer, cast(Connection, script), side, SELF, ["s"])
     return script
 
 
-ODD: st.SearchStrategy[object] = st.sampled_from(
+UNUSUAL_VALUES: st.SearchStrategy[object] = st.sampled_from(
     [None, -1, 1, 2, 10**400, "", "n2", "x" * 99, b"", NONCE, [], {}]
 )
 HELLOS = st.fixed_dictionaries(
-    {"version": st.just(1) | ODD},
-    optional=dict.fromkeys(["node", "incarnation", "nonce", "more"], ODD),
+    {"version": st.just(1) | UNUSUAL_VALUES},
+    optional=dict.fromkeys(["node", "incarnation", "nonce", "more"], UNUSUAL_VALUES),
 )
 FRAMES = st.one_of(
     HELLOS.map(cbor2.dumps),
-    st.fixed_dictionaries({"mac": ODD | st.binary(max_size=40)}).map(cbor2.dumps),
+    st.fixed_dictionaries({"mac": UNUSUAL_VALUES | st.binary(max_size=40)}).map(
+        cbor2.dumps
+    ),
     st.binary(max_size=30),
     st.text(max_size=3),
 )
--- a/tests/toucanyard_node/test_prompt_block_follower.py
+++ b/tests/toucanyard_node/test_prompt_block_follower.py
@@ -10,7 +10,7 @@
 
 from .relay_harness import RelayHarness, ScriptedReplica, answer
 
-PART = (PromptBlock("p", 100),)
+PROMPT_BLOCKS = (PromptBlock("p", 100),)
 
 
 class ScriptedHolder:
@@ -35,7 +35,7 @@
     return PromptBlockPage(epoch, number, False, (PromptBlockChange("s", "p", tokens),))
 
 
-async def follow(holder: ScriptedHolder, for_s: float) -> int:
+async def run_follower(holder: ScriptedHolder, wait_s: float) -> int:
     """Return the tokens of the prompt block that the index has after a time."""
     harness = RelayHarness([ScriptedReplica("x", answer())])
     async with trio.open_nursery() as nursery:
@@ -44,15 +44,17 @@
         harness.publish_replicas()
         following = PromptBlockFollower(harness.core, harness.task.client, holder)
         nursery.start_soon(following.run)
-        await trio.sleep(for_s)
+        await trio.sleep(wait_s)
         nursery.cancel_scope.cancel()
     block_index = harness.core.flow.block_index
-    return block_index.count_leading(EndpointName("x"), "s", PART, float("inf"))
+    return block_index.count_leading(
+        EndpointName("x"), "s", PROMPT_BLOCKS, float("inf")
+    )
 
 
 async def test_what_a_holder_tells_is_known(autojump_clock: object) -> None:
     holder = ScriptedHolder(build_page(1, 5, 100))
-    assert await follow(holder, 3.0) == 100
+    assert await run_follower(holder, 3.0) == 100
     assert holder.since[:2] == [0, 5]
 
 
@@ -64,11 +66,11 @@
     If its old prompt blocks were kept in the index, calls would try to fetch them.
     """
     holder = ScriptedHolder(build_page(1, 5, 100), PromptBlockPage(2, 0, False, ()))
-    assert await follow(holder, 3.0) == 0
+    assert await run_follower(holder, 3.0) == 0
 
 
 async def test_holder_that_does_not_answer_is_asked_again(
     autojump_clock: object,
 ) -> None:
     holder = ScriptedHolder(None, None, build_page(1, 5, 60))
-    assert await follow(holder, 5.0) == 60
+    assert await run_follower(holder, 5.0) == 60
--- a/tests/toucanyard_node/test_relay_exchange.py
+++ b/tests/toucanyard_node/test_relay_exchange.py
@@ -23,7 +23,7 @@
 ONCE = {"repeatability": Repeatability.RUN_ONCE}
 STREAM = {"is_stream": True, "max_gap_ms": 300, "target_ms": 200}
 RESUMABLE = {**STREAM, "is_resumable": True}
-PARTS = "X-Parts: book,own"
+PROMPT_BLOCKS_HEADER = "X-Parts: book,own"
 
 
 def find_status(received: bytes) -> int:
@@ -181,7 +181,9 @@
 async def test_stream_is_relayed_in_order() -> None:
     events = [build_event(n) for n in range(1, 6)]
     replica = ScriptedReplica("x", stream_events(*events))
-    received = await relay([replica], build_call("/a/x", PARTS), **STREAM)
+    received = await relay(
+        [replica], build_call("/a/x", PROMPT_BLOCKS_HEADER), **STREAM
+    )
     assert join_chunks(received) == (b"".join(events), True)
 
 
@@ -194,12 +196,14 @@
     first = stream_events(*events[:2], is_whole=False, end=events[2][:9])
     rest = stream_events(*events[2:])
 
-    async def go_on(stream: trio.SocketStream, call: bytes) -> None:
+    async def resume(stream: trio.SocketStream, call: bytes) -> None:
         is_first = not find_header(call, b"x-last")
         await (first if is_first else rest)(stream, call)
 
-    replicas = [ScriptedReplica(n, go_on) for n in "xy"]
-    received = await relay(replicas, build_call("/a/x", PARTS), **RESUMABLE)
+    replicas = [ScriptedReplica(n, resume) for n in "xy"]
+    received = await relay(
+        replicas, build_call("/a/x", PROMPT_BLOCKS_HEADER), **RESUMABLE
+    )
     assert join_chunks(received) == (b"".join(events), True)
     lasts = [find_header(call, b"x-last") for each in replicas for call in each.calls]
     assert sorted(lasts) == [b"", b"2"]
@@ -210,11 +214,11 @@
     first = stream_events(*events[:1], is_whole=False, hold_s=9.0)
     rest = stream_events(*events[1:])
 
-    async def go_on(stream: trio.SocketStream, call: bytes) -> None:
+    async def resume(stream: trio.SocketStream, call: bytes) -> None:
         await (rest if find_header(call, b"x-last") else first)(stream, call)
 
-    replicas = [ScriptedReplica(n, go_on) for n in "xy"]
-    call = build_call("/a/x", PARTS)
+    replicas = [ScriptedReplica(n, resume) for n in "xy"]
+    call = build_call("/a/x", PROMPT_BLOCKS_HEADER)
     received = await relay(replicas, call, **RESUMABLE, timeout_ms=4_000)
     assert join_chunks(received) == (b"".join(events), True)
 
@@ -224,7 +228,7 @@
     replicas = [
         ScriptedReplica(n, stream_events(*events, is_whole=False)) for n in "xy"
     ]
-    call = build_call("/a/x", PARTS)
+    call = build_call("/a/x", PROMPT_BLOCKS_HEADER)
     received = await relay(replicas, call, **STREAM, **ONCE)
     assert join_chunks(received) == (b"".join(events), False)
     assert sum(len(each.calls) for each in replicas) == 1
@@ -233,7 +237,10 @@
 async def test_end_inside_an_event_is_no_end() -> None:
     script = stream_events(build_event(1), end=b"id: 2\ndata: ha")
     received = await relay(
-        [ScriptedReplica("x", script)], build_call("/a/x", PARTS), **STREAM, **ONCE
+        [ScriptedReplica("x", script)],
+        build_call("/a/x", PROMPT_BLOCKS_HEADER),
+        **STREAM,
+        **ONCE,
     )
     assert join_chunks(received) == (build_event(1), False)
 
@@ -242,7 +249,7 @@
     """The caller disconnects while its call runs. The replica must stop working."""
     replica = ScriptedReplica("x", never_answer)
     async with start_harness(RelayHarness([replica])) as harness:
-        await harness.call(build_call(), for_s=0.1)
+        await harness.call(build_call(), wait_s=0.1)
         with trio.fail_after(10):
             await replica.closed.wait()
         await trio.testing.wait_all_tasks_blocked()
--- a/tests/toucanyard_node/test_relay_server.py
+++ b/tests/toucanyard_node/test_relay_server.py
@@ -103,5 +103,5 @@
     ]
     async with start_harness(RelayHarness([replica])) as harness:
         for call in unclear:
-            assert find_status(await harness.call(call, for_s=1.0)) == 400
+            assert find_status(await harness.call(call, wait_s=1.0)) == 400
         assert not replica.calls
--- a/tests/toucanyard_node/test_sse.py
+++ b/tests/toucanyard_node/test_sse.py
@@ -30,20 +30,20 @@
     st.sampled_from([b": heartbeat", b"event: error", b"", b"data"]),
     st.binary(max_size=6),
 )
-PARTS = st.lists(LINES, max_size=5).map(b"\n".join) | st.just(b"\n\n")
-STREAMS = st.lists(PARTS, max_size=8)
+FRAGMENTS = st.lists(LINES, max_size=5).map(b"\n".join) | st.just(b"\n\n")
+STREAMS = st.lists(FRAGMENTS, max_size=8)
 
 
 @given(STREAMS)
 @example([b"id: " + b"9" * 5_000 + b"\ndata: x\n\n"])
 @example([b"id: 1\ndata: a\rb\n\n"])
 @settings(max_examples=150)
-def test_any_bytes_are_events_or_refused(parts: list[bytes]) -> None:
+def test_any_bytes_are_events_or_refused(fragments: list[bytes]) -> None:
     """A forwarded event must parse to the same data, even if the engine split it into
     several lines; otherwise the caller would lose some of it."""
     cutter = EventParser()
     try:
-        events = [event for part in parts for event in cutter.feed(part)]
+        events = [event for fragment in fragments for event in cutter.feed(fragment)]
     except EventError:
         return
     for event in events:
--- a/tests/toucanyard_node/test_vm_list.py
+++ b/tests/toucanyard_node/test_vm_list.py
@@ -21,7 +21,7 @@
 from toucanyard_node.vm_list import poll_vm_list
 
 ADDRESS = Address("10.0.0.9:80")
-GOOD = (
+VALID_BODY = (
     b'{"vms":[{"name":"e1","domain":"d","state":"leaving","runs":"endpoint",'
     b'"endpoint":"10.0.0.1:80"},{"name":"n1","domain":"d"}]}'
 )
@@ -31,7 +31,7 @@
     """A platform with configurable responses and a node that polls it."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
-        self.answers = [(200, GOOD)]
+        self.answers = [(200, VALID_BODY)]
         self.seen: list[VmsRead] = []
         network = MemoryNetwork(nursery)
         network.serve(ADDRESS, self.handle)
@@ -82,7 +82,7 @@
         harness.answers = [answer]
         await trio.sleep(3)
         assert harness.seen == []
-        harness.answers = [(200, GOOD)]
+        harness.answers = [(200, VALID_BODY)]
         await trio.sleep(3)
         assert harness.seen
         nursery.cancel_scope.cancel()
@@ -93,7 +93,7 @@
 ) -> None:
     """The list contains invalid addresses. Connecting to one, to dial a peer or to
     explain a request, would raise an unexpected exception."""
-    body = GOOD.replace(
+    body = VALID_BODY.replace(
         b'"domain":"d"}]',
         b'"domain":"d","peers":"[x","operators":'
         b'"10.0.0.1:99999","callers":"10.0.0.1:80"}]',
@@ -108,15 +108,16 @@
         nursery.cancel_scope.cancel()
 
 
-ODD: st.SearchStrategy[object] = st.sampled_from(
+UNUSUAL_VALUES: st.SearchStrategy[object] = st.sampled_from(
     ["", "n1", "live", "leaving", "10.0.0.1:80", "[::1]:80", "[x", "h:1", "10.0.0.1:0"]
     + [None, 1, [], {}, "x" * 5_000]
 )
 FIELDS = ["name", "domain", "state", "runs", "callers", "operators", "peers"]
 VMS = st.fixed_dictionaries(
-    {"name": ODD, "domain": ODD}, optional=dict.fromkeys([*FIELDS[2:], "endpoint"], ODD)
+    {"name": UNUSUAL_VALUES, "domain": UNUSUAL_VALUES},
+    optional=dict.fromkeys([*FIELDS[2:], "endpoint"], UNUSUAL_VALUES),
 )
-BODIES = st.fixed_dictionaries({"vms": st.lists(VMS, max_size=3) | ODD})
+BODIES = st.fixed_dictionaries({"vms": st.lists(VMS, max_size=3) | UNUSUAL_VALUES})
 
 
 @given(st.sampled_from([200, 404]), BODIES.map(json.dumps) | st.text(max_size=9))
@@ -131,7 +132,7 @@
             harness = VmListHarness(nursery)
             harness.answers = [(status, body.encode())]
             await trio.sleep(1)
-            harness.answers = [(200, GOOD)]
+            harness.answers = [(200, VALID_BODY)]
             await trio.sleep(3)
             assert harness.seen[-1].vms[0].name == "e1"
             vms = [vm for event in harness.seen for vm in event.vms]
