--- a/packages/toucanyard-node/src/toucanyard_node/relay_store.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_store.py
@@ -111,7 +111,7 @@
                 nursery.start_soon(self._read_when_due, topic)
 
     async def _poll_repeatedly(self, topic: Topic) -> None:
-        """Learn of changes of a rarely changing topic without delay."""
+        """Poll a rarely changing topic, so that changes arrive without delay."""
         pause_s = RETRY_DELAY_S
         while True:
             if await self._poll_once(topic):
--- a/tests/toucanyard_node/relay_harness.py
+++ b/tests/toucanyard_node/relay_harness.py
@@ -236,7 +236,7 @@
         self.metrics = RelayMetrics()
         self.task = RelayTask(self.core, messages, jobs, self.metrics)
         self.is_stopping = False
-        face = RelayServer(
+        relay_server = RelayServer(
             self.task.client,
             PlainCallCodec(),
             lambda: self.core.index,
@@ -245,7 +245,7 @@
             rng,
         )
         limits = ServerLimits(is_pipelined=False)
-        self.server = HttpServer(face.handle, limits)
+        self.server = HttpServer(relay_server.handle, limits)
         self.port = 0
 
     def decode(self, _: Topic, __: str, value: bytes) -> object | None:
--- a/tests/toucanyard_node/test_connection_pool.py
+++ b/tests/toucanyard_node/test_connection_pool.py
@@ -200,6 +200,6 @@
         monkeypatch.setattr(HttpConnection, "close", close_slowly)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(pool.discard_idle, ADDRESS)
-            lent, is_used = await pool.acquire(ADDRESS)
+            acquired, is_used = await pool.acquire(ADDRESS)
         assert not is_used
-        assert lent not in connections
+        assert acquired not in connections
--- a/tests/toucanyard_node/test_peer_handshake.py
+++ b/tests/toucanyard_node/test_peer_handshake.py
@@ -43,7 +43,7 @@
     async def recv(self) -> bytes | str:
         await trio.lowlevel.checkpoint()
         if not self.frames:
-            raise HandshakeError("hung up")
+            raise HandshakeError("connection closed")
         return self.frames.pop(0)
 
 
