--- a/packages/toucanyard-node/src/toucanyard_node/engine_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/engine_client.py
@@ -25,8 +25,8 @@
     HttpConnection,
     ResponseHead,
 )
-from toucanyard_node.silence_watch import SilenceTimer, SilenceWatch
-from toucanyard_node.sse import Event, EventCutter, EventError
+from toucanyard_node.idle_watch import IdleTimer, IdleWatch
+from toucanyard_node.sse import Event, EventError, EventParser
 
 _PAUSE_FACTOR: Final = 1.5
 """Idle timeout of a stream as a multiple of its longest pause so far."""
@@ -68,20 +68,20 @@
         limits: StreamLimits,
         dispatch: Dispatch,
         request_id: RequestId,
-        watch: SilenceWatch,
+        watch: IdleWatch,
         on_send: Callable[[], None],
         is_plain: bool = False,
     ) -> None:
         # A plain response has no heartbeats: only the deadline bounds the wait.
         self._head_timeout_ms = math.inf if is_plain else dispatch.silence_ms
         self._watch = watch
-        self._timer: SilenceTimer | None = None
+        self._timer: IdleTimer | None = None
         self._on_send = on_send
         self._pool = pool
         self._limits = limits
         self._dispatch = dispatch
         self._connection: HttpConnection | None = None
-        self._cutter = EventCutter()
+        self._cutter = EventParser()
         self._is_reused = False
         self._resume_count = 0
         self._stream_fault = ""
@@ -189,7 +189,7 @@
             timer = self._timer or self._start_timer()
             timer.waiting_since_s = trio.current_time()
             try:
-                chunk = await timer.connection.read_part()
+                chunk = await timer.connection.read_body_chunk()
                 # Time in which a slow caller delays reading is not idle time.
                 timer.waiting_since_s = math.inf
                 if chunk is not None:
@@ -209,7 +209,7 @@
         if not self.is_sent:
             raise DispatchFailedError(DispatchEnding.NOT_SENT, reason)
 
-    def _start_timer(self) -> SilenceTimer:
+    def _start_timer(self) -> IdleTimer:
         assert self._connection is not None
         # The timeout doubles with each resume: an engine that is only slower than
         # before would otherwise use up its resumes within a few timeouts.
@@ -218,7 +218,7 @@
         )
         silence_ms *= 2**self._resume_count
         bound_ms = max(self._limits.max_silence_ms, self._dispatch.silence_ms)
-        self._timer = SilenceTimer(self._connection, min(silence_ms, bound_ms))
+        self._timer = IdleTimer(self._connection, min(silence_ms, bound_ms))
         self._watch.add(self._timer)
         return self._timer
 
@@ -281,9 +281,9 @@
             self._resume_count += 1
             if self._resume_count > self._limits.max_resumes:
                 raise DispatchFailedError(DispatchEnding.LOST, f"{reason}, not resumed")
-            await self._pool.distrust(address)
+            await self._pool.discard_idle(address)
             await self.abandon()
-            self._cutter = EventCutter()
+            self._cutter = EventParser()
             try:
                 self._connection = await self._pool.open(address)
                 with trio.fail_after(self._dispatch.silence_ms / 1000):
@@ -363,6 +363,6 @@
     """Read the rest of a body after its last event; it's already in transit."""
     try:
         with trio.move_on_after(0.05):
-            await connection.read_part()
+            await connection.read_body_chunk()
     except ConnectionFailedError:
         return
--- a/packages/toucanyard-node/src/toucanyard_node/http_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/http_client.py
@@ -1,8 +1,8 @@
-"""Speak HTTP/1.1 to endpoints and platform over trio with h11.
+"""HTTP/1.1 client for endpoints and the platform, based on trio and h11.
 
-One HttpConnection carries one request at a time. Who holds it decides whether it
-may be used again: a connection on which an answer was abandoned never is, since the
-late rest of that answer would be taken for the next one.
+An HttpConnection carries one request at a time. Its owner decides whether to reuse it.
+A connection on which a response was abandoned must not be reused, because the rest of
+that response would be read as the next one.
 """
 
 from __future__ import annotations
@@ -21,21 +21,22 @@
 from toucanyard.names import Address
 from toucanyard_node.socket_io import receive
 
-_PIECE_BYTES: Final = 65_536
-"""What is sent at once; a connection that takes none in time has gone silent."""
+_SEND_CHUNK_BYTES: Final = 65_536
+"""Size of one send; a connection that does not accept it in time is stalled."""
 _MAX_PORT: Final = 65_535
 _NEEDS_DATA: Final = ((b"", False), (b"\r\n", False))
-"""What h11 has unread after a chunk when neither another nor the end has come."""
+"""Unread data in h11 after a chunk if neither the next chunk nor the end arrived."""
 MAX_BODY_BYTES: Final = 64_000_000
 
 Headers = tuple[tuple[str, str], ...]
 
 
 class ConnectionFailedError(Exception):
-    """The connection could not be made or died; `is_sent` tells if bytes left.
+    """The connection could not be opened or failed.
 
-    `is_closed` tells that the other side closed it before the answer was whole,
-    `has_no_listener` that no process listens at the address.
+    `is_sent` says whether any bytes were sent, `is_closed` whether the other side
+    closed the connection before the response was complete, and `has_no_listener`
+    whether no process listens at the address.
     """
 
     def __init__(
@@ -53,20 +54,20 @@
 
 
 class BodyTooLargeError(ConnectionFailedError):
-    """The other side sent more than this node takes in one answer."""
+    """The response body is larger than the limit of this node."""
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
-    """Status and headers of an answer; header names are lower case."""
+    """Status and headers of a response; header names are lower case."""
 
     status: int
     headers: dict[str, str]
     fields: Headers = ()
-    """All headers in their order, with names as they came."""
+    """All headers in their original order, with the original spelling of names."""
 
 
 class Response(msgspec.Struct, frozen=True):
-    """One whole answer."""
+    """One complete response."""
 
     status: int
     headers: dict[str, str]
@@ -79,8 +80,8 @@
     return host.strip("[]"), int(port)
 
 
-def is_possible(address: Address) -> bool:
-    """Tell whether an address is an IP number and a port that can be connected to."""
+def is_valid_address(address: Address) -> bool:
+    """Return whether an address consists of an IP address and a valid port."""
     try:
         host, port = split_address(address)
         ipaddress.ip_address(host)
@@ -92,15 +93,15 @@
 class HttpConnection:
     """One connection to one address.
 
-    Invariant: `is_reusable` is true only when the last answer was read to its end.
+    Invariant: `is_reusable` is true only if the last response was read completely.
     """
 
     __slots__ = (
         "_connection",
         "_is_closed",
-        "_is_cut",
-        "_is_drained",
-        "_pending",
+        "_has_unsent_body",
+        "_parser_needs_data",
+        "_pending_event",
         "_stream",
         "address",
         "opened_ms",
@@ -112,21 +113,21 @@
         self.address = address
         self.opened_ms = opened_ms
         self._stream = stream
-        self._pending: object = None
-        self._is_drained = False
+        self._pending_event: object = None
+        self._parser_needs_data = False
         self._is_closed = False
-        self._is_cut = False
+        self._has_unsent_body = False
         self._connection = h11.Connection(h11.CLIENT)
 
     def is_reusable(self) -> bool:
-        """Tell whether another request may be sent."""
-        if self._pending is not None or self._is_cut:
+        """Return whether another request may be sent."""
+        if self._pending_event is not None or self._has_unsent_body:
             return False
         states = (self._connection.our_state, self._connection.their_state)
         return states in ((h11.IDLE, h11.IDLE), (h11.DONE, h11.DONE))
 
     def is_quiet(self) -> bool:
-        """Tell whether nothing waits to be read: neither an end nor a late answer."""
+        """Return whether there is no unread input, neither EOF nor a late response."""
         if self._connection.trailing_data != (b"", False):
             return False
         if not isinstance(self._stream, trio.SocketStream):
@@ -145,31 +146,32 @@
     ) -> None:
         """Send one request, or raise ConnectionFailedError.
 
-        `stall_ms` bounds how long the other side may take none of it.
+        `stall_ms` bounds how long the other side may accept no data.
         """
-        named = (("Content-Length", str(len(body))), *headers)
+        all_headers = (("Content-Length", str(len(body))), *headers)
         if not any(name.lower() == "host" for name, _ in headers):
-            named = (("Host", self.address), *named)
-        data = self._render(method, target, named, body)
-        sent_bytes = await self._send_first(data)
-        await self._send_rest(data, sent_bytes, stall_ms)
+            all_headers = (("Host", self.address), *all_headers)
+        data = self._render(method, target, all_headers, body)
+        sent_bytes = await self._send_once(data)
+        await self._send_remaining(data, sent_bytes, stall_ms)
 
     async def send_and_read_head(
         self, method: str, target: str, headers: Headers, body: bytes
     ) -> ResponseHead:
-        """Send a request whose headers are whole and read its answer's head.
+        """Send a request with complete headers and read the head of its response.
 
-        An answer may come before all of a long body is sent, and the other side may
-        then read no more of it: waiting to have sent everything would wait for ever.
-        Such a connection is not used again, as the rest of the body is still due on it.
+        A response may arrive before a long body has been sent completely, and the other
+        side may then stop reading, so waiting for the send to finish could block
+        forever. Such a connection is not reused, because the rest of the body was not
+        sent.
         """
         data = self._render(method, target, headers, body)
-        sent_bytes = await self._send_first(data)
+        sent_bytes = await self._send_once(data)
         if sent_bytes == len(data):
             return await self.read_head()
-        self._is_cut = True
+        self._has_unsent_body = True
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._send_behind, data, sent_bytes)
+            nursery.start_soon(self._send_remaining_in_background, data, sent_bytes)
             try:
                 head = await self.read_head()
             except ConnectionFailedError as error:
@@ -181,11 +183,11 @@
             raise failure
         return head
 
-    async def _send_behind(self, data: bytes, sent_bytes: int) -> None:
-        """Send what is left; a failure shows to whoever reads the answer."""
+    async def _send_remaining_in_background(self, data: bytes, sent_bytes: int) -> None:
+        """Send the remaining bytes; the reader of the response sees any failure."""
         with suppress(ConnectionFailedError):
-            await self._send_rest(data, sent_bytes, math.inf)
-            self._is_cut = False
+            await self._send_remaining(data, sent_bytes, math.inf)
+            self._has_unsent_body = False
 
     def _render(self, method: str, target: str, headers: Headers, body: bytes) -> bytes:
         connection = self._connection
@@ -200,15 +202,17 @@
             data += connection.send(h11.Data(data=body)) or b""
         return data + (connection.send(h11.EndOfMessage()) or b"")
 
-    async def _send_rest(self, data: bytes, sent_bytes: int, stall_ms: float) -> None:
-        for begin in range(sent_bytes, len(data), _PIECE_BYTES):
-            piece = memoryview(data)[begin : begin + _PIECE_BYTES]
-            await self._send_piece(piece, stall_ms)
+    async def _send_remaining(
+        self, data: bytes, sent_bytes: int, stall_ms: float
+    ) -> None:
+        for begin in range(sent_bytes, len(data), _SEND_CHUNK_BYTES):
+            chunk = memoryview(data)[begin : begin + _SEND_CHUNK_BYTES]
+            await self._send_chunk(chunk, stall_ms)
 
-    async def _send_piece(self, piece: memoryview, stall_ms: float) -> None:
+    async def _send_chunk(self, chunk: memoryview, stall_ms: float) -> None:
         try:
             with trio.fail_after(stall_ms / 1000):
-                await self._stream.send_all(piece)
+                await self._stream.send_all(chunk)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise ConnectionFailedError(
                 str(error), is_sent=True, is_closed=True
@@ -217,11 +221,11 @@
             text = "the other side takes nothing"
             raise ConnectionFailedError(text, is_sent=True) from error
 
-    async def _send_first(self, data: bytes) -> int:
-        """Send the first bytes apart; return how many the kernel took.
+    async def _send_once(self, data: bytes) -> int:
+        """Call `send` on the socket once; return how many bytes the kernel accepted.
 
-        When the other side closed an idle connection, this first call fails and no
-        byte was taken. That proves that the request did not run; a failure later
+        If the other side has closed an idle connection, this first call fails and no
+        byte was accepted, which proves that the request did not run. A later failure
         proves nothing.
         """
         if not isinstance(self._stream, trio.SocketStream):
@@ -251,61 +255,61 @@
             )
             return ResponseHead(event.status_code, headers, fields)
 
-    async def read_part(self) -> bytes | None:
-        """Read what has come of the body, in one piece; None at its end."""
-        event = self._pending or await self._next_event()
-        self._pending = None
+    async def read_body_chunk(self) -> bytes | None:
+        """Return the part of the body that has arrived; None at its end."""
+        event = self._pending_event or await self._next_event()
+        self._pending_event = None
         if not isinstance(event, h11.Data):
             if isinstance(event, h11.EndOfMessage):
                 return None
             raise ConnectionFailedError(
                 "closed inside an answer", is_sent=True, is_closed=True
             )
-        parts = [event.data]
-        while not self._is_drained_by(event):
+        chunks = [event.data]
+        while not self._record_parser_state(event):
             event = self._parse()
             if event is h11.NEED_DATA:
-                self._is_drained = True
+                self._parser_needs_data = True
                 break
             if not isinstance(event, h11.Data):
-                self._pending = event
+                self._pending_event = event
                 break
-            parts.append(event.data)
-        return bytes(parts[0]) if len(parts) == 1 else b"".join(parts)
+            chunks.append(event.data)
+        return bytes(chunks[0]) if len(chunks) == 1 else b"".join(chunks)
 
-    def _is_drained_by(self, event: h11.Data) -> bool:
-        """Tell whether h11 needs bytes after this event, and note it.
+    def _record_parser_state(self, event: h11.Data) -> bool:
+        """Record and return whether h11 needs more input after this event.
 
-        It is asked twice for each token event otherwise, only to say so.
+        Otherwise h11 would be called twice per token event, just to report that.
         """
         rest = self._connection.trailing_data
-        self._is_drained = event.chunk_end and rest in _NEEDS_DATA
-        return self._is_drained
+        self._parser_needs_data = event.chunk_end and rest in _NEEDS_DATA
+        return self._parser_needs_data
 
     async def read_body(self, max_bytes: int = MAX_BODY_BYTES) -> bytes:
         """Read the rest of the body, or raise ConnectionFailedError.
 
-        One over the limit is given up: whoever sends without end must not fill this
+        A larger body is abandoned, so that an endless response cannot exhaust this
         node's memory.
         """
         body = bytearray()
-        while (part := await self.read_part()) is not None:
-            body += part
+        while (data := await self.read_body_chunk()) is not None:
+            body += data
             if len(body) > max_bytes:
                 raise BodyTooLargeError(f"found over {max_bytes} bytes", is_sent=True)
         return bytes(body)
 
-    async def read_end(self) -> bool:
-        """Wait while no request is under way; return whether the other side closed."""
+    async def wait_for_close(self) -> bool:
+        """Wait for input outside a request; return whether it was a close."""
         return not await self._stream.receive_some(1)
 
     async def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         await trio.aclose_forcefully(self._stream)
 
     async def _next_event(self) -> object:
         while True:
-            if not self._is_drained:
+            if not self._parser_needs_data:
                 event = self._parse()
                 if event is not h11.NEED_DATA:
                     return event
@@ -317,7 +321,7 @@
                 ) from error
             self._is_closed = not data
             self._connection.receive_data(data)
-            self._is_drained = False
+            self._parser_needs_data = False
 
     def _parse(self) -> object:
         try:
@@ -338,8 +342,8 @@
         with trio.fail_after(timeout_ms / 1000):
             stream = await _open_stream(host, port)
     except (OSError, OverflowError, trio.TooSlowError) as error:
-        # A port over 65535, which a configuration may name, overflows: without being
-        # caught it would end the task that watches this endpoint, and so the node.
+        # A configuration may contain a port over 65535, which raises OverflowError.
+        # Uncaught, it would end the task that watches this endpoint, and so the node.
         raise ConnectionFailedError(
             f"{address}: {error}",
             is_sent=False,
@@ -349,7 +353,7 @@
 
 
 async def _open_stream(host: str, port: int) -> trio.SocketStream:
-    """Connect to an IP number; there is no name to resolve and no address to race."""
+    """Connect to an IP address, without name resolution."""
     family = trio.socket.AF_INET6 if ":" in host else trio.socket.AF_INET
     socket = trio.socket.socket(family, trio.socket.SOCK_STREAM)
     try:
@@ -369,7 +373,7 @@
     timeout_ms: float = 5_000,
     max_bytes: int = MAX_BODY_BYTES,
 ) -> Response:
-    """Make one request on a connection of its own, or raise ConnectionFailedError."""
+    """Make one request on a new connection, or raise ConnectionFailedError."""
     connection = await connect(address, timeout_ms)
     try:
         with trio.fail_after(timeout_ms / 1000):
--- a/packages/toucanyard-node/src/toucanyard_node/model_handler.py
+++ b/packages/toucanyard-node/src/toucanyard_node/model_handler.py
@@ -24,9 +24,9 @@
 from toucanyard_node.connection_pool import ConnectionPool
 from toucanyard_node.core_messages import CoreClient
 from toucanyard_node.http_client import Response
+from toucanyard_node.idle_watch import IdleWatch
 from toucanyard_node.model_requests import ApiKind, ModelCall, parse_model_call
-from toucanyard_node.sheltered import Spawn, run_sheltered
-from toucanyard_node.silence_watch import SilenceWatch
+from toucanyard_node.shielded import Spawn, run_shielded
 from toucanyard_node.stream_relay import EVENT_STREAM, StreamRelay
 from toucanyard_node.stream_store import StreamStore
 
@@ -51,7 +51,7 @@
         core: CoreClient,
         options: Options,
         pool: ConnectionPool,
-        watch: SilenceWatch,
+        watch: IdleWatch,
         spawn: Spawn,
     ) -> None:
         self._watch = watch
@@ -153,7 +153,7 @@
         try:
             with trio.CancelScope(deadline=attempts.request.deadline_ms / 1000):
                 if is_keyed:
-                    return await run_sheltered(self._spawn, run, store_unclaimed)
+                    return await run_shielded(self._spawn, run, store_unclaimed)
                 return await run()
             refusal = attempts.build_deadline_refusal()
         except trio.Cancelled:
--- a/packages/toucanyard-node/src/toucanyard_node/part_following.py
+++ b/packages/toucanyard-node/src/toucanyard_node/prompt_block_follower.py
@@ -1,4 +1,4 @@
-"""Follow what replicas and stores keep of prompts, with one call at a time to each."""
+"""Poll replicas and prompt stores for changes of the prompt blocks they hold."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from toucanyard.prompt_block_sources import PromptBlockHolder
 from toucanyard.relay_core import RelayCore
 from toucanyard.relay_events import HolderLost, PromptBlocksChanged
-from toucanyard_node.relay_ports import PartFollower
+from toucanyard_node.relay_ports import PromptBlockReader
 from toucanyard_node.relay_task import RelayClient
 
-LOOK_S: Final = 0.5
-"""Time between two looks at whom to follow."""
-WAIT_MS: Final = 1_000.0
-"""How long a call may wait for something to tell."""
-GATHER_S: Final = 0.15
-"""Pause between two calls to one holder: what it tells in that time comes together."""
-RETRY_S: Final = 0.5
+CHECK_INTERVAL_S: Final = 0.5
+"""Interval between updates of the set of followed holders."""
+MAX_POLL_WAIT_MS: Final = 1_000.0
+"""How long a holder may delay its response until something changes."""
+BATCH_INTERVAL_S: Final = 0.15
+"""Pause between calls to one holder, so that changes are reported in batches."""
+RETRY_DELAY_S: Final = 0.5
 _LOG: Final = structlog.get_logger()
 
 
-class PartFollowing:
-    """The tasks that follow holders. Invariant: at most one for each holder."""
+class PromptBlockFollower:
+    """Tasks that poll holders. Invariant: at most one task per holder."""
 
     __slots__ = ("_client", "_core", "_follower", "_scopes")
 
     def __init__(
-        self, core: RelayCore, client: RelayClient, follower: PartFollower
+        self, core: RelayCore, client: RelayClient, follower: PromptBlockReader
     ) -> None:
         self._core = core
         self._client = client
@@ -38,13 +38,13 @@
         self._scopes: dict[EndpointName, trio.CancelScope] = {}
 
     async def run(self) -> None:
-        """Start and end tasks as holders come and go, until cancelled."""
+        """Start and cancel tasks as the set of holders changes, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 now_ms = trio.current_time() * 1000
                 wanted = self._core.sources.find_followed(self._core.index, now_ms)
                 self._update(wanted, nursery)
-                await trio.sleep(LOOK_S)
+                await trio.sleep(CHECK_INTERVAL_S)
 
     def _update(self, wanted: list[PromptBlockHolder], nursery: trio.Nursery) -> None:
         names = {holder.name for holder in wanted}
@@ -60,20 +60,22 @@
         is_lost = False
         with scope:
             while True:
-                page = await self._follower.read_parts(holder.address, since, WAIT_MS)
+                page = await self._follower.read_prompt_blocks(
+                    holder.address, since, MAX_POLL_WAIT_MS
+                )
                 if page is None:
                     if not is_lost:
                         _LOG.info("holder_lost", holder=holder.name)
                     is_lost = True
-                    self._client.tell(HolderLost(holder.name))
-                    await trio.sleep(RETRY_S)
+                    self._client.send_event(HolderLost(holder.name))
+                    await trio.sleep(RETRY_DELAY_S)
                     continue
                 if is_lost:
                     _LOG.info("holder_back", holder=holder.name)
                 is_lost = False
                 is_reset = epoch not in (-1, page.epoch)
                 epoch, since = page.epoch, page.next_number
-                self._client.tell(
+                self._client.send_event(
                     PromptBlocksChanged(holder.name, page.changes, is_reset, epoch)
                 )
-                await trio.sleep(GATHER_S)
+                await trio.sleep(BATCH_INTERVAL_S)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_node.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_node.py
@@ -1,4 +1,4 @@
-"""Assemble a node that relays calls: open its sockets, start its tasks, stop it."""
+"""Assemble a relaying node: open its sockets, start its tasks, shut it down."""
 
 from __future__ import annotations
 
@@ -30,35 +30,39 @@
 from toucanyard_node.http_exchange import HttpRequest, Responder
 from toucanyard_node.http_server import HttpServer, ServerLimits, open_listener
 from toucanyard_node.link_codec import LinkCodec
-from toucanyard_node.part_following import PartFollowing
 from toucanyard_node.peer_links import PeerLinks
-from toucanyard_node.relay_face import RelayFace
+from toucanyard_node.prompt_block_follower import PromptBlockFollower
 from toucanyard_node.relay_metrics import RelayMetrics
 from toucanyard_node.relay_ports import (
     CallCodec,
-    PartFollower,
+    PromptBlockReader,
     ReplicaControl,
     Store,
 )
-from toucanyard_node.relay_store import Errands, StoreReader, keep_trying
-from toucanyard_node.relay_task import Errand, RelayTask
+from toucanyard_node.relay_server import RelayServer
+from toucanyard_node.relay_store import (
+    BackgroundJobRunner,
+    StoreReader,
+    retry_until_success,
+)
+from toucanyard_node.relay_task import BackgroundJob, RelayTask
 from toucanyard_node.settings_watch import SettingsWatch
 
 Handler = Callable[[HttpRequest, Responder], Awaitable[None]]
 
-OUTBOX: Final = 10_000
+OUTBOX_SIZE: Final = 10_000
 RESERVED_DESCRIPTORS: Final = 400
-"""Descriptors kept free of callers' connections, for files, peers and the store."""
+"""File descriptors reserved for files, peers and the store."""
 DESCRIPTORS_PER_CALL: Final = 2
-"""One towards the caller, one towards the replica."""
+"""One for the caller and one for the replica."""
 STOP_MARGIN_MS: Final = 600.0
-"""How long before the process is killed it ends by itself."""
+"""How long before the process would be killed it ends by itself."""
 CLOSE_MARGIN_MS: Final = 300.0
-"""Time beyond what callers keep addresses for until idle connections are closed."""
-FAR_CLOSE_MARGIN_MS: Final = 800.0
-"""The same in a fleet where hubs pass on that this node stops."""
-LIMITS_S: Final = 1.0
-"""Time between two looks at the limits that operators set for callers."""
+"""Time after the end of callers' address caching until idle connections close."""
+HUB_CLOSE_MARGIN_MS: Final = 800.0
+"""The same in a fleet where hubs forward that this node stops."""
+LIMITS_INTERVAL_S: Final = 1.0
+"""Interval between updates of the server limits from the configuration."""
 _LOG: Final = structlog.get_logger()
 
 RELAY_LINKS: Final[LinkCodec[object, RelayEvent]] = LinkCodec(
@@ -71,16 +75,16 @@
 
 
 class Ports(msgspec.Struct, frozen=True):
-    """What the node is given to speak to the outside."""
+    """Implementations of the node's external interfaces."""
 
     calls: CallCodec
     store: Store
     replicas: ReplicaControl
-    parts: PartFollower
+    prompt_blocks: PromptBlockReader
 
 
-class Pages(msgspec.Struct, frozen=True):
-    """Handlers beside the callers' face, each with an address of its own."""
+class AuxiliaryHandlers(msgspec.Struct, frozen=True):
+    """Handlers besides the relay server, each on a separate address."""
 
     readiness: Handler
     locator: Handler
@@ -88,7 +92,7 @@
 
 
 class RelayNode:
-    """All tasks of one node and the channels between them."""
+    """The tasks of one node and the channels between them."""
 
     def __init__(
         self, core: RelayCore, ports: Ports, output: BoundedOutput, rng: random.Random
@@ -99,12 +103,12 @@
         self._ports = ports
         self._output = output
         self._stopping = trio.Event()
-        send, self._messages = trio.open_memory_channel[SendToPeer](OUTBOX)
-        send_errand, self._errands = trio.open_memory_channel[Errand](OUTBOX)
+        send, self._messages = trio.open_memory_channel[SendToPeer](OUTBOX_SIZE)
+        send_job, self._jobs = trio.open_memory_channel[BackgroundJob](OUTBOX_SIZE)
         self.metrics = RelayMetrics()
-        self._task = RelayTask(core, send, send_errand, self.metrics)
+        self._task = RelayTask(core, send, send_job, self.metrics)
         client = self._task.client
-        self._face = RelayFace(
+        self._relay_server = RelayServer(
             client,
             ports.calls,
             lambda: core.index,
@@ -112,10 +116,10 @@
             self.metrics,
             rng,
         )
-        self._server = HttpServer(self._face.handle, self._find_limits())
+        self._http_server = HttpServer(self._relay_server.handle, self._find_limits())
         self._reader = StoreReader(core, client, ports.store, rng)
-        self._doer = Errands(client, ports.store, ports.replicas)
-        self._following = PartFollowing(core, client, ports.parts)
+        self._job_runner = BackgroundJobRunner(client, ports.store, ports.replicas)
+        self._block_follower = PromptBlockFollower(core, client, ports.prompt_blocks)
         timings = MembershipTimings(
             max_peers=MAX_MESH, digest_interval_ms=int(STATUS_MS)
         )
@@ -129,11 +133,11 @@
             RELAY_LINKS,
         )
 
-    async def run(self, pages: Pages) -> None:
-        """Run until the planned stop is over."""
+    async def run(self, handlers: AuxiliaryHandlers) -> None:
+        """Run until the graceful shutdown is complete."""
         listen = self._options.listen
-        # Peers send a starting node the routes within milliseconds, and callers come
-        # right after. They are refused if this socket is not open by that time.
+        # Peers send a starting node the routes within milliseconds, and calls arrive
+        # immediately after. They are refused if this socket is not open by then.
         callers = await _listen(listen.callers)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._output.run)
@@ -142,20 +146,20 @@
                 nursery.start_soon(self.settings_watch.run)
             nursery.start_soon(self._task.run)
             nursery.start_soon(self._reader.run)
-            nursery.start_soon(self._following.run)
-            nursery.start_soon(self._doer.run, self._errands)
+            nursery.start_soon(self._block_follower.run)
+            nursery.start_soon(self._job_runner.run, self._jobs)
             peers = await _listen(listen.peers)
             nursery.start_soon(self._links.run, peers, self._messages)
             nursery.start_soon(self._announce)
-            nursery.start_soon(self._follow_limits)
+            nursery.start_soon(self._refresh_limits)
             for address, handler in (
-                (listen.readiness, pages.readiness),
-                (listen.locator, pages.locator),
-                (listen.metrics, pages.metrics),
+                (listen.readiness, handlers.readiness),
+                (listen.locator, handlers.locator),
+                (listen.metrics, handlers.metrics),
             ):
                 server = HttpServer(handler, ServerLimits())
                 nursery.start_soon(server.serve, await _listen(address))
-            nursery.start_soon(self._server.serve, callers)
+            nursery.start_soon(self._http_server.serve, callers)
             _LOG.info("started", callers=listen.callers, peers=listen.peers)
             await self._stop()
             nursery.cancel_scope.cancel()
@@ -163,11 +167,11 @@
         self._output.flush()
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether this node may receive calls."""
         return self.core.is_ready() and not self._stopping.is_set()
 
     async def _emit(self, event: RelayEvent) -> None:
-        self._task.client.tell(event)
+        self._task.client.send_event(event)
 
     def _find_limits(self) -> ServerLimits:
         bounds = self.core.index.table.bounds
@@ -181,18 +185,20 @@
             is_pipelined=False,
         )
 
-    async def _follow_limits(self) -> None:
+    async def _refresh_limits(self) -> None:
         while True:
-            self._server.apply_limits(self._find_limits())
-            await trio.sleep(LIMITS_S)
+            self._http_server.apply_limits(self._find_limits())
+            await trio.sleep(LIMITS_INTERVAL_S)
 
     async def _announce(self) -> None:
-        """Write where this node can be reached, so that others find it."""
+        """Write the addresses of this node to the store, so that peers find it."""
         record = self.core.own_record
-        await keep_trying(lambda: self._ports.store.append_node(record), "announce")
+        await retry_until_success(
+            lambda: self._ports.store.append_node(record), "announce"
+        )
 
     async def _watch_signals(self, scope: trio.CancelScope) -> None:
-        """Begin the planned stop on SIGTERM or SIGINT; end on the second one."""
+        """Start the shutdown on SIGTERM or SIGINT; end at once on the second one."""
         wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
         with trio.open_signal_receiver(*wanted) as signals:
             async for number in signals:
@@ -207,25 +213,25 @@
                     self._stopping.set()
 
     async def _stop(self) -> None:
-        """Wait for a planned stop and carry it out without cutting a call.
+        """Wait for the shutdown signal, then stop without interrupting calls.
 
-        Callers go on to use the addresses that they know for a while, so the node
-        serves until that is over; only then it closes connections that are idle.
+        Callers continue to use cached addresses for some time. The node serves until
+        these caches have expired, and closes idle connections only then.
         """
         await self._stopping.wait()
         begun_s = trio.current_time()
         stop = self._options.stop
         pending = self.core.flow.count_pending()
         _LOG.info("stop_begun", pending=pending, grace_ms=stop.grace_ms)
-        self._task.client.tell(StopBegun())
-        is_near = self.core.node_directory.is_full_mesh()
-        margin_ms = CLOSE_MARGIN_MS if is_near else FAR_CLOSE_MARGIN_MS
+        self._task.client.send_event(StopBegun())
+        is_full_mesh = self.core.node_directory.is_full_mesh()
+        margin_ms = CLOSE_MARGIN_MS if is_full_mesh else HUB_CLOSE_MARGIN_MS
         keep_ms = stop.locate_ttl_ms * stop.keep_factor + margin_ms
-        last_s = begun_s + (stop.grace_ms - STOP_MARGIN_MS) / 1000
+        deadline_s = begun_s + (stop.grace_ms - STOP_MARGIN_MS) / 1000
         await trio.sleep(keep_ms / 1000)
-        self._server.stop()
-        with trio.CancelScope(deadline=last_s):
-            await self._server.wait_stopped()
+        self._http_server.stop()
+        with trio.CancelScope(deadline=deadline_s):
+            await self._http_server.wait_stopped()
             _LOG.info("stop_ended", is_clean=True)
             return
         left = self.core.flow.count_pending()
--- a/packages/toucanyard-node/src/toucanyard_node/relay_face.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_server.py
@@ -1,4 +1,4 @@
-"""Serve callers whose calls are relayed: route, key, limits, then the exchange."""
+"""Handle relayed calls: find the route, check the key and run the exchange."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 from toucanyard_node.relay_task import RelayClient
 
 NO_ROUTES_RETRY_MS: Final = 300
-"""When to come back to a node that has just started; it reads its routes by then."""
+"""Retry delay while a node starts; it has read its routes by then."""
 MAX_RANK: Final = 9
 _LOG: Final = structlog.get_logger()
 
 
-class RelayFace:
-    """Serve relayed calls."""
+class RelayServer:
+    """HTTP handler for relayed calls."""
 
     __slots__ = (
         "_client",
@@ -65,25 +65,25 @@
         self._rng = rng
 
     async def handle(self, http: HttpRequest, responder: Responder) -> None:
-        """Answer one call."""
+        """Handle one call."""
         if self._is_stopping():
             responder.close_after()
         arrived_ms = trio.current_time() * 1000
         try:
             exchange = self._prepare(http, responder, arrived_ms)
         except RouterError as error:
-            await self._turn_away(http, responder, error)
+            await self._reject(http, responder, error)
             return
         await exchange.run()
 
     def _prepare(
         self, http: HttpRequest, responder: Responder, arrived_ms: float
     ) -> RelayExchange:
-        """Return the exchange of a call that may be sent on, or raise RouterError."""
+        """Return the exchange for a call to be relayed, or raise RouterError."""
         index = self._find_index()
         if not index.table.version:
-            # A refusal for a missing route or key would be final to its caller, and
-            # nothing is known of routes and keys yet.
+            # Callers treat a refusal for an unknown route or key as final, but this
+            # node has not read any routes and keys yet.
             text = "no routes are known yet"
             raise RouterError(ErrorKind.NO_CONFIGURATION, text, NO_ROUTES_RETRY_MS)
         path = http.target.partition("?")[0]
@@ -114,7 +114,7 @@
             rank=_find_rank(route, customer),
             target_ms=route.target_ms,
             arrived_ms=arrived_ms,
-            deadline_ms=arrived_ms + _find_time(route, facts),
+            deadline_ms=arrived_ms + _compute_timeout_ms(route, facts),
             table_version=index.table.version,
             prompt=facts.prompt,
             tokens=facts.tokens,
@@ -133,10 +133,10 @@
             self._metrics,
         )
 
-    async def _turn_away(
+    async def _reject(
         self, http: HttpRequest, responder: Responder, error: RouterError
     ) -> None:
-        self._metrics.note_refused(error.kind)
+        self._metrics.record_refusal(error.kind)
         _LOG.info(
             "turned_away",
             kind=error.kind.value,
@@ -169,7 +169,7 @@
     return min(max(rank, 0), MAX_RANK)
 
 
-def _find_time(route: Route, facts: CallFacts) -> int:
+def _compute_timeout_ms(route: Route, facts: CallFacts) -> int:
     if facts.deadline_ms is None:
         return route.timeout_ms
     return min(facts.deadline_ms, route.timeout_ms)
--- a/packages/toucanyard-node/src/toucanyard_node/relay_task.py
+++ b/packages/toucanyard-node/src/toucanyard_node/relay_task.py
@@ -1,7 +1,8 @@
-"""Own the core of a relaying node: feed it events in one order, carry out its actions.
+"""The task that owns the core of a relaying node.
 
-Every other task talks to this one through its inbox; replies go back on the channel
-that came with the question. Each decision is one log line.
+It passes events to the core one at a time and executes the actions that the core
+returns. All other tasks communicate with it through its inbox; a reply is sent on the
+channel that came with the request. Each decision is logged as one line.
 """
 
 from __future__ import annotations
@@ -38,13 +39,13 @@
     RelayVerdict,
 )
 from toucanyard.requests import Refuse
-from toucanyard_node.relay_lines import log_refused, log_sent
+from toucanyard_node.relay_log import log_refused, log_sent
 from toucanyard_node.relay_metrics import RelayMetrics
 
 _LOG: Final = structlog.get_logger()
 
 Reply = trio.MemorySendChannel[RelayVerdict | None]
-Errand = (
+BackgroundJob = (
     ReadLeases
     | AppendLease
     | ReadReplicaState
@@ -54,115 +55,121 @@
 )
 
 
-class Ask(msgspec.Struct, frozen=True):
-    """An event that is answered by one verdict."""
+class VerdictRequest(msgspec.Struct, frozen=True):
+    """An event that the core answers with one verdict."""
 
     event: CallArrived | DispatchEnded
     reply: Reply
 
 
 class RelayClient:
-    """Ask the core's task from any other task."""
+    """Interface to the core's task for all other tasks."""
 
     __slots__ = ("_inbox",)
 
-    def __init__(self, inbox: trio.MemorySendChannel[Ask | RelayEvent]) -> None:
+    def __init__(
+        self, inbox: trio.MemorySendChannel[VerdictRequest | RelayEvent]
+    ) -> None:
         self._inbox = inbox
 
     async def decide(self, request: RelayRequest) -> RelayVerdict:
-        """Ask what to do with a new call; waits while it is queued."""
+        """Return the verdict on a new call; waits while it is queued."""
         try:
-            verdict = await self._ask(CallArrived(request))
+            verdict = await self._request_verdict(CallArrived(request))
         except trio.Cancelled:
-            self.tell(CallerLeft(request.request_id))
+            self.send_event(CallerLeft(request.request_id))
             raise
         assert verdict is not None
         return verdict
 
     async def report(self, outcome: RelayOutcome) -> RelayVerdict | None:
-        """Tell how a dispatch ended; return what to do next, if anything."""
+        """Report how a dispatch ended; return the next verdict, if any."""
         try:
-            return await self._ask(DispatchEnded(outcome))
+            return await self._request_verdict(DispatchEnded(outcome))
         except trio.Cancelled:
-            self.tell(CallerLeft(outcome.request_id))
+            self.send_event(CallerLeft(outcome.request_id))
             raise
 
-    def tell(self, event: RelayEvent) -> None:
-        """Tell the core something without waiting.
+    def send_event(self, event: RelayEvent) -> None:
+        """Send an event to the core without waiting.
 
-        The inbox has no bound, so this never blocks or drops; callers' connections
-        bound it, since each has at most two messages under way.
+        The inbox is unbounded, so this never blocks or drops an event. Its length is
+        limited by the callers' connections, each with at most two pending messages.
         """
         self._inbox.send_nowait(event)
 
-    def tell_first(self, request_id: RequestId) -> None:
-        """Tell that the first part of an answer came."""
-        self.tell(FirstEventSeen(request_id))
+    def report_first_event(self, request_id: RequestId) -> None:
+        """Report the first event of an answer."""
+        self.send_event(FirstEventSeen(request_id))
 
-    def tell_ended(self, outcome: RelayOutcome) -> None:
-        """Tell how a dispatch ended that needs no further verdict."""
-        self.tell(DispatchEnded(outcome))
+    def report_dispatch_ended(self, outcome: RelayOutcome) -> None:
+        """Report how a dispatch ended that needs no further verdict."""
+        self.send_event(DispatchEnded(outcome))
 
-    async def _ask(self, event: CallArrived | DispatchEnded) -> RelayVerdict | None:
+    async def _request_verdict(
+        self, event: CallArrived | DispatchEnded
+    ) -> RelayVerdict | None:
         send, receive = trio.open_memory_channel[RelayVerdict | None](1)
-        self._inbox.send_nowait(Ask(event, send))
+        self._inbox.send_nowait(VerdictRequest(event, send))
         return await receive.receive()
 
 
 class RelayTask:
     """The task that owns the core.
 
-    Invariant: at most one reply channel is kept for each call, and it is used once.
+    Invariant: there is at most one reply channel per call, and it is used once.
     """
 
     def __init__(
         self,
         core: RelayCore,
         messages: trio.MemorySendChannel[SendToPeer],
-        errands: trio.MemorySendChannel[Errand],
+        jobs: trio.MemorySendChannel[BackgroundJob],
         metrics: RelayMetrics,
     ) -> None:
         self._metrics = metrics
         self.core = core
         self._messages = messages
-        self._errands = errands
+        self._jobs = jobs
         self._replies: dict[RequestId, Reply] = {}
-        self.inbox, self._receive = trio.open_memory_channel[Ask | RelayEvent](2**31)
+        self.inbox, self._receive = trio.open_memory_channel[
+            VerdictRequest | RelayEvent
+        ](2**31)
         self.client = RelayClient(self.inbox)
 
     async def run(self) -> None:
-        """Take messages until cancelled."""
+        """Process messages until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._tick)
             async for message in self._receive:
-                self._take(message, trio.current_time() * 1000)
+                self._process(message, trio.current_time() * 1000)
 
     async def _tick(self) -> None:
         while True:
             await trio.sleep(self.core.compute_tick() / 1000)
             self.inbox.send_nowait(TickPassed())
 
-    def _take(self, message: Ask | RelayEvent, now_ms: float) -> None:
+    def _process(self, message: VerdictRequest | RelayEvent, now_ms: float) -> None:
         event = message
-        if isinstance(message, Ask):
+        if isinstance(message, VerdictRequest):
             event = message.event
             self._replies[_find_id(message.event)] = message.reply
         elif isinstance(message, CallerLeft):
             self._replies.pop(message.request_id, None)
-        assert not isinstance(event, Ask)
+        assert not isinstance(event, VerdictRequest)
         for action in self.core.handle(event, now_ms):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: RelayAction) -> None:
+    def _execute(self, action: RelayAction) -> None:
         match action:
             case RelayReply(request_id=request_id, verdict=verdict):
                 self._reply(request_id, verdict)
             case SendToPeer():
                 self._send_or_drop(action)
             case ReadLeases() | AppendLease() | ReadReplicaState() | WeightsOrder():
-                self._errands.send_nowait(action)
+                self._jobs.send_nowait(action)
             case WriteQuarantine() | EraseQuarantine():
-                self._errands.send_nowait(action)
+                self._jobs.send_nowait(action)
             case LogEntry(event=name, fields=fields):
                 _LOG.info(name, **fields)
 
@@ -180,7 +187,7 @@
             case RelayDispatch():
                 log_sent(verdict)
             case Refuse():
-                self._metrics.note_refused(verdict.kind)
+                self._metrics.record_refusal(verdict.kind)
                 log_refused(verdict, self.core.index.table.version)
 
 
--- a/packages/toucanyard-node/src/toucanyard_node/service_handler.py
+++ b/packages/toucanyard-node/src/toucanyard_node/service_handler.py
@@ -40,7 +40,7 @@
     HttpConnection,
     Response,
 )
-from toucanyard_node.sheltered import Spawn, run_sheltered
+from toucanyard_node.shielded import Spawn, run_shielded
 
 _SAFE_METHODS: Final = ("GET", "HEAD")
 _TOO_MANY_REQUESTS: Final = 429
@@ -111,7 +111,7 @@
         try:
             with trio.CancelScope(deadline=attempts.request.deadline_ms / 1000):
                 if is_keyed:
-                    return await run_sheltered(
+                    return await run_shielded(
                         self._spawn, exchange.run, _discard_result
                     )
                 return await exchange.run()
--- a/packages/toucanyard-node/src/toucanyard_node/vm_list.py
+++ b/packages/toucanyard-node/src/toucanyard_node/vm_list.py
@@ -1,4 +1,4 @@
-"""Poll the platform's VM list and pass on what it shows."""
+"""Poll the VM list of the platform and emit its contents."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     Connect,
     ConnectionFailedError,
     connect,
-    is_possible,
+    is_valid_address,
 )
 
 _LOG: Final = structlog.get_logger()
 _TIMEOUT_MS: Final = 2_000
 _MAX_BYTES: Final = 4_000_000
-_FREE_BYTES: Final = 16_000
+_SMALL_LIST_BYTES: Final = 16_000
 _BYTES_PER_S: Final = 1_500
 _ADDRESSES: Final = ("callers", "operators", "peers", "endpoint")
 
@@ -33,18 +33,18 @@
 
 
 class VmListBody(msgspec.Struct, frozen=True):
-    """The platform's answer."""
+    """Body of the platform's response."""
 
     vms: tuple[Vm, ...]
 
 
 def compute_wait_ms(timings: MembershipTimings, body_bytes: int) -> float:
-    """Return how long to wait before the next read, by the size of the last.
+    """Return how long to wait before the next read, by the size of the last one.
 
-    The list is sent whole. Where it is large, each node reads it rarely: among many
-    nodes one reads it every second or two, and what it finds travels as news.
+    The list is always sent completely. If it is large, each node reads it rarely: among
+    many nodes one reads it every second or two, and distributes changes by gossip.
     """
-    large_bytes = max(0, body_bytes - _FREE_BYTES)
+    large_bytes = max(0, body_bytes - _SMALL_LIST_BYTES)
     return max(float(timings.vm_list_poll_ms), large_bytes * 1000 / _BYTES_PER_S)
 
 
@@ -55,15 +55,15 @@
     rng: random.Random,
     connect_to: Connect = connect,
 ) -> None:
-    """Read the list again and again until cancelled; failures leave the last one."""
+    """Read the list periodically until cancelled; failures keep the last one."""
     while True:
         body = await _read(address, connect_to)
         size = 0
-        if body is not None and await _pass_on(body, emit):
-            # A large answer that is broken mustn't put off the next try.
+        if body is not None and await _emit_vms(body, emit):
+            # A large but malformed response must not delay the next attempt.
             size = len(body)
         wait_ms = compute_wait_ms(timings, size)
-        # Nodes that started together would else read at the same moment for ever.
+        # Without jitter, nodes started together would always read at the same time.
         await trio.sleep(wait_ms * rng.uniform(0.75, 1.0) / 1000)
 
 
@@ -81,21 +81,23 @@
     return response.body
 
 
-async def _pass_on(body: bytes, emit: Emit) -> bool:
+async def _emit_vms(body: bytes, emit: Emit) -> bool:
     try:
         vms = msgspec.json.decode(body, type=VmListBody).vms
     except (msgspec.DecodeError, RecursionError) as error:
         _LOG.warning("vm_list_malformed", error=str(error)[:200])
         return False
-    await emit(VmsRead(tuple(_drop_impossible(vm) for vm in vms)))
+    await emit(VmsRead(tuple(_clear_invalid_addresses(vm) for vm in vms)))
     return True
 
 
-def _drop_impossible(vm: Vm) -> Vm:
-    """Return a VM without those addresses that nobody could connect to."""
-    given = {name: getattr(vm, name) for name in _ADDRESSES}
-    wrong = {name for name, each in given.items() if each and not is_possible(each)}
-    if not wrong:
+def _clear_invalid_addresses(vm: Vm) -> Vm:
+    """Return a VM with invalid addresses replaced by empty ones."""
+    addresses = {name: getattr(vm, name) for name in _ADDRESSES}
+    invalid = {
+        name for name, each in addresses.items() if each and not is_valid_address(each)
+    }
+    if not invalid:
         return vm
-    _LOG.warning("vm_address_impossible", vm=vm.name[:64], fields=sorted(wrong))
-    return msgspec.structs.replace(vm, **dict.fromkeys(wrong, Address("")))
+    _LOG.warning("vm_address_impossible", vm=vm.name[:64], fields=sorted(invalid))
+    return msgspec.structs.replace(vm, **dict.fromkeys(invalid, Address("")))
--- a/tests/toucanyard_node/polling_fleet.py
+++ b/tests/toucanyard_node/polling_fleet.py
@@ -1,7 +1,7 @@
-"""Run the store readers and cores of many nodes against one store in memory.
+"""Run the store readers and cores of many nodes against one in-memory store.
 
-A silent store answers nothing, and what was asked of it before is never answered, as on
-connections whose other end is gone. Such a read ends by its timeout alone.
+A silent store answers no new reads, and never answers those already pending, as if the
+other end of their connections were gone. Such a read ends only by its timeout.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from toucanyard_node.relay_metrics import RelayMetrics
 from toucanyard_node.relay_ports import StoreError, TopicPage
 from toucanyard_node.relay_store import StoreReader
-from toucanyard_node.relay_task import Errand, RelayTask
+from toucanyard_node.relay_task import BackgroundJob, RelayTask
 
-TIMEOUT_S: Final = 1.2
-ANSWER_S: Final = 0.004
-LINK_S: Final = 0.001
-DIAL_S: Final = 0.25
-SAMPLE_S: Final = 0.01
+READ_TIMEOUT_S: Final = 1.2
+ANSWER_DELAY_S: Final = 0.004
+LINK_DELAY_S: Final = 0.001
+DIAL_INTERVAL_S: Final = 0.25
+SAMPLE_INTERVAL_S: Final = 0.01
 CONFIG: Final = "config"
 
 
 class SharedStore:
-    """Topics in memory that answer some nodes, all, or none."""
+    """In-memory topics that can stop answering some or all nodes."""
 
     def __init__(self) -> None:
         self.records: dict[Topic, list[KeyedRecord]] = {topic: [] for topic in Topic}
@@ -44,7 +44,7 @@
         self.reads: list[tuple[float, NodeName, Topic]] = []
         self._grown = {topic: trio.Event() for topic in Topic}
         self._lost: dict[NodeName, int] = {}
-        """How often a node has lost all that it had asked."""
+        """How often all pending reads of a node were lost."""
 
     def append(self, topic: Topic, key: str, value: bytes) -> None:
         records = self.records[topic]
@@ -52,14 +52,14 @@
         self._grown[topic].set()
         self._grown[topic] = trio.Event()
 
-    def silence(self, names: Iterable[NodeName]) -> None:
-        """Answer some nodes no more, neither old reads nor new ones."""
+    def stop_answering(self, names: Iterable[NodeName]) -> None:
+        """Stop answering some nodes, for pending and for new reads."""
         wanted = set(names)
         self.silent_for |= wanted
         self.lose_reads(wanted)
 
     def lose_reads(self, names: Iterable[NodeName]) -> None:
-        """Never answer what some nodes have asked until now."""
+        """Never answer the pending reads of some nodes."""
         for name in names:
             self._lost[name] = self._lost.get(name, 0) + 1
 
@@ -81,9 +81,9 @@
             if offset >= len(self.records[topic]):
                 with trio.move_on_after(wait_ms / 1000):
                     await self._grown[topic].wait()
-            await trio.sleep(ANSWER_S)
+            await trio.sleep(ANSWER_DELAY_S)
         if self._is_silent(name, topic) or lost != self._lost.get(name, 0):
-            await trio.sleep_until(begun_s + TIMEOUT_S + wait_ms / 1000)
+            await trio.sleep_until(begun_s + READ_TIMEOUT_S + wait_ms / 1000)
             raise StoreError("no answer")
         records = tuple(self.records[topic][offset:])
         return TopicPage(records, offset + len(records))
@@ -93,7 +93,7 @@
 
 
 class NodeStore:
-    """What one node sees of the store."""
+    """The store as accessed by one node."""
 
     def __init__(self, name: NodeName, shared: SharedStore) -> None:
         self._name = name
@@ -122,7 +122,7 @@
 
 
 class PollingNode:
-    """A core, its task and its reader of the store."""
+    """A core, its task and its store reader."""
 
     def __init__(self, number: int, store: SharedStore) -> None:
         self.name = NodeName(f"n{number}")
@@ -138,8 +138,8 @@
         identity = NodeId(self.name, Incarnation("i"))
         self.core = RelayCore(options, identity, decode, random.Random(number))
         send, self.messages = trio.open_memory_channel[SendToPeer](100_000)
-        errands, self._errands = trio.open_memory_channel[Errand](100_000)
-        self.task = RelayTask(self.core, send, errands, RelayMetrics())
+        jobs, self._jobs = trio.open_memory_channel[BackgroundJob](100_000)
+        self.task = RelayTask(self.core, send, jobs, RelayMetrics())
         self.reader = StoreReader(
             self.core,
             self.task.client,
@@ -153,13 +153,13 @@
 
 
 class PollingFleet:
-    """Nodes with links between them, a store, and when versions came into force."""
+    """Linked nodes, their store, and the times at which versions took effect."""
 
     def __init__(self, count: int) -> None:
         self.store = SharedStore()
         self.nodes = [PollingNode(number, self.store) for number in range(count)]
         self.unlinked: set[NodeName] = set()
-        """Nodes that reach no other node."""
+        """Nodes that cannot reach any other node."""
         self.in_force_s: dict[tuple[NodeName, int], float] = {}
         self.published_s: dict[int, float] = {}
         self._by_name = {node.name: node for node in self.nodes}
@@ -180,27 +180,27 @@
             for node in self.nodes:
                 nursery.start_soon(node.task.run)
                 nursery.start_soon(node.reader.run)
-                nursery.start_soon(self._carry, node)
+                nursery.start_soon(self._deliver, node)
 
-    def find_latest(self, version: int) -> float:
-        """Return how long after its publication all nodes had a version, in s."""
+    def compute_propagation_s(self, version: int) -> float:
+        """Return the time from publication until all nodes had a version, in s."""
         return max(
             self.in_force_s.get((node.name, version), float("inf"))
             - self.published_s[version]
             for node in self.nodes
         )
 
-    async def _carry(self, node: PollingNode) -> None:
+    async def _deliver(self, node: PollingNode) -> None:
         async for message in node.messages:
-            await trio.sleep(LINK_S)
+            await trio.sleep(LINK_DELAY_S)
             if self.unlinked.isdisjoint((node.name, message.node)):
                 read = LinkMessageRead(node.core.identity, message.message)
-                self._by_name[message.node].task.client.tell(read)
+                self._by_name[message.node].task.client.send_event(read)
 
     async def _link(self) -> None:
         while True:
             self._link_once(trio.current_time() * 1000)
-            await trio.sleep(DIAL_S)
+            await trio.sleep(DIAL_INTERVAL_S)
 
     def _link_once(self, now_ms: float) -> None:
         found: dict[NodeName, set[NodeName]] = {node.name: set() for node in self.nodes}
@@ -214,7 +214,7 @@
             if found[node.name] != self._linked.get(node.name):
                 peers = sorted(found[node.name])
                 identities = tuple(self._by_name[each].core.identity for each in peers)
-                node.task.client.tell(PeersLinked(identities))
+                node.task.client.send_event(PeersLinked(identities))
         self._linked = found
 
     async def _sample(self) -> None:
@@ -224,7 +224,7 @@
                 for version in self.published_s:
                     if version <= node.version:
                         self.in_force_s.setdefault((node.name, version), now_s)
-            await trio.sleep(SAMPLE_S)
+            await trio.sleep(SAMPLE_INTERVAL_S)
 
 
 def decode(topic: Topic, _: str, value: bytes) -> object:
--- a/tests/toucanyard_node/relay_world.py
+++ b/tests/toucanyard_node/relay_harness.py
@@ -1,4 +1,4 @@
-"""Run the relaying parts of a node against replicas that follow a script."""
+"""Run the relaying part of a node against scripted replicas."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 from toucanyard_node.http_client import Headers, ResponseHead
 from toucanyard_node.http_exchange import HttpRequest
 from toucanyard_node.http_server import HttpServer, ServerLimits, find_port
-from toucanyard_node.relay_face import RelayFace
 from toucanyard_node.relay_metrics import RelayMetrics
 from toucanyard_node.relay_ports import AnswerFacts, CallFacts, CallInvalidError
-from toucanyard_node.relay_task import Errand, RelayTask
+from toucanyard_node.relay_server import RelayServer
+from toucanyard_node.relay_task import BackgroundJob, RelayTask
 
 Script = Callable[[trio.SocketStream, bytes], Awaitable[None]]
 SERVICE = ServiceName("s")
@@ -50,19 +50,19 @@
 SIGNED = b"X-Signed: 1\r\n"
 
 
-class PlainCalls:
-    """Headers of a protocol of the tests' own."""
+class PlainCallCodec:
+    """Call codec for a header format that only the tests use."""
 
     def read_call(self, http: HttpRequest) -> CallFacts:
         headers = http.headers
         if "x-id" not in headers:
             raise CallInvalidError("no id")
         deadline = headers.get("x-deadline")
-        parts = headers.get("x-parts")
+        blocks = headers.get("x-parts")
         prompt = None
-        if parts is not None:
+        if blocks is not None:
             prompt = Prompt(
-                "m", tuple(PromptBlock(each, 100) for each in parts.split(",")), 9
+                "m", tuple(PromptBlock(each, 100) for each in blocks.split(",")), 9
             )
         return CallFacts(
             headers["x-id"],
@@ -77,13 +77,13 @@
         http: HttpRequest,
         request: RelayRequest,
         dispatch: RelayDispatch,
-        left_ms: int,
+        remaining_ms: int,
         last_event_id: str,
     ) -> Headers:
         return (
             ("Host", http.headers["host"]),
             ("X-Id", request.caller_id),
-            ("X-Left", str(left_ms)),
+            ("X-Left", str(remaining_ms)),
             ("X-Last", last_event_id),
         )
 
@@ -92,7 +92,7 @@
         return AnswerFacts(
             caller_id=headers.get("x-id", ""),
             is_signed="x-signed" in headers,
-            is_unrun="x-unrun" in headers,
+            is_not_run="x-unrun" in headers,
             incarnation=headers.get("x-replica", ""),
             weights_version=None,
         )
@@ -106,7 +106,7 @@
 
 
 class ScriptedReplica:
-    """Listens on a port of the kernel's and answers each call by the next script."""
+    """Listens on an ephemeral port and answers each call by the next script."""
 
     def __init__(self, name: str, *scripts: Script) -> None:
         self.name = name
@@ -160,7 +160,7 @@
 def answer(
     status: int = 200, body: bytes = b"whole", extra: bytes = SIGNED, tail: bytes = b""
 ) -> Script:
-    """Return a script that answers with a length, and `tail` behind it."""
+    """Return a script that answers with a Content-Length, followed by `tail`."""
 
     async def run(stream: trio.SocketStream, call: bytes) -> None:
         head = b"HTTP/1.1 %d X\r\nX-Id: %s\r\nContent-Length: %d\r\n%s\r\n" % (
@@ -177,7 +177,7 @@
 def stream_events(
     *events: bytes, is_whole: bool = True, end: bytes = b"", hold_s: float = 0.0
 ) -> Script:
-    """Return a script that streams events in chunks; `end` are bytes of a cut one."""
+    """Return a script that streams events in chunks; `end` is an incomplete event."""
 
     async def run(stream: trio.SocketStream, call: bytes) -> None:
         await stream.send_all(
@@ -195,22 +195,22 @@
     return run
 
 
-async def say_nothing(stream: trio.SocketStream, _: bytes) -> None:
-    """Take a call and wait until the other side hangs up."""
+async def never_answer(stream: trio.SocketStream, _: bytes) -> None:
+    """Accept a call and wait until the other side disconnects."""
     while await stream.receive_some(1):
         pass
 
 
-async def hang_up(_: trio.SocketStream, __: bytes) -> None:
-    """Take a call and close without an answer."""
+async def close_without_answer(_: trio.SocketStream, __: bytes) -> None:
+    """Accept a call and close the connection without an answer."""
 
 
 def build_event(number: int) -> bytes:
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-class RelayWorld:
-    """One node's face, core and replicas."""
+class RelayHarness:
+    """The relay server and the core of one node, and its replicas."""
 
     def __init__(self, replicas: list[ScriptedReplica], **route: object) -> None:
         self.replicas = replicas
@@ -232,20 +232,20 @@
         rng = random.Random(1)
         self.core = RelayCore(options, identity, self.decode, rng)
         messages, _ = trio.open_memory_channel[SendToPeer](1_000)
-        errands, _ = trio.open_memory_channel[Errand](1_000)
+        jobs, _ = trio.open_memory_channel[BackgroundJob](1_000)
         self.metrics = RelayMetrics()
-        self.task = RelayTask(self.core, messages, errands, self.metrics)
+        self.task = RelayTask(self.core, messages, jobs, self.metrics)
         self.is_stopping = False
-        face = RelayFace(
+        relay_server = RelayServer(
             self.task.client,
-            PlainCalls(),
+            PlainCallCodec(),
             lambda: self.core.index,
             lambda: self.is_stopping,
             self.metrics,
             rng,
         )
         limits = ServerLimits(is_pipelined=False)
-        self.server = HttpServer(face.handle, limits)
+        self.server = HttpServer(relay_server.handle, limits)
         self.port = 0
 
     def decode(self, _: Topic, __: str, value: bytes) -> object | None:
@@ -256,9 +256,9 @@
         self.facts[value] = fact
         record = KeyedRecord(key, offset, value)
         read = TopicRead(topic, (record,), offset + 1, False, 0.0)
-        self.task.client.tell(read)
+        self.task.client.send_event(read)
 
-    def tell_routes(self, version: int = 1) -> None:
+    def publish_routes(self, version: int = 1) -> None:
         engine = EngineTraits(8, 10_000, 1_000, 1e6, 9)
         table = RouteTable(
             version,
@@ -270,7 +270,7 @@
         )
         self.put(Topic.OPERATOR, "config", version, table)
 
-    def tell_replicas(self) -> None:
+    def publish_replicas(self) -> None:
         for number, each in enumerate(self.replicas):
             replica = Replica(
                 EndpointName(each.name),
@@ -284,11 +284,11 @@
             )
             self.put(Topic.REPLICAS, each.name, number, replica)
 
-    async def call(self, text: bytes, for_s: float = 5.0) -> bytes:
-        """Send bytes on a new connection and return all that comes back."""
+    async def call(self, text: bytes, wait_s: float = 5.0) -> bytes:
+        """Send bytes on a new connection and return everything received."""
         stream = await trio.open_tcp_stream("127.0.0.1", self.port)
         received = b""
-        with trio.move_on_after(for_s):
+        with trio.move_on_after(wait_s):
             async with stream:
                 await stream.send_all(text)
                 while more := await stream.receive_some(65_536):
@@ -307,16 +307,16 @@
 
 
 @asynccontextmanager
-async def open_world(world: RelayWorld) -> AsyncIterator[RelayWorld]:
+async def start_harness(harness: RelayHarness) -> AsyncIterator[RelayHarness]:
     async with trio.open_nursery() as nursery:
-        for each in world.replicas:
+        for each in harness.replicas:
             await each.start(nursery)
-        nursery.start_soon(world.task.run)
-        world.tell_routes()
-        world.tell_replicas()
+        nursery.start_soon(harness.task.run)
+        harness.publish_routes()
+        harness.publish_replicas()
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        world.port = find_port(listeners[0])
-        nursery.start_soon(world.server.serve, listeners[0])
+        harness.port = find_port(listeners[0])
+        nursery.start_soon(harness.server.serve, listeners[0])
         await trio.testing.wait_all_tasks_blocked()
-        yield world
+        yield harness
         nursery.cancel_scope.cancel()
--- a/tests/toucanyard_node/test_configuration_after_outages.py
+++ b/tests/toucanyard_node/test_configuration_after_outages.py
@@ -9,11 +9,27 @@
 
 from .polling_fleet import PollingFleet
 
-LATEST_S = 1.0
-"""How long after a confirmation by a store that answers all nodes must have it."""
-AIM_S = 0.5
-"""The same where polls stand."""
-SILENT_S = (0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 3.5, 4.0, 4.5, 5.0, 5.5, 5.8, 6.5, 8.0, 12.0)
+MAX_PROPAGATION_S = 1.0
+"""Time after confirmation by an answering store until all nodes have a version."""
+TARGET_PROPAGATION_S = 0.5
+"""The same while long polls are working."""
+OUTAGE_DURATIONS_S = (
+    0.5,
+    1.0,
+    1.5,
+    2.0,
+    2.5,
+    3.0,
+    3.5,
+    4.0,
+    4.5,
+    5.0,
+    5.5,
+    5.8,
+    6.5,
+    8.0,
+    12.0,
+)
 
 
 async def start(fleet: PollingFleet, nursery: trio.Nursery) -> None:
@@ -25,16 +41,16 @@
 async def test_configuration_is_in_force_in_time_after_the_store_was_silent(
     autojump_clock: object, count: int
 ) -> None:
-    """A long poll that began while the store was silent hides all later versions."""
+    """A long poll that began while the store was silent misses later versions."""
     rng = random.Random(count)
     fleet = PollingFleet(count)
     version = 1
     late: dict[tuple[float, int], float] = {}
     async with trio.open_nursery() as nursery:
         await start(fleet, nursery)
-        for silent_s in SILENT_S if count == 9 else SILENT_S[1::3]:
+        for silent_s in OUTAGE_DURATIONS_S if count == 9 else OUTAGE_DURATIONS_S[1::3]:
             await trio.sleep(rng.uniform(0.0, 4.0))
-            fleet.store.silence(node.name for node in fleet.nodes)
+            fleet.store.stop_answering(node.name for node in fleet.nodes)
             await trio.sleep(silent_s)
             fleet.store.restore()
             for after_s in (0.02, 0.8):
@@ -43,17 +59,17 @@
                 fleet.publish(version, trio.current_time())
             await trio.sleep(3)
             late |= {
-                (silent_s, each): fleet.find_latest(each)
+                (silent_s, each): fleet.compute_propagation_s(each)
                 for each in (version - 1, version)
             }
         nursery.cancel_scope.cancel()
-    assert {case: each for case, each in late.items() if each > LATEST_S} == {}
+    assert {case: each for case, each in late.items() if each > MAX_PROPAGATION_S} == {}
 
 
 async def test_configuration_is_in_force_in_time_after_open_connections_fell_silent(
     autojump_clock: object,
 ) -> None:
-    """Polls under way are never answered, while each new connection is."""
+    """Pending polls are never answered, while new connections are."""
     rng = random.Random(3)
     fleet = PollingFleet(9)
     late = {}
@@ -65,15 +81,15 @@
             await trio.sleep(rng.uniform(0.0, 1.0))
             fleet.publish(version, trio.current_time())
             await trio.sleep(3)
-            late[version] = fleet.find_latest(version)
+            late[version] = fleet.compute_propagation_s(version)
         nursery.cancel_scope.cancel()
-    assert {each: s for each, s in late.items() if s > 2 * LATEST_S} == {}
+    assert {each: s for each, s in late.items() if s > 2 * MAX_PROPAGATION_S} == {}
 
 
 async def test_lost_polls_are_replaced_once_a_change_is_known(
     autojump_clock: object,
 ) -> None:
-    """Without new polls each later change would wait until it is looked for."""
+    """Without new polls, later changes would wait for the next periodic read."""
     rng = random.Random(6)
     fleet = PollingFleet(9)
     late = []
@@ -83,18 +99,18 @@
             await trio.sleep(rng.uniform(0.0, 4.0))
             fleet.store.lose_reads(node.name for node in fleet.nodes)
             fleet.publish(version, trio.current_time())
-            await trio.sleep(2 * LATEST_S + rng.uniform(0.0, 1.0))
+            await trio.sleep(2 * MAX_PROPAGATION_S + rng.uniform(0.0, 1.0))
             fleet.publish(version + 1, trio.current_time())
             await trio.sleep(1)
-            late.append(fleet.find_latest(version + 1))
+            late.append(fleet.compute_propagation_s(version + 1))
         nursery.cancel_scope.cancel()
-    assert max(late) <= AIM_S
+    assert max(late) <= TARGET_PROPAGATION_S
 
 
 async def test_calm_store_is_not_asked_more_often_for_bounded_ages(
     autojump_clock: object,
 ) -> None:
-    """Polls of 3.9 s alone made 207 reads of all topics in 40 s."""
+    """With polls of 3.9 s alone, there were 207 reads of all topics in 40 s."""
     fleet = PollingFleet(9)
     async with trio.open_nursery() as nursery:
         await start(fleet, nursery)
@@ -109,7 +125,7 @@
 async def test_configuration_is_in_force_in_time_at_a_node_that_only_reaches_the_store(
     autojump_clock: object,
 ) -> None:
-    """The store was silent for one node, which no other node can tell of changes."""
+    """The store was silent for one node, which has no links to other nodes."""
     rng = random.Random(4)
     fleet = PollingFleet(9)
     alone = fleet.nodes[4]
@@ -119,21 +135,21 @@
         fleet.unlinked = {alone.name}
         for version, silent_s in enumerate((1.0, 2.0, 3.0, 4.5, 5.8, 7.0), start=2):
             await trio.sleep(rng.uniform(0.0, 4.0))
-            fleet.store.silence([alone.name])
+            fleet.store.stop_answering([alone.name])
             await trio.sleep(silent_s)
             fleet.store.restore()
             await trio.sleep(0.02)
             fleet.publish(version, trio.current_time())
             await trio.sleep(3)
-            late[silent_s] = fleet.find_latest(version)
+            late[silent_s] = fleet.compute_propagation_s(version)
         nursery.cancel_scope.cancel()
-    assert {each: s for each, s in late.items() if s > LATEST_S} == {}
+    assert {each: s for each, s in late.items() if s > MAX_PROPAGATION_S} == {}
 
 
 async def test_configuration_is_in_force_in_time_after_its_topic_alone_was_silent(
     autojump_clock: object,
 ) -> None:
-    """Reads of other topics were answered all the while."""
+    """Reads of other topics were answered during the outage."""
     rng = random.Random(5)
     fleet = PollingFleet(9)
     late = {}
@@ -148,6 +164,6 @@
             await trio.sleep(0.02)
             fleet.publish(version, trio.current_time())
             await trio.sleep(3)
-            late[silent_s] = fleet.find_latest(version)
+            late[silent_s] = fleet.compute_propagation_s(version)
         nursery.cancel_scope.cancel()
-    assert {each: s for each, s in late.items() if s > LATEST_S} == {}
+    assert {each: s for each, s in late.items() if s > MAX_PROPAGATION_S} == {}
--- a/tests/toucanyard_node/test_configuration_campaign.py
+++ b/tests/toucanyard_node/test_configuration_campaign.py
@@ -1,4 +1,4 @@
-"""Draw outages of the store and cuts between nodes, and publish all the while."""
+"""Publish versions during random store outages and network partitions."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 from .polling_fleet import PollingFleet
 
-LATEST_S = 2.0
-"""How long after its confirmation a version must be in force everywhere."""
-LATEST_AFTER_FAULT_S = 1.0
-"""The same from the end of the last fault, if that is later."""
-PUBLISH_S = 0.4
-SETTLE_S = 2.0
+MAX_PROPAGATION_S = 2.0
+"""Time after its confirmation until a version must be in effect everywhere."""
+MAX_RECOVERY_S = 1.0
+"""The same, counted from the end of the last fault, if that is later."""
+PUBLISH_INTERVAL_S = 0.4
+SETTLE_TIME_S = 2.0
 
 
 class Campaign:
-    """Faults drawn from a seed, versions published meanwhile, and who has them late."""
+    """Random faults from a seed, published versions, and nodes that got them late."""
 
     def __init__(self, seed: int, count: int) -> None:
         self.rng = random.Random(seed)
@@ -36,33 +36,33 @@
             await trio.sleep(4)
             nursery.start_soon(self._publish)
             for _ in range(faults):
-                await self._disturb()
+                await self._inject_fault()
                 await trio.sleep(self.rng.uniform(0.3, 4.0))
-            await trio.sleep(SETTLE_S)
+            await trio.sleep(SETTLE_TIME_S)
             nursery.cancel_scope.cancel()
 
-    async def _disturb(self) -> None:
+    async def _inject_fault(self) -> None:
         store = self.fleet.store
         rng = self.rng
         some = set(rng.sample(self.names, rng.randint(1, len(self.names) - 1)))
-        for_s = rng.uniform(0.2, 7.0)
+        duration_s = rng.uniform(0.2, 7.0)
         match rng.randrange(6):
             case 0:
-                store.silence(self.names)
+                store.stop_answering(self.names)
             case 1:
-                store.silence(some)
+                store.stop_answering(some)
             case 2:
                 store.silent_topics = {rng.choice(list(Topic))}
                 store.lose_reads(self.names)
             case 3:
                 store.lose_reads(self.names)
-                for_s = 0.0
+                duration_s = 0.0
             case 4:
                 self.fleet.unlinked = some
             case 5:
                 self.fleet.unlinked = some
-                store.silence(some)
-        await trio.sleep(for_s)
+                store.stop_answering(some)
+        await trio.sleep(duration_s)
         store.restore()
         self.fleet.unlinked = set()
         self.fault_ended_s = trio.current_time()
@@ -71,13 +71,13 @@
         version = 1
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(self.rng.uniform(0.05, 2 * PUBLISH_S))
+                await trio.sleep(self.rng.uniform(0.05, 2 * PUBLISH_INTERVAL_S))
                 version += 1
                 self.fleet.publish(version, trio.current_time())
                 nursery.start_soon(self._check, version)
 
     async def _check(self, version: int) -> None:
-        """Note who has not got a version in time after the last fault ended."""
+        """Record the nodes without a version after its deadline."""
         store = self.fleet.store
         for node in self.fleet.nodes:
             while True:
@@ -85,8 +85,8 @@
                     store.silent_for or store.silent_topics or self.fleet.unlinked
                 )
                 due_s = max(
-                    self.fleet.published_s[version] + LATEST_S,
-                    self.fault_ended_s + LATEST_AFTER_FAULT_S,
+                    self.fleet.published_s[version] + MAX_PROPAGATION_S,
+                    self.fault_ended_s + MAX_RECOVERY_S,
                 )
                 now_s = trio.current_time()
                 if node.version >= version:
@@ -103,7 +103,7 @@
 async def test_configuration_is_in_force_in_time_after_drawn_faults(
     autojump_clock: object, seed: int, count: int, faults: int
 ) -> None:
-    """Guards against a series of faults that leaves a node with what it knew."""
+    """Guards against a sequence of faults that leaves a node with an old version."""
     campaign = Campaign(seed, count)
     await campaign.run(faults)
     assert campaign.late == []
--- a/tests/toucanyard_node/test_connection_pool.py
+++ b/tests/toucanyard_node/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connections a pool lends again, and what proves that nothing was sent."""
+"""Tests for the reuse of connections and the detection of unsent requests."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 ADDRESS = Address("10.0.0.1:80")
 
 
-async def answer_in_parts(request: HttpRequest, responder: Responder) -> None:
+async def answer_in_chunks(request: HttpRequest, responder: Responder) -> None:
     await responder.start(200, ())
     await trio.sleep(0.1)
     await responder.write(b"first")
@@ -43,24 +43,24 @@
 async def open_pool() -> AsyncIterator[ConnectionPool]:
     async with trio.open_nursery() as nursery:
         network = MemoryNetwork(nursery)
-        network.serve(ADDRESS, answer_in_parts)
+        network.serve(ADDRESS, answer_in_chunks)
         yield ConnectionPool(StreamLimits(max_idle_connections=2), network.connect)
         nursery.cancel_scope.cancel()
 
 
-async def ask(connection: HttpConnection) -> None:
+async def send_request(connection: HttpConnection) -> None:
     await connection.send("GET", "/", ())
     await connection.read_head()
 
 
 async def test_unfinished_answer_is_not_lent_again(autojump_clock: MockClock) -> None:
-    """A caller leaves inside an answer; its rest is still to come.
+    """A caller disconnects before its response is complete.
 
-    Whoever got that connection next would read the rest as its own answer.
+    The next request on that connection would read the rest as its own response.
     """
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
-        await ask(connection)
+        await send_request(connection)
         await pool.release(connection)
         assert pool.count_idle(ADDRESS) == 0
 
@@ -69,7 +69,7 @@
     async with open_pool() as pool:
         first, is_used = await pool.acquire(ADDRESS)
         assert not is_used
-        await ask(first)
+        await send_request(first)
         await first.read_body()
         await pool.release(first)
         second, is_used = await pool.acquire(ADDRESS)
@@ -78,15 +78,15 @@
 
 
 async def test_older_than_silence_is_not_kept(autojump_clock: MockClock) -> None:
-    """A connection was in use while another to the same address went silent.
+    """A connection is in use while another to the same address times out.
 
-    It is as old as that one, so it is not kept when its answer has ended.
+    Both may have been lost in the same way, so it must not be pooled after use.
     """
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
-        await ask(connection)
+        await send_request(connection)
         await trio.sleep(1)
-        await pool.distrust(ADDRESS)
+        await pool.discard_idle(ADDRESS)
         await connection.read_body()
         await pool.release(connection)
         assert pool.count_idle(ADDRESS) == 0
@@ -95,7 +95,7 @@
 async def test_idle_for_long_is_not_lent(autojump_clock: MockClock) -> None:
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
-        await ask(connection)
+        await send_request(connection)
         await connection.read_body()
         await pool.release(connection)
         await trio.sleep(20)
@@ -106,8 +106,7 @@
 async def test_closed_while_idle_is_not_lent() -> None:
     """An engine restarts while a connection to it is idle.
 
-    Its end is waiting on the socket, so the pool sees it before a request is
-    written to nobody.
+    The pool must notice the EOF on the socket before a request is sent and lost.
     """
     listener = await open_listener("127.0.0.1", 0)
     address = Address(f"127.0.0.1:{find_port(listener)}")
@@ -131,7 +130,7 @@
 
 
 async def test_nothing_sent_is_known() -> None:
-    """The kernel takes no byte of a request: that proves that it did not run."""
+    """The kernel accepts no byte of a request, so the request did not run."""
     listener = await open_listener("127.0.0.1", 0)
     address = Address(f"127.0.0.1:{find_port(listener)}")
     connection = await connect(address, 1_000)
@@ -151,10 +150,10 @@
 
 
 async def test_impossible_port_is_a_failed_connection() -> None:
-    """A configuration names a port that doesn't exist; its pattern allows five digits.
+    """A configuration contains an invalid port of five digits.
 
-    The kernel is never asked, and the library's error is no OSError. Left as it is, it
-    ends the task that watches the endpoint, and with it the node.
+    The socket library raises an error that is not an OSError. If it were not caught, it
+    would end the task that watches the endpoint, and with it the node.
     """
     with pytest.raises(ConnectionFailedError) as caught:
         await connect(Address("127.0.0.1:99999"), 1_000)
@@ -162,11 +161,11 @@
 
 
 async def test_answer_over_the_bound_is_given_up(autojump_clock: MockClock) -> None:
-    """An endpoint sends without an end; its answer must not fill the memory. The
-    connection, with the rest still to come, isn't lent again."""
+    """An endless response must not exhaust the memory. Its connection must not be
+    reused, because the rest of the response is still unread."""
     async with open_pool() as pool:
         connection, _ = await pool.acquire(ADDRESS)
-        await ask(connection)
+        await send_request(connection)
         with pytest.raises(BodyTooLargeError):
             await connection.read_body(len(b"first"))
         await pool.release(connection)
@@ -176,10 +175,10 @@
 async def test_connection_distrusted_while_another_is_closed(
     autojump_clock: MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """While a dead idle connection is being closed, another one goes silent.
+    """While a dead idle connection is being closed, a read on another times out.
 
-    The idle ones are dropped then; whoever waits for the closing must not get one of
-    them, or its request waits for a silence, too.
+    All idle connections are then discarded. A request waiting for the close must not
+    get one of them, or it would run into a timeout, too.
     """
     close = HttpConnection.close
 
@@ -193,14 +192,14 @@
     async with open_pool() as pool:
         connections = [await pool.open(ADDRESS) for _ in range(2)]
         for connection in connections:
-            await ask(connection)
+            await send_request(connection)
             await connection.read_body()
             await pool.release(connection)
         assert pool.count_idle(ADDRESS) == 2
         monkeypatch.setattr(HttpConnection, "is_quiet", is_first)
         monkeypatch.setattr(HttpConnection, "close", close_slowly)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(pool.distrust, ADDRESS)
-            lent, is_used = await pool.acquire(ADDRESS)
+            nursery.start_soon(pool.discard_idle, ADDRESS)
+            acquired, is_used = await pool.acquire(ADDRESS)
         assert not is_used
-        assert lent not in connections
+        assert acquired not in connections
--- a/tests/toucanyard_node/test_encoded_messages.py
+++ b/tests/toucanyard_node/test_encoded_messages.py
@@ -1,13 +1,12 @@
 from __future__ import annotations
 
-from toucanyard_node.encoded_messages import KEPT, EncodedMessages
+from toucanyard_node.encoded_messages import CACHED_MESSAGES, EncodedMessageCache
 
 
 def test_messages_that_go_to_many_peers_in_turn_are_encoded_once_each() -> None:
     """A hub sends three kinds of status to 46 peers, in the order of their links.
 
-    Encoded for each peer anew, the hub would be late with what it passes on and calls
-    at it would wait.
+    Encoding them again for each peer would delay the hub's messages and calls.
     """
     encoded: list[str] = []
 
@@ -15,7 +14,7 @@
         encoded.append(message)
         return message.encode()
 
-    messages = EncodedMessages(encode)
+    messages = EncodedMessageCache(encode)
     kinds = ["to its nodes", "to hubs", "standing by"]
     for peer in range(46):
         kind = kinds[peer % 3]
@@ -24,11 +23,11 @@
 
 
 def test_equal_messages_and_old_ones_are_encoded_anew() -> None:
-    messages: EncodedMessages[list[int]] = EncodedMessages(bytes)
+    messages: EncodedMessageCache[list[int]] = EncodedMessageCache(bytes)
     message = [1, 2]
     assert messages.find(message) == b"\x01\x02"
     message.append(3)
     assert messages.find([1, 2, 3]) == b"\x01\x02\x03"
-    for number in range(KEPT):
+    for number in range(CACHED_MESSAGES):
         messages.find([number])
     assert messages.find(message) == b"\x01\x02\x03"
--- a/tests/toucanyard_node/test_peer_greeting.py
+++ b/tests/toucanyard_node/test_peer_handshake.py
@@ -1,4 +1,4 @@
-"""Greetings of strangers: whatever comes, it is refused, and nothing else happens."""
+"""Tests for handshakes with peers, including malformed and forged messages."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     NodeId,
     NodeName,
 )
-from toucanyard_node.peer_greeting import (
-    GreetingError,
+from toucanyard_node.peer_handshake import (
+    HandshakeError,
     Hello,
     Side,
+    authenticate_peer,
     compute_mac,
-    greet,
 )
 
 SELF = NodeId(NodeName("n1"), Incarnation("a"))
@@ -29,8 +29,8 @@
 NONCE = b"n" * 32
 
 
-class Script:
-    """A socket on which a stranger says what was lined up, whatever it hears."""
+class ScriptedSocket:
+    """A socket that returns the given frames, whatever is sent to it."""
 
     def __init__(self, frames: Sequence[bytes | str]) -> None:
         self.frames = list(frames)
@@ -43,29 +43,31 @@
     async def recv(self) -> bytes | str:
         await trio.lowlevel.checkpoint()
         if not self.frames:
-            raise GreetingError("hung up")
+            raise HandshakeError("connection closed")
         return self.frames.pop(0)
 
 
-def greet_stranger(frames: Sequence[bytes | str]) -> Script:
-    """Greet on both sides; both must refuse."""
+def check_rejected(frames: Sequence[bytes | str]) -> ScriptedSocket:
+    """Run the handshake in both roles; both must reject the frames."""
     for side in Side:
-        script = Script(frames)
-        with pytest.raises(GreetingError):
-            trio.run(greet, cast(Connection, script), side, SELF, ["s"])
+        script = ScriptedSocket(frames)
+        with pytest.raises(HandshakeError):
+            trio.run(authenticate_peer, cast(Connection, script), side, SELF, ["s"])
     return script
 
 
-ODD: st.SearchStrategy[object] = st.sampled_from(
+UNUSUAL_VALUES: st.SearchStrategy[object] = st.sampled_from(
     [None, -1, 1, 2, 10**400, "", "n2", "x" * 99, b"", NONCE, [], {}]
 )
 HELLOS = st.fixed_dictionaries(
-    {"version": st.just(1) | ODD},
-    optional=dict.fromkeys(["node", "incarnation", "nonce", "more"], ODD),
+    {"version": st.just(1) | UNUSUAL_VALUES},
+    optional=dict.fromkeys(["node", "incarnation", "nonce", "more"], UNUSUAL_VALUES),
 )
 FRAMES = st.one_of(
     HELLOS.map(cbor2.dumps),
-    st.fixed_dictionaries({"mac": ODD | st.binary(max_size=40)}).map(cbor2.dumps),
+    st.fixed_dictionaries({"mac": UNUSUAL_VALUES | st.binary(max_size=40)}).map(
+        cbor2.dumps
+    ),
     st.binary(max_size=30),
     st.text(max_size=3),
 )
@@ -78,13 +80,13 @@
 @example([b"\xd8\x1c\x81\xd8\x1d\x00"])
 @settings(max_examples=100)
 def test_any_greeting_of_a_stranger_is_refused(frames: list[bytes | str]) -> None:
-    """Who does not know the secret gets no link, and at most one hello and one proof,
-    which is of no use on another connection."""
-    assert len(greet_stranger(frames).sent) <= 2
+    """A peer without the secret gets no link. It receives at most one hello and one
+    proof, which is not valid on another connection."""
+    assert len(check_rejected(frames).sent) <= 2
 
 
 class Pipe:
-    """One end of a connection between two greetings."""
+    """One end of an in-memory connection between two handshakes."""
 
     def __init__(
         self,
@@ -94,16 +96,18 @@
         self.send, self.recv = out.send, inward.receive
 
 
-async def greet_both(
+async def run_handshakes(
     ours: Sequence[str], theirs: Sequence[str]
-) -> list[NodeId | GreetingError]:
+) -> list[NodeId | HandshakeError]:
     there, here = (trio.open_memory_channel[bytes](9) for _ in range(2))
-    found: list[NodeId | GreetingError] = []
+    found: list[NodeId | HandshakeError] = []
 
     async def run(pipe: Pipe, side: Side, own: NodeId, secrets: Sequence[str]) -> None:
         try:
-            found.append(await greet(cast(Connection, pipe), side, own, secrets))
-        except GreetingError as error:
+            found.append(
+                await authenticate_peer(cast(Connection, pipe), side, own, secrets)
+            )
+        except HandshakeError as error:
             found.append(error)
 
     async with trio.open_nursery() as nursery:
@@ -128,21 +132,22 @@
 async def test_secrets_are_rotated_step_by_step(
     ours: list[str], theirs: list[str], is_linked: bool
 ) -> None:
-    """A new secret is first accepted everywhere, then signs, then the old one goes.
+    """A new secret is first accepted by all nodes, then used to sign, then the old one
+    is removed.
 
-    Nodes one step apart stay linked. Two steps apart, or without the secret, they are
-    refused: an old secret that was removed lets nobody in.
+    Nodes one step apart must stay linked. Nodes two steps apart or without the secret
+    must be refused; in particular, a removed secret is no longer accepted.
     """
-    found = await greet_both(ours, theirs)
+    found = await run_handshakes(ours, theirs)
     linked = [each for each in found if isinstance(each, NodeId)]
     assert (len(linked) == 2) == is_linked
     if not is_linked:
-        assert any(isinstance(each, GreetingError) for each in found)
+        assert any(isinstance(each, HandshakeError) for each in found)
 
 
 def test_proof_is_bound_to_its_side_names_and_nonces() -> None:
-    """A proof that was overheard is sent again: back to its sender, on another
-    connection, or under another name. It fits none of them."""
+    """A recorded proof is replayed to its sender, on another connection or under
+    another name. It must not be valid in any of these cases."""
     one, two = Hello(1, "n1", "a", NONCE), Hello(1, "n2", "b", b"m" * 32)
     other = Hello(1, "n2", "b", b"o" * 32)
     macs = {
--- a/tests/toucanyard_node/test_peer_links.py
+++ b/tests/toucanyard_node/test_peer_links.py
@@ -22,7 +22,7 @@
 from toucanyard.options import MembershipTimings
 from toucanyard.vm_view import Vm
 from toucanyard_node.core_links import CORE_LINKS, LinkEvent
-from toucanyard_node.peer_greeting import Hello, Side, compute_mac, greet
+from toucanyard_node.peer_handshake import Hello, Side, authenticate_peer, compute_mac
 from toucanyard_node.peer_links import PeerLinks
 from toucanyard_node.rate_limit import RateLimit
 
@@ -30,7 +30,7 @@
 
 
 class Peer:
-    """One node's links on a port that the kernel chose."""
+    """The links of one node on an ephemeral port."""
 
     def __init__(
         self, name: str, secrets: Sequence[str], known: list[Vm], incarnation: str = "a"
@@ -43,7 +43,7 @@
             secrets,
             TIMINGS,
             self.find,
-            self.note,
+            self.record_event,
             random.Random(1),
             CORE_LINKS,
         )
@@ -53,7 +53,7 @@
     def find(self) -> list[Vm]:
         return [vm for vm in self.known if vm.name != self.identity.node]
 
-    async def note(self, event: LinkEvent) -> None:
+    async def record_event(self, event: LinkEvent) -> None:
         self.events.append(event)
 
     async def start(self, nursery: trio.Nursery) -> Vm:
@@ -70,16 +70,16 @@
     def find_messages(self) -> list[MessageRead]:
         return [each for each in self.events if isinstance(each, MessageRead)]
 
-    def tell(self, to: str, number: int) -> None:
+    def send_digest(self, to: str, number: int) -> None:
         digest = Digest(self.identity.node, float(number), -1.0, 0, 0, -1.0)
         self.outbox.send_nowait(SendMessage(NodeName(to), digest))
 
-    async def chat(self, to: str) -> None:
-        """Send digests at every interval, as a node does."""
+    async def send_digests(self, to: str) -> None:
+        """Send a digest in every interval, as a node does."""
         number = 0
         while True:
             number += 1
-            self.tell(to, number)
+            self.send_digest(to, number)
             await trio.sleep(TIMINGS.digest_interval_ms / 1000)
 
 
@@ -94,8 +94,8 @@
     one, two = Peer("n1", ["s"], known), Peer("n2", ["s"], known)
     async with trio.open_nursery() as nursery:
         vms = [await each.start(nursery) for each in (one, two)]
-        nursery.start_soon(one.chat, "n2")
-        nursery.start_soon(two.chat, "n1")
+        nursery.start_soon(one.send_digests, "n2")
+        nursery.start_soon(two.send_digests, "n1")
         known += vms
         await wait_for_links(one, ["n2"])
         await wait_for_links(two, ["n1"])
@@ -108,16 +108,16 @@
 
 
 async def test_secret_is_rotated_without_a_cut_and_a_wrong_one_refused() -> None:
-    """Half of the nodes already sign with the new secret. Both halves accept both, so
-    they stay linked; a node that knows neither gets nobody's messages."""
+    """Half of the nodes already sign with the new secret, and all accept both, so they
+    stay linked. A node that knows neither must not receive any messages."""
     known: list[Vm] = []
     old, new = Peer("n1", ["old", "new"], known), Peer("n2", ["new", "old"], known)
     async with trio.open_nursery() as nursery:
         vms = [await each.start(nursery) for each in (old, new)]
         stranger = Peer("n3", ["other"], vms)
         await stranger.start(nursery)
-        nursery.start_soon(old.chat, "n2")
-        nursery.start_soon(new.chat, "n1")
+        nursery.start_soon(old.send_digests, "n2")
+        nursery.start_soon(new.send_digests, "n1")
         known += vms
         await wait_for_links(old, ["n2"])
         with trio.fail_after(10):
@@ -129,8 +129,8 @@
 
 
 async def test_silent_link_is_given_up() -> None:
-    """What lies between two nodes loses track of their connection: it stays open and
-    nothing ever comes. The node must drop it, or it would never dial anew."""
+    """A middlebox loses the state of a connection, which stays open without receiving
+    anything. The node must close it, or it would never dial again."""
     one, two = Peer("n1", ["s"], []), Peer("n2", ["s"], [])
     async with trio.open_nursery() as nursery:
         one.known.append(await two.start(nursery))
@@ -159,8 +159,8 @@
         nursery.cancel_scope.cancel()
 
 
-async def say(port: int, frames: Sequence[bytes | str]) -> int:
-    """Send frames that no node would; return how many answers came before the end."""
+async def send_frames(port: int, frames: Sequence[bytes | str]) -> int:
+    """Send invalid frames; return the number of frames received until the close."""
     answers = 0
     async with connect(f"ws://127.0.0.1:{port}/", proxy=None) as socket:
         try:
@@ -176,8 +176,8 @@
 
 
 async def test_strangers_words_end_their_connection_only() -> None:
-    """Anyone who reaches the port can send anything. Each is refused; the links of
-    others stay, and no proof is given away that could be sent back."""
+    """Unauthenticated clients send arbitrary frames. They must be refused without
+    affecting other links or receiving a proof that could be reflected."""
     one, two = Peer("n1", ["s"], []), Peer("n2", ["s"], [])
     mine = Hello(1, "n2", "a", b"0" * 32)
     reflected = compute_mac("wrong", Side.CLIENT, mine, mine)
@@ -187,7 +187,7 @@
     async with trio.open_nursery() as nursery:
         one.known.append(await two.start(nursery))
         await one.start(nursery)
-        nursery.start_soon(two.chat, "n1")
+        nursery.start_soon(two.send_digests, "n1")
         await wait_for_links(one, ["n2"])
         for frames in (
             ["text"],
@@ -197,7 +197,7 @@
             [b"\x9f" * 5_000],
             [cbor2.dumps({"version": 2, "node": "n", "incarnation": "", "nonce": b""})],
         ):
-            assert await say(one.port, frames) <= 2
+            assert await send_frames(one.port, frames) <= 2
         assert one.links.counts.refused >= 6
         assert [each.node for each in one.find_links()] == ["n2"]
         nursery.cancel_scope.cancel()
@@ -214,17 +214,17 @@
 async def test_second_link_replaces_the_first_only_after_a_restart(
     incarnation: str, is_taken: bool
 ) -> None:
-    """Two nodes dial each other at once. If each kept the later link, each could drop
-    the one that the other kept. A restarted node, though, must get through."""
+    """Two nodes dial each other at the same time. If each kept the later link, each
+    could drop the link that the other kept. A restarted node must be accepted."""
     one, two = Peer("n1", ["s"], []), Peer("n2", ["s"], [])
     async with trio.open_nursery() as nursery:
         one.known.append(await two.start(nursery))
         await one.start(nursery)
-        nursery.start_soon(two.chat, "n1")
+        nursery.start_soon(two.send_digests, "n1")
         await wait_for_links(one, ["n2"])
         async with connect(f"ws://127.0.0.1:{one.port}/", proxy=None) as socket:
             identity = NodeId(NodeName("n2"), Incarnation(incarnation))
-            await greet(socket, Side.CLIENT, identity, ["s"])
+            await authenticate_peer(socket, Side.CLIENT, identity, ["s"])
             with trio.move_on_after(0.3) as scope, suppress(ConnectionClosed):
                 await socket.recv()
             assert scope.cancelled_caught == is_taken
@@ -234,14 +234,14 @@
 
 @pytest.mark.parametrize("address", ["127.0.0.1:99999", "127.0.0.1:x", "[x", "[x]:1"])
 async def test_address_that_is_none_fails_its_dial_only(address: str) -> None:
-    """The VM list names an address that is none. Dialing it fails like a node that is
-    gone; the links to other nodes stay."""
+    """The VM list contains an invalid address. Dialing it must fail like dialing an
+    unreachable node, without affecting other links."""
     one, two = Peer("n1", ["s"], []), Peer("n2", ["s"], [])
     one.known.append(Vm("n3", DomainName("d"), peers=Address(address)))
     async with trio.open_nursery() as nursery:
         await one.start(nursery)
         await trio.sleep(0.1)
         one.known.append(await two.start(nursery))
-        nursery.start_soon(two.chat, "n1")
+        nursery.start_soon(two.send_digests, "n1")
         await wait_for_links(one, ["n2"])
         nursery.cancel_scope.cancel()
--- a/tests/toucanyard_node/test_relay_exchange.py
+++ b/tests/toucanyard_node/test_relay_exchange.py
@@ -6,24 +6,24 @@
 
 from toucanyard.requests import Repeatability
 
-from .relay_world import (
-    RelayWorld,
+from .relay_harness import (
+    RelayHarness,
     Script,
     ScriptedReplica,
     answer,
     build_call,
     build_event,
+    close_without_answer,
     find_header,
-    hang_up,
-    open_world,
-    say_nothing,
+    never_answer,
+    start_harness,
     stream_events,
 )
 
 ONCE = {"repeatability": Repeatability.RUN_ONCE}
 STREAM = {"is_stream": True, "max_gap_ms": 300, "target_ms": 200}
 RESUMABLE = {**STREAM, "is_resumable": True}
-PARTS = "X-Parts: book,own"
+PROMPT_BLOCKS_HEADER = "X-Parts: book,own"
 
 
 def find_status(received: bytes) -> int:
@@ -35,7 +35,7 @@
 
 
 def join_chunks(received: bytes) -> tuple[bytes, bool]:
-    """Return the body and whether its end came."""
+    """Return the body and whether it is complete."""
     rest, body = find_body(received), b""
     while b"\r\n" in rest:
         size, _, rest = rest.partition(b"\r\n")
@@ -47,9 +47,9 @@
 
 
 async def relay(replicas: list[ScriptedReplica], call: bytes, **route: object) -> bytes:
-    async with open_world(RelayWorld(replicas, **route)) as world:
-        received = await world.call(call)
-        assert world.core.flow.count_pending() == 0
+    async with start_harness(RelayHarness(replicas, **route)) as harness:
+        received = await harness.call(call)
+        assert harness.core.flow.count_pending() == 0
         return received
 
 
@@ -72,10 +72,13 @@
     assert sum(len(each.calls) for each in replicas) == 1
 
 
-@pytest.mark.parametrize("script", [hang_up, answer(200, b"cut", b"X-Cut: 1\r\n")])
+@pytest.mark.parametrize(
+    "script", [close_without_answer, answer(200, b"cut", b"X-Cut: 1\r\n")]
+)
 async def test_lost_call_that_may_run_once_is_unknown(script: Script) -> None:
-    """The connection closes, or an answer comes that nobody signed, after a seat hold
-    was sent. The hold may have run: the caller must not be told to hold another seat.
+    """After a seat hold was sent, the connection closes or an unsigned answer arrives.
+
+    The hold may have run, so the caller must not be told that a retry is safe.
     """
     replicas = [ScriptedReplica(n, script) for n in "xy"]
     received = await relay(replicas, build_call(), **ONCE)
@@ -103,17 +106,17 @@
 async def test_replica_that_listens_no_more_costs_no_attempt() -> None:
     live = ScriptedReplica("y", answer())
     dead = ScriptedReplica("x")
-    async with open_world(RelayWorld([live], max_attempts=1, **ONCE)) as world:
-        world.replicas = [live, dead]
-        world.tell_replicas()
+    async with start_harness(RelayHarness([live], max_attempts=1, **ONCE)) as harness:
+        harness.replicas = [live, dead]
+        harness.publish_replicas()
         for _ in range(5):
-            assert find_status(await world.call(build_call())) == 200
+            assert find_status(await harness.call(build_call())) == 200
 
 
 async def test_answer_of_another_call_never_reaches_the_caller() -> None:
-    """A late answer to an earlier call stands where this call's is expected.
+    """A late answer to an earlier call arrives instead of the answer to this call.
 
-    The caller would get another caller's booking.
+    The caller would otherwise receive another caller's booking.
     """
 
     async def answer_another(stream: trio.SocketStream, _: bytes) -> None:
@@ -131,9 +134,9 @@
 async def test_bytes_behind_an_answer_belong_to_no_call() -> None:
     surplus = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra"
     replica = ScriptedReplica("x", answer(tail=surplus))
-    async with open_world(RelayWorld([replica])) as world:
+    async with start_harness(RelayHarness([replica])) as harness:
         for _ in range(3):
-            received = await world.call(build_call())
+            received = await harness.call(build_call())
             assert find_body(received) == b"whole"
 
 
@@ -152,9 +155,9 @@
 
 
 async def test_answer_before_a_long_body_was_read() -> None:
-    """A replica refuses a long call before it has read it, and reads no more of it.
+    """A replica refuses a long call before reading all of it, and then stops reading.
 
-    Sending on before looking for an answer would wait for ever.
+    Sending the complete body before reading the answer would block forever.
     """
 
     async def refuse_early(stream: trio.SocketStream, _: bytes) -> None:
@@ -178,25 +181,29 @@
 async def test_stream_is_relayed_in_order() -> None:
     events = [build_event(n) for n in range(1, 6)]
     replica = ScriptedReplica("x", stream_events(*events))
-    received = await relay([replica], build_call("/a/x", PARTS), **STREAM)
+    received = await relay(
+        [replica], build_call("/a/x", PROMPT_BLOCKS_HEADER), **STREAM
+    )
     assert join_chunks(received) == (b"".join(events), True)
 
 
 async def test_cut_stream_goes_on_elsewhere_without_a_gap() -> None:
-    """A replica dies inside the third event of a stream that may be resumed.
+    """A replica fails during the third event of a resumable stream.
 
-    Half an event before the next replica's would be a piece of neither.
+    The partial event must not be sent before the events of the next replica.
     """
     events = [build_event(n) for n in range(1, 6)]
     first = stream_events(*events[:2], is_whole=False, end=events[2][:9])
     rest = stream_events(*events[2:])
 
-    async def go_on(stream: trio.SocketStream, call: bytes) -> None:
+    async def resume(stream: trio.SocketStream, call: bytes) -> None:
         is_first = not find_header(call, b"x-last")
         await (first if is_first else rest)(stream, call)
 
-    replicas = [ScriptedReplica(n, go_on) for n in "xy"]
-    received = await relay(replicas, build_call("/a/x", PARTS), **RESUMABLE)
+    replicas = [ScriptedReplica(n, resume) for n in "xy"]
+    received = await relay(
+        replicas, build_call("/a/x", PROMPT_BLOCKS_HEADER), **RESUMABLE
+    )
     assert join_chunks(received) == (b"".join(events), True)
     lasts = [find_header(call, b"x-last") for each in replicas for call in each.calls]
     assert sorted(lasts) == [b"", b"2"]
@@ -207,11 +214,11 @@
     first = stream_events(*events[:1], is_whole=False, hold_s=9.0)
     rest = stream_events(*events[1:])
 
-    async def go_on(stream: trio.SocketStream, call: bytes) -> None:
+    async def resume(stream: trio.SocketStream, call: bytes) -> None:
         await (rest if find_header(call, b"x-last") else first)(stream, call)
 
-    replicas = [ScriptedReplica(n, go_on) for n in "xy"]
-    call = build_call("/a/x", PARTS)
+    replicas = [ScriptedReplica(n, resume) for n in "xy"]
+    call = build_call("/a/x", PROMPT_BLOCKS_HEADER)
     received = await relay(replicas, call, **RESUMABLE, timeout_ms=4_000)
     assert join_chunks(received) == (b"".join(events), True)
 
@@ -221,7 +228,7 @@
     replicas = [
         ScriptedReplica(n, stream_events(*events, is_whole=False)) for n in "xy"
     ]
-    call = build_call("/a/x", PARTS)
+    call = build_call("/a/x", PROMPT_BLOCKS_HEADER)
     received = await relay(replicas, call, **STREAM, **ONCE)
     assert join_chunks(received) == (b"".join(events), False)
     assert sum(len(each.calls) for each in replicas) == 1
@@ -230,25 +237,28 @@
 async def test_end_inside_an_event_is_no_end() -> None:
     script = stream_events(build_event(1), end=b"id: 2\ndata: ha")
     received = await relay(
-        [ScriptedReplica("x", script)], build_call("/a/x", PARTS), **STREAM, **ONCE
+        [ScriptedReplica("x", script)],
+        build_call("/a/x", PROMPT_BLOCKS_HEADER),
+        **STREAM,
+        **ONCE,
     )
     assert join_chunks(received) == (build_event(1), False)
 
 
 async def test_replica_is_told_when_the_caller_hangs_up() -> None:
-    """The caller closes while its call runs. Work for nobody must not go on."""
-    replica = ScriptedReplica("x", say_nothing)
-    async with open_world(RelayWorld([replica])) as world:
-        await world.call(build_call(), for_s=0.1)
+    """The caller disconnects while its call runs. The replica must stop working."""
+    replica = ScriptedReplica("x", never_answer)
+    async with start_harness(RelayHarness([replica])) as harness:
+        await harness.call(build_call(), wait_s=0.1)
         with trio.fail_after(10):
             await replica.closed.wait()
         await trio.testing.wait_all_tasks_blocked()
-        assert world.core.flow.count_pending() == 0
+        assert harness.core.flow.count_pending() == 0
 
 
 async def test_silent_replica_is_left_for_another() -> None:
     for _ in range(3):
-        replicas = [ScriptedReplica("x", say_nothing), ScriptedReplica("y", answer())]
+        replicas = [ScriptedReplica("x", never_answer), ScriptedReplica("y", answer())]
         received = await relay(replicas, build_call())
         assert find_status(received) == 200
 
@@ -259,7 +269,7 @@
 async def test_call_is_answered_at_its_timeout(
     route: dict[str, object], status: int
 ) -> None:
-    replica = ScriptedReplica("x", say_nothing)
+    replica = ScriptedReplica("x", never_answer)
     with trio.fail_after(10):
         received = await relay([replica], build_call(), **route, timeout_ms=500)
     assert find_status(received) == status
@@ -267,20 +277,20 @@
 
 
 async def test_callers_deadline_comes_before_the_timeout() -> None:
-    replica = ScriptedReplica("x", say_nothing)
+    replica = ScriptedReplica("x", never_answer)
     with trio.fail_after(10):
         received = await relay([replica], build_call("/a/x", "X-Deadline: 300"))
     assert find_status(received) == 504
 
 
 async def test_other_replica_at_the_address_did_not_run_the_call() -> None:
-    """A replica ended and its address was given to another service's.
+    """A replica ended and its address was reassigned to a replica of another service.
 
-    The call comes back unrun; the old entry must get no further call.
+    The call is rejected without running; the old entry must get no further calls.
     """
     moved = answer(421, b"", b"X-Replica: other\r\n")
     replicas = [ScriptedReplica("x", moved), ScriptedReplica("y", answer())]
-    async with open_world(RelayWorld(replicas, **ONCE)) as world:
+    async with start_harness(RelayHarness(replicas, **ONCE)) as harness:
         for _ in range(20):
-            assert find_status(await world.call(build_call())) == 200
+            assert find_status(await harness.call(build_call())) == 200
         assert len(replicas[0].calls) == 1
--- a/tests/toucanyard_node/test_sse.py
+++ b/tests/toucanyard_node/test_sse.py
@@ -1,4 +1,4 @@
-"""Events from engines: whatever the bytes, they are events or an EventError."""
+"""Tests for parsing events: any bytes give events or an EventError."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     MAX_EVENT_BYTES,
     Chunk,
     Event,
-    EventCutter,
     EventError,
+    EventParser,
     get_text,
     read_chunk,
     render_event,
@@ -30,39 +30,39 @@
     st.sampled_from([b": heartbeat", b"event: error", b"", b"data"]),
     st.binary(max_size=6),
 )
-PARTS = st.lists(LINES, max_size=5).map(b"\n".join) | st.just(b"\n\n")
-STREAMS = st.lists(PARTS, max_size=8)
+FRAGMENTS = st.lists(LINES, max_size=5).map(b"\n".join) | st.just(b"\n\n")
+STREAMS = st.lists(FRAGMENTS, max_size=8)
 
 
 @given(STREAMS)
 @example([b"id: " + b"9" * 5_000 + b"\ndata: x\n\n"])
 @example([b"id: 1\ndata: a\rb\n\n"])
 @settings(max_examples=150)
-def test_any_bytes_are_events_or_refused(parts: list[bytes]) -> None:
-    """What is passed on reads the same at the caller's end, also where the engine
-    spread an event over lines; else the caller would lose a part of it."""
-    cutter = EventCutter()
+def test_any_bytes_are_events_or_refused(fragments: list[bytes]) -> None:
+    """A forwarded event must parse to the same data, even if the engine split it into
+    several lines; otherwise the caller would lose some of it."""
+    cutter = EventParser()
     try:
-        events = [event for part in parts for event in cutter.feed(part)]
+        events = [event for fragment in fragments for event in cutter.feed(fragment)]
     except EventError:
         return
     for event in events:
         if event.number is not None and not event.is_done():
-            assert EventCutter().feed(render_event(event.number, event.data)) == [event]
+            assert EventParser().feed(render_event(event.number, event.data)) == [event]
 
 
 def test_event_over_two_lines_is_passed_on_whole() -> None:
-    [event] = EventCutter().feed(b'id: 3\ndata: {"id":\ndata: "c"}\n\n')
+    [event] = EventParser().feed(b'id: 3\ndata: {"id":\ndata: "c"}\n\n')
     assert event == Event(3, b'{"id":\n"c"}')
     assert render_event(3, event.data) == b'id: 3\ndata: {"id":\ndata: "c"}\n\n'
 
 
 def test_comment_hides_no_event() -> None:
-    """An engine sends a heartbeat without a blank line behind it, as this node does.
+    """An engine sends a heartbeat without a following blank line, as this node does.
 
-    Taken for a part of the heartbeat, the event behind it would be lost.
+    The next event must not be lost as part of that comment.
     """
-    events = EventCutter().feed(
+    events = EventParser().feed(
         b": heartbeat\nid: 3\ndata: x\n\n"
         b": heartbeat\n\n: a\n: b\n\n"
         b": c\ndata: [DONE]\n\n"
@@ -71,7 +71,7 @@
 
 
 def test_event_without_an_end_is_refused() -> None:
-    cutter = EventCutter()
+    cutter = EventParser()
     with pytest.raises(EventError):
         for _ in range(MAX_EVENT_BYTES // 100_000 + 1):
             cutter.feed(b"x" * 100_000)
@@ -112,7 +112,7 @@
 @example(b'{"usage":{"prompt_tokens":-1}}')
 @settings(max_examples=150)
 def test_any_data_is_a_chunk_or_refused(data: bytes) -> None:
-    """Counts out of any range would overflow in statistics and in the answer."""
+    """Counts outside the valid range would overflow in statistics and answers."""
     try:
         chunk = read_chunk(data)
     except EventError:
--- a/tests/toucanyard_platform/test_calls.py
+++ b/tests/toucanyard_platform/test_calls.py
@@ -182,13 +182,13 @@
     facts = PlatformCalls().read_answer(ResponseHead(200, headers))
     assert facts.caller_id == "q1"
     assert facts.is_signed
-    assert not facts.is_unrun
+    assert not facts.is_not_run
     assert facts.incarnation == "i-1"
     assert facts.weights_version == 4
     not_executed = PlatformCalls().read_answer(
         ResponseHead(503, {"x-not-executed": "1"})
     )
-    assert not_executed.is_unrun
+    assert not_executed.is_not_run
     invalid_version = {"x-weight-versions": "new"}
     assert (
         PlatformCalls().read_answer(ResponseHead(200, invalid_version)).weights_version
