--- a/packages/toucanyard-cli/src/toucanyard_cli/access.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/access.py
@@ -15,7 +15,7 @@
 
 from toucanyard.errorcodes import ErrorKind
 from toucanyard.names import Address
-from toucanyard_cli.exit_codes import ExitCode, find_exit_code
+from toucanyard_cli.exit_codes import ExitCode, get_exit_code
 from toucanyard_cli.failures import CommandError
 from toucanyard_node.http_client import (
     ConnectionFailedError,
@@ -50,7 +50,7 @@
     error: _RefusalDetail = _RefusalDetail()
 
 
-class NoAnswerError(Exception):
+class NoResponseError(Exception):
     """No node answered; `is_sent` tells whether one may have taken the request."""
 
     def __init__(self, text: str, is_sent: bool) -> None:
@@ -83,7 +83,7 @@
     return json_option(command)
 
 
-def find_access(nodes: tuple[str, ...], key_file: Path | None) -> Access:
+def load_access(nodes: tuple[str, ...], key_file: Path | None) -> Access:
     """Return where to ask, or raise CommandError with status 2."""
     if not nodes:
         raise CommandError(
@@ -117,58 +117,62 @@
     return key
 
 
-def ask_nodes(access: Access, method: str, target: str, body: bytes = b"") -> Response:
+def send_request(
+    access: Access, method: str, target: str, body: bytes = b""
+) -> Response:
     """Ask the nodes in turn; return the first answer that is not "unavailable".
 
     A request that a node may have taken is sent to the next one too: questions change
     nothing, and a patch is settled by its id. Without any answer, NoAnswerError.
     """
-    return trio.run(_ask, access, method, target, body)
+    return trio.run(_send_to_nodes, access, method, target, body)
 
 
-async def _ask(access: Access, method: str, target: str, body: bytes) -> Response:
+async def _send_to_nodes(
+    access: Access, method: str, target: str, body: bytes
+) -> Response:
     headers: Headers = (("Authorization", f"Bearer {access.key}"),)
     unavailable: Response | None = None
     failures: list[str] = []
     is_sent = False
     for node in access.nodes:
         try:
-            answer = await fetch(node, method, target, headers, body, _TIMEOUT_MS)
+            response = await fetch(node, method, target, headers, body, _TIMEOUT_MS)
         except (ConnectionFailedError, h11.ProtocolError) as error:
             is_sent = is_sent or getattr(error, "is_sent", True)
             failures.append(f"{node}: {str(error).removeprefix(f'{node}: ')}")
             continue
-        if answer.status != _UNAVAILABLE:
-            return answer
-        unavailable = answer
+        if response.status != _UNAVAILABLE:
+            return response
+        unavailable = response
     if unavailable is None or is_sent:
-        raise NoAnswerError("; ".join(failures), is_sent)
+        raise NoResponseError("; ".join(failures), is_sent)
     return unavailable
 
 
 def query(access: Access, target: str, kind: type[T]) -> tuple[bytes, T]:
     """Ask a question and return its answer, raw and decoded, or raise CommandError."""
     try:
-        answer = ask_nodes(access, "GET", target)
-    except NoAnswerError as error:
+        response = send_request(access, "GET", target)
+    except NoResponseError as error:
         raise CommandError(ExitCode.NOT_REACHABLE, str(error)) from error
-    check_answer(answer)
+    check_response(response)
     try:
-        return answer.body, msgspec.json.decode(answer.body, type=kind)
+        return response.body, msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
         text = f"the answer can't be read: {error}"
         raise CommandError(ExitCode.FAILED, text) from error
 
 
-def check_answer(answer: Response) -> None:
+def check_response(response: Response) -> None:
     """Raise CommandError where an answer is a refusal."""
-    if answer.status < 300:
+    if response.status < 300:
         return
     try:
-        refusal = msgspec.json.decode(answer.body, type=_RefusalBody).error
+        refusal = msgspec.json.decode(response.body, type=_RefusalBody).error
     except msgspec.DecodeError:
         refusal = _RefusalDetail()
     known = {kind.value: kind for kind in ErrorKind}
-    code = find_exit_code(known.get(refusal.code), answer.status)
-    text = refusal.message or f"status {answer.status}"
+    code = get_exit_code(known.get(refusal.code), response.status)
+    text = refusal.message or f"status {response.status}"
     raise CommandError(code, text, refusal.code)
--- a/packages/toucanyard-cli/src/toucanyard_cli/exit_codes.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/exit_codes.py
@@ -46,7 +46,7 @@
 _UNAVAILABLE: Final = 503
 
 
-def find_exit_code(kind: ErrorKind | None, status: int) -> ExitCode:
+def get_exit_code(kind: ErrorKind | None, status: int) -> ExitCode:
     """Return the exit status for an answer that is no success."""
     if status == _UNAVAILABLE:
         return ExitCode.UNAVAILABLE
--- a/packages/toucanyard-cli/src/toucanyard_cli/limits_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/limits_command.py
@@ -20,13 +20,13 @@
 METRICS_PATH: Final = "/metrics"
 TIMEOUT_MS: Final = 3_000
 _OK: Final = 200
-_LINE: Final = re.compile(
+_METRIC_LINE: Final = re.compile(
     r'toucanyard_limit_(\w+)\{customer="((?:[^"\\]|\\.)*)"\} (-?[0-9.e+]+)'
 )
-_ESCAPED: Final = re.compile(r"\\(.)")
+_ESCAPE_SEQUENCE: Final = re.compile(r"\\(.)")
 
 
-class LimitUse(msgspec.Struct):
+class LimitUsage(msgspec.Struct):
     """What one home tells of one customer, in the unit of its limit."""
 
     customer: str
@@ -49,37 +49,37 @@
     NODES are addresses of metrics, IP:PORT. Only a customer's home knows its use; give
     the addresses of all nodes.
     """
-    uses: list[LimitUse] = []
-    silent: list[str] = []
+    usages: list[LimitUsage] = []
+    unreachable: list[str] = []
     for node in nodes:
-        text = trio.run(_read, Address(node))
+        text = trio.run(_fetch_metrics, Address(node))
         if text is None:
-            silent.append(node)
+            unreachable.append(node)
         else:
-            uses += parse_uses(text, Address(node))
-    if len(silent) == len(nodes):
+            usages += parse_limit_usage(text, Address(node))
+    if len(unreachable) == len(nodes):
         raise CommandError(ExitCode.NOT_REACHABLE, "no node answered")
-    uses.sort(key=lambda use: (-use.denied_total, use.customer, use.home))
+    usages.sort(key=lambda use: (-use.denied_total, use.customer, use.home))
     if is_json:
-        click.echo(msgspec.json.encode(uses))
+        click.echo(msgspec.json.encode(usages))
         return
-    click.echo(render_uses(uses))
-    for node in silent:
+    click.echo(render_limit_usage(usages))
+    for node in unreachable:
         click.echo(f"no answer from {node}", err=True)
 
 
-def parse_uses(text: str, home: Address) -> list[LimitUse]:
+def parse_limit_usage(text: str, home: Address) -> list[LimitUsage]:
     """Return what the metrics of one node tell of limits."""
-    found: dict[str, LimitUse] = {}
-    for name, escaped, value in _find_lines(text.splitlines()):
-        customer = _ESCAPED.sub(_unescape, escaped)
-        use = found.setdefault(customer, LimitUse(customer, home))
-        if name in LimitUse.__struct_fields__:
+    found: dict[str, LimitUsage] = {}
+    for name, escaped, value in _parse_metric_lines(text.splitlines()):
+        customer = _ESCAPE_SEQUENCE.sub(_unescape, escaped)
+        use = found.setdefault(customer, LimitUsage(customer, home))
+        if name in LimitUsage.__struct_fields__:
             setattr(use, name, float(value))
     return list(found.values())
 
 
-def render_uses(uses: Iterable[LimitUse]) -> str:
+def render_limit_usage(usages: Iterable[LimitUsage]) -> str:
     """Return a table of limits."""
     rows: list[tuple[Cell, ...]] = [
         (
@@ -91,15 +91,15 @@
             use.granted_total,
             use.denied_total,
         )
-        for use in uses
+        for use in usages
     ]
     head = ("customer", "home", "rate/s", "share", "level", "granted", "denied")
     return render_table(head, rows)
 
 
-def _find_lines(lines: Iterable[str]) -> Iterator[tuple[str, str, str]]:
+def _parse_metric_lines(lines: Iterable[str]) -> Iterator[tuple[str, str, str]]:
     for line in lines:
-        match = _LINE.fullmatch(line)
+        match = _METRIC_LINE.fullmatch(line)
         if match is not None:
             yield match[1], match[2], match[3]
 
@@ -108,7 +108,7 @@
     return "\n" if match[1] == "n" else match[1]
 
 
-async def _read(node: Address) -> str | None:
+async def _fetch_metrics(node: Address) -> str | None:
     try:
         response = await fetch(node, "GET", METRICS_PATH, timeout_ms=TIMEOUT_MS)
     except ConnectionFailedError:
--- a/packages/toucanyard-cli/src/toucanyard_cli/loss_report.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/loss_report.py
@@ -17,28 +17,28 @@
 
 _FIELD: Final = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 _ANSWERED: Final = "answered"
-_WANTED: Final = frozenset(("sent", "ended", "refused", "started"))
+_CALL_EVENTS: Final = frozenset(("sent", "ended", "refused", "started"))
 
 
-class Reason(enum.StrEnum):
+class LossReason(enum.StrEnum):
     """Why a call was lost or late."""
 
     REFUSED = "refused"
     REPLICA_LOST = "replica lost"
     CALLER_LEFT = "caller left"
-    NO_END = "no end in the log"
+    END_MISSING = "no end in the log"
     """The node was killed, or the log is cut."""
-    WAITED = "waited at the node"
-    TRIED_ELSEWHERE = "tried elsewhere"
-    QUEUED = "queued at the replica"
-    READ = "prompt read or fetched"
+    NODE_QUEUE = "waited at the node"
+    EARLIER_ATTEMPTS = "tried elsewhere"
+    REPLICA_QUEUE = "queued at the replica"
+    PROMPT_READ = "prompt read or fetched"
 
 
 class CallTrace(msgspec.Struct):
     """What the lines of one call say."""
 
     route: str = ""
-    begun_ms: float = 0.0
+    started_ms: float = 0.0
     """Of its first line, in Unix time."""
     queued_ms: float = 0.0
     """Before its first dispatch."""
@@ -64,98 +64,100 @@
     """By seconds from the first line: calls, and those lost or late."""
 
 
-class LogInvalidError(Exception):
+class InvalidLogError(Exception):
     """A file holds no lines of a node."""
 
 
-def read_calls(lines: Iterable[str]) -> dict[str, CallTrace]:
+def parse_calls(lines: Iterable[str]) -> dict[str, CallTrace]:
     """Return the calls that the lines of some nodes tell of."""
     calls: dict[str, CallTrace] = {}
     is_log = False
     for line in lines:
         fields = {key: value.strip('"') for key, value in _FIELD.findall(line)}
         event = fields.get("event")
-        if event not in _WANTED or "timestamp" not in fields:
+        if event not in _CALL_EVENTS or "timestamp" not in fields:
             continue
         is_log = True
         name = fields.get("call")
         if name:
-            at_ms = _read_time(fields["timestamp"])
-            call = calls.setdefault(name, CallTrace(begun_ms=at_ms))
-            _note(call, event, fields, at_ms)
+            at_ms = _parse_time(fields["timestamp"])
+            call = calls.setdefault(name, CallTrace(started_ms=at_ms))
+            _apply_event(call, event, fields, at_ms)
     if not is_log:
-        raise LogInvalidError("it holds no line that a node writes")
+        raise InvalidLogError("it holds no line that a node writes")
     return calls
 
 
-def _note(call: CallTrace, event: str, fields: dict[str, str], at_ms: float) -> None:
+def _apply_event(
+    call: CallTrace, event: str, fields: dict[str, str], at_ms: float
+) -> None:
     match event:
         case "sent":
             if not call.dispatches:
-                call.queued_ms = _read_figure(fields, "queued_ms") or 0.0
-                call.begun_ms = at_ms - call.queued_ms
+                call.queued_ms = _parse_number(fields, "queued_ms") or 0.0
+                call.started_ms = at_ms - call.queued_ms
             call.dispatches += 1
             call.last_sent_ms = at_ms
-            call.wait_ms = _read_figure(fields, "wait_ms") or 0.0
+            call.wait_ms = _parse_number(fields, "wait_ms") or 0.0
         case "ended":
             call.route = fields.get("route", "")
             call.ending = fields.get("ending", "")
-            call.first_ms = _read_figure(fields, "first_ms")
-            call.after_ms = _read_figure(fields, "after_ms") or 0.0
-            call.target_ms = _read_figure(fields, "target_ms")
+            call.first_ms = _parse_number(fields, "first_ms")
+            call.after_ms = _parse_number(fields, "after_ms") or 0.0
+            call.target_ms = _parse_number(fields, "target_ms")
         case "refused":
             call.refusal = fields.get("kind", "")
 
 
-def _read_time(text: str) -> float:
+def _parse_time(text: str) -> float:
     try:
         return datetime.fromisoformat(text).timestamp() * 1000
     except ValueError as error:
-        raise LogInvalidError(f"no time: {text[:40]!r}") from error
+        raise InvalidLogError(f"no time: {text[:40]!r}") from error
 
 
-def _read_figure(fields: dict[str, str], name: str) -> float | None:
+def _parse_number(fields: dict[str, str], name: str) -> float | None:
     text = fields.get(name, "")
     try:
         return float(text) if text and text != "None" else None
     except ValueError as error:
-        raise LogInvalidError(f"{name} is no number: {text[:40]!r}") from error
+        raise InvalidLogError(f"{name} is no number: {text[:40]!r}") from error
 
 
-def find_reason(call: CallTrace) -> Reason | None:
+def find_reason(call: CallTrace) -> LossReason | None:
     """Return why a call was lost or late; None if it was in time."""
     if call.ending != _ANSWERED:
         if call.refusal and not call.dispatches:
-            return Reason.REFUSED
+            return LossReason.REFUSED
         if not call.ending:
-            return Reason.NO_END
+            return LossReason.END_MISSING
         is_left = call.ending == "given_up"
-        return Reason.CALLER_LEFT if is_left else Reason.REPLICA_LOST
-    took_ms = call.after_ms if call.first_ms is None else call.first_ms
-    if call.target_ms is None or took_ms <= call.target_ms:
+        return LossReason.CALLER_LEFT if is_left else LossReason.REPLICA_LOST
+    latency_ms = call.after_ms if call.first_ms is None else call.first_ms
+    if call.target_ms is None or latency_ms <= call.target_ms:
         return None
-    before_ms = call.last_sent_ms - call.begun_ms
-    at_replica_ms = max(took_ms - before_ms, 0.0)
+    until_sent_ms = call.last_sent_ms - call.started_ms
+    at_replica_ms = max(latency_ms - until_sent_ms, 0.0)
     queued_ms = min(call.wait_ms, at_replica_ms)
-    parts = {
-        Reason.WAITED: call.queued_ms,
-        Reason.TRIED_ELSEWHERE: before_ms - call.queued_ms,
-        Reason.QUEUED: queued_ms,
-        Reason.READ: at_replica_ms - queued_ms,
+    durations_ms = {
+        LossReason.NODE_QUEUE: call.queued_ms,
+        LossReason.EARLIER_ATTEMPTS: until_sent_ms - call.queued_ms,
+        LossReason.REPLICA_QUEUE: queued_ms,
+        LossReason.PROMPT_READ: at_replica_ms - queued_ms,
     }
-    return max(parts, key=lambda reason: parts[reason])
+    return max(durations_ms, key=lambda reason: durations_ms[reason])
 
 
-def add_up(calls: dict[str, CallTrace], window_s: int) -> LossReport:
+def build_report(calls: dict[str, CallTrace], window_s: int) -> LossReport:
     """Return the counts by reason, route and window."""
     reasons: Counter[str] = Counter()
     routes: Counter[str] = Counter()
-    asked: Counter[int] = Counter()
+    call_counts: Counter[int] = Counter()
     lost: Counter[int] = Counter()
-    begun_ms = min((call.begun_ms for call in calls.values()), default=0.0)
+    started_ms = min((call.started_ms for call in calls.values()), default=0.0)
     for call in calls.values():
-        window = int((call.begun_ms - begun_ms) / 1000) // window_s * window_s
-        asked[window] += 1
+        window = int((call.started_ms - started_ms) / 1000) // window_s * window_s
+        call_counts[window] += 1
         reason = find_reason(call)
         if reason is not None:
             reasons[reason.value] += 1
@@ -166,5 +168,8 @@
         in_time=len(calls) - reasons.total(),
         reasons=dict(reasons.most_common()),
         routes=dict(routes.most_common()),
-        windows={window: (asked[window], lost[window]) for window in sorted(asked)},
+        windows={
+            window: (call_counts[window], lost[window])
+            for window in sorted(call_counts)
+        },
     )
--- a/packages/toucanyard-cli/src/toucanyard_cli/losses_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/losses_command.py
@@ -12,10 +12,10 @@
 from toucanyard_cli.failures import CommandError
 from toucanyard_cli.loss_report import (
     CallTrace,
-    LogInvalidError,
+    InvalidLogError,
     LossReport,
-    add_up,
-    read_calls,
+    build_report,
+    parse_calls,
 )
 from toucanyard_cli.tables import render_table
 
@@ -35,8 +35,8 @@
     """Count lost and late calls in nodes' logs, by reason, route and window."""
     calls: dict[str, CallTrace] = {}
     for file in files:
-        calls |= _read(file)
-    report = add_up(calls, window_s)
+        calls |= _read_file(file)
+    report = build_report(calls, window_s)
     if is_json:
         click.echo(msgspec.json.encode(report))
     else:
@@ -57,11 +57,11 @@
     return "\n\n".join(tables)
 
 
-def _read(file: Path) -> dict[str, CallTrace]:
+def _read_file(file: Path) -> dict[str, CallTrace]:
     try:
         with file.open(encoding="utf-8", errors="replace") as lines:
-            return read_calls(lines)
+            return parse_calls(lines)
     except OSError as error:
         raise CommandError(ExitCode.USAGE, f"{file}: {error.strerror}") from error
-    except LogInvalidError as error:
+    except InvalidLogError as error:
         raise CommandError(ExitCode.USAGE, f"{file}: {error}") from error
--- a/packages/toucanyard-cli/src/toucanyard_cli/main.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/main.py
@@ -5,12 +5,12 @@
 import click
 
 from toucanyard import VERSION
-from toucanyard_cli.ask_commands import drain, explain, locate, stats, status
 from toucanyard_cli.check_command import check
 from toucanyard_cli.failures import CommandGroup
 from toucanyard_cli.limits_command import limits
 from toucanyard_cli.losses_command import losses
 from toucanyard_cli.patch_command import patch
+from toucanyard_cli.query_commands import drain, explain, locate, stats, status
 from toucanyard_cli.version_commands import diff, history, show
 
 
--- a/packages/toucanyard-cli/src/toucanyard_cli/patch_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/patch_command.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from toucanyard_cli.access import (
-    NoAnswerError,
+    NoResponseError,
     access_options,
-    ask_nodes,
-    check_answer,
-    find_access,
+    check_response,
+    load_access,
+    send_request,
 )
 from toucanyard_cli.check_command import read_patch_file
-from toucanyard_cli.exit_codes import ExitCode, find_exit_code
+from toucanyard_cli.exit_codes import ExitCode, get_exit_code
 from toucanyard_cli.failures import CommandError
 from toucanyard_node.http_client import Response
 from toucanyard_node.operator_answers import PatchBody, PatchReply
@@ -47,38 +47,38 @@
     FILE holds {"put": {..}, "remove": {..}}. Exit status: 0 in force, 3 another patch
     won on this base, 4 invalid, 5 outcome unknown, 6 no node reached.
     """
-    access = find_access(nodes, key_file)
+    access = load_access(nodes, key_file)
     content = read_patch_file(file)
     # Printed before sending, so that it is there however this command ends.
-    chosen_id = patch_id or secrets.token_hex(_ID_BYTES)
-    click.echo(f"patch id {chosen_id}", err=True)
-    body = PatchBody(chosen_id, base, content.put, content.remove)
+    submitted_id = patch_id or secrets.token_hex(_ID_BYTES)
+    click.echo(f"patch id {submitted_id}", err=True)
+    body = PatchBody(submitted_id, base, content.put, content.remove)
     try:
-        answer = ask_nodes(access, "POST", "/patches", msgspec.json.encode(body))
-    except NoAnswerError as error:
-        raise _describe_lost(error, chosen_id) from error
-    reply = _read_reply(answer, chosen_id)
+        response = send_request(access, "POST", "/patches", msgspec.json.encode(body))
+    except NoResponseError as error:
+        raise _build_no_response_error(error, submitted_id) from error
+    reply = _decode_reply(response, submitted_id)
     if reply.error is not None:
-        code = find_exit_code(reply.error, answer.status)
+        code = get_exit_code(reply.error, response.status)
         raise CommandError(code, _describe_reply(reply, base), reply.error)
     if is_json:
-        click.echo(answer.body)
+        click.echo(response.body)
     else:
         click.echo(f"version {reply.version} is in force")
 
 
-def _describe_lost(error: NoAnswerError, patch_id: str) -> CommandError:
+def _build_no_response_error(error: NoResponseError, patch_id: str) -> CommandError:
     if not error.is_sent:
         return CommandError(ExitCode.NOT_REACHABLE, str(error))
     text = f"{error}; submit again with --patch-id {patch_id}"
     return CommandError(ExitCode.OUTCOME_UNKNOWN, text)
 
 
-def _read_reply(answer: Response, patch_id: str) -> PatchReply:
+def _decode_reply(response: Response, patch_id: str) -> PatchReply:
     try:
-        return msgspec.json.decode(answer.body, type=PatchReply)
+        return msgspec.json.decode(response.body, type=PatchReply)
     except msgspec.DecodeError as error:
-        check_answer(answer)
+        check_response(response)
         text = f"the answer can't be read; submit again with --patch-id {patch_id}"
         raise CommandError(ExitCode.OUTCOME_UNKNOWN, text) from error
 
--- a/packages/toucanyard-cli/src/toucanyard_cli/ask_commands.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/query_commands.py
@@ -10,21 +10,21 @@
 from toucanyard.explanations import DecisionRecord
 from toucanyard.statistics import Statistics
 from toucanyard_cli.access import (
-    NoAnswerError,
+    NoResponseError,
     access_options,
-    ask_nodes,
-    check_answer,
-    find_access,
+    check_response,
+    load_access,
     query,
+    send_request,
 )
-from toucanyard_cli.ask_texts import (
+from toucanyard_cli.exit_codes import ExitCode
+from toucanyard_cli.failures import CommandError
+from toucanyard_cli.response_rendering import (
     render_decision,
-    render_located,
+    render_location,
     render_statistics,
     render_status,
 )
-from toucanyard_cli.exit_codes import ExitCode
-from toucanyard_cli.failures import CommandError
 from toucanyard_node.locate_answer import LocateAnswer
 from toucanyard_node.operator_answers import StatusReply
 
@@ -36,7 +36,7 @@
     request_id: str, nodes: tuple[str, ...], key_file: Path | None, is_json: bool
 ) -> None:
     """Tell how the decisions on request ID came about; any node can be asked."""
-    access = find_access(nodes, key_file)
+    access = load_access(nodes, key_file)
     body, reply = query(access, f"/explain/{quote(request_id)}", DecisionRecord)
     click.echo(body if is_json else render_decision(reply))
 
@@ -45,7 +45,7 @@
 @access_options
 def status(nodes: tuple[str, ...], key_file: Path | None, is_json: bool) -> None:
     """Show how one node stands and how it sees nodes and endpoints."""
-    access = find_access(nodes, key_file)
+    access = load_access(nodes, key_file)
     body, reply = query(access, "/status", StatusReply)
     click.echo(body if is_json else render_status(reply))
 
@@ -54,7 +54,7 @@
 @access_options
 def stats(nodes: tuple[str, ...], key_file: Path | None, is_json: bool) -> None:
     """Show what one node measured for each customer and class since it started."""
-    access = find_access(nodes, key_file)
+    access = load_access(nodes, key_file)
     body, reply = query(access, "/stats", Statistics)
     click.echo(body if is_json else render_statistics(reply))
 
@@ -66,7 +66,7 @@
 
     Asks on the address for callers, not on the one for operators.
     """
-    access = find_access(nodes, key_file)
+    access = load_access(nodes, key_file)
     try:
         body, reply = query(access, "/v1/locate", LocateAnswer)
     except CommandError as error:
@@ -74,22 +74,22 @@
             raise
         text = "not an address for callers: give theirs with --node"
         raise CommandError(ExitCode.NOT_FOUND, text) from error
-    click.echo(body if is_json else render_located(reply))
+    click.echo(body if is_json else render_location(reply))
 
 
 @click.command()
 @access_options
 def drain(nodes: tuple[str, ...], key_file: Path | None, is_json: bool) -> None:
     """Begin the planned stop of one node; no request is cut."""
-    access = find_access(nodes, key_file)
+    access = load_access(nodes, key_file)
     # Elsewhere the next node is asked when one does not answer; here that would stop
     # a node which nobody wanted to stop.
     if len(access.nodes) != 1:
         raise CommandError(ExitCode.USAGE, "drain takes exactly one --node")
     try:
-        answer = ask_nodes(access, "POST", "/drain")
-    except NoAnswerError as error:
+        response = send_request(access, "POST", "/drain")
+    except NoResponseError as error:
         code = ExitCode.OUTCOME_UNKNOWN if error.is_sent else ExitCode.NOT_REACHABLE
         raise CommandError(code, str(error)) from error
-    check_answer(answer)
-    click.echo(answer.body if is_json else f"{access.nodes[0]} has begun to drain")
+    check_response(response)
+    click.echo(response.body if is_json else f"{access.nodes[0]} has begun to drain")
--- a/packages/toucanyard-cli/src/toucanyard_cli/ask_texts.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/response_rendering.py
@@ -145,11 +145,11 @@
     return "(all others)" if customer == OTHER_CUSTOMERS else customer
 
 
-def render_located(reply: LocateAnswer) -> str:
+def render_location(reply: LocateAnswer) -> str:
     """Return which node to use, and the others."""
     nodes = render_table(
         ("node", "address", "domain"),
         [(each.node, each.address, each.domain) for each in reply.addresses],
     )
-    kept_s = reply.keep_ms / 1000
-    return f"use {reply.node} at {reply.address} for {kept_s:g} s\n\n{nodes}"
+    valid_s = reply.keep_ms / 1000
+    return f"use {reply.node} at {reply.address} for {valid_s:g} s\n\n{nodes}"
--- a/packages/toucanyard-cli/src/toucanyard_cli/tables.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/tables.py
@@ -25,11 +25,11 @@
 
 def render_table(head: Sequence[str], rows: Iterable[Sequence[Cell]]) -> str:
     """Return a table; columns of numbers only are aligned to the right."""
-    listed = [list(row) for row in rows]
-    texts = [list(head), *([render_cell(cell) for cell in row] for row in listed)]
+    row_values = [list(row) for row in rows]
+    texts = [list(head), *([render_cell(cell) for cell in row] for row in row_values)]
     widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
     numeric = [
-        bool(listed) and all(_is_number(row[index]) for row in listed)
+        bool(row_values) and all(_is_number(row[index]) for row in row_values)
         for index in range(len(head))
     ]
     lines = []
--- a/packages/toucanyard-cli/src/toucanyard_cli/version_commands.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/version_commands.py
@@ -11,7 +11,7 @@
 
 from toucanyard.configuration import Configuration, Pool
 from toucanyard.patches import Put, Remove, find_owners
-from toucanyard_cli.access import access_options, find_access, query
+from toucanyard_cli.access import access_options, load_access, query
 from toucanyard_cli.tables import render_table
 from toucanyard_node.operator_answers import DiffReply, HistoryReply, VersionReply
 
@@ -24,7 +24,7 @@
 ) -> None:
     """Show the version in force, or version N."""
     suffix = "" if number is None else f"?version={number}"
-    access = find_access(nodes, key_file)
+    access = load_access(nodes, key_file)
     body, reply = query(access, f"/configuration{suffix}", VersionReply)
     click.echo(body if is_json else render_configuration(reply.configuration))
 
@@ -33,7 +33,7 @@
 @access_options
 def history(nodes: tuple[str, ...], key_file: Path | None, is_json: bool) -> None:
     """List the latest versions: which patch made them, whose and when."""
-    access = find_access(nodes, key_file)
+    access = load_access(nodes, key_file)
     body, reply = query(access, "/history", HistoryReply)
     if is_json:
         click.echo(body)
@@ -53,7 +53,7 @@
     old: int, new: int, nodes: tuple[str, ...], key_file: Path | None, is_json: bool
 ) -> None:
     """Show the patch that leads from version A to version B."""
-    access = find_access(nodes, key_file)
+    access = load_access(nodes, key_file)
     body, reply = query(access, f"/diff?from={old}&to={new}", DiffReply)
     if is_json:
         click.echo(body)
@@ -64,8 +64,8 @@
 
 def render_configuration(configuration: Configuration) -> str:
     """Return a version as tables."""
-    parts = [f"version {configuration.version}"]
-    parts.append(
+    sections = [f"version {configuration.version}"]
+    sections.append(
         render_table(
             ("customer", "weight", "max running", "keys"),
             [
@@ -74,14 +74,14 @@
             ],
         )
     )
-    parts.append(
+    sections.append(
         render_table(
             ("operator", "keys"),
             [(each.name, len(each.key_hashes)) for each in configuration.operators],
         )
     )
     owners = find_owners(configuration)
-    parts.append(
+    sections.append(
         render_table(
             ("pool or service", "model", "weights", "replicas", "max running"),
             [
@@ -98,7 +98,7 @@
             ],
         )
     )
-    parts.append(
+    sections.append(
         render_table(
             ("endpoint", "of", "address", "domain", "checks fence"),
             [
@@ -108,7 +108,7 @@
             ],
         )
     )
-    parts.append(
+    sections.append(
         render_table(
             ("rule for model", "pool", "priority", "customers"),
             [
@@ -122,7 +122,7 @@
             ],
         )
     )
-    return "\n\n".join(parts)
+    return "\n\n".join(sections)
 
 
 def _render_changes(reply: DiffReply) -> Iterator[str]:
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/accounting.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/accounting.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from toucanyard_emulator.arrivals import Arrival
-from toucanyard_emulator.scenario import Goal, Prices
+from toucanyard_emulator.scenario import Objective, Prices
 
 WINDOW_MS: Final = 2_000.0
 WORST_WINDOWS: Final = 2
@@ -24,32 +24,32 @@
     REPLICA_LOST = "replica lost"
     NODE_GONE = "node gone"
     REFUSED = "refused"
-    WAITED_AT_NODE = "waited at the node"
-    TRIED_ELSEWHERE = "tried elsewhere"
-    CAME_BACK = "came back"
-    WAITED_AT_REPLICA = "waited at the replica"
-    READ_LONG = "prompt read"
-    PAUSED = "stream paused"
+    NODE_QUEUE = "waited at the node"
+    EARLIER_ATTEMPTS = "tried elsewhere"
+    RETRY_DELAY = "came back"
+    REPLICA_QUEUE = "waited at the replica"
+    PROMPT_READ = "prompt read"
+    STREAM_PAUSED = "stream paused"
     OLD_WEIGHTS = "old weights"
-    OTHER_WEIGHTS = "weights changed under it"
+    WEIGHTS_CHANGED = "weights changed under it"
     OTHER = "other"
 
 
-class Ended(msgspec.Struct, frozen=True):
+class CallOutcome(msgspec.Struct, frozen=True):
     """How a call ended for its caller."""
 
     arrival: Arrival
     is_served: bool
     is_late: bool
     cause: Cause | None
-    after_ms: float
+    latency_ms: float
     """Until the first event, or the answer of a plain call."""
-    old_share: float = 0.0
+    outdated_share: float = 0.0
     """Of its worth that is taken off for older weights."""
-    kept_share: float = 1.0
+    consistent_share: float = 1.0
     """Of what it made that was made on the weights that it was begun on."""
 
-    def compute_earned(self) -> float:
+    def compute_earned_worth(self) -> float:
         """Return what it earned, before what is taken off for weights."""
         if not self.is_served:
             return 0.0
@@ -60,7 +60,7 @@
         return earned
 
 
-class Counts(msgspec.Struct):
+class ResourceCounts(msgspec.Struct):
     """What else is priced."""
 
     loads: int = 0
@@ -88,21 +88,24 @@
     served: int
     late: int
     failed: int
-    counts: Counts
+    counts: ResourceCounts
 
 
-def add_up(
-    ended: Iterable[Ended], counts: Counts, goal: Goal, prices: Prices
+def compute_result(
+    outcomes: Iterable[CallOutcome],
+    counts: ResourceCounts,
+    goal: Objective,
+    prices: Prices,
 ) -> Result:
     """Return the result of a run."""
     owed, earned = 0.0, 0.0
     by_kind: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
     by_window: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
     causes: dict[str, float] = defaultdict(float)
-    old, mixed = 0.0, 0.0
+    old, changed = 0.0, 0.0
     tally = [0, 0, 0]
-    for each in ended:
-        arrival, got = each.arrival, each.compute_earned()
+    for each in outcomes:
+        arrival, got = each.arrival, each.compute_earned_worth()
         owed += arrival.worth
         earned += got
         for sums in (
@@ -113,27 +116,27 @@
             sums[1] += arrival.worth
         if each.cause is not None:
             causes[each.cause.value] += arrival.worth - got
-        old += got * each.old_share
-        mixed += got * (1.0 - each.kept_share)
+        old += got * each.outdated_share
+        changed += got * (1.0 - each.consistent_share)
         tally[0] += each.is_served
         tally[1] += each.is_served and each.is_late
         tally[2] += not each.is_served
-    taken = _compute_prices(counts, prices, old, mixed, max(owed, 1e-9))
+    deductions = _compute_deductions(counts, prices, old, changed, max(owed, 1e-9))
     kinds = {name: sums[0] / sums[1] for name, sums in sorted(by_kind.items())}
-    windows = _list_windows(by_window)
+    windows = _compute_window_shares(by_window)
     whole = earned / max(owed, 1e-9)
     worst = sorted(windows)[:WORST_WINDOWS] or [0.0]
     worst_windows = sum(worst) / len(worst)
     worst_kind = min(kinds.values(), default=0.0)
     worth = goal.whole * whole + goal.windows * worst_windows + goal.kinds * worst_kind
     causes[Cause.OLD_WEIGHTS.value] += old
-    causes[Cause.OTHER_WEIGHTS.value] += mixed
+    causes[Cause.WEIGHTS_CHANGED.value] += changed
     return Result(
-        worth=worth - sum(taken.values()),
+        worth=worth - sum(deductions.values()),
         whole=whole,
         worst_windows=worst_windows,
         worst_kind=worst_kind,
-        prices=taken,
+        prices=deductions,
         kinds=kinds,
         windows=tuple(windows),
         causes={name: lost / max(owed, 1e-9) for name, lost in sorted(causes.items())},
@@ -144,7 +147,7 @@
     )
 
 
-def _list_windows(by_window: dict[int, list[float]]) -> list[float]:
+def _compute_window_shares(by_window: dict[int, list[float]]) -> list[float]:
     if not by_window:
         return []
     mean = sum(sums[1] for sums in by_window.values()) / len(by_window)
@@ -155,10 +158,10 @@
     ]
 
 
-def _compute_prices(
-    counts: Counts, prices: Prices, old: float, mixed: float, owed: float
+def _compute_deductions(
+    counts: ResourceCounts, prices: Prices, old: float, changed: float, owed: float
 ) -> dict[str, float]:
-    taken = {
+    deductions = {
         "loads": counts.loads * prices.load,
         "orders": counts.orders * prices.order,
         "read again": counts.reread_tokens / 1_000 * prices.reread_per_1k_tokens,
@@ -166,6 +169,6 @@
         "store calls": counts.store_calls * prices.store_call,
         "moved": counts.moved_bytes / 1e9 * prices.moved_gb,
         "old weights": old,
-        "weights changed": mixed,
+        "weights changed": changed,
     }
-    return {name: price / owed for name, price in taken.items()}
+    return {name: price / owed for name, price in deductions.items()}
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/arrivals.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/arrivals.py
@@ -18,9 +18,9 @@
     Scenario,
 )
 
-MAX_SIZE: Final = 4.0
+MAX_SIZE_FACTOR: Final = 4.0
 """A prompt of more than so many times the mean counts no more than that."""
-BASE_WORTH: Final = 0.3
+FIXED_WORTH_SHARE: Final = 0.3
 """Share of a call's worth that doesn't depend on its size."""
 
 
@@ -31,7 +31,7 @@
     at_ms: float
     kind: CallKind
     domain: int
-    parts: tuple[PromptBlock, ...]
+    blocks: tuple[PromptBlock, ...]
     output_tokens: int
     work_ms: float
     worth: float
@@ -39,30 +39,32 @@
     """Set for a request that ends engines; it is not owed an answer."""
 
 
-def draw_arrivals(scenario: Scenario, seed: int) -> list[Arrival]:
+def generate_arrivals(scenario: Scenario, seed: int) -> list[Arrival]:
     """Return all calls of a run, in the order of their arrival."""
-    drawn = [
+    arrivals = [
         arrival
         for kind in scenario.kinds
-        for arrival in _draw_kind(scenario, kind, random.Random(f"{seed} {kind.name}"))
+        for arrival in _generate_kind(
+            scenario, kind, random.Random(f"{seed} {kind.name}")
+        )
     ]
     for fault in scenario.faults:
         if isinstance(fault, CrashingRequest):
-            drawn += _draw_crashing(scenario, fault, seed)
-    drawn.sort(key=lambda arrival: arrival.at_ms)
+            arrivals += _generate_crashing_requests(scenario, fault, seed)
+    arrivals.sort(key=lambda arrival: arrival.at_ms)
     return [
         msgspec.structs.replace(arrival, number=number)
-        for number, arrival in enumerate(drawn)
+        for number, arrival in enumerate(arrivals)
     ]
 
 
-def _draw_crashing(
+def _generate_crashing_requests(
     scenario: Scenario, fault: CrashingRequest, seed: int
 ) -> Iterator[Arrival]:
     """Repeat one request at even intervals."""
     rng = random.Random(f"{seed} crashing {fault.kind} {fault.at_s}")
     kind = next(each for each in scenario.kinds if each.name == fault.kind)
-    first = _draw_one(scenario, kind, fault.at_s, rng)
+    first = _generate_arrival(scenario, kind, fault.at_s, rng)
     for number in range(int(fault.for_s / fault.every_s)):
         at_ms = (fault.at_s + number * fault.every_s) * 1000
         yield msgspec.structs.replace(
@@ -74,55 +76,58 @@
         )
 
 
-def _draw_kind(
+def _generate_kind(
     scenario: Scenario, kind: CallKind, rng: random.Random
 ) -> Iterator[Arrival]:
     """Thin a Poisson process of the highest rate down to the rate of each moment."""
-    most = 1.0 + scenario.wave_share
+    max_factor = 1.0 + scenario.wave_share
     for fault in scenario.faults:
         if isinstance(fault, Burst):
-            most *= max(fault.factor, 1.0)
+            max_factor *= max(fault.factor, 1.0)
     at_s = 0.0
     while True:
-        at_s += rng.expovariate(kind.per_s * most)
+        at_s += rng.expovariate(kind.per_s * max_factor)
         if at_s >= scenario.length_s:
             return
-        is_kept = rng.random() * most < _find_rate(scenario, at_s)
-        arrival = _draw_one(scenario, kind, at_s, rng)
+        is_kept = rng.random() * max_factor < _compute_rate_factor(scenario, at_s)
+        arrival = _generate_arrival(scenario, kind, at_s, rng)
         if is_kept:
             yield arrival
 
 
-def _find_rate(scenario: Scenario, at_s: float) -> float:
+def _compute_rate_factor(scenario: Scenario, at_s: float) -> float:
     """Return the rate of a moment as a multiple of the mean."""
-    turn = 2 * math.pi * at_s / scenario.wave_s
-    rate = 1.0 + scenario.wave_share * math.sin(turn)
+    phase = 2 * math.pi * at_s / scenario.wave_s
+    rate = 1.0 + scenario.wave_share * math.sin(phase)
     for fault in scenario.faults:
         if isinstance(fault, Burst) and 0 <= at_s - fault.at_s < fault.for_s:
             rate *= fault.factor
     return rate
 
 
-def _draw_one(
+def _generate_arrival(
     scenario: Scenario, kind: CallKind, at_s: float, rng: random.Random
 ) -> Arrival:
     domain = rng.randrange(scenario.domains)
-    size = min(rng.lognormvariate(-0.32, 0.8), MAX_SIZE)
-    shared = _draw_shared(scenario, kind, at_s, rng)
+    size = min(rng.lognormvariate(-0.32, 0.8), MAX_SIZE_FACTOR)
+    shared = _choose_shared_blocks(scenario, kind, at_s, rng)
     own_tokens = max(int(kind.prompt_tokens * size), 1) if kind.prompt_tokens else 0
     outputs = max(int(kind.output_tokens * rng.uniform(0.4, 1.6)), 1)
     work_ms = kind.work_ms * rng.uniform(0.5, 1.5)
     own = f"{kind.name} own {rng.getrandbits(48):x}"
-    parts = (*shared, PromptBlock(own, own_tokens)) if own_tokens else ()
+    blocks = (*shared, PromptBlock(own, own_tokens)) if own_tokens else ()
     worth = kind.worth
-    if parts:
-        total = sum(part.tokens for part in parts)
+    if blocks:
+        total = sum(block.tokens for block in blocks)
         mean = kind.prompt_tokens + sum(each.tokens for each in kind.shared)
-        worth *= min(BASE_WORTH + (1.0 - BASE_WORTH) * total / mean, MAX_SIZE)
-    return Arrival(0, at_s * 1000, kind, domain, parts, outputs, work_ms, worth)
+        worth *= min(
+            FIXED_WORTH_SHARE + (1.0 - FIXED_WORTH_SHARE) * total / mean,
+            MAX_SIZE_FACTOR,
+        )
+    return Arrival(0, at_s * 1000, kind, domain, blocks, outputs, work_ms, worth)
 
 
-def _draw_shared(
+def _choose_shared_blocks(
     scenario: Scenario, kind: CallKind, at_s: float, rng: random.Random
 ) -> tuple[PromptBlock, ...]:
     subject = rng.random()
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
@@ -16,20 +16,20 @@
 from toucanyard.names import Address, EndpointName
 from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_events import ReplicaState, WeightsOrder
-from toucanyard_emulator.prompt_memory import PromptMemory
-from toucanyard_emulator.read_ledger import ReadLedger
-from toucanyard_emulator.scenario import EngineShape
+from toucanyard_emulator.prefill_ledger import PrefillLedger
+from toucanyard_emulator.prompt_cache import PromptCache
+from toucanyard_emulator.scenario import EngineSettings
 from toucanyard_emulator.transfers import Link, plan_transfer
 from toucanyard_standins.virtual_clock import VirtualClock
 
-MISS_MS: Final = 1.0
-"""Time that it takes to find that a source doesn't have a part."""
-DEAD_SOURCE_MS: Final = 300.0
-SLOW_LOAD_SHARE: Final = 0.5
+SOURCE_MISS_MS: Final = 1.0
+"""Time that it takes to find that a source doesn't have a block."""
+SOURCE_TIMEOUT_MS: Final = 300.0
+LOAD_CONTENTION_SHARE: Final = 0.5
 """How much longer a load takes for each one beyond those that go well together."""
 
 
-class Presence(enum.StrEnum):
+class Availability(enum.StrEnum):
     """Whether a replica is there."""
 
     UP = "up"
@@ -38,7 +38,7 @@
     SILENT = "silent"
 
 
-class JobEnd(enum.StrEnum):
+class JobOutcome(enum.StrEnum):
     """How a job ended at its replica."""
 
     DONE = "done"
@@ -52,33 +52,33 @@
 
     rank: int
     scope: str
-    parts: tuple[PromptBlock, ...]
+    blocks: tuple[PromptBlock, ...]
     output_tokens: int
     weights_version: int
     fetch_from: Address | None
     save_to: Address | None
     on_first: Callable[[Job], None]
-    on_end: Callable[[Job, JobEnd], None]
+    on_end: Callable[[Job, JobOutcome], None]
     submitted_ms: float = 0.0
-    begun_ms: float | None = None
+    started_ms: float | None = None
     """When its prompt began to be read."""
     first_ms: float | None = None
     event_ms: float = 0.0
     worst_gap_ms: float = 0.0
-    unread_tokens: int = -1
+    remaining_prefill_tokens: int = -1
     """Not known until its reading begins."""
-    read_tokens: int = 0
+    prefilled_tokens: int = 0
     """Prompt tokens that were read for it."""
-    ready_ms: float = 0.0
+    fetched_ms: float = 0.0
     """When what is fetched for it is there."""
-    made: int = 0
-    made_on_other: int = 0
+    generated_tokens: int = 0
+    generated_on_other_weights: int = 0
     """Tokens made after the weights had changed under it."""
     is_over: bool = False
-    holder: Engine | None = None
+    engine: Engine | None = None
 
 
-class LoadBoard:
+class LoadCounter:
     """The loads under way in a pool, which slow each other down."""
 
     __slots__ = ("count",)
@@ -95,53 +95,53 @@
         name: EndpointName,
         domain: str,
         address: Address,
-        shape: EngineShape,
+        settings: EngineSettings,
         clock: VirtualClock,
-        ledger: ReadLedger,
-        loads: LoadBoard,
-        find_memory: Callable[[Address], tuple[PromptMemory, Link] | None],
+        ledger: PrefillLedger,
+        loads: LoadCounter,
+        find_cache: Callable[[Address], tuple[PromptCache, Link] | None],
         rng: random.Random,
     ) -> None:
         self.name = name
         self.address = address
-        self.shape = shape
-        self.presence = Presence.UP
-        self.slowness = 1.0
-        self.mute_share = 0.0
+        self.settings = settings
+        self.availability = Availability.UP
+        self.slowdown = 1.0
+        self.unanswered_share = 0.0
         self.version = 1
         self.orders = 0
         self.is_loading = False
-        self.memory = PromptMemory(shape.memory_tokens)
-        self.link = Link(shape.link_mbps, domain)
+        self.cache = PromptCache(settings.memory_tokens)
+        self.link = Link(settings.link_mbps, domain)
         self.loads = 0
         self._clock = clock
         self._ledger = ledger
-        self._board = loads
-        self._find_memory = find_memory
+        self._load_counter = loads
+        self._find_cache = find_cache
         self._rng = rng
         self._waiting: list[Job] = []
-        self._reading: list[Job] = []
+        self._prefilling: list[Job] = []
         self._running: list[Job] = []
         self._is_stepping = False
-        self._wanted: int | None = None
+        self._pending_version: int | None = None
         """Weights that are loaded once the calls have ended."""
 
     def count_calls(self) -> int:
         """Return how many calls are there, waiting or not."""
-        return len(self._waiting) + len(self._reading) + len(self._running)
+        return len(self._waiting) + len(self._prefilling) + len(self._running)
 
     def submit(self, job: Job) -> None:
         """Take one call."""
         job.submitted_ms = self._clock.now_ms
-        job.holder = self
-        if self._rng.random() < self.mute_share:
+        job.engine = self
+        if self._rng.random() < self.unanswered_share:
             return
-        if self.is_loading or self._wanted is not None:
-            self._finish(job, JobEnd.REFUSED)
+        if self.is_loading or self._pending_version is not None:
+            self._finish(job, JobOutcome.REFUSED)
         elif job.weights_version != self.version:
-            self._finish(job, JobEnd.OTHER_WEIGHTS)
-        elif self.count_calls() >= 4 * self.shape.slots:
-            self._finish(job, JobEnd.REFUSED)
+            self._finish(job, JobOutcome.OTHER_WEIGHTS)
+        elif self.count_calls() >= 4 * self.settings.slots:
+            self._finish(job, JobOutcome.REFUSED)
         else:
             self._waiting.append(job)
             self._start()
@@ -152,14 +152,14 @@
             job.is_over = True
             self._drop(job)
 
-    def stop(self, presence: Presence) -> None:
+    def stop(self, availability: Availability) -> None:
         """End this life; its calls are cut, or hang if it falls silent."""
-        jobs = self._waiting + self._reading + self._running
-        self.presence = presence
-        self._waiting, self._reading, self._running = [], [], []
+        jobs = self._waiting + self._prefilling + self._running
+        self.availability = availability
+        self._waiting, self._prefilling, self._running = [], [], []
         for job in jobs:
-            if presence is Presence.DOWN:
-                self._finish(job, JobEnd.LOST)
+            if availability is Availability.DOWN:
+                self._finish(job, JobOutcome.LOST)
             else:
                 job.is_over = True
 
@@ -167,15 +167,15 @@
         """Return what it reports of itself."""
         return ReplicaState(
             weights=(("m", self.version),),
-            is_busy=self.is_loading or self._wanted is not None,
+            is_busy=self.is_loading or self._pending_version is not None,
             order_count=self.orders,
-            running=len(self._running) + len(self._reading),
+            running=len(self._running) + len(self._prefilling),
             waiting=len(self._waiting),
         )
 
-    def take_order(self, order: WeightsOrder) -> int:
+    def apply_order(self, order: WeightsOrder) -> int:
         """Begin to load weights, or say why not; returns the status."""
-        if self.is_loading or self._wanted is not None:
+        if self.is_loading or self._pending_version is not None:
             return 409
         if order.expected_order_count != self.orders:
             return 409
@@ -183,9 +183,9 @@
             return 200
         self.orders += 1
         self.loads += 1
-        self._wanted = order.version
+        self._pending_version = order.version
         for job in list(self._waiting):
-            self._finish(job, JobEnd.REFUSED)
+            self._finish(job, JobOutcome.REFUSED)
         self._waiting.clear()
         if order.is_under_calls or not self.count_calls():
             self._load()
@@ -193,18 +193,18 @@
 
     def _load(self) -> None:
         self.is_loading = True
-        self._board.count += 1
-        beyond = max(self._board.count - self.shape.loads_at_once, 0)
-        took_ms = self.shape.load_ms * (1.0 + SLOW_LOAD_SHARE * beyond)
-        self._clock.call_after(took_ms * self.slowness, self._end_load)
+        self._load_counter.count += 1
+        beyond = max(self._load_counter.count - self.settings.loads_at_once, 0)
+        duration_ms = self.settings.load_ms * (1.0 + LOAD_CONTENTION_SHARE * beyond)
+        self._clock.call_after(duration_ms * self.slowdown, self._end_load)
 
     def _end_load(self) -> None:
-        self._board.count -= 1
-        if self.presence is not Presence.UP or self._wanted is None:
+        self._load_counter.count -= 1
+        if self.availability is not Availability.UP or self._pending_version is None:
             return
-        self.version, self._wanted = self._wanted, None
+        self.version, self._pending_version = self._pending_version, None
         self.is_loading = False
-        self.memory.clear(self._clock.now_ms)
+        self.cache.clear(self._clock.now_ms)
 
     def _start(self) -> None:
         if not self._is_stepping:
@@ -213,154 +213,166 @@
 
     def _step(self) -> None:
         """Begin one step; what it makes is there at its end."""
-        if self.presence is not Presence.UP:
+        if self.availability is not Availability.UP:
             self._is_stepping = False
             return
         self._admit()
-        if not self._reading and not self._running:
+        if not self._prefilling and not self._running:
             self._is_stepping = False
             return
-        shape, now_ms = self.shape, self._clock.now_ms
+        settings, now_ms = self.settings, self._clock.now_ms
         read = [
-            (job, tokens) for job, tokens in self._choose_reads(now_ms) if tokens > 0
+            (job, tokens)
+            for job, tokens in self._schedule_prefill(now_ms)
+            if tokens > 0
         ]
-        took_ms = shape.step_ms + shape.step_ms_per_call * len(self._running)
+        duration_ms = settings.step_ms + settings.step_ms_per_call * len(self._running)
         for job, tokens in read:
-            before = sum(part.tokens for part in job.parts) - job.unread_tokens
-            pairs = tokens * (before + tokens / 2)
-            took_ms += tokens / shape.tokens_per_ms
-            took_ms += pairs * shape.pairs_ms_per_m / 1e6
-        made = list(self._running)
-        took_ms *= self.slowness
-        self._clock.call_after(took_ms, lambda: self._end_step(read, made))
+            before = (
+                sum(block.tokens for block in job.blocks) - job.remaining_prefill_tokens
+            )
+            token_pairs = tokens * (before + tokens / 2)
+            duration_ms += tokens / settings.tokens_per_ms
+            duration_ms += token_pairs * settings.pairs_ms_per_m / 1e6
+        decoding = list(self._running)
+        duration_ms *= self.slowdown
+        self._clock.call_after(duration_ms, lambda: self._end_step(read, decoding))
 
     def _admit(self) -> None:
         self._waiting.sort(key=lambda job: job.rank)
         while self._waiting:
             job = self._waiting[0]
-            shared, own_tokens = job.parts[:-1], _count_own(job)
-            taken = len(self._reading) + len(self._running)
-            has_room = self.memory.has_room(job.scope, shared, own_tokens)
-            if taken >= self.shape.slots or (taken and not has_room):
+            shared, own_tokens = job.blocks[:-1], _count_own_tokens(job)
+            taken = len(self._prefilling) + len(self._running)
+            has_room = self.cache.has_room(job.scope, shared, own_tokens)
+            if taken >= self.settings.slots or (taken and not has_room):
                 return
             self._waiting.pop(0)
-            self.memory.hold(job.scope, shared, own_tokens, self._clock.now_ms)
-            self._reading.append(job)
-            self._reading.sort(key=lambda each: each.rank)
+            self.cache.hold(job.scope, shared, own_tokens, self._clock.now_ms)
+            self._prefilling.append(job)
+            self._prefilling.sort(key=lambda each: each.rank)
             self._fetch(job)
 
     def _fetch(self, job: Job) -> None:
         """Bring what another holder has of a prompt, if it was named."""
         now_ms = self._clock.now_ms
-        shared = job.parts[:-1]
-        own = self.memory.count_leading(job.scope, shared)
-        self.memory.touch(job.scope, shared)
-        job.ready_ms = now_ms
+        shared = job.blocks[:-1]
+        own = self.cache.count_cached_prefix(job.scope, shared)
+        self.cache.touch(job.scope, shared)
+        job.fetched_ms = now_ms
         if job.fetch_from is None or job.fetch_from == self.address:
             return
-        found = self._find_memory(job.fetch_from)
+        found = self._find_cache(job.fetch_from)
         if found is None:
-            job.ready_ms = now_ms + DEAD_SOURCE_MS
+            job.fetched_ms = now_ms + SOURCE_TIMEOUT_MS
             return
-        memory, link = found
-        theirs = memory.count_leading(job.scope, shared)
+        cache, link = found
+        theirs = cache.count_cached_prefix(job.scope, shared)
         if theirs <= own:
-            job.ready_ms = now_ms + MISS_MS
+            job.fetched_ms = now_ms + SOURCE_MISS_MS
             return
-        size_bytes = (theirs - own) * self.shape.bytes_per_token
+        size_bytes = (theirs - own) * self.settings.bytes_per_token
         done_ms = plan_transfer(link, self.link, size_bytes, now_ms)
         if done_ms is None:
             return
-        memory.touch(job.scope, shared)
+        cache.touch(job.scope, shared)
         self._ledger.moved_bytes += size_bytes
-        job.ready_ms = done_ms
+        job.fetched_ms = done_ms
         fetched: list[PromptBlock] = []
         tokens = 0
-        for part in shared:
-            tokens += part.tokens
+        for block in shared:
+            tokens += block.tokens
             if tokens > theirs:
                 break
-            fetched.append(part)
+            fetched.append(block)
         self._clock.call_after(
-            done_ms - now_ms, lambda: self._keep_fetched(job, fetched)
+            done_ms - now_ms, lambda: self._store_fetched(job, fetched)
         )
 
-    def _keep_fetched(self, job: Job, parts: list[PromptBlock]) -> None:
+    def _store_fetched(self, job: Job, blocks: list[PromptBlock]) -> None:
         version = int(job.scope.split("/")[1])
-        if self.presence is Presence.UP and version == self.version:
-            self.memory.keep(job.scope, parts, self._clock.now_ms)
+        if self.availability is Availability.UP and version == self.version:
+            self.cache.insert(job.scope, blocks, self._clock.now_ms)
 
-    def _choose_reads(self, now_ms: float) -> list[tuple[Job, int]]:
-        left = self.shape.chunk_tokens
+    def _schedule_prefill(self, now_ms: float) -> list[tuple[Job, int]]:
+        left = self.settings.chunk_tokens
         chosen = []
-        for job in self._reading:
+        for job in self._prefilling:
             if left <= 0:
                 break
-            if now_ms < job.ready_ms:
+            if now_ms < job.fetched_ms:
                 continue
-            if job.begun_ms is None:
-                self._begin_reading(job, now_ms)
-            tokens = min(left, max(job.unread_tokens, 1))
+            if job.started_ms is None:
+                self._start_prefill(job, now_ms)
+            tokens = min(left, max(job.remaining_prefill_tokens, 1))
             left -= tokens
             chosen.append((job, tokens))
         return chosen
 
-    def _begin_reading(self, job: Job, now_ms: float) -> None:
-        job.begun_ms = now_ms
-        kept = self.memory.count_leading(job.scope, job.parts[:-1])
-        job.unread_tokens = sum(part.tokens for part in job.parts) - kept
-        job.read_tokens = job.unread_tokens
-        self._ledger.note_read(job.scope, job.parts[:-1], kept, now_ms)
+    def _start_prefill(self, job: Job, now_ms: float) -> None:
+        job.started_ms = now_ms
+        kept = self.cache.count_cached_prefix(job.scope, job.blocks[:-1])
+        job.remaining_prefill_tokens = sum(block.tokens for block in job.blocks) - kept
+        job.prefilled_tokens = job.remaining_prefill_tokens
+        self._ledger.record_prefill(job.scope, job.blocks[:-1], kept, now_ms)
 
-    def _end_step(self, read: list[tuple[Job, int]], made: list[Job]) -> None:
-        if self.presence is not Presence.UP:
+    def _end_step(self, read: list[tuple[Job, int]], decoding: list[Job]) -> None:
+        if self.availability is not Availability.UP:
             self._is_stepping = False
             return
         now_ms = self._clock.now_ms
         for job, tokens in read:
-            job.unread_tokens -= tokens
-            if job.unread_tokens <= 0 and not job.is_over:
-                self._end_reading(job, now_ms)
-        for job in made:
+            job.remaining_prefill_tokens -= tokens
+            if job.remaining_prefill_tokens <= 0 and not job.is_over:
+                self._finish_prefill(job, now_ms)
+        for job in decoding:
             if not job.is_over:
-                self._make_token(job, now_ms)
-        if self._wanted is not None and not self.is_loading and not self.count_calls():
+                self._generate_token(job, now_ms)
+        if (
+            self._pending_version is not None
+            and not self.is_loading
+            and not self.count_calls()
+        ):
             self._load()
         self._step()
 
-    def _end_reading(self, job: Job, now_ms: float) -> None:
-        self._reading.remove(job)
+    def _finish_prefill(self, job: Job, now_ms: float) -> None:
+        self._prefilling.remove(job)
         if job.weights_version == self.version:
-            shared = job.parts[:-1]
-            self.memory.keep(job.scope, shared, now_ms)
+            shared = job.blocks[:-1]
+            self.cache.insert(job.scope, shared, now_ms)
             self._save(job, shared)
         self._running.append(job)
-        self._make_token(job, now_ms)
+        self._generate_token(job, now_ms)
 
     def _save(self, job: Job, shared: tuple[PromptBlock, ...]) -> None:
-        found = None if job.save_to is None else self._find_memory(job.save_to)
+        found = None if job.save_to is None else self._find_cache(job.save_to)
         if found is None:
             return
-        memory, link = found
-        tokens = sum(part.tokens for part in shared)
-        new = tokens - memory.count_leading(job.scope, shared)
-        size_bytes = new * self.shape.bytes_per_token
+        cache, link = found
+        tokens = sum(block.tokens for block in shared)
+        new = tokens - cache.count_cached_prefix(job.scope, shared)
+        size_bytes = new * self.settings.bytes_per_token
         now_ms = self._clock.now_ms
         done_ms = plan_transfer(self.link, link, size_bytes, now_ms)
         if done_ms is not None:
             self._ledger.moved_bytes += size_bytes
             self._clock.call_after(
-                done_ms - now_ms, lambda: memory.keep(job.scope, shared, done_ms)
+                done_ms - now_ms, lambda: cache.insert(job.scope, shared, done_ms)
             )
 
-    def _make_token(self, job: Job, now_ms: float) -> None:
-        job.made += 1
-        job.made_on_other += job.weights_version != self.version
-        is_last = job.made >= job.output_tokens
+    def _generate_token(self, job: Job, now_ms: float) -> None:
+        job.generated_tokens += 1
+        job.generated_on_other_weights += job.weights_version != self.version
+        is_last = job.generated_tokens >= job.output_tokens
         if job.first_ms is None:
-            job.first_ms = job.event_ms = now_ms + self.shape.first_ms
-            self._clock.call_after(self.shape.first_ms, lambda: self._tell_first(job))
-        elif is_last or (job.made - 1) % self.shape.tokens_per_event == 0:
+            job.first_ms = job.event_ms = now_ms + self.settings.first_ms
+            self._clock.call_after(
+                self.settings.first_ms, lambda: self._report_first_token(job)
+            )
+        elif (
+            is_last or (job.generated_tokens - 1) % self.settings.tokens_per_event == 0
+        ):
             gap_ms = now_ms - job.event_ms
             job.worst_gap_ms = max(job.worst_gap_ms, gap_ms)
             job.event_ms = max(job.event_ms, now_ms)
@@ -368,35 +380,35 @@
             after_ms = max(job.event_ms - now_ms, 0.0)
             self._running.remove(job)
             self._release(job)
-            self._clock.call_after(after_ms, lambda: self._tell_end(job))
+            self._clock.call_after(after_ms, lambda: self._report_end(job))
 
-    def _tell_first(self, job: Job) -> None:
-        if not job.is_over and self.presence is Presence.UP:
+    def _report_first_token(self, job: Job) -> None:
+        if not job.is_over and self.availability is Availability.UP:
             job.on_first(job)
 
-    def _tell_end(self, job: Job) -> None:
-        if not job.is_over and self.presence is Presence.UP:
+    def _report_end(self, job: Job) -> None:
+        if not job.is_over and self.availability is Availability.UP:
             job.is_over = True
-            job.on_end(job, JobEnd.DONE)
+            job.on_end(job, JobOutcome.DONE)
 
     def _release(self, job: Job) -> None:
-        self.memory.release(job.scope, job.parts[:-1], _count_own(job))
+        self.cache.release(job.scope, job.blocks[:-1], _count_own_tokens(job))
 
     def _drop(self, job: Job) -> None:
         if job in self._waiting:
             self._waiting.remove(job)
             return
-        for jobs in (self._reading, self._running):
+        for jobs in (self._prefilling, self._running):
             if job in jobs:
                 jobs.remove(job)
                 self._release(job)
 
-    def _finish(self, job: Job, end: JobEnd) -> None:
+    def _finish(self, job: Job, end: JobOutcome) -> None:
         if not job.is_over:
             job.is_over = True
             job.on_end(job, end)
 
 
-def _count_own(job: Job) -> int:
-    """Return the tokens that a call holds beside the parts that prompts share."""
-    return job.parts[-1].tokens + job.output_tokens
+def _count_own_tokens(job: Job) -> int:
+    """Return the tokens that a call holds beside the blocks that prompts share."""
+    return job.blocks[-1].tokens + job.output_tokens
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from toucanyard_emulator.accounting import Result
-from toucanyard_emulator.runner import play
+from toucanyard_emulator.runner import run_scenario
 from toucanyard_emulator.scenario import load_scenario
-from toucanyard_emulator.variants import USUAL, Variant
+from toucanyard_emulator.variants import DEFAULT_VARIANT, Variant
 
 # Two-sided 95% points of Student's t for 1 to 30 degrees of freedom.
 T_95: Final = (
@@ -32,7 +32,7 @@
     seed: int
 
 
-class Played(msgspec.Struct, frozen=True):
+class RunResult(msgspec.Struct, frozen=True):
     """One run and its result."""
 
     scenario: str
@@ -54,7 +54,7 @@
     half_width: float
     """Of the 95% interval around it."""
 
-    def is_shown(self) -> bool:
+    def is_significant(self) -> bool:
         """Tell whether the interval leaves out zero."""
         return abs(self.mean) > self.half_width
 
@@ -74,44 +74,46 @@
     return max(int(running) - 1, 0)
 
 
-def run_task(task: Task) -> Played:
+def run_task(task: Task) -> RunResult:
     """Play one run; called in a process of its own."""
     scenario = load_scenario(task.file)
-    result = play(scenario, task.variant.policy, task.seed)
-    return Played(scenario.name, task.variant.name, task.seed, result)
+    result = run_scenario(scenario, task.variant.policy, task.seed)
+    return RunResult(scenario.name, task.variant.name, task.seed, result)
 
 
 def run_all(
     files: Sequence[Path],
     variants: Sequence[Variant],
     seeds: Sequence[int],
-    note_done: Callable[[], None],
+    on_done: Callable[[], None],
     workers: int | None = None,
-) -> list[Played]:
+) -> list[RunResult]:
     """Play every variant, the usual one first, on every scenario and seed."""
     tasks = [
         Task(file, variant, seed)
         for file in files
-        for variant in (USUAL, *variants)
+        for variant in (DEFAULT_VARIANT, *variants)
         for seed in seeds
     ]
-    played: list[Played] = []
+    played: list[RunResult] = []
     with ProcessPoolExecutor(workers or count_workers()) as pool:
         for each in pool.map(run_task, tasks):
             played.append(each)
-            note_done()
+            on_done()
     return played
 
 
-def compare(played: Sequence[Played]) -> list[Difference]:
+def compare(played: Sequence[RunResult]) -> list[Difference]:
     """Return how each variant differs from the usual policy, scenario by scenario."""
     found: dict[tuple[str, str], dict[int, Result]] = {}
     for each in played:
         found.setdefault((each.scenario, each.variant), {})[each.seed] = each.result
     return [
-        _compare_one(scenario, variant, found[(scenario, USUAL.name)], results)
+        _compare_one(
+            scenario, variant, found[(scenario, DEFAULT_VARIANT.name)], results
+        )
         for (scenario, variant), results in found.items()
-        if variant != USUAL.name
+        if variant != DEFAULT_VARIANT.name
     ]
 
 
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/main.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/main.py
@@ -11,20 +11,20 @@
 import click
 import msgspec
 
-from toucanyard_emulator.experiment import Played, compare, run_all
+from toucanyard_emulator.experiment import RunResult, compare, run_all
 from toucanyard_emulator.reports import plot_windows, render_differences, render_result
-from toucanyard_emulator.runner import play
+from toucanyard_emulator.runner import run_scenario
 from toucanyard_emulator.scenario import (
-    ScenarioInvalidError,
+    InvalidScenarioError,
     find_scenario,
     list_scenarios,
     load_scenario,
 )
 from toucanyard_emulator.variants import (
     ABLATIONS,
-    USUAL,
+    DEFAULT_VARIANT,
+    InvalidVariantError,
     Variant,
-    VariantInvalidError,
     parse_variant,
 )
 
@@ -53,20 +53,20 @@
     """Play one scenario, by its name or its file."""
     try:
         loaded = load_scenario(find_scenario(scenario))
-        chosen = USUAL if variant is None else parse_variant(variant)
-    except (ScenarioInvalidError, VariantInvalidError) as error:
+        chosen = DEFAULT_VARIANT if variant is None else parse_variant(variant)
+    except (InvalidScenarioError, InvalidVariantError) as error:
         _fail(error)
-    begun_s = time.monotonic()
-    result = play(loaded, chosen.policy, seed)
-    took_s = time.monotonic() - begun_s
+    started_s = time.monotonic()
+    result = run_scenario(loaded, chosen.policy, seed)
+    elapsed_s = time.monotonic() - started_s
     if is_json:
         click.echo(msgspec.json.encode(result).decode())
     else:
         click.echo("\n".join(render_result(result)))
-        speed = loaded.length_s / max(took_s, 1e-9)
-        click.echo(f"\n{took_s:.1f} s, {speed:.1f} seconds a second", err=True)
+        speed = loaded.length_s / max(elapsed_s, 1e-9)
+        click.echo(f"\n{elapsed_s:.1f} s, {speed:.1f} seconds a second", err=True)
     if plot is not None:
-        plot_windows([Played(loaded.name, chosen.name, seed, result)], plot)
+        plot_windows([RunResult(loaded.name, chosen.name, seed, result)], plot)
 
 
 @main.command()
@@ -107,7 +107,7 @@
         for each in files:
             load_scenario(each)
         variants: list[Variant] = [parse_variant(text) for text in texts]
-    except (ScenarioInvalidError, VariantInvalidError) as error:
+    except (InvalidScenarioError, InvalidVariantError) as error:
         _fail(error)
     count = len(files) * (len(variants) + 1) * seeds
     with click.progressbar(length=count, label="runs", file=sys.stderr) as bar:
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
@@ -45,22 +45,22 @@
 )
 from toucanyard.relay_options import RelayOptions
 from toucanyard.relay_requests import RelayReply
-from toucanyard_emulator.engine import Engine, Presence
+from toucanyard_emulator.engine import Availability, Engine
 from toucanyard_emulator.relayed_call import RelayedCall
 
 if TYPE_CHECKING:
-    from toucanyard_emulator.world import World
+    from toucanyard_emulator.simulation import Simulation
 
-LOOK_MS: Final = {Topic.REPLICAS: 50.0, Topic.NODES: 250.0}
-STORE_MS: Final = 5.0
+WATCH_INTERVAL_MS: Final = {Topic.REPLICAS: 50.0, Topic.NODES: 250.0}
+STORE_LATENCY_MS: Final = 5.0
 """Time of one call to the store, the way included."""
 STORE_TIMEOUT_MS: Final = 1_200.0
-RETRY_MS: Final = 250.0
-REPORT_TIMEOUT_MS: Final = 500.0
+POLL_RETRY_MS: Final = 250.0
+STATE_READ_TIMEOUT_MS: Final = 500.0
 ORDER_TIMEOUT_MS: Final = 1_000.0
-FOLLOW_MS: Final = 200.0
+FOLLOW_INTERVAL_MS: Final = 200.0
 """Time between two looks at what a holder tells of its parts."""
-FIND_FOLLOWED_MS: Final = 500.0
+FOLLOWED_UPDATE_INTERVAL_MS: Final = 500.0
 _ACCEPTED: Final = 202
 
 
@@ -68,57 +68,63 @@
     """One incarnation of one node. Invariant: nothing happens after `stop`."""
 
     def __init__(
-        self, world: World, number: int, incarnation: int, options: RelayOptions
+        self,
+        simulation: Simulation,
+        number: int,
+        incarnation: int,
+        options: RelayOptions,
     ) -> None:
-        self.world = world
+        self.simulation = simulation
         self.number = number
         self.domain = options.domain
         self.is_up = True
         self.identity = NodeId(options.name, Incarnation(f"i{incarnation}"))
-        rng = random.Random(f"{world.seed} node {number} {incarnation}")
-        self.core = RelayCore(options, self.identity, world.store.decode, rng)
-        self.notes: list[tuple[float, LogEntry]] = []
+        rng = random.Random(f"{simulation.seed} node {number} {incarnation}")
+        self.core = RelayCore(options, self.identity, simulation.store.decode, rng)
+        self.log_entries: list[tuple[float, LogEntry]] = []
         self._rng = rng
         self._calls: dict[RequestId, RelayedCall] = {}
-        self._next = dict.fromkeys(Topic, 0)
+        self._next_offsets = dict.fromkeys(Topic, 0)
         self._followed: dict[EndpointName, int] = {}
-        """By holder: how many of its changes were told."""
+        """By holder: how many of its changes were update."""
 
     @property
     def now_ms(self) -> float:
         """Return the present time."""
-        return self.world.clock.now_ms
+        return self.simulation.clock.now_ms
 
     def start(self) -> None:
         """Begin all that a node does by itself."""
-        self.after(self._rng.uniform(0.0, TICK_MS), self._tick)
+        self.schedule(self._rng.uniform(0.0, TICK_MS), self._tick)
         self._poll()
-        for topic, look_ms in LOOK_MS.items():
-            self.after(self._rng.uniform(0.0, look_ms), partial(self._watch, topic))
-        self.after(FOLLOW_MS, self._find_followed)
+        for topic, interval_ms in WATCH_INTERVAL_MS.items():
+            self.schedule(
+                self._rng.uniform(0.0, interval_ms), partial(self._watch, topic)
+            )
+        self.schedule(FOLLOW_INTERVAL_MS, self._update_followed)
 
     def stop(self) -> None:
         """End at once; callers see their connections cut."""
         self.is_up = False
         for call in list(self._calls.values()):
-            call.cut()
+            call.handle_node_stopped()
         self._calls.clear()
 
-    def after(self, delay_ms: float, act: Callable[[], None]) -> None:
+    def schedule(self, delay_ms: float, callback: Callable[[], None]) -> None:
         """Do something later, if this incarnation still runs then."""
 
         def run() -> None:
             if self.is_up:
-                act()
+                callback()
 
-        self.world.clock.call_after(max(delay_ms, 0.0), run)
+        self.simulation.clock.call_after(max(delay_ms, 0.0), run)
 
-    def offer(self, call: RelayedCall) -> None:
+    def accept_call(self, call: RelayedCall) -> None:
         """Take a caller's call."""
         self._calls[call.request.request_id] = call
         call.begin()
 
-    def forget(self, call: RelayedCall) -> None:
+    def remove_call(self, call: RelayedCall) -> None:
         """Drop a call that is over."""
         self._calls.pop(call.request.request_id, None)
 
@@ -131,19 +137,21 @@
         if not self.is_up:
             return
         for action in self.core.handle(event, self.now_ms):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: RelayAction) -> None:
+    def _execute(self, action: RelayAction) -> None:
         match action:
             case RelayReply(request_id=request_id, verdict=verdict):
                 call = self._calls.get(request_id)
                 if call is not None:
                     # The task that asked runs a moment later, as it does for real.
-                    self.after(0.0, lambda: call.take(verdict))
+                    self.schedule(0.0, lambda: call.apply_verdict(verdict))
             case SendToPeer(node=name, message=message):
-                self.world.send(self, name, LinkMessageRead(self.identity, message))
+                self.simulation.send(
+                    self, name, LinkMessageRead(self.identity, message)
+                )
             case ReadLeases(from_offset=offset):
-                self._ask_store(lambda: self._read_leases(offset), "turns")
+                self._call_store(lambda: self._read_leases(offset), "turns")
             case AppendLease():
                 self._append_lease(action)
             case ReadReplicaState():
@@ -153,67 +161,69 @@
             case WriteQuarantine() | EraseQuarantine():
                 self._put_quarantine(action)
             case LogEntry():
-                self.notes.append((self.now_ms, action))
+                self.log_entries.append((self.now_ms, action))
 
     def _tick(self) -> None:
         self.handle(TickPassed())
-        self.after(self.core.compute_tick(), self._tick)
+        self.schedule(self.core.compute_tick(), self._tick)
 
-    def _is_store_away(self) -> bool:
-        return self.number in self.world.store.down_nodes
+    def _is_store_down(self) -> bool:
+        return self.number in self.simulation.store.down_nodes
 
-    def _ask_store(self, act: Callable[[], None], purpose: str) -> None:
-        self.world.store.calls += 1
+    def _call_store(self, callback: Callable[[], None], purpose: str) -> None:
+        self.simulation.store.calls += 1
         asked_ms = self.now_ms
-        if self._is_store_away():
-            self.after(STORE_TIMEOUT_MS, lambda: self._note_failed(purpose, asked_ms))
+        if self._is_store_down():
+            self.schedule(
+                STORE_TIMEOUT_MS, lambda: self._report_store_failure(purpose, asked_ms)
+            )
         else:
-            self.after(STORE_MS, act)
+            self.schedule(STORE_LATENCY_MS, callback)
 
-    def _note_failed(self, purpose: str, asked_ms: float) -> None:
+    def _report_store_failure(self, purpose: str, asked_ms: float) -> None:
         self.handle(StoreFailed(purpose, "no answer", asked_ms))
 
     def _poll(self) -> None:
-        if self._is_store_away():
-            self._note_failed("operator", self.now_ms)
-            self.after(RETRY_MS, self._poll)
+        if self._is_store_down():
+            self._report_store_failure("operator", self.now_ms)
+            self.schedule(POLL_RETRY_MS, self._poll)
             return
         self._read(Topic.OPERATOR, self.now_ms)
-        self.world.store.wait(lambda: self.after(STORE_MS, self._poll))
+        self.simulation.store.wait(lambda: self.schedule(STORE_LATENCY_MS, self._poll))
 
     def _watch(self, topic: Topic) -> None:
         view = self.core.exchange.views[topic]
-        is_new = not view.end and not self._next[topic]
+        is_new = not view.end and not self._next_offsets[topic]
         if is_new or self.core.reads.is_due(topic, self.now_ms):
             self.core.reads.record_read_started(topic, self.now_ms)
             asked_ms = self.now_ms
-            self._ask_store(lambda: self._read(topic, asked_ms), topic.value)
-        self.after(LOOK_MS[topic], lambda: self._watch(topic))
+            self._call_store(lambda: self._read(topic, asked_ms), topic.value)
+        self.schedule(WATCH_INTERVAL_MS[topic], lambda: self._watch(topic))
 
     def _read(self, topic: Topic, asked_ms: float) -> None:
-        since = max(self.core.exchange.views[topic].end, self._next[topic])
-        records, end = self.world.store.read(topic, since)
-        self._next[topic] = end
+        since = max(self.core.exchange.views[topic].end, self._next_offsets[topic])
+        records, end = self.simulation.store.read(topic, since)
+        self._next_offsets[topic] = end
         self.handle(TopicRead(topic, records, end, since == 0, asked_ms))
 
     def _read_leases(self, offset: int) -> None:
-        self.handle(LeaseRead(*self.world.store.read_leases(offset)))
+        self.handle(LeaseRead(*self.simulation.store.read_leases(offset)))
 
     def _append_lease(self, action: AppendLease) -> None:
         sent_ms = self.now_ms
-        self.world.store.calls += 1
-        if self._is_store_away():
-            self.after(
+        self.simulation.store.calls += 1
+        if self._is_store_down():
+            self.schedule(
                 STORE_TIMEOUT_MS,
                 lambda: self.handle(LeaseAppended(None, sent_ms)),
             )
             return
 
         def append() -> None:
-            offset = self.world.store.append_lease(action.value, action.at)
+            offset = self.simulation.store.append_lease(action.value, action.at)
             self.handle(LeaseAppended(offset, sent_ms))
 
-        self.after(STORE_MS, append)
+        self.schedule(STORE_LATENCY_MS, append)
 
     def _put_quarantine(self, action: WriteQuarantine | EraseQuarantine) -> None:
         request: QuarantinedRequest | None = None
@@ -226,49 +236,51 @@
                 done = QuarantineErased(fingerprint)
 
         def put() -> None:
-            self.world.store.put(Topic.NODES, f"quarantine/{fingerprint}", request)
+            self.simulation.store.put(Topic.NODES, f"quarantine/{fingerprint}", request)
             self.handle(done)
 
-        self._ask_store(put, "quarantine")
+        self._call_store(put, "quarantine")
 
     def _read_state(self, read: ReadReplicaState) -> None:
         asked_ms = self.now_ms
-        engine = self.world.pool.find_replica(read.replica)
-        if not isinstance(engine, Engine) or engine.presence is not Presence.UP:
-            is_silent = engine is not None and engine.presence is Presence.SILENT
-            delay_ms = REPORT_TIMEOUT_MS if is_silent else 2.0
+        engine = self.simulation.pool.find_replica(read.replica)
+        if not isinstance(engine, Engine) or engine.availability is not Availability.UP:
+            is_silent = (
+                engine is not None and engine.availability is Availability.SILENT
+            )
+            delay_ms = STATE_READ_TIMEOUT_MS if is_silent else 2.0
             reach = Reach.NO_ANSWER if is_silent else Reach.NO_LISTENER
             failed = ReplicaStateRead(read.replica, None, asked_ms, reach)
-            self.after(delay_ms, lambda: self.handle(failed))
+            self.schedule(delay_ms, lambda: self.handle(failed))
             return
         state = engine.read_state()
-        latency_ms = self.world.pool.compute_latency(self.domain, read.replica)
-        self.after(
+        latency_ms = self.simulation.pool.compute_latency(self.domain, read.replica)
+        self.schedule(
             4 * latency_ms + 1.0,
             lambda: self.handle(ReplicaStateRead(read.replica, state, asked_ms)),
         )
 
     def _send_order(self, order: WeightsOrder) -> None:
-        self.world.counts.orders += 1
-        late_ms = self.world.pool.find_order_delay()
-        engine = self.world.pool.find_replica(order.replica)
-        is_there = isinstance(engine, Engine) and engine.presence is Presence.UP
-        if late_ms is not None or not is_there:
-            self.after(
+        self.simulation.counts.orders += 1
+        late_ms = self.simulation.pool.find_order_delay()
+        engine = self.simulation.pool.find_replica(order.replica)
+        is_up = isinstance(engine, Engine) and engine.availability is Availability.UP
+        if late_ms is not None or not is_up:
+            self.schedule(
                 ORDER_TIMEOUT_MS, lambda: self.handle(OrderAnswered(order, None))
             )
             if late_ms is not None:
-                self.world.pool.take_order_later(order, late_ms)
+                self.simulation.pool.apply_order_later(order, late_ms)
             return
-        latency_ms = self.world.pool.compute_latency(self.domain, order.replica)
+        latency_ms = self.simulation.pool.compute_latency(self.domain, order.replica)
 
-        def take() -> None:
-            status = self.world.pool.take_order(order)
-            self.after(latency_ms, lambda: self.handle(OrderAnswered(order, status)))
+        def apply_order() -> None:
+            status = self.simulation.pool.apply_order(order)
+            self.schedule(latency_ms, lambda: self.handle(OrderAnswered(order, status)))
 
-        self.after(3 * latency_ms + 1.0, take)
+        self.schedule(3 * latency_ms + 1.0, apply_order)
 
-    def _find_followed(self) -> None:
+    def _update_followed(self) -> None:
         core = self.core
         wanted = {
             each.name for each in core.sources.find_followed(core.index, self.now_ms)
@@ -278,17 +290,17 @@
             self._follow(name)
         for name in set(self._followed) - wanted:
             del self._followed[name]
-        self.after(FIND_FOLLOWED_MS, self._find_followed)
+        self.schedule(FOLLOWED_UPDATE_INTERVAL_MS, self._update_followed)
 
     def _follow(self, name: EndpointName) -> None:
         if name not in self._followed:
             return
-        told = self.world.pool.tell_parts(name, self._followed[name])
-        if told is not None:
-            changes, self._followed[name] = told
+        update = self.simulation.pool.read_block_changes(name, self._followed[name])
+        if update is not None:
+            changes, self._followed[name] = update
             self.handle(PromptBlocksChanged(name, changes, is_reset=False, epoch=1))
-        self.after(FOLLOW_MS, lambda: self._follow(name))
+        self.schedule(FOLLOW_INTERVAL_MS, lambda: self._follow(name))
 
-    def link(self, peers: tuple[NodeId, ...]) -> None:
+    def set_links(self, peers: tuple[NodeId, ...]) -> None:
         """Take in to whom there are links."""
         self.handle(PeersLinked(peers))
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/plain_replica.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/plain_replica.py
@@ -6,22 +6,22 @@
 from collections.abc import Callable
 
 from toucanyard.names import EndpointName
-from toucanyard_emulator.engine import JobEnd, Presence
-from toucanyard_emulator.scenario import PlainShape
+from toucanyard_emulator.engine import Availability, JobOutcome
+from toucanyard_emulator.scenario import PlainReplicaSettings
 from toucanyard_standins.virtual_clock import VirtualClock
 
-OnEnd = Callable[[JobEnd], None]
+OnEnd = Callable[[JobOutcome], None]
 
 
 class PlainReplica:
     """One replica of a plain service."""
 
     def __init__(
-        self, name: EndpointName, shape: PlainShape, clock: VirtualClock
+        self, name: EndpointName, settings: PlainReplicaSettings, clock: VirtualClock
     ) -> None:
         self.name = name
-        self.presence = Presence.UP
-        self._shape = shape
+        self.availability = Availability.UP
+        self._shape = settings
         self._clock = clock
         self._running = 0
         self._queue: deque[tuple[float, OnEnd]] = deque()
@@ -33,7 +33,7 @@
         elif len(self._queue) < self._shape.queue:
             self._queue.append((work_ms, on_end))
         else:
-            on_end(JobEnd.REFUSED)
+            on_end(JobOutcome.REFUSED)
 
     def _run(self, work_ms: float, on_end: OnEnd) -> None:
         self._running += 1
@@ -41,6 +41,6 @@
 
     def _end(self, on_end: OnEnd) -> None:
         self._running -= 1
-        on_end(JobEnd.DONE)
+        on_end(JobOutcome.DONE)
         if self._queue:
             self._run(*self._queue.popleft())
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/relayed_call.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/relayed_call.py
@@ -17,15 +17,15 @@
 from toucanyard.relay_requests import RelayDispatch, RelayOutcome, RelayRequest
 from toucanyard.requests import DispatchEnding, Refuse
 from toucanyard_emulator.arrivals import Arrival
-from toucanyard_emulator.engine import Engine, Job, JobEnd, Presence
+from toucanyard_emulator.engine import Availability, Engine, Job, JobOutcome
 
 if TYPE_CHECKING:
     from toucanyard_emulator.node import EmulatedNode
 
 HANDSHAKE_MS: Final = 1.0
-GAP_PATIENCE: Final = 2.5
-MIN_GAP_MS: Final = 900.0
-LOOK_MS: Final = 250.0
+GAP_TIMEOUT_FACTOR: Final = 2.5
+MIN_GAP_TIMEOUT_MS: Final = 900.0
+GAP_CHECK_INTERVAL_MS: Final = 250.0
 """Time between two looks at whether a stream has gone silent."""
 
 
@@ -40,7 +40,7 @@
     """The last one."""
 
 
-class CallEnd(msgspec.Struct, frozen=True):
+class CallResult(msgspec.Struct, frozen=True):
     """What a caller's try came to."""
 
     is_complete: bool
@@ -58,29 +58,29 @@
         arrival: Arrival,
         request: RelayRequest,
         on_first: Callable[[], None],
-        on_end: Callable[[CallEnd], None],
+        on_end: Callable[[CallResult], None],
     ) -> None:
         self.arrival = arrival
         self.request = request
         self.trace = CallTrace()
         self.first_ms: float | None = None
         self.worst_gap_ms = 0.0
-        self.made = 0
+        self.generated_tokens = 0
         self._node = node
         self._on_first = on_first
         self._on_end = on_end
         self._dispatch: RelayDispatch | None = None
-        self._number = 0
+        self._dispatch_number = 0
         """Of the last dispatch; what concerns an earlier one is passed over."""
         self._is_over = False
 
     def begin(self) -> None:
         """Ask the node's core what to do with the call."""
         left_ms = self.request.deadline_ms - self._node.now_ms
-        self._node.after(left_ms, self._end_late)
+        self._node.schedule(left_ms, self._handle_deadline)
         self._node.handle(CallArrived(self.request))
 
-    def take(self, verdict: RelayDispatch | Refuse | None) -> None:
+    def apply_verdict(self, verdict: RelayDispatch | Refuse | None) -> None:
         """Carry out what the core says."""
         if self._is_over:
             return
@@ -89,55 +89,57 @@
                 self._send(verdict)
             case Refuse():
                 is_not_run = verdict.ending.value == "not_run"
-                self._end(CallEnd(False, is_not_run, verdict.retry_after_ms or 0.0))
+                self._end(CallResult(False, is_not_run, verdict.retry_after_ms or 0.0))
             case None:
                 pass
 
-    def leave(self) -> None:
+    def handle_caller_left(self) -> None:
         """Take in that the caller is gone."""
         if self._is_over:
             return
         self._is_over = True
-        self._node.forget(self)
-        self._give_up()
+        self._node.remove_call(self)
+        self._cancel_dispatch()
 
-    def cut(self) -> None:
+    def handle_node_stopped(self) -> None:
         """Take in that the node has ended."""
         if not self._is_over:
             self._is_over = True
-            self._stop_job()
-            self._on_end(CallEnd(False, is_node_gone=True))
+            self._cancel_job()
+            self._on_end(CallResult(False, is_node_gone=True))
 
-    def _end(self, end: CallEnd) -> None:
+    def _end(self, end: CallResult) -> None:
         self._is_over = True
-        self._node.forget(self)
+        self._node.remove_call(self)
         self._on_end(end)
 
-    def _end_late(self) -> None:
+    def _handle_deadline(self) -> None:
         if self._is_over:
             return
         was_sent = self._dispatch is not None
-        self._give_up()
-        self._end(CallEnd(False, is_not_run=not was_sent and self._number == 0))
+        self._cancel_dispatch()
+        self._end(
+            CallResult(False, is_not_run=not was_sent and self._dispatch_number == 0)
+        )
 
-    def _give_up(self) -> None:
+    def _cancel_dispatch(self) -> None:
         dispatch, self._dispatch = self._dispatch, None
-        self._stop_job()
+        self._cancel_job()
         if dispatch is None:
             self._node.handle(CallerLeft(self.request.request_id))
         else:
             self._report(dispatch, DispatchEnding.CANCELLED)
 
-    def _stop_job(self) -> None:
-        job, self._number = self.trace.job, self._number + 1
-        if job is not None and job.holder is not None:
-            job.holder.cancel(job)
+    def _cancel_job(self) -> None:
+        job, self._dispatch_number = self.trace.job, self._dispatch_number + 1
+        if job is not None and job.engine is not None:
+            job.engine.cancel(job)
 
     def _send(self, dispatch: RelayDispatch) -> None:
         now_ms = self._node.now_ms
         self._dispatch = dispatch
-        self._number += 1
-        number = self._number
+        self._dispatch_number += 1
+        number = self._dispatch_number
         trace = self.trace
         trace.dispatches += 1
         trace.last_sent_ms = now_ms
@@ -145,41 +147,45 @@
             trace.first_sent_ms = now_ms
             reason = dispatch.reason
             trace.queued_ms = 0.0 if reason is None else reason.queued_ms
-        world = self._node.world
-        replica = world.pool.find_replica(dispatch.replica)
-        if replica is None or replica.presence is Presence.DOWN:
-            self._node.after(2.0, lambda: self._find_no_listener(number))
+        simulation = self._node.simulation
+        replica = simulation.pool.find_replica(dispatch.replica)
+        if replica is None or replica.availability is Availability.DOWN:
+            self._node.schedule(2.0, lambda: self._handle_no_listener(number))
             return
-        if replica.presence is Presence.SILENT:
-            self._node.after(
+        if replica.availability is Availability.SILENT:
+            self._node.schedule(
                 dispatch.connect_ms,
-                lambda: self._lose(number, DispatchEnding.NOT_SENT, True),
+                lambda: self._fail_dispatch(number, DispatchEnding.NOT_SENT, True),
             )
             return
-        world.counts.connections += 1
-        latency_ms = world.pool.compute_latency(self._node.domain, dispatch.replica)
+        simulation.counts.connections += 1
+        latency_ms = simulation.pool.compute_latency(
+            self._node.domain, dispatch.replica
+        )
         reach_ms = 3 * latency_ms + HANDSHAKE_MS
-        self._node.after(reach_ms, lambda: self._submit(number, dispatch, latency_ms))
+        self._node.schedule(
+            reach_ms, lambda: self._submit(number, dispatch, latency_ms)
+        )
         if not math.isinf(dispatch.patience_ms):
-            self._node.after(
+            self._node.schedule(
                 2 * latency_ms + HANDSHAKE_MS + dispatch.patience_ms,
-                lambda: self._lose_patience(number),
+                lambda: self._handle_first_event_timeout(number),
             )
 
     def _submit(self, number: int, dispatch: RelayDispatch, latency_ms: float) -> None:
-        if number != self._number:
+        if number != self._dispatch_number:
             return
-        replica = self._node.world.pool.find_replica(dispatch.replica)
-        if replica is None or replica.presence is Presence.DOWN:
-            self._lose(number, DispatchEnding.LOST, is_closed=True)
+        replica = self._node.simulation.pool.find_replica(dispatch.replica)
+        if replica is None or replica.availability is Availability.DOWN:
+            self._fail_dispatch(number, DispatchEnding.LOST, is_closed=True)
             return
-        if replica.presence is Presence.SILENT:
+        if replica.availability is Availability.SILENT:
             return
         if not isinstance(replica, Engine):
             replica.submit(
                 self.arrival.work_ms,
-                lambda end: self._node.after(
-                    latency_ms, lambda: self._end_plain(number, end)
+                lambda end: self._node.schedule(
+                    latency_ms, lambda: self._handle_plain_end(number, end)
                 ),
             )
             return
@@ -187,89 +193,95 @@
         job = Job(
             rank=dispatch.rank,
             scope=dispatch.cache_scope,
-            parts=self.request.prompt.parts,
-            output_tokens=max(self.arrival.output_tokens - self.made, 1),
+            blocks=self.request.prompt.parts,
+            output_tokens=max(self.arrival.output_tokens - self.generated_tokens, 1),
             weights_version=dispatch.weights_version or 0,
             fetch_from=dispatch.fetch_from,
             save_to=dispatch.save_to,
-            on_first=lambda _: self._note_first_token(number, replica, latency_ms),
-            on_end=lambda job, end: self._node.after(
-                latency_ms, lambda: self._end_job(number, job, end)
+            on_first=lambda _: self._handle_first_token(number, replica, latency_ms),
+            on_end=lambda job, end: self._node.schedule(
+                latency_ms, lambda: self._handle_job_end(number, job, end)
             ),
         )
         self.trace.job = job
         replica.submit(job)
 
-    def _note_first_token(self, number: int, engine: Engine, latency_ms: float) -> None:
-        self._node.after(latency_ms, lambda: self._begin(number))
+    def _handle_first_token(
+        self, number: int, engine: Engine, latency_ms: float
+    ) -> None:
+        self._node.schedule(latency_ms, lambda: self._handle_first_event(number))
         if self.arrival.crash is not None:
-            self._node.world.crash_engine(engine, self.arrival.crash)
+            self._node.simulation.crash_engine(engine, self.arrival.crash)
 
-    def _begin(self, number: int) -> None:
-        if number != self._number or self._is_over:
+    def _handle_first_event(self, number: int) -> None:
+        if number != self._dispatch_number or self._is_over:
             return
         self._node.handle(FirstEventSeen(self.request.request_id))
         if self.first_ms is None:
             self.first_ms = self._node.now_ms
             self._on_first()
         if self._dispatch is not None and not math.isinf(self._dispatch.patience_ms):
-            self._node.after(LOOK_MS, lambda: self._look(number))
+            self._node.schedule(GAP_CHECK_INTERVAL_MS, lambda: self._check_gap(number))
 
-    def _look(self, number: int) -> None:
+    def _check_gap(self, number: int) -> None:
         """See whether a stream that may be resumed has gone silent."""
         job = self.trace.job
-        if number != self._number or self._is_over or job is None:
+        if number != self._dispatch_number or self._is_over or job is None:
             return
-        bound_ms = max(self.arrival.kind.max_gap_ms * GAP_PATIENCE, MIN_GAP_MS)
-        if self._node.now_ms - job.event_ms > bound_ms:
-            self._lose(number, DispatchEnding.LOST)
+        timeout_ms = max(
+            self.arrival.kind.max_gap_ms * GAP_TIMEOUT_FACTOR, MIN_GAP_TIMEOUT_MS
+        )
+        if self._node.now_ms - job.event_ms > timeout_ms:
+            self._fail_dispatch(number, DispatchEnding.LOST)
         else:
-            self._node.after(LOOK_MS, lambda: self._look(number))
+            self._node.schedule(GAP_CHECK_INTERVAL_MS, lambda: self._check_gap(number))
 
-    def _lose_patience(self, number: int) -> None:
+    def _handle_first_event_timeout(self, number: int) -> None:
         job = self.trace.job
-        if number != self._number or self._is_over:
+        if number != self._dispatch_number or self._is_over:
             return
         if self._dispatch is None or (job is not None and job.first_ms is not None):
             return
-        if job is not None and job.holder is not None:
-            job.holder.cancel(job)
-        self._lose(number, DispatchEnding.LOST)
+        if job is not None and job.engine is not None:
+            job.engine.cancel(job)
+        self._fail_dispatch(number, DispatchEnding.LOST)
 
-    def _end_plain(self, number: int, end: JobEnd) -> None:
-        if number != self._number or self._is_over:
+    def _handle_plain_end(self, number: int, end: JobOutcome) -> None:
+        if number != self._dispatch_number or self._is_over:
             return
-        if end is JobEnd.REFUSED:
-            self._lose(number, DispatchEnding.REFUSED)
+        if end is JobOutcome.REFUSED:
+            self._fail_dispatch(number, DispatchEnding.REFUSED)
             return
         self.first_ms = self._node.now_ms
         self._complete()
 
-    def _end_job(self, number: int, job: Job, end: JobEnd) -> None:
+    def _handle_job_end(self, number: int, job: Job, end: JobOutcome) -> None:
         self.worst_gap_ms = max(self.worst_gap_ms, job.worst_gap_ms)
-        if number != self._number or self._is_over:
+        if number != self._dispatch_number or self._is_over:
             return
-        self.made += job.made
+        self.generated_tokens += job.generated_tokens
         match end:
-            case JobEnd.DONE:
+            case JobOutcome.DONE:
                 self._complete()
-            case JobEnd.REFUSED:
-                self._lose(number, DispatchEnding.REFUSED)
-            case JobEnd.OTHER_WEIGHTS:
-                self._lose(number, DispatchEnding.REFUSED, has_other_weights=True)
-            case JobEnd.LOST:
-                self._lose(number, DispatchEnding.LOST, is_closed=True)
+            case JobOutcome.REFUSED:
+                self._fail_dispatch(number, DispatchEnding.REFUSED)
+            case JobOutcome.OTHER_WEIGHTS:
+                self._fail_dispatch(
+                    number, DispatchEnding.REFUSED, has_other_weights=True
+                )
+            case JobOutcome.LOST:
+                self._fail_dispatch(number, DispatchEnding.LOST, is_closed=True)
 
     def _complete(self) -> None:
         dispatch, self._dispatch = self._dispatch, None
         assert dispatch is not None
         self._report(dispatch, DispatchEnding.COMPLETED)
-        self._end(CallEnd(True))
+        self._end(CallResult(True))
 
-    def _find_no_listener(self, number: int) -> None:
-        self._lose(number, DispatchEnding.NOT_SENT, True, has_no_listener=True)
+    def _handle_no_listener(self, number: int) -> None:
+        self._fail_dispatch(number, DispatchEnding.NOT_SENT, True, has_no_listener=True)
 
-    def _lose(
+    def _fail_dispatch(
         self,
         number: int,
         ending: DispatchEnding,
@@ -279,10 +291,10 @@
         is_closed: bool = False,
         has_other_weights: bool = False,
     ) -> None:
-        if number != self._number or self._is_over or self._dispatch is None:
+        if number != self._dispatch_number or self._is_over or self._dispatch is None:
             return
         dispatch, self._dispatch = self._dispatch, None
-        self._number += 1
+        self._dispatch_number += 1
         self._report(
             dispatch,
             ending,
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
@@ -18,23 +18,23 @@
 from toucanyard.replica_lives import name_life
 from toucanyard.replicas import Replica
 from toucanyard.routes import PromptStore
-from toucanyard_emulator.engine import Engine, LoadBoard, Presence
+from toucanyard_emulator.engine import Availability, Engine, LoadCounter
 from toucanyard_emulator.plain_replica import PlainReplica
-from toucanyard_emulator.prompt_memory import PromptMemory
-from toucanyard_emulator.read_ledger import ReadLedger
+from toucanyard_emulator.prefill_ledger import PrefillLedger
+from toucanyard_emulator.prompt_cache import PromptCache
 from toucanyard_emulator.scenario import Scenario
 from toucanyard_emulator.store import EmulatedStore
 from toucanyard_emulator.transfers import Link
 from toucanyard_standins.virtual_clock import VirtualClock
 
-DESK: Final = ServiceName("desk")
-ENGINES: Final = ServiceName("engines")
+PLAIN_SERVICE: Final = ServiceName("desk")
+ENGINE_SERVICE: Final = ServiceName("engines")
 MODEL: Final = "m"
-LAG_MS: Final = 800.0
+REGISTRATION_LAG_MS: Final = 800.0
 """Time until a replica's change is in the store."""
-LEASE_MS: Final = 3_600.0
+REGISTRATION_LEASE_MS: Final = 3_600.0
 """Time without heartbeats after which a replica's entry goes."""
-LEAVE_MS: Final = 2_000.0
+DRAIN_MS: Final = 2_000.0
 """How long a replica that drains serves on."""
 MAX_FOLLOWERS: Final = 12
 
@@ -52,34 +52,37 @@
     def __init__(
         self, scenario: Scenario, seed: int, clock: VirtualClock, store: EmulatedStore
     ) -> None:
-        self.ledger = ReadLedger()
+        self.ledger = PrefillLedger()
         self.late_order_share = 0.0
         self.prompt_store = self._build_prompt_store(scenario)
         self._scenario = scenario
         self._seed = seed
         self._clock = clock
         self._store = store
-        self._loads = LoadBoard()
+        self._load_counter = LoadCounter()
         self._replicas: dict[EndpointName, AnyReplica] = {}
         self._entries: dict[EndpointName, Replica] = {}
-        self._memories: dict[Address, tuple[PromptMemory, Link]] = {}
-        self._births = 0
+        self._caches: dict[Address, tuple[PromptCache, Link]] = {}
+        self._incarnation_count = 0
         self._rng = random.Random(f"{seed} world")
         self._order_rng = random.Random(f"{seed} orders")
         if self.prompt_store is not None:
-            kept = self.prompt_store
-            memory = PromptMemory(kept.memory_tokens)
-            self._memories[kept.address] = (memory, Link(kept.link_mbps, kept.domain))
+            prompt_store = self.prompt_store
+            cache = PromptCache(prompt_store.memory_tokens)
+            self._caches[prompt_store.address] = (
+                cache,
+                Link(prompt_store.link_mbps, prompt_store.domain),
+            )
 
     def _build_prompt_store(self, scenario: Scenario) -> PromptStore | None:
-        shape = scenario.prompt_store
-        if shape is None:
+        settings = scenario.prompt_store
+        if settings is None:
             return None
         return PromptStore(
             Address("10.9.0.1:1"),
             name_domain(scenario, 1),
-            shape.memory_tokens,
-            shape.link_mbps,
+            settings.memory_tokens,
+            settings.link_mbps,
             MAX_FOLLOWERS,
         )
 
@@ -100,11 +103,11 @@
         self, number: int, version: int, listed_as: ReplicaId | None
     ) -> Engine:
         """Start a life of an engine and register it."""
-        self._births += 1
-        born_ms = int(self._clock.now_ms) + self._births
-        listed = listed_as or ReplicaId(f"e{self._births}")
+        self._incarnation_count += 1
+        born_ms = int(self._clock.now_ms) + self._incarnation_count
+        listed = listed_as or ReplicaId(f"e{self._incarnation_count}")
         name = name_life(listed, born_ms)
-        address = Address(f"10.1.{number}.{self._births}:1")
+        address = Address(f"10.1.{number}.{self._incarnation_count}:1")
         domain = name_domain(self._scenario, number)
         rng = random.Random(f"{self._seed} engine {number}")
         engine = Engine(
@@ -114,20 +117,20 @@
             self._scenario.engines,
             self._clock,
             self.ledger,
-            self._loads,
-            lambda each: self._memories.get(each),
+            self._load_counter,
+            lambda each: self._caches.get(each),
             rng,
         )
         engine.version = version
         self._replicas[name] = engine
-        self._memories[address] = (engine.memory, engine.link)
+        self._caches[address] = (engine.cache, engine.link)
         slots = self._scenario.engines.slots
         entry = Replica(
-            name, listed, ENGINES, address, domain, slots, False, (), born_ms
+            name, listed, ENGINE_SERVICE, address, domain, slots, False, (), born_ms
         )
         self._entries[name] = entry
         self._register(name)
-        self._renew(name)
+        self._send_heartbeat(name)
         return engine
 
     def _add_plain(self, number: int) -> None:
@@ -137,7 +140,7 @@
         entry = Replica(
             name,
             listed,
-            DESK,
+            PLAIN_SERVICE,
             Address(f"10.2.{number}.1:1"),
             name_domain(self._scenario, number),
             self._scenario.plain.slots,
@@ -164,25 +167,25 @@
         self._entries[name] = entry
         self._store.put(Topic.REPLICAS, entry.listed_as, entry)
 
-    def _renew(self, name: EndpointName) -> None:
+    def _send_heartbeat(self, name: EndpointName) -> None:
         """Register again what has changed, as heartbeats do."""
         engine = self._replicas[name]
         assert isinstance(engine, Engine)
-        if engine.presence is not Presence.UP:
+        if engine.availability is not Availability.UP:
             return
         if self._entries[name].weights != ((MODEL, engine.version),):
             self._register(name)
-        self._clock.call_after(LAG_MS, lambda: self._renew(name))
+        self._clock.call_after(REGISTRATION_LAG_MS, lambda: self._send_heartbeat(name))
 
     def list_engines(self) -> list[Engine]:
         """Return the engines that are there."""
         return [
             each
             for each in self._replicas.values()
-            if isinstance(each, Engine) and each.presence is Presence.UP
+            if isinstance(each, Engine) and each.availability is Availability.UP
         ]
 
-    def draw_engines(self, count: int, purpose: str) -> list[Engine]:
+    def choose_engines(self, count: int, purpose: str) -> list[Engine]:
         """Return some engines, the same ones in every variant of a run."""
         engines = self.list_engines()
         rng = random.Random(f"{self._seed} {purpose}")
@@ -191,8 +194,8 @@
 
     def stop_engine(self, engine: Engine, *, is_silent: bool) -> None:
         """End a life of an engine; its entry goes when its lease runs out."""
-        engine.stop(Presence.SILENT if is_silent else Presence.DOWN)
-        self._memories.pop(engine.address, None)
+        engine.stop(Availability.SILENT if is_silent else Availability.DOWN)
+        self._caches.pop(engine.address, None)
         listed_as = self._entries[engine.name].listed_as
 
         def expire() -> None:
@@ -204,7 +207,7 @@
             if not current:
                 self._store.put(Topic.REPLICAS, listed_as, None)
 
-        self._clock.call_after(LEASE_MS, expire)
+        self._clock.call_after(REGISTRATION_LEASE_MS, expire)
 
     def find_listed_as(self, engine: Engine) -> ReplicaId:
         """Return under which id an engine is registered."""
@@ -214,7 +217,7 @@
         """Let an engine drain and leave."""
         self._register(engine.name, is_draining=True)
         self._clock.call_after(
-            2 * LEAVE_MS, lambda: self.stop_engine(engine, is_silent=False)
+            2 * DRAIN_MS, lambda: self.stop_engine(engine, is_silent=False)
         )
 
     def find_replica(self, name: EndpointName) -> AnyReplica | None:
@@ -231,42 +234,42 @@
         draw, late_ms = self._order_rng.random(), self._order_rng.uniform(2e3, 12e3)
         return late_ms if draw < self.late_order_share else None
 
-    def take_order(self, order: WeightsOrder) -> int | None:
+    def apply_order(self, order: WeightsOrder) -> int | None:
         """Carry out an order at its replica."""
         engine = self._replicas.get(order.replica)
-        if not isinstance(engine, Engine) or engine.presence is not Presence.UP:
+        if not isinstance(engine, Engine) or engine.availability is not Availability.UP:
             return None
-        return engine.take_order(order)
+        return engine.apply_order(order)
 
-    def take_order_later(self, order: WeightsOrder, late_ms: float) -> None:
+    def apply_order_later(self, order: WeightsOrder, late_ms: float) -> None:
         """Carry out an order that got no answer."""
 
-        def take() -> None:
-            self.take_order(order)
+        def apply_order() -> None:
+            self.apply_order(order)
 
-        self._clock.call_after(late_ms, take)
+        self._clock.call_after(late_ms, apply_order)
 
-    def tell_parts(
-        self, name: EndpointName, told: int
+    def read_block_changes(
+        self, name: EndpointName, offset: int
     ) -> tuple[tuple[PromptBlockChange, ...], int] | None:
         """Return what a holder tells of its parts, late and with losses."""
-        memory = self._find_memory(name)
-        if memory is None:
+        cache = self._find_cache(name)
+        if cache is None:
             return None
         known_ms = self._clock.now_ms - self._scenario.engines.events_lag_ms
-        end = told
+        end = offset
         changes = []
-        while end < len(memory.changes) and memory.changes[end][0] <= known_ms:
+        while end < len(cache.changes) and cache.changes[end][0] <= known_ms:
             if self._rng.random() >= self._scenario.engines.events_loss:
-                changes.append(memory.changes[end][1])
+                changes.append(cache.changes[end][1])
             end += 1
         return tuple(changes), end
 
-    def _find_memory(self, name: EndpointName) -> PromptMemory | None:
+    def _find_cache(self, name: EndpointName) -> PromptCache | None:
         replica = self._replicas.get(name)
         if isinstance(replica, Engine):
-            return replica.memory if replica.presence is Presence.UP else None
-        kept = self.prompt_store
-        if kept is not None and compute_store_name(kept) == name:
-            return self._memories[kept.address][0]
+            return replica.cache if replica.availability is Availability.UP else None
+        prompt_store = self.prompt_store
+        if prompt_store is not None and compute_store_name(prompt_store) == name:
+            return self._caches[prompt_store.address][0]
         return None
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/reports.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/reports.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from toucanyard_emulator.accounting import WINDOW_MS, Result
-from toucanyard_emulator.experiment import Difference, Played
+from toucanyard_emulator.experiment import Difference, RunResult
 
 
 def render_result(result: Result) -> Iterator[str]:
@@ -39,14 +39,14 @@
     head = ("scenario", "variant", "seeds", "usual", "worth")
     yield "{:22} {:22} {:>5} {:>7} {:>7}  change".format(*head)
     for each in differences:
-        mark = "" if each.is_shown() else "  (not shown)"
+        mark = "" if each.is_significant() else "  (not shown)"
         yield (
             f"{each.scenario:22} {each.variant:22} {each.seeds:5} {each.usual:7.3f} "
             f"{each.worth:7.3f}  {each.mean:+.3f} ± {each.half_width:.3f}{mark}"
         )
 
 
-def plot_windows(played: Sequence[Played], file: Path) -> None:
+def plot_windows(played: Sequence[RunResult], file: Path) -> None:
     """Draw worth by window, the mean of all seeds for each scenario and variant."""
     import matplotlib
 
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/runner.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/runner.py
@@ -3,25 +3,27 @@
 from __future__ import annotations
 
 from toucanyard.relay_policy import RelayPolicy
-from toucanyard_emulator.accounting import Result, add_up
-from toucanyard_emulator.faults import plan_faults
+from toucanyard_emulator.accounting import Result, compute_result
+from toucanyard_emulator.faults import schedule_faults
 from toucanyard_emulator.scenario import Scenario
-from toucanyard_emulator.world import LEAD_MS, World
+from toucanyard_emulator.simulation import WARM_UP_MS, Simulation
 
-END_MS = 15_000.0
+DRAIN_TIME_MS = 15_000.0
 """Time after the last call in which all calls have ended."""
 
 
-def play(scenario: Scenario, policy: RelayPolicy, seed: int) -> Result:
+def run_scenario(scenario: Scenario, policy: RelayPolicy, seed: int) -> Result:
     """Return what callers got."""
-    world = run_world(scenario, policy, seed)
-    return add_up(world.ended, world.count(), scenario.goal, scenario.prices)
+    simulation = run_simulation(scenario, policy, seed)
+    return compute_result(
+        simulation.outcomes, simulation.count(), scenario.goal, scenario.prices
+    )
 
 
-def run_world(scenario: Scenario, policy: RelayPolicy, seed: int) -> World:
+def run_simulation(scenario: Scenario, policy: RelayPolicy, seed: int) -> Simulation:
     """Play to the end and return all that there was."""
-    world = World(scenario, policy, seed)
-    world.build()
-    plan_faults(world)
-    world.clock.run_until(LEAD_MS + scenario.length_s * 1000 + END_MS)
-    return world
+    simulation = Simulation(scenario, policy, seed)
+    simulation.build()
+    schedule_faults(simulation)
+    simulation.clock.run_until(WARM_UP_MS + scenario.length_s * 1000 + DRAIN_TIME_MS)
+    return simulation
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/scenario.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/scenario.py
@@ -13,104 +13,104 @@
 import msgspec
 
 _Positive = Annotated[float, msgspec.Meta(gt=0)]
-_Figure = Annotated[float, msgspec.Meta(ge=0)]
+_NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 _Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
-_Whole = Annotated[int, msgspec.Meta(ge=1)]
-_Count = Annotated[int, msgspec.Meta(ge=0)]
+_PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=40)]
 
 
-class _Checked(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class _StrictTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A table of a scenario file."""
 
 
-class EngineShape(_Checked, frozen=True, kw_only=True):
+class EngineSettings(_StrictTable, frozen=True, kw_only=True):
     """What every engine of the pool can do."""
 
-    replicas: _Whole
-    slots: _Whole
-    memory_tokens: _Whole
-    bytes_per_token: _Whole
+    replicas: _PositiveInt
+    slots: _PositiveInt
+    memory_tokens: _PositiveInt
+    bytes_per_token: _PositiveInt
     link_mbps: _Positive
     step_ms: _Positive
     """Time of one step with one call."""
-    step_ms_per_call: _Figure
+    step_ms_per_call: _NonNegative
     tokens_per_ms: _Positive
     """Prompt tokens that are read in a millisecond."""
-    pairs_ms_per_m: _Figure
+    pairs_ms_per_m: _NonNegative
     """Time for a million pairs of a prompt's tokens."""
-    chunk_tokens: _Whole = 4_096
+    chunk_tokens: _PositiveInt = 4_096
     """Most prompt tokens that are read in one step."""
-    first_ms: _Figure = 0.0
+    first_ms: _NonNegative = 0.0
     """Time from the first token to the first event."""
-    tokens_per_event: _Whole = 6
+    tokens_per_event: _PositiveInt = 6
     load_ms: _Positive = 1_000.0
     """Time that new weights take."""
-    loads_at_once: _Whole = 2
+    loads_at_once: _PositiveInt = 2
     """Loads beyond which each takes longer."""
-    events_lag_ms: _Figure = 80.0
+    events_lag_ms: _NonNegative = 80.0
     events_loss: _Share = 0.01
 
 
-class PlainShape(_Checked, frozen=True, kw_only=True):
+class PlainReplicaSettings(_StrictTable, frozen=True, kw_only=True):
     """Replicas that run no model."""
 
-    replicas: _Whole
-    slots: _Whole
-    queue: _Count
+    replicas: _PositiveInt
+    slots: _PositiveInt
+    queue: _NonNegativeInt
 
 
-class PromptStoreShape(_Checked, frozen=True, kw_only=True):
+class PromptStoreSettings(_StrictTable, frozen=True, kw_only=True):
     """A store beside the engines that keeps parts of prompts."""
 
-    memory_tokens: _Whole
+    memory_tokens: _PositiveInt
     link_mbps: _Positive
 
 
-class SharedPart(_Checked, frozen=True, kw_only=True):
+class SharedBlock(_StrictTable, frozen=True, kw_only=True):
     """A part that prompts share: one of so many subjects."""
 
-    tokens: _Whole
-    subjects: _Whole
+    tokens: _PositiveInt
+    subjects: _PositiveInt
 
 
-class CallKind(_Checked, frozen=True, kw_only=True):
+class CallKind(_StrictTable, frozen=True, kw_only=True):
     """One kind of call; it has a prompt if `prompt_tokens` is set."""
 
     name: _Name
     per_s: _Positive
     worth: _Positive
-    late_worth: _Figure
-    target_ms: _Whole
-    deadline_ms: _Whole
-    rank: _Count = 1
-    max_attempts: _Whole = 1
+    late_worth: _NonNegative
+    target_ms: _PositiveInt
+    deadline_ms: _PositiveInt
+    rank: _NonNegativeInt = 1
+    max_attempts: _PositiveInt = 1
     is_repeatable: bool = False
-    caller_retries: _Count = 1
-    prompt_tokens: _Count = 0
+    caller_retries: _NonNegativeInt = 1
+    prompt_tokens: _NonNegativeInt = 0
     """Mean of the prompt's own part."""
-    output_tokens: _Count = 0
-    max_gap_ms: _Whole = 400
-    shared: tuple[SharedPart, ...] = ()
-    work_ms: _Figure = 0.0
+    output_tokens: _NonNegativeInt = 0
+    max_gap_ms: _PositiveInt = 400
+    shared: tuple[SharedBlock, ...] = ()
+    work_ms: _NonNegative = 0.0
     """Mean time that a plain call takes."""
 
 
-class Prices(_Checked, frozen=True, kw_only=True):
+class Prices(_StrictTable, frozen=True, kw_only=True):
     """What is taken off, in worth."""
 
-    load: _Figure = 0.0
-    order: _Figure = 0.0
-    reread_per_1k_tokens: _Figure = 0.0
-    connection: _Figure = 0.0
-    store_call: _Figure = 0.0
-    moved_gb: _Figure = 0.0
+    load: _NonNegative = 0.0
+    order: _NonNegative = 0.0
+    reread_per_1k_tokens: _NonNegative = 0.0
+    connection: _NonNegative = 0.0
+    store_call: _NonNegative = 0.0
+    moved_gb: _NonNegative = 0.0
     old_weights_share: _Share = 0.2
     """Of a call's worth that is begun on older weights."""
-    old_after_ms: _Figure = 1_500.0
+    old_after_ms: _NonNegative = 1_500.0
 
 
-class Goal(_Checked, frozen=True, kw_only=True):
+class Objective(_StrictTable, frozen=True, kw_only=True):
     """How the worth of a run is put together; the weights add up to one."""
 
     whole: _Share = 0.35
@@ -118,107 +118,107 @@
     kinds: _Share = 0.15
 
 
-class Crash(_Checked, frozen=True, kw_only=True, tag="crash"):
+class Crash(_StrictTable, frozen=True, kw_only=True, tag="crash"):
     """Replicas end and come back empty."""
 
-    at_s: _Figure
-    for_s: _Figure
-    count: _Whole = 1
+    at_s: _NonNegative
+    for_s: _NonNegative
+    count: _PositiveInt = 1
     is_silent: bool = False
     """They answer nothing while they are away, instead of refusing connections."""
     keeps_id: bool = False
     """They come back under the id that they had."""
 
 
-class Grey(_Checked, frozen=True, kw_only=True, tag="grey"):
+class Grey(_StrictTable, frozen=True, kw_only=True, tag="grey"):
     """Replicas leave a share of their calls without an answer."""
 
-    at_s: _Figure
-    for_s: _Figure
-    count: _Whole = 1
+    at_s: _NonNegative
+    for_s: _NonNegative
+    count: _PositiveInt = 1
     share: _Share = 0.45
 
 
-class Slow(_Checked, frozen=True, kw_only=True, tag="slow"):
+class Slow(_StrictTable, frozen=True, kw_only=True, tag="slow"):
     """Replicas take longer."""
 
-    at_s: _Figure
-    for_s: _Figure
-    count: _Whole = 1
+    at_s: _NonNegative
+    for_s: _NonNegative
+    count: _PositiveInt = 1
     factor: _Positive = 4.0
 
 
-class ScaleIn(_Checked, frozen=True, kw_only=True, tag="scale_in"):
+class ScaleIn(_StrictTable, frozen=True, kw_only=True, tag="scale_in"):
     """Replicas drain and leave for good."""
 
-    at_s: _Figure
-    count: _Whole = 1
+    at_s: _NonNegative
+    count: _PositiveInt = 1
 
 
-class ScaleOut(_Checked, frozen=True, kw_only=True, tag="scale_out"):
+class ScaleOut(_StrictTable, frozen=True, kw_only=True, tag="scale_out"):
     """Replicas are added that keep nothing of any prompt."""
 
-    at_s: _Figure
-    count: _Whole = 1
+    at_s: _NonNegative
+    count: _PositiveInt = 1
 
 
-class NewWeights(_Checked, frozen=True, kw_only=True, tag="new_weights"):
+class NewWeights(_StrictTable, frozen=True, kw_only=True, tag="new_weights"):
     """Operators name new weights."""
 
-    at_s: _Figure
+    at_s: _NonNegative
 
 
-class LateOrders(_Checked, frozen=True, kw_only=True, tag="late_orders"):
+class LateOrders(_StrictTable, frozen=True, kw_only=True, tag="late_orders"):
     """A share of the orders gets no answer and is carried out late."""
 
-    at_s: _Figure
-    for_s: _Figure
+    at_s: _NonNegative
+    for_s: _NonNegative
     share: _Share = 0.5
 
 
-class StoreDown(_Checked, frozen=True, kw_only=True, tag="store_down"):
+class StoreDown(_StrictTable, frozen=True, kw_only=True, tag="store_down"):
     """The platform's store answers nobody, or not to some nodes."""
 
-    at_s: _Figure
-    for_s: _Figure
-    nodes: _Count = 0
+    at_s: _NonNegative
+    for_s: _NonNegative
+    nodes: _NonNegativeInt = 0
     """How many nodes it leaves without an answer; 0 for all."""
 
 
-class NodesKilled(_Checked, frozen=True, kw_only=True, tag="nodes_killed"):
+class NodesKilled(_StrictTable, frozen=True, kw_only=True, tag="nodes_killed"):
     """Nodes end at once and start again empty."""
 
-    at_s: _Figure
-    for_s: _Figure
-    count: _Count = 0
+    at_s: _NonNegative
+    for_s: _NonNegative
+    count: _NonNegativeInt = 0
     """How many; 0 for all."""
 
 
-class Burst(_Checked, frozen=True, kw_only=True, tag="burst"):
+class Burst(_StrictTable, frozen=True, kw_only=True, tag="burst"):
     """More calls come."""
 
-    at_s: _Figure
-    for_s: _Figure
+    at_s: _NonNegative
+    for_s: _NonNegative
     factor: _Positive = 1.7
 
 
-class HotSubject(_Checked, frozen=True, kw_only=True, tag="hot_subject"):
+class HotSubject(_StrictTable, frozen=True, kw_only=True, tag="hot_subject"):
     """A share of a kind's calls is about one subject."""
 
-    at_s: _Figure
-    for_s: _Figure
+    at_s: _NonNegative
+    for_s: _NonNegative
     kind: _Name
     share: _Share = 0.25
 
 
-class CrashingRequest(_Checked, frozen=True, kw_only=True, tag="crashing_request"):
+class CrashingRequest(_StrictTable, frozen=True, kw_only=True, tag="crashing_request"):
     """One request comes again and again, and ends each engine that begins to run it."""
 
-    at_s: _Figure
-    for_s: _Figure
+    at_s: _NonNegative
+    for_s: _NonNegative
     kind: _Name
     every_s: _Positive = 0.3
-    after_ms: _Figure = 60.0
+    after_ms: _NonNegative = 60.0
     """From its first token to the end of the engine."""
     back_s: _Positive = 3.0
     """From there until the engine is back."""
@@ -240,49 +240,51 @@
 )
 
 
-class Scenario(_Checked, frozen=True, kw_only=True):
+class Scenario(_StrictTable, frozen=True, kw_only=True):
     """All that is played."""
 
     name: _Name
     length_s: _Positive
-    nodes: _Whole
-    domains: _Whole = 3
-    near_ms: _Figure = 0.1
-    far_ms: _Figure = 0.9
+    nodes: _PositiveInt
+    domains: _PositiveInt = 3
+    near_ms: _NonNegative = 0.1
+    far_ms: _NonNegative = 0.9
     """One way between failure domains."""
-    caller_ms: _Figure = 1.0
+    caller_ms: _NonNegative = 1.0
     wave_share: _Share = 0.15
     wave_s: _Positive = 11.0
-    weights_deadline_ms: _Whole = 12_000
-    start_ms: _Figure = 350.0
+    weights_deadline_ms: _PositiveInt = 12_000
+    start_ms: _NonNegative = 350.0
     """Time that a node takes from its start to its first call."""
-    engines: EngineShape
-    plain: PlainShape
-    prompt_store: PromptStoreShape | None = None
+    engines: EngineSettings
+    plain: PlainReplicaSettings
+    prompt_store: PromptStoreSettings | None = None
     kinds: tuple[CallKind, ...]
     prices: Prices = Prices()
-    goal: Goal = Goal()
+    goal: Objective = Objective()
     faults: tuple[Fault, ...] = ()
 
 
-class ScenarioInvalidError(Exception):
+class InvalidScenarioError(Exception):
     """A scenario can't be played; the text names file, field and reason."""
 
 
 _EXTENDS: Final = "extends"
-_FOLDER: Final = Path(__file__).parent / "scenarios"
+_SCENARIO_DIRECTORY: Final = Path(__file__).parent / "scenarios"
 
 
 def list_scenarios() -> list[Path]:
     """Return the scenarios that come with the package."""
     return sorted(
-        file for file in _FOLDER.glob("*.toml") if not file.name.startswith("_")
+        file
+        for file in _SCENARIO_DIRECTORY.glob("*.toml")
+        if not file.name.startswith("_")
     )
 
 
 def find_scenario(name: str) -> Path:
     """Return the file of a scenario, by its path or by its name in the package."""
-    own = _FOLDER / f"{name}.toml"
+    own = _SCENARIO_DIRECTORY / f"{name}.toml"
     return own if own.exists() else Path(name)
 
 
@@ -292,8 +294,8 @@
     try:
         scenario = msgspec.convert(table, Scenario)
     except msgspec.ValidationError as error:
-        raise ScenarioInvalidError(f"{file}: {error}") from error
-    _check(file, scenario)
+        raise InvalidScenarioError(f"{file}: {error}") from error
+    _validate(file, scenario)
     return scenario
 
 
@@ -302,32 +304,32 @@
     try:
         table = tomllib.loads(file.read_text("utf-8"))
     except OSError as error:
-        raise ScenarioInvalidError(f"{file}: {error.strerror}") from error
+        raise InvalidScenarioError(f"{file}: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ScenarioInvalidError(f"{file}: {error}") from error
+        raise InvalidScenarioError(f"{file}: {error}") from error
     base = table.pop(_EXTENDS, None)
     if base is None:
         return table
     if not isinstance(base, str) or depth > 3:
-        raise ScenarioInvalidError(f"{file}: {_EXTENDS}: names no file to build on")
+        raise InvalidScenarioError(f"{file}: {_EXTENDS}: names no file to build on")
     return _read_table(file.parent / base, depth + 1) | table
 
 
-def _check(file: Path, scenario: Scenario) -> None:
+def _validate(file: Path, scenario: Scenario) -> None:
     """Raise for what each field allows and all of them together don't."""
     names = [kind.name for kind in scenario.kinds]
     if not names:
-        raise ScenarioInvalidError(f"{file}: kinds: there is none")
+        raise InvalidScenarioError(f"{file}: kinds: there is none")
     if len(set(names)) < len(names):
-        raise ScenarioInvalidError(f"{file}: kinds: a name stands twice")
+        raise InvalidScenarioError(f"{file}: kinds: a name stands twice")
     for number, kind in enumerate(scenario.kinds):
         if not kind.prompt_tokens and not kind.work_ms:
             text = f"kinds[{number}]: neither prompt_tokens nor work_ms is set"
-            raise ScenarioInvalidError(f"{file}: {text}")
+            raise InvalidScenarioError(f"{file}: {text}")
     for number, fault in enumerate(scenario.faults):
         if fault.at_s > scenario.length_s:
             text = f"faults[{number}].at_s: it comes after the end"
-            raise ScenarioInvalidError(f"{file}: {text}")
+            raise InvalidScenarioError(f"{file}: {text}")
         if isinstance(fault, HotSubject | CrashingRequest) and fault.kind not in names:
             text = f"faults[{number}].kind: no such kind, {fault.kind}"
-            raise ScenarioInvalidError(f"{file}: {text}")
+            raise InvalidScenarioError(f"{file}: {text}")
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/world.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/simulation.py
@@ -22,16 +22,16 @@
     RouteTable,
 )
 from toucanyard.target_weights import WantedWeights
-from toucanyard_emulator.accounting import Counts, Ended
-from toucanyard_emulator.arrivals import draw_arrivals
+from toucanyard_emulator.accounting import CallOutcome, ResourceCounts
+from toucanyard_emulator.arrivals import generate_arrivals
 from toucanyard_emulator.caller import Caller
-from toucanyard_emulator.engine import Engine, Presence
+from toucanyard_emulator.engine import Availability, Engine
 from toucanyard_emulator.node import EmulatedNode
 from toucanyard_emulator.replica_pool import (
-    DESK,
-    ENGINES,
+    ENGINE_SERVICE,
     MAX_FOLLOWERS,
     MODEL,
+    PLAIN_SERVICE,
     ReplicaPool,
     name_domain,
 )
@@ -39,14 +39,14 @@
 from toucanyard_emulator.store import EmulatedStore
 from toucanyard_standins.virtual_clock import VirtualClock
 
-LEAD_MS: Final = 3_000.0
+WARM_UP_MS: Final = 3_000.0
 """Time that nodes have before the first call comes."""
-CALLERS_KNOW_MS: Final = 1_500.0
+CALLER_ADDRESS_CACHE_MS: Final = 1_500.0
 """How long callers keep a node's address that is gone."""
-LINK_MS: Final = 250.0
+LINK_INTERVAL_MS: Final = 250.0
 
 
-class World:
+class Simulation:
     """One run. Invariant: what is random depends on the seed and on nothing played."""
 
     def __init__(self, scenario: Scenario, policy: RelayPolicy, seed: int) -> None:
@@ -55,11 +55,11 @@
         self.clock = VirtualClock()
         self.store = EmulatedStore()
         self.pool = ReplicaPool(scenario, seed, self.clock, self.store)
-        self.counts = Counts()
-        self.ended: list[Ended] = []
+        self.counts = ResourceCounts()
+        self.outcomes: list[CallOutcome] = []
         self.nodes: list[EmulatedNode] = []
         self._policy = policy
-        self._named_ms: list[float] = [float("-inf")]
+        self._target_set_ms: list[float] = [float("-inf")]
         self._stopped_ms: dict[int, float] = {}
         self._incarnations: dict[int, int] = {}
         self._linked: dict[int, tuple[int, ...]] = {}
@@ -67,28 +67,31 @@
     def build(self) -> None:
         """Put up everything and plan the calls."""
         scenario = self.scenario
-        self._put_routes()
+        self._publish_routes()
         self.store.put(Topic.OPERATOR, "weights", WantedWeights(MODEL, 1))
         self.pool.start()
         for number in range(scenario.nodes):
             self.start_node(number)
         self._link()
-        for arrival in draw_arrivals(scenario, self.seed):
+        for arrival in generate_arrivals(scenario, self.seed):
             caller = Caller(self, arrival)
-            self.clock.call_after(LEAD_MS + arrival.at_ms, caller.begin)
+            self.clock.call_after(WARM_UP_MS + arrival.at_ms, caller.begin)
 
-    def _put_routes(self) -> None:
-        shape = self.scenario.engines
+    def _publish_routes(self) -> None:
+        settings = self.scenario.engines
         traits = EngineTraits(
-            shape.slots,
-            shape.memory_tokens,
-            shape.bytes_per_token,
-            shape.link_mbps,
+            settings.slots,
+            settings.memory_tokens,
+            settings.bytes_per_token,
+            settings.link_mbps,
             MAX_FOLLOWERS,
         )
-        kept = self.pool.prompt_store
-        stores = () if kept is None else (kept,)
-        services = (RoutedService(ENGINES, 600, traits), RoutedService(DESK, 100))
+        prompt_store = self.pool.prompt_store
+        stores = () if prompt_store is None else (prompt_store,)
+        services = (
+            RoutedService(ENGINE_SERVICE, 600, traits),
+            RoutedService(PLAIN_SERVICE, 100),
+        )
         customers = (RoutedCustomer(CustomerName("c"), ("key",)),)
         table = RouteTable(1, (), services, stores, customers)
         self.store.put(Topic.OPERATOR, "config", table)
@@ -96,9 +99,9 @@
     def start_node(self, number: int) -> None:
         """Start an incarnation of a node."""
         incarnation = self._incarnations[number] = self._incarnations.get(number, 0) + 1
-        near = f"10.0.{number // 250}.{number % 250}"
+        host = f"10.0.{number // 250}.{number % 250}"
         listen = RelayListen(
-            *(Address(f"{near}:{port}") for port in (1, 2, 3, 4, 5)),
+            *(Address(f"{host}:{port}") for port in (1, 2, 3, 4, 5)),
         )
         options = RelayOptions(
             name=NodeName(f"n{number}"),
@@ -132,7 +135,8 @@
             if node.number not in excluded
             and (
                 node.is_up
-                or now_ms - self._stopped_ms.get(node.number, now_ms) < CALLERS_KNOW_MS
+                or now_ms - self._stopped_ms.get(node.number, now_ms)
+                < CALLER_ADDRESS_CACHE_MS
             )
         ]
         return rng.choice(known) if known else None
@@ -155,13 +159,13 @@
             )
             if self._linked.get(node.number) != key or not node.core.exchange.linked:
                 self._linked[node.number] = key
-                node.link(
+                node.set_links(
                     tuple(
                         self.nodes[number].identity
                         for number in sorted(found[node.number])
                     )
                 )
-        self.clock.call_after(LINK_MS, self._link)
+        self.clock.call_after(LINK_INTERVAL_MS, self._link)
 
     def send(
         self, sender: EmulatedNode, name: NodeName, event: LinkMessageRead
@@ -170,13 +174,13 @@
         target = self.nodes[int(name[1:])]
         is_near = target.domain == sender.domain
         latency_ms = self.scenario.near_ms if is_near else self.scenario.far_ms
-        target.after(latency_ms, lambda: target.handle(event))
+        target.schedule(latency_ms, lambda: target.handle(event))
 
     def crash_engine(self, engine: Engine, crash: CrashingRequest) -> None:
         """End an engine in a moment, since it has begun to run a certain request."""
 
         def end() -> None:
-            if engine.presence is not Presence.UP:
+            if engine.availability is not Availability.UP:
                 return
             self.counts.crashes += 1
             number, version = self.counts.crashes, engine.version
@@ -188,27 +192,27 @@
 
         self.clock.call_after(crash.after_ms, end)
 
-    def name_weights(self) -> None:
+    def set_target_weights(self) -> None:
         """Let operators name new weights."""
-        self._named_ms.append(self.clock.now_ms)
-        version = len(self._named_ms)
+        self._target_set_ms.append(self.clock.now_ms)
+        version = len(self._target_set_ms)
         self.store.put(Topic.OPERATOR, "weights", WantedWeights(MODEL, version))
 
     def find_newest_version(self) -> int:
         """Return the newest weights that were named."""
-        return len(self._named_ms)
+        return len(self._target_set_ms)
 
-    def find_weights_age(self, version: int, begun_ms: float | None) -> float:
+    def find_weights_age(self, version: int, started_ms: float | None) -> float:
         """Return how long newer weights had been named when a call began."""
-        if begun_ms is None or version >= len(self._named_ms):
+        if started_ms is None or version >= len(self._target_set_ms):
             return 0.0
-        return max(begun_ms - self._named_ms[version], 0.0)
+        return max(started_ms - self._target_set_ms[version], 0.0)
 
-    def note_ended(self, ended: Ended) -> None:
+    def record_outcome(self, outcomes: CallOutcome) -> None:
         """Keep how a call ended."""
-        self.ended.append(ended)
+        self.outcomes.append(outcomes)
 
-    def count(self) -> Counts:
+    def count(self) -> ResourceCounts:
         """Return all that is priced."""
         self.counts.loads = self.pool.count_loads()
         self.counts.store_calls = self.store.calls
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/store.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/store.py
@@ -17,36 +17,36 @@
         self.calls = 0
         self.down_nodes: set[int] = set()
         """Nodes that get no answer."""
-        self._facts: list[object] = []
+        self._payloads: list[object] = []
         self._records: dict[Topic, list[KeyedRecord]] = {topic: [] for topic in Topic}
         self._leases: list[bytes] = []
         self._waiting: list[Callable[[], None]] = []
 
     def decode(self, _: Topic, __: str, value: bytes) -> object:
         """Return the fact behind a value."""
-        return self._facts[int(value)]
+        return self._payloads[int(value)]
 
-    def put(self, topic: Topic, key: str, fact: object | None) -> None:
+    def put(self, topic: Topic, key: str, payload: object | None) -> None:
         """Append a record, one without a value if there is no fact."""
         value = None
-        if fact is not None:
-            value = str(len(self._facts)).encode()
-            self._facts.append(fact)
+        if payload is not None:
+            value = str(len(self._payloads)).encode()
+            self._payloads.append(payload)
         records = self._records[topic]
         records.append(KeyedRecord(key, len(records), value))
         if topic is Topic.OPERATOR:
             waiting, self._waiting = self._waiting, []
-            for wake in waiting:
-                wake()
+            for callback in waiting:
+                callback()
 
     def read(self, topic: Topic, since: int) -> tuple[tuple[KeyedRecord, ...], int]:
         """Return the records from an offset on, and the end."""
         records = self._records[topic]
         return tuple(records[since:]), len(records)
 
-    def wait(self, wake: Callable[[], None]) -> None:
+    def wait(self, callback: Callable[[], None]) -> None:
         """Call back once operators have written something."""
-        self._waiting.append(wake)
+        self._waiting.append(callback)
 
     def read_leases(self, since: int) -> tuple[tuple[tuple[int, bytes], ...], int]:
         """Return the turns from an offset on, and their end."""
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/transfers.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/transfers.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-FAR_FACTOR = 2.0
+CROSS_DOMAIN_FACTOR = 2.0
 """How much longer a transfer between failure domains takes."""
-MAX_WAIT_MS = 2_000.0
+MAX_TRANSFER_WAIT_MS = 2_000.0
 """A transfer that would wait longer is not started."""
 
 
@@ -24,10 +24,10 @@
 ) -> float | None:
     """Take both links for a transfer and return its end; None if they are too busy."""
     begin_ms = max(now_ms, source.free_ms, target.free_ms)
-    if begin_ms - now_ms > MAX_WAIT_MS:
+    if begin_ms - now_ms > MAX_TRANSFER_WAIT_MS:
         return None
-    took_ms = size_bytes * 8 / (min(source.mbps, target.mbps) * 1_000)
+    duration_ms = size_bytes * 8 / (min(source.mbps, target.mbps) * 1_000)
     if source.domain != target.domain:
-        took_ms *= FAR_FACTOR
-    source.free_ms = target.free_ms = begin_ms + took_ms
-    return begin_ms + took_ms
+        duration_ms *= CROSS_DOMAIN_FACTOR
+    source.free_ms = target.free_ms = begin_ms + duration_ms
+    return begin_ms + duration_ms
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/variants.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/variants.py
@@ -9,7 +9,7 @@
 from toucanyard.relay_policy import RelayPolicy
 
 
-class VariantInvalidError(Exception):
+class InvalidVariantError(Exception):
     """A variant names no figure of the policy, or gives it an impossible value."""
 
 
@@ -20,7 +20,7 @@
     policy: RelayPolicy
 
 
-USUAL: Final = Variant("usual", RelayPolicy())
+DEFAULT_VARIANT: Final = Variant("usual", RelayPolicy())
 """The policy as it is."""
 
 
@@ -28,7 +28,7 @@
     """Return the variant in NAME=GROUP.FIGURE:VALUE[,...]."""
     name, _, changes = text.partition("=")
     if not name or not changes:
-        raise VariantInvalidError(f"{text!r}: expected NAME=GROUP.FIGURE:VALUE[,...]")
+        raise InvalidVariantError(f"{text!r}: expected NAME=GROUP.FIGURE:VALUE[,...]")
     return Variant(name, _apply(text, changes.split(",")))
 
 
@@ -38,12 +38,12 @@
         path, _, value = change.partition(":")
         group, _, figure = path.partition(".")
         if figure not in table.get(group, {}):
-            raise VariantInvalidError(f"{text!r}: the policy has no figure {path}")
+            raise InvalidVariantError(f"{text!r}: the policy has no figure {path}")
         table[group][figure] = value
     try:
         return msgspec.convert(table, RelayPolicy, strict=False)
     except msgspec.ValidationError as error:
-        raise VariantInvalidError(f"{text!r}: {error}") from error
+        raise InvalidVariantError(f"{text!r}: {error}") from error
 
 
 ABLATIONS: Final = (
--- a/tests/toucanyard_cli/test_limits.py
+++ b/tests/toucanyard_cli/test_limits.py
@@ -7,7 +7,7 @@
 from toucanyard.names import Address
 from toucanyard_cli import limits_command
 from toucanyard_cli.exit_codes import ExitCode
-from toucanyard_cli.limits_command import parse_uses
+from toucanyard_cli.limits_command import parse_limit_usage
 from toucanyard_cli.main import main
 
 HOME = Address("10.0.0.1:9464")
@@ -23,7 +23,7 @@
 
 
 def test_uses_are_read_from_metrics() -> None:
-    large, other = parse_uses(METRICS, HOME)
+    large, other = parse_limit_usage(METRICS, HOME)
     assert (large.customer, large.rate_per_s, large.level) == ("large", 18_000, -8_385)
     assert (large.granted_total, large.denied_total) == (11_400, 5_400)
     assert other.customer == 'a "b"'
@@ -31,15 +31,15 @@
 
 @given(st.text(max_size=200))
 def test_whatever_a_node_answers_is_read(text: str) -> None:
-    parse_uses(text, HOME)
-    parse_uses(f'toucanyard_limit_level{{customer="{text}"}} 1', HOME)
+    parse_limit_usage(text, HOME)
+    parse_limit_usage(f'toucanyard_limit_level{{customer="{text}"}} 1', HOME)
 
 
 def test_limits_are_listed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def read(node: Address) -> str | None:
         return METRICS if node == HOME else None
 
-    monkeypatch.setattr(limits_command, "_read", read)
+    monkeypatch.setattr(limits_command, "_fetch_metrics", read)
     result = CliRunner().invoke(main, ["limits", HOME, "10.0.0.2:9464"])
     assert result.exit_code == ExitCode.OK
     assert "large" in result.output
@@ -50,6 +50,6 @@
     async def read(_: Address) -> str | None:
         return None
 
-    monkeypatch.setattr(limits_command, "_read", read)
+    monkeypatch.setattr(limits_command, "_fetch_metrics", read)
     result = CliRunner().invoke(main, ["limits", HOME])
     assert result.exit_code == ExitCode.NOT_REACHABLE
--- a/tests/toucanyard_cli/test_losses.py
+++ b/tests/toucanyard_cli/test_losses.py
@@ -7,7 +7,7 @@
 from click.testing import CliRunner
 
 from toucanyard_cli.exit_codes import ExitCode
-from toucanyard_cli.loss_report import LossReport, Reason, add_up, read_calls
+from toucanyard_cli.loss_report import LossReason, LossReport, build_report, parse_calls
 from toucanyard_cli.main import main
 
 T = "timestamp=2026-01-01T00:00:"
@@ -35,7 +35,7 @@
 
 
 def find(*lines: str) -> LossReport:
-    return add_up(read_calls(lines), 2)
+    return build_report(parse_calls(lines), 2)
 
 
 def test_call_in_time_is_no_loss() -> None:
@@ -48,7 +48,7 @@
     [
         (
             [sent("a", "01.600", queued_ms=600), ended("a", "01.9", first_ms=700)],
-            Reason.WAITED,
+            LossReason.NODE_QUEUE,
         ),
         (
             [
@@ -57,23 +57,28 @@
                 sent("a", "01.500"),
                 ended("a", "01.9", first_ms=600),
             ],
-            Reason.TRIED_ELSEWHERE,
+            LossReason.EARLIER_ATTEMPTS,
         ),
         (
             [sent("a", "01.0", wait_ms=500), ended("a", "01.9", first_ms=600)],
-            Reason.QUEUED,
+            LossReason.REPLICA_QUEUE,
         ),
-        ([sent("a", "01.0"), ended("a", "01.9", first_ms=600)], Reason.READ),
+        ([sent("a", "01.0"), ended("a", "01.9", first_ms=600)], LossReason.PROMPT_READ),
         (
             [sent("a", "01.0"), ended("a", "01.9", ending="given_up")],
-            Reason.CALLER_LEFT,
+            LossReason.CALLER_LEFT,
         ),
-        ([sent("a", "01.0"), ended("a", "01.9", ending="lost")], Reason.REPLICA_LOST),
-        ([sent("a", "01.0")], Reason.NO_END),
-        ([f"{T}01Z event=refused call=a kind=overloaded"], Reason.REFUSED),
+        (
+            [sent("a", "01.0"), ended("a", "01.9", ending="lost")],
+            LossReason.REPLICA_LOST,
+        ),
+        ([sent("a", "01.0")], LossReason.END_MISSING),
+        ([f"{T}01Z event=refused call=a kind=overloaded"], LossReason.REFUSED),
     ],
 )
-def test_reason_is_what_took_most_of_the_time(lines: list[str], reason: Reason) -> None:
+def test_reason_is_what_took_most_of_the_time(
+    lines: list[str], reason: LossReason
+) -> None:
     report = find(*lines)
     assert report.reasons == {reason.value: 1}
     assert report.calls - report.in_time == 1
--- a/tests/toucanyard_emulator/emulator_examples.py
+++ b/tests/toucanyard_emulator/emulator_examples.py
@@ -6,14 +6,14 @@
 
 from toucanyard_emulator.scenario import (
     CallKind,
-    EngineShape,
+    EngineSettings,
     Fault,
-    PlainShape,
+    PlainReplicaSettings,
     Scenario,
-    SharedPart,
+    SharedBlock,
 )
 
-ENGINES = EngineShape(
+ENGINES = EngineSettings(
     replicas=3,
     slots=8,
     memory_tokens=40_000,
@@ -35,7 +35,7 @@
     deadline_ms=4_000,
     prompt_tokens=1_000,
     output_tokens=9,
-    shared=(SharedPart(tokens=2_000, subjects=20),),
+    shared=(SharedBlock(tokens=2_000, subjects=20),),
 )
 READ = CallKind(
     name="read",
@@ -56,7 +56,7 @@
         length_s=8.0,
         nodes=3,
         engines=ENGINES,
-        plain=PlainShape(replicas=2, slots=4, queue=8),
+        plain=PlainReplicaSettings(replicas=2, slots=4, queue=8),
         kinds=(LONG, READ),
         faults=faults,
     )
--- a/tests/toucanyard_emulator/test_engine.py
+++ b/tests/toucanyard_emulator/test_engine.py
@@ -7,9 +7,15 @@
 from toucanyard.names import Address, EndpointName, NodeName, ReplicaId
 from toucanyard.prompt_block_index import PromptBlock
 from toucanyard.relay_events import WeightsOrder
-from toucanyard_emulator.engine import Engine, Job, JobEnd, LoadBoard, Presence
-from toucanyard_emulator.prompt_memory import PromptMemory
-from toucanyard_emulator.read_ledger import ReadLedger
+from toucanyard_emulator.engine import (
+    Availability,
+    Engine,
+    Job,
+    JobOutcome,
+    LoadCounter,
+)
+from toucanyard_emulator.prefill_ledger import PrefillLedger
+from toucanyard_emulator.prompt_cache import PromptCache
 from toucanyard_emulator.transfers import Link
 from toucanyard_standins.virtual_clock import VirtualClock
 
@@ -21,12 +27,12 @@
 
     def __init__(self) -> None:
         self.clock = VirtualClock()
-        self.ledger = ReadLedger()
-        self.memories: dict[Address, tuple[PromptMemory, Link]] = {}
-        self.loads = LoadBoard()
+        self.ledger = PrefillLedger()
+        self.caches: dict[Address, tuple[PromptCache, Link]] = {}
+        self.loads = LoadCounter()
         self.engines = [self._build(number) for number in range(2)]
         self.firsts: list[float] = []
-        self.ends: list[JobEnd] = []
+        self.ends: list[JobOutcome] = []
 
     def _build(self, number: int) -> Engine:
         address = Address(f"10.0.0.{number}:1")
@@ -38,16 +44,16 @@
             self.clock,
             self.ledger,
             self.loads,
-            self.memories.get,
+            self.caches.get,
             random.Random(1),
         )
-        self.memories[address] = (engine.memory, engine.link)
+        self.caches[address] = (engine.cache, engine.link)
         return engine
 
     def submit(
         self,
         number: int = 0,
-        *parts: PromptBlock,
+        *blocks: PromptBlock,
         version: int = 1,
         fetch_from: Address | None = None,
         rank: int = 1,
@@ -55,7 +61,7 @@
         job = Job(
             rank=rank,
             scope=f"m/{version}/",
-            parts=parts or (BOOK, OWN),
+            blocks=blocks or (BOOK, OWN),
             output_tokens=9,
             weights_version=version,
             fetch_from=fetch_from,
@@ -78,7 +84,7 @@
             orders,
             is_under_calls,
         )
-        return self.engines[0].take_order(order)
+        return self.engines[0].apply_order(order)
 
     def run(self, for_ms: float = 1_000.0) -> None:
         self.clock.run_until(self.clock.now_ms + for_ms)
@@ -90,8 +96,8 @@
     bench.run()
     second = bench.submit()
     bench.run()
-    assert bench.ends == [JobEnd.DONE] * 2
-    assert (first.read_tokens, second.read_tokens) == (3_000, 1_000)
+    assert bench.ends == [JobOutcome.DONE] * 2
+    assert (first.prefilled_tokens, second.prefilled_tokens) == (3_000, 1_000)
     assert bench.ledger.reread_tokens == 0
 
 
@@ -102,7 +108,7 @@
         bench.run()
         job = bench.submit(1, fetch_from=source)
         bench.run()
-        assert job.read_tokens == 1_000 + reread
+        assert job.prefilled_tokens == 1_000 + reread
         assert bench.ledger.reread_tokens == reread
 
 
@@ -133,7 +139,7 @@
 def test_other_weights_are_refused() -> None:
     bench = Bench()
     bench.submit(0, version=2)
-    assert bench.ends == [JobEnd.OTHER_WEIGHTS]
+    assert bench.ends == [JobOutcome.OTHER_WEIGHTS]
 
 
 def test_load_under_calls_lets_them_go_on_and_forgets_what_was_read() -> None:
@@ -145,11 +151,11 @@
     bench.run(50.0)
     assert bench.order(2, is_under_calls=True) == 202
     bench.submit()
-    assert bench.ends == [JobEnd.DONE, JobEnd.REFUSED]
+    assert bench.ends == [JobOutcome.DONE, JobOutcome.REFUSED]
     bench.run(2_000.0)
-    assert bench.ends[-1] is JobEnd.DONE
-    assert 0 < running.made_on_other < running.made
-    assert bench.engines[0].memory.count_leading("m/1/", (BOOK,)) == 0
+    assert bench.ends[-1] is JobOutcome.DONE
+    assert 0 < running.generated_on_other_weights < running.generated_tokens
+    assert bench.engines[0].cache.count_cached_prefix("m/1/", (BOOK,)) == 0
 
 
 def test_load_after_calls_waits_for_them() -> None:
@@ -162,7 +168,7 @@
     assert bench.engines[0].version == 1
     bench.run(3_000.0)
     assert bench.engines[0].version == 2
-    assert job.made_on_other == 0
+    assert job.generated_on_other_weights == 0
 
 
 def test_order_on_an_old_count_is_refused() -> None:
@@ -175,11 +181,14 @@
 
 
 def test_crash_cuts_calls_and_silence_says_nothing() -> None:
-    for presence, ends in ((Presence.DOWN, [JobEnd.LOST]), (Presence.SILENT, [])):
+    for availability, ends in (
+        (Availability.DOWN, [JobOutcome.LOST]),
+        (Availability.SILENT, []),
+    ):
         bench = Bench()
         bench.submit()
         bench.run(5.0)
-        bench.engines[0].stop(presence)
+        bench.engines[0].stop(availability)
         bench.run()
         assert bench.ends == ends
         assert not bench.firsts
--- a/tests/toucanyard_emulator/test_experiment.py
+++ b/tests/toucanyard_emulator/test_experiment.py
@@ -7,9 +7,9 @@
 from emulator_examples import build_scenario
 
 from toucanyard.relay_policy import RelayPolicy
-from toucanyard_emulator.experiment import Played, compare, compute_half_width
+from toucanyard_emulator.experiment import RunResult, compare, compute_half_width
 from toucanyard_emulator.reports import plot_windows, render_differences, render_result
-from toucanyard_emulator.runner import play
+from toucanyard_emulator.runner import run_scenario
 
 
 def test_interval_of_values() -> None:
@@ -21,9 +21,9 @@
 def test_difference_is_taken_seed_by_seed(tmp_path: Path) -> None:
     """Luck moves both variants alike; only what is left is the variant's."""
     scenario = build_scenario(length_s=2.0)
-    result = play(scenario, RelayPolicy(), 1)
+    result = run_scenario(scenario, RelayPolicy(), 1)
     played = [
-        Played(
+        RunResult(
             "small",
             variant,
             seed,
@@ -38,7 +38,7 @@
     (difference,) = compare(played)
     assert difference.mean == pytest.approx(0.05)
     assert difference.half_width == pytest.approx(0.0, abs=1e-9)
-    assert difference.is_shown()
+    assert difference.is_significant()
     assert "+0.050" in "\n".join(render_differences([difference]))
     assert "worth" in "\n".join(render_result(result))
     files = [tmp_path / "a.svg", tmp_path / "b.svg"]
--- a/tests/toucanyard_emulator/test_replayed_loads.py
+++ b/tests/toucanyard_emulator/test_replayed_loads.py
@@ -11,7 +11,7 @@
 
 from toucanyard.crash_ledger import GUILTY_CRASHES
 from toucanyard.relay_policy import RelayPolicy
-from toucanyard_emulator.runner import play
+from toucanyard_emulator.runner import run_scenario
 from toucanyard_emulator.scenario import Fault, Scenario, find_scenario, load_scenario
 from toucanyard_emulator.variants import parse_variant
 
@@ -32,7 +32,8 @@
     scenario = load_first(name, length_s)
     other = parse_variant(before).policy
     gains = [
-        play(scenario, RelayPolicy(), seed).worth - play(scenario, other, seed).worth
+        run_scenario(scenario, RelayPolicy(), seed).worth
+        - run_scenario(scenario, other, seed).worth
         for seed in SEEDS
     ]
     return sum(gains) / len(gains)
@@ -75,8 +76,8 @@
     scenario = load_first("crashing-request", 8.0)
     other = parse_variant(before).policy
     for seed in SEEDS:
-        now = play(scenario, RelayPolicy(), seed)
-        then = play(scenario, other, seed)
+        now = run_scenario(scenario, RelayPolicy(), seed)
+        then = run_scenario(scenario, other, seed)
         assert now.counts.crashes <= GUILTY_CRASHES
         assert then.counts.crashes > now.counts.crashes
         assert now.worth > then.worth
--- a/tests/toucanyard_emulator/test_runner.py
+++ b/tests/toucanyard_emulator/test_runner.py
@@ -5,8 +5,8 @@
 
 from toucanyard.keyed_view import Topic
 from toucanyard.relay_policy import RelayPolicy
-from toucanyard_emulator.arrivals import draw_arrivals
-from toucanyard_emulator.runner import play, run_world
+from toucanyard_emulator.arrivals import generate_arrivals
+from toucanyard_emulator.runner import run_scenario, run_simulation
 from toucanyard_emulator.scenario import (
     Burst,
     Crash,
@@ -25,7 +25,7 @@
 
 
 def test_calm_run_serves_everything() -> None:
-    result = play(build_scenario(), POLICY, 1)
+    result = run_scenario(build_scenario(), POLICY, 1)
     assert result.failed == 0
     assert result.whole > 0.95
 
@@ -33,7 +33,7 @@
 def test_same_seed_gives_the_same_bytes_and_another_one_others() -> None:
     scenario = build_scenario(NewWeights(at_s=2.0), Crash(at_s=3.0, for_s=1.0))
     one, two, three = (
-        msgspec.json.encode(play(scenario, POLICY, seed)) for seed in (1, 1, 2)
+        msgspec.json.encode(run_scenario(scenario, POLICY, seed)) for seed in (1, 1, 2)
     )
     assert one == two
     assert one != three
@@ -41,17 +41,17 @@
 
 def test_variants_meet_the_same_arrivals() -> None:
     scenario = build_scenario()
-    assert draw_arrivals(scenario, 5) == draw_arrivals(scenario, 5)
-    assert draw_arrivals(scenario, 5) != draw_arrivals(scenario, 6)
+    assert generate_arrivals(scenario, 5) == generate_arrivals(scenario, 5)
+    assert generate_arrivals(scenario, 5) != generate_arrivals(scenario, 6)
 
 
 def test_burst_and_hot_subject_change_what_comes() -> None:
-    calm = draw_arrivals(build_scenario(), 1)
-    burst = draw_arrivals(build_scenario(Burst(at_s=2.0, for_s=4.0, factor=3.0)), 1)
+    calm = generate_arrivals(build_scenario(), 1)
+    burst = generate_arrivals(build_scenario(Burst(at_s=2.0, for_s=4.0, factor=3.0)), 1)
     assert len(burst) > 1.5 * len(calm)
     hot = HotSubject(at_s=0.0, for_s=8.0, kind="long", share=1.0)
-    arrivals = draw_arrivals(build_scenario(hot), 1)
-    subjects = {each.parts[0].name for each in arrivals if each.parts}
+    arrivals = generate_arrivals(build_scenario(hot), 1)
+    subjects = {each.blocks[0].name for each in arrivals if each.blocks}
     assert len(subjects) == 1
 
 
@@ -75,14 +75,14 @@
         NewWeights(at_s=6.5),
     )
     for seed in (1, 2):
-        world = run_world(scenario, POLICY, seed)
-        numbers = sorted(each.arrival.number for each in world.ended)
-        assert numbers == list(range(len(draw_arrivals(scenario, seed))))
+        simulation = run_simulation(scenario, POLICY, seed)
+        numbers = sorted(each.arrival.number for each in simulation.outcomes)
+        assert numbers == list(range(len(generate_arrivals(scenario, seed))))
 
 
 def test_new_weights_reach_all_engines() -> None:
-    world = run_world(build_scenario(NewWeights(at_s=2.0)), POLICY, 1)
-    assert {each.version for each in world.pool.list_engines()} == {2}
+    simulation = run_simulation(build_scenario(NewWeights(at_s=2.0)), POLICY, 1)
+    assert {each.version for each in simulation.pool.list_engines()} == {2}
 
 
 def test_replicas_that_join_are_listed_and_get_calls() -> None:
@@ -91,20 +91,20 @@
     They must have the newest weights, or no call would be sent there.
     """
     scenario = build_scenario(NewWeights(at_s=1.0), ScaleOut(at_s=3.0, count=2))
-    world = run_world(scenario, POLICY, 1)
-    joined = world.pool.list_engines()[3:]
+    simulation = run_simulation(scenario, POLICY, 1)
+    joined = simulation.pool.list_engines()[3:]
     assert [each.version for each in joined] == [2, 2]
-    assert all(each.memory.changes for each in joined)
+    assert all(each.cache.changes for each in joined)
 
 
 def test_replica_that_starts_again_under_its_id_is_another_life() -> None:
     fault = Crash(at_s=2.0, for_s=1.0, keeps_id=True)
-    world = run_world(build_scenario(fault), POLICY, 1)
-    records, _ = world.store.read(Topic.REPLICAS, 0)
+    simulation = run_simulation(build_scenario(fault), POLICY, 1)
+    records, _ = simulation.store.read(Topic.REPLICAS, 0)
     listed = {each.key for each in records}
     assert len(listed) == 5
-    assert len(world.pool.list_engines()) == 3
-    core = world.nodes[0].core
-    names = {each.name for each in world.pool.list_engines()}
+    assert len(simulation.pool.list_engines()) == 3
+    core = simulation.nodes[0].core
+    names = {each.name for each in simulation.pool.list_engines()}
     usable = core.directory.find_usable(core.index.table.services[0].name, 1e9)
     assert {each.replica.name for each in usable} == names
--- a/tests/toucanyard_emulator/test_scenario.py
+++ b/tests/toucanyard_emulator/test_scenario.py
@@ -5,7 +5,7 @@
 import pytest
 
 from toucanyard_emulator.scenario import (
-    ScenarioInvalidError,
+    InvalidScenarioError,
     find_scenario,
     list_scenarios,
     load_scenario,
@@ -45,19 +45,19 @@
     ],
 )
 def test_what_is_wrong_is_named(tmp_path: Path, text: str, field: str) -> None:
-    with pytest.raises(ScenarioInvalidError) as caught:
+    with pytest.raises(InvalidScenarioError) as caught:
         load_scenario(write(tmp_path, text))
     assert "s.toml" in str(caught.value)
     assert field in str(caught.value)
 
 
 def test_file_that_is_not_there_is_named(tmp_path: Path) -> None:
-    with pytest.raises(ScenarioInvalidError, match=r"none\.toml"):
+    with pytest.raises(InvalidScenarioError, match=r"none\.toml"):
         load_scenario(tmp_path / "none.toml")
 
 
 def test_files_that_build_on_each_other_in_a_circle_are_refused(tmp_path: Path) -> None:
     file = tmp_path / "s.toml"
     file.write_text('extends = "s.toml"')
-    with pytest.raises(ScenarioInvalidError):
+    with pytest.raises(InvalidScenarioError):
         load_scenario(file)
--- a/tests/toucanyard_emulator/test_variants.py
+++ b/tests/toucanyard_emulator/test_variants.py
@@ -3,7 +3,7 @@
 import pytest
 
 from toucanyard.relay_policy import RelayPolicy
-from toucanyard_emulator.variants import ABLATIONS, VariantInvalidError, parse_variant
+from toucanyard_emulator.variants import ABLATIONS, InvalidVariantError, parse_variant
 
 
 def test_figures_replace_the_usual_ones() -> None:
@@ -27,7 +27,7 @@
     ],
 )
 def test_what_is_no_variant_is_refused(text: str) -> None:
-    with pytest.raises(VariantInvalidError):
+    with pytest.raises(InvalidVariantError):
         parse_variant(text)
 
 
