--- a/packages/toucanyard-cli/src/toucanyard_cli/limits_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/limits_command.py
@@ -59,7 +59,7 @@
             usages += parse_limit_usage(text, Address(node))
     if len(unreachable) == len(nodes):
         raise CommandError(ExitCode.NOT_REACHABLE, "no node answered")
-    usages.sort(key=lambda use: (-use.denied_total, use.customer, use.home))
+    usages.sort(key=lambda usage: (-usage.denied_total, usage.customer, usage.home))
     if is_json:
         click.echo(msgspec.json.encode(usages))
         return
@@ -73,9 +73,9 @@
     found: dict[str, LimitUsage] = {}
     for name, escaped, value in _parse_metric_lines(text.splitlines()):
         customer = _ESCAPE_SEQUENCE.sub(_unescape, escaped)
-        use = found.setdefault(customer, LimitUsage(customer, home))
+        usage = found.setdefault(customer, LimitUsage(customer, home))
         if name in LimitUsage.__struct_fields__:
-            setattr(use, name, float(value))
+            setattr(usage, name, float(value))
     return list(found.values())
 
 
@@ -83,15 +83,15 @@
     """Return a table of limits."""
     rows: list[tuple[Cell, ...]] = [
         (
-            use.customer,
-            use.home,
-            use.rate_per_s,
-            use.share,
-            use.level,
-            use.granted_total,
-            use.denied_total,
+            usage.customer,
+            usage.home,
+            usage.rate_per_s,
+            usage.share,
+            usage.level,
+            usage.granted_total,
+            usage.denied_total,
         )
-        for use in usages
+        for usage in usages
     ]
     head = ("customer", "home", "rate/s", "share", "level", "granted", "denied")
     return render_table(head, rows)
--- a/packages/toucanyard-cli/src/toucanyard_cli/loss_report.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/loss_report.py
@@ -131,8 +131,8 @@
             return LossReason.REFUSED
         if not call.ending:
             return LossReason.END_MISSING
-        is_left = call.ending == "given_up"
-        return LossReason.CALLER_LEFT if is_left else LossReason.REPLICA_LOST
+        has_caller_left = call.ending == "given_up"
+        return LossReason.CALLER_LEFT if has_caller_left else LossReason.REPLICA_LOST
     latency_ms = call.after_ms if call.first_ms is None else call.first_ms
     if call.target_ms is None or latency_ms <= call.target_ms:
         return None
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/accounting.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/accounting.py
@@ -105,23 +105,23 @@
     old, changed = 0.0, 0.0
     tally = [0, 0, 0]
     for each in outcomes:
-        arrival, got = each.arrival, each.compute_earned_worth()
+        arrival, call_worth = each.arrival, each.compute_earned_worth()
         owed += arrival.worth
-        earned += got
+        earned += call_worth
         for sums in (
             by_kind[arrival.kind.name],
             by_window[int(arrival.at_ms // WINDOW_MS)],
         ):
-            sums[0] += got
+            sums[0] += call_worth
             sums[1] += arrival.worth
         if each.cause is not None:
-            causes[each.cause.value] += arrival.worth - got
-        old += got * each.outdated_share
-        changed += got * (1.0 - each.consistent_share)
+            causes[each.cause.value] += arrival.worth - call_worth
+        old += call_worth * each.outdated_share
+        changed += call_worth * (1.0 - each.consistent_share)
         tally[0] += each.is_served
         tally[1] += each.is_served and each.is_late
         tally[2] += not each.is_served
-    deductions = _compute_deductions(counts, prices, old, changed, max(owed, 1e-9))
+    deductions = _compute_price_shares(counts, prices, old, changed, max(owed, 1e-9))
     kinds = {name: sums[0] / sums[1] for name, sums in sorted(by_kind.items())}
     windows = _compute_window_shares(by_window)
     whole = earned / max(owed, 1e-9)
@@ -158,7 +158,7 @@
     ]
 
 
-def _compute_deductions(
+def _compute_price_shares(
     counts: ResourceCounts, prices: Prices, old: float, changed: float, owed: float
 ) -> dict[str, float]:
     deductions = {
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/caller.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/caller.py
@@ -42,7 +42,7 @@
         self._started_ms = self._simulation.clock.now_ms
         self._start_attempt()
 
-    def _find_fingerprint(self) -> Fingerprint:
+    def _compute_fingerprint(self) -> Fingerprint:
         """Return what all tries of this call share, or all repeats of its request."""
         crash = self._arrival.crash
         number = self._arrival.number
@@ -86,7 +86,7 @@
             arrived_ms=now_ms,
             deadline_ms=now_ms + self._compute_remaining_ms(),
             table_version=1,
-            fingerprint=self._find_fingerprint(),
+            fingerprint=self._compute_fingerprint(),
             prompt=(
                 Prompt(MODEL, self._arrival.blocks, self._arrival.output_tokens)
                 if is_prompt
@@ -100,14 +100,14 @@
             self._simulation.scenario.caller_ms, lambda: node.accept_call(call)
         )
         if is_prompt:
-            patience_ms = max(
+            timeout_ms = max(
                 ABANDON_MIN_MS,
                 ABANDON_TARGET_FACTOR * kind.target_ms,
                 ABANDON_GAP_FACTOR * kind.max_gap_ms,
             )
             attempt = self._attempt_count
             self._simulation.clock.call_after(
-                patience_ms, lambda: self._abandon_attempt(attempt)
+                timeout_ms, lambda: self._abandon_attempt(attempt)
             )
 
     def _record_first_event(self) -> None:
@@ -158,8 +158,8 @@
         assert call is not None
         now_ms = self._simulation.clock.now_ms + self._simulation.scenario.caller_ms
         first_ms = now_ms if self._first_ms is None else self._first_ms
-        after_ms = first_ms - self._started_ms
-        is_slow = after_ms > kind.target_ms
+        latency_ms = first_ms - self._started_ms
+        is_slow = latency_ms > kind.target_ms
         is_paused = call.worst_gap_ms > kind.max_gap_ms
         cause = None
         if is_slow:
@@ -170,7 +170,7 @@
         job = call.trace.job
         if job is not None:
             prices = self._simulation.scenario.prices
-            age_ms = self._simulation.find_weights_age(
+            age_ms = self._simulation.compute_weights_age(
                 job.weights_version, job.started_ms
             )
             if age_ms > self._simulation.scenario.weights_deadline_ms:
@@ -186,7 +186,7 @@
                 True,
                 is_slow or is_paused,
                 cause,
-                after_ms,
+                latency_ms,
                 outdated_share,
                 consistent_share,
             )
@@ -198,9 +198,9 @@
         sent_ms = trace.first_sent_ms
         if sent_ms is None:
             return Cause.NODE_QUEUE
-        came_ms = call.request.arrived_ms - self._started_ms
+        retry_delay_ms = call.request.arrived_ms - self._started_ms
         durations_ms = {
-            Cause.RETRY_DELAY: came_ms,
+            Cause.RETRY_DELAY: retry_delay_ms,
             Cause.NODE_QUEUE: sent_ms - call.request.arrived_ms,
             Cause.EARLIER_ATTEMPTS: trace.last_sent_ms - sent_ms,
         }
@@ -215,7 +215,7 @@
             durations_ms[Cause.PROMPT_READ] = read_ms
         return max(durations_ms, key=lambda cause: durations_ms[cause])
 
-    def _finish(self, outcomes: CallOutcome) -> None:
+    def _finish(self, outcome: CallOutcome) -> None:
         self._is_over = True
         if self._arrival.crash is None:
-            self._simulation.record_outcome(outcomes)
+            self._simulation.record_outcome(outcome)
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
@@ -194,8 +194,8 @@
     def _load(self) -> None:
         self.is_loading = True
         self._load_counter.count += 1
-        beyond = max(self._load_counter.count - self.settings.loads_at_once, 0)
-        duration_ms = self.settings.load_ms * (1.0 + LOAD_CONTENTION_SHARE * beyond)
+        excess = max(self._load_counter.count - self.settings.loads_at_once, 0)
+        duration_ms = self.settings.load_ms * (1.0 + LOAD_CONTENTION_SHARE * excess)
         self._clock.call_after(duration_ms * self.slowdown, self._end_load)
 
     def _end_load(self) -> None:
@@ -221,13 +221,13 @@
             self._is_stepping = False
             return
         settings, now_ms = self.settings, self._clock.now_ms
-        read = [
+        prefills = [
             (job, tokens)
             for job, tokens in self._schedule_prefill(now_ms)
             if tokens > 0
         ]
         duration_ms = settings.step_ms + settings.step_ms_per_call * len(self._running)
-        for job, tokens in read:
+        for job, tokens in prefills:
             before = (
                 sum(block.tokens for block in job.blocks) - job.remaining_prefill_tokens
             )
@@ -236,16 +236,16 @@
             duration_ms += token_pairs * settings.pairs_ms_per_m / 1e6
         decoding = list(self._running)
         duration_ms *= self.slowdown
-        self._clock.call_after(duration_ms, lambda: self._end_step(read, decoding))
+        self._clock.call_after(duration_ms, lambda: self._end_step(prefills, decoding))
 
     def _admit(self) -> None:
         self._waiting.sort(key=lambda job: job.rank)
         while self._waiting:
             job = self._waiting[0]
             shared, own_tokens = job.blocks[:-1], _count_own_tokens(job)
-            taken = len(self._prefilling) + len(self._running)
+            active = len(self._prefilling) + len(self._running)
             has_room = self.cache.has_room(job.scope, shared, own_tokens)
-            if taken >= self.settings.slots or (taken and not has_room):
+            if active >= self.settings.slots or (active and not has_room):
                 return
             self._waiting.pop(0)
             self.cache.hold(job.scope, shared, own_tokens, self._clock.now_ms)
@@ -257,7 +257,7 @@
         """Bring what another holder has of a prompt, if it was named."""
         now_ms = self._clock.now_ms
         shared = job.blocks[:-1]
-        own = self.cache.count_cached_prefix(job.scope, shared)
+        local_tokens = self.cache.count_cached_prefix(job.scope, shared)
         self.cache.touch(job.scope, shared)
         job.fetched_ms = now_ms
         if job.fetch_from is None or job.fetch_from == self.address:
@@ -267,11 +267,11 @@
             job.fetched_ms = now_ms + SOURCE_TIMEOUT_MS
             return
         cache, link = found
-        theirs = cache.count_cached_prefix(job.scope, shared)
-        if theirs <= own:
+        source_tokens = cache.count_cached_prefix(job.scope, shared)
+        if source_tokens <= local_tokens:
             job.fetched_ms = now_ms + SOURCE_MISS_MS
             return
-        size_bytes = (theirs - own) * self.settings.bytes_per_token
+        size_bytes = (source_tokens - local_tokens) * self.settings.bytes_per_token
         done_ms = plan_transfer(link, self.link, size_bytes, now_ms)
         if done_ms is None:
             return
@@ -282,7 +282,7 @@
         tokens = 0
         for block in shared:
             tokens += block.tokens
-            if tokens > theirs:
+            if tokens > source_tokens:
                 break
             fetched.append(block)
         self._clock.call_after(
@@ -311,17 +311,19 @@
 
     def _start_prefill(self, job: Job, now_ms: float) -> None:
         job.started_ms = now_ms
-        kept = self.cache.count_cached_prefix(job.scope, job.blocks[:-1])
-        job.remaining_prefill_tokens = sum(block.tokens for block in job.blocks) - kept
+        cached_tokens = self.cache.count_cached_prefix(job.scope, job.blocks[:-1])
+        job.remaining_prefill_tokens = (
+            sum(block.tokens for block in job.blocks) - cached_tokens
+        )
         job.prefilled_tokens = job.remaining_prefill_tokens
-        self._ledger.record_prefill(job.scope, job.blocks[:-1], kept, now_ms)
+        self._ledger.record_prefill(job.scope, job.blocks[:-1], cached_tokens, now_ms)
 
-    def _end_step(self, read: list[tuple[Job, int]], decoding: list[Job]) -> None:
+    def _end_step(self, prefills: list[tuple[Job, int]], decoding: list[Job]) -> None:
         if self.availability is not Availability.UP:
             self._is_stepping = False
             return
         now_ms = self._clock.now_ms
-        for job, tokens in read:
+        for job, tokens in prefills:
             job.remaining_prefill_tokens -= tokens
             if job.remaining_prefill_tokens <= 0 and not job.is_over:
                 self._finish_prefill(job, now_ms)
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
@@ -62,10 +62,10 @@
 def count_workers() -> int:
     """Return how many runs go on at once: on the processors that are not busy."""
     cores = os.cpu_count() or 1
-    return max(cores - 1 - count_running(), 2)
+    return max(cores - 1 - count_runnable_tasks(), 2)
 
 
-def count_running() -> int:
+def count_runnable_tasks() -> int:
     """Return how many tasks of the machine run now, this one not counted."""
     try:
         running = Path("/proc/loadavg").read_text().split()[3].partition("/")[0]
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/faults.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/faults.py
@@ -81,7 +81,7 @@
 ) -> None:
     """Start a new life; one under its old id keeps its weights."""
     if listed_as is None:
-        version = simulation.find_newest_version()
+        version = simulation.get_newest_version()
     simulation.pool.add_engine(number, version, listed_as)
 
 
@@ -112,7 +112,7 @@
             first = simulation.scenario.engines.replicas
             for number in range(first, first + count):
                 simulation.pool.add_engine(
-                    number, simulation.find_newest_version(), None
+                    number, simulation.get_newest_version(), None
                 )
 
 
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
@@ -262,7 +262,7 @@
 
     def _send_order(self, order: WeightsOrder) -> None:
         self.simulation.counts.orders += 1
-        late_ms = self.simulation.pool.find_order_delay()
+        late_ms = self.simulation.pool.draw_order_delay()
         engine = self.simulation.pool.find_replica(order.replica)
         is_up = isinstance(engine, Engine) and engine.availability is Availability.UP
         if late_ms is not None or not is_up:
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/prefill_ledger.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/prefill_ledger.py
@@ -23,14 +23,18 @@
         self._used_ms: dict[tuple[str, str], float] = {}
 
     def record_prefill(
-        self, scope: str, blocks: Sequence[PromptBlock], kept_tokens: int, now_ms: float
+        self,
+        scope: str,
+        blocks: Sequence[PromptBlock],
+        cached_tokens: int,
+        now_ms: float,
     ) -> None:
         """Note that an engine that keeps so many tokens of a front reads the rest."""
         tokens = 0
         for block in blocks:
             key = (scope, block.name)
             tokens += block.tokens
-            if tokens > kept_tokens:
+            if tokens > cached_tokens:
                 self.prefilled_tokens += block.tokens
                 used_ms = self._used_ms.get(key, float("-inf"))
                 if now_ms - used_ms <= REUSE_MS:
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/relayed_call.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/relayed_call.py
@@ -162,9 +162,9 @@
         latency_ms = simulation.pool.compute_latency(
             self._node.domain, dispatch.replica
         )
-        reach_ms = 3 * latency_ms + HANDSHAKE_MS
+        request_delay_ms = 3 * latency_ms + HANDSHAKE_MS
         self._node.schedule(
-            reach_ms, lambda: self._submit(number, dispatch, latency_ms)
+            request_delay_ms, lambda: self._submit(number, dispatch, latency_ms)
         )
         if not math.isinf(dispatch.patience_ms):
             self._node.schedule(
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
@@ -229,7 +229,7 @@
         is_near = self._entries[name].domain == domain
         return self._scenario.near_ms if is_near else self._scenario.far_ms
 
-    def find_order_delay(self) -> float | None:
+    def draw_order_delay(self) -> float | None:
         """Return how late the next order is carried out; None if it is answered."""
         draw, late_ms = self._order_rng.random(), self._order_rng.uniform(2e3, 12e3)
         return late_ms if draw < self.late_order_share else None
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/runner.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/runner.py
@@ -16,7 +16,7 @@
     """Return what callers got."""
     simulation = run_simulation(scenario, policy, seed)
     return compute_result(
-        simulation.outcomes, simulation.count(), scenario.goal, scenario.prices
+        simulation.outcomes, simulation.collect_counts(), scenario.goal, scenario.prices
     )
 
 
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/simulation.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/simulation.py
@@ -198,21 +198,21 @@
         version = len(self._target_set_ms)
         self.store.put(Topic.OPERATOR, "weights", WantedWeights(MODEL, version))
 
-    def find_newest_version(self) -> int:
+    def get_newest_version(self) -> int:
         """Return the newest weights that were named."""
         return len(self._target_set_ms)
 
-    def find_weights_age(self, version: int, started_ms: float | None) -> float:
+    def compute_weights_age(self, version: int, started_ms: float | None) -> float:
         """Return how long newer weights had been named when a call began."""
         if started_ms is None or version >= len(self._target_set_ms):
             return 0.0
         return max(started_ms - self._target_set_ms[version], 0.0)
 
-    def record_outcome(self, outcomes: CallOutcome) -> None:
+    def record_outcome(self, outcome: CallOutcome) -> None:
         """Keep how a call ended."""
-        self.outcomes.append(outcomes)
+        self.outcomes.append(outcome)
 
-    def count(self) -> ResourceCounts:
+    def collect_counts(self) -> ResourceCounts:
         """Return all that is priced."""
         self.counts.loads = self.pool.count_loads()
         self.counts.store_calls = self.store.calls
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/variants.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/variants.py
@@ -36,10 +36,10 @@
     table: dict[str, Any] = msgspec.to_builtins(RelayPolicy())
     for change in changes:
         path, _, value = change.partition(":")
-        group, _, figure = path.partition(".")
-        if figure not in table.get(group, {}):
+        group, _, setting = path.partition(".")
+        if setting not in table.get(group, {}):
             raise InvalidVariantError(f"{text!r}: the policy has no figure {path}")
-        table[group][figure] = value
+        table[group][setting] = value
     try:
         return msgspec.convert(table, RelayPolicy, strict=False)
     except msgspec.ValidationError as error:
--- a/tests/toucanyard_cli/test_commands.py
+++ b/tests/toucanyard_cli/test_commands.py
@@ -18,32 +18,32 @@
 NOT_SENT = ConnectionFailedError("refused", is_sent=False)
 LOST = ConnectionFailedError("no answer", is_sent=True)
 Answer = Response | ConnectionFailedError
-Asked = list[tuple[str, str, bytes]]
+SentRequests = list[tuple[str, str, bytes]]
 Run = Callable[..., Result]
 
 
-def answer(status: int, body: object) -> Response:
+def build_response(status: int, body: object) -> Response:
     return Response(status, {}, msgspec.json.encode(body))
 
 
-def refusal(status: int, code: str) -> Response:
-    return answer(status, {"error": {"code": code, "message": "why"}})
+def build_error(status: int, code: str) -> Response:
+    return build_response(status, {"error": {"code": code, "message": "why"}})
 
 
-def patched(status: int, error: str | None, version: int = 8) -> Response:
+def build_patch_reply(status: int, error: str | None, version: int = 8) -> Response:
     body = {"patch_id": "p", "version": version, "error": error, "text": "why"}
-    return answer(status, body)
+    return build_response(status, body)
 
 
 @pytest.fixture
-def asked() -> Asked:
+def sent_requests() -> SentRequests:
     return []
 
 
 @pytest.fixture
-def run(monkeypatch: pytest.MonkeyPatch, asked: Asked) -> Run:
+def run(monkeypatch: pytest.MonkeyPatch, sent_requests: SentRequests) -> Run:
     def run(arguments: str, *answers: Answer, key: str = "k") -> Result:
-        waiting = list(answers)
+        remaining = list(answers)
 
         async def fetch(
             address: Address,
@@ -53,8 +53,8 @@
             body: bytes,
             timeout_ms: float,
         ) -> Response:
-            asked.append((address, f"{method} {target}", body))
-            found = waiting.pop(0)
+            sent_requests.append((address, f"{method} {target}", body))
+            found = remaining.pop(0)
             if isinstance(found, ConnectionFailedError):
                 raise found
             return found
@@ -76,17 +76,24 @@
 @pytest.mark.parametrize(
     ("answers", "status", "text"),
     [
-        ([patched(200, None)], 0, "version 8"),
-        ([patched(409, "patch_conflict")], 3, "version 8 is in force, not 7"),
-        ([patched(422, "patch_invalid")], 4, "why"),
-        ([patched(502, "outcome_unknown")], 5, "--patch-id p"),
+        ([build_patch_reply(200, None)], 0, "version 8"),
+        ([build_patch_reply(409, "patch_conflict")], 3, "version 8 is in force, not 7"),
+        ([build_patch_reply(422, "patch_invalid")], 4, "why"),
+        ([build_patch_reply(502, "outcome_unknown")], 5, "--patch-id p"),
         ([NOT_SENT, NOT_SENT], 6, "refused"),
-        ([NOT_SENT, patched(200, None)], 0, "version 8"),
-        ([refusal(401, "unauthenticated")], 7, "why"),
-        ([patched(503, "stale_configuration"), patched(200, None)], 0, "version 8"),
-        ([patched(503, "log_unavailable")] * 2, 9, "log_unavailable: why"),
-        ([refusal(500, "internal")], 1, "why"),
-        ([answer(200, "what?")], 5, "--patch-id"),
+        ([NOT_SENT, build_patch_reply(200, None)], 0, "version 8"),
+        ([build_error(401, "unauthenticated")], 7, "why"),
+        (
+            [
+                build_patch_reply(503, "stale_configuration"),
+                build_patch_reply(200, None),
+            ],
+            0,
+            "version 8",
+        ),
+        ([build_patch_reply(503, "log_unavailable")] * 2, 9, "log_unavailable: why"),
+        ([build_error(500, "internal")], 1, "why"),
+        ([build_response(200, "what?")], 5, "--patch-id"),
     ],
 )
 def test_status_of_a_patch(
@@ -100,36 +107,41 @@
 
 
 def test_lost_answer_is_settled_under_the_same_id(
-    run: Run, patch_file: str, asked: Asked
+    run: Run, patch_file: str, sent_requests: SentRequests
 ) -> None:
     # The first node takes the patch and its answer is lost. The second is asked with
     # the same id, so that the patch can't be applied twice.
-    result = run(f"patch --base 7 {patch_file}", LOST, patched(200, None))
+    result = run(f"patch --base 7 {patch_file}", LOST, build_patch_reply(200, None))
     assert result.exit_code == 0
-    assert [address for address, _, _ in asked] == [A, B]
-    assert asked[0][2] == asked[1][2]
+    assert [address for address, _, _ in sent_requests] == [A, B]
+    assert sent_requests[0][2] == sent_requests[1][2]
 
 
-@pytest.mark.parametrize("second", [NOT_SENT, patched(503, "log_unavailable")])
+@pytest.mark.parametrize(
+    "second", [NOT_SENT, build_patch_reply(503, "log_unavailable")]
+)
 def test_a_patch_that_may_be_in_force_is_never_called_undone(
-    run: Run, patch_file: str, asked: Asked, second: Answer
+    run: Run, patch_file: str, sent_requests: SentRequests, second: Answer
 ) -> None:
     # The first node took the patch; the second can tell nothing. "Not reachable" or
     # "unavailable" would say that nothing was done.
     result = run(f"patch --base 7 {patch_file}", LOST, second)
     assert result.exit_code == 5
-    patch_id = msgspec.json.decode(asked[0][2])["patch_id"]
+    patch_id = msgspec.json.decode(sent_requests[0][2])["patch_id"]
     assert f"--patch-id {patch_id}" in result.stderr
-    run(f"patch --base 7 --patch-id {patch_id} {patch_file}", patched(200, None))
-    assert asked[-1][2] == asked[0][2]
+    run(
+        f"patch --base 7 --patch-id {patch_id} {patch_file}",
+        build_patch_reply(200, None),
+    )
+    assert sent_requests[-1][2] == sent_requests[0][2]
 
 
-def test_drain_is_asked_of_one_node_only(run: Run, asked: Asked) -> None:
+def test_drain_is_asked_of_one_node_only(run: Run, sent_requests: SentRequests) -> None:
     # Asked in turn, the second node would be stopped because the first was gone.
     assert run("drain").exit_code == 2
-    assert asked == []
-    assert run(f"drain --node {B}", answer(202, {})).exit_code == 0
-    assert asked == [(B, "POST /drain", b"")]
+    assert sent_requests == []
+    assert run(f"drain --node {B}", build_response(202, {})).exit_code == 0
+    assert sent_requests == [(B, "POST /drain", b"")]
     assert run(f"drain --node {B}", LOST).exit_code == 5
     assert run(f"drain --node {B}", NOT_SENT).exit_code == 6
 
@@ -149,23 +161,23 @@
     ],
 )
 def test_usage_ends_with_2_and_asks_nobody(
-    run: Run, asked: Asked, arguments: str, key: str
+    run: Run, sent_requests: SentRequests, arguments: str, key: str
 ) -> None:
     assert run(arguments, key=key).exit_code == 2
-    assert asked == []
+    assert sent_requests == []
 
 
-def test_questions_go_to_the_next_node(run: Run, asked: Asked) -> None:
+def test_questions_go_to_the_next_node(run: Run, sent_requests: SentRequests) -> None:
     history = {"version": 0, "entries": []}
-    assert run("history", LOST, answer(200, history)).exit_code == 0
+    assert run("history", LOST, build_response(200, history)).exit_code == 0
     assert run("history", LOST, NOT_SENT).exit_code == 6
-    assert run("explain a/b?c", refusal(404, "not_found")).exit_code == 8
-    assert asked[-1][1] == "GET /explain/a/b%3Fc"
-    assert run("stats", answer(200, [])).exit_code == 1
+    assert run("explain a/b?c", build_error(404, "not_found")).exit_code == 8
+    assert sent_requests[-1][1] == "GET /explain/a/b%3Fc"
+    assert run("stats", build_response(200, [])).exit_code == 1
 
 
 def test_locate_on_the_operators_address_says_which_one_it_takes(run: Run) -> None:
-    result = run("locate", refusal(404, "not_found"))
+    result = run("locate", build_error(404, "not_found"))
     assert result.exit_code == 8
     assert "not an address for callers" in result.output
 
@@ -184,7 +196,7 @@
         "answers": 7,
         "is_rest": True,
     }
-    result = run("stats", answer(200, {"groups": [rest], "refusals": []}))
+    result = run("stats", build_response(200, {"groups": [rest], "refusals": []}))
     assert result.exit_code == 0
     assert "(all others)  chat   7" in result.output
 
--- a/tests/toucanyard_cli/test_losses.py
+++ b/tests/toucanyard_cli/test_losses.py
@@ -34,12 +34,12 @@
     return " ".join(f"{name}={value}" for name, value in fields.items())
 
 
-def find(*lines: str) -> LossReport:
+def analyze(*lines: str) -> LossReport:
     return build_report(parse_calls(lines), 2)
 
 
 def test_call_in_time_is_no_loss() -> None:
-    report = find(sent("a", "01.000"), ended("a", "01.090"))
+    report = analyze(sent("a", "01.000"), ended("a", "01.090"))
     assert (report.calls, report.in_time, report.reasons) == (1, 1, {})
 
 
@@ -79,13 +79,13 @@
 def test_reason_is_what_took_most_of_the_time(
     lines: list[str], reason: LossReason
 ) -> None:
-    report = find(*lines)
+    report = analyze(*lines)
     assert report.reasons == {reason.value: 1}
     assert report.calls - report.in_time == 1
 
 
 def test_windows_and_routes_count_the_same_calls() -> None:
-    report = find(
+    report = analyze(
         sent("a", "01.0"),
         ended("a", "01.9", first_ms=600),
         sent("b", "03.5"),
@@ -100,11 +100,11 @@
 def test_command_prints_tables_and_json(tmp_path: Path) -> None:
     file = tmp_path / "log"
     file.write_text("\n".join((sent("a", "01.0"), ended("a", "01.1", first_ms=900))))
-    answer = CliRunner().invoke(main, ["losses", str(file)])
-    assert answer.exit_code == 0, answer.output
-    assert "1 calls, 0 of them in time" in answer.stdout
-    answer = CliRunner().invoke(main, ["losses", "--json", str(file)])
-    assert msgspec.json.decode(answer.stdout)["in_time"] == 0
+    result = CliRunner().invoke(main, ["losses", str(file)])
+    assert result.exit_code == 0, result.output
+    assert "1 calls, 0 of them in time" in result.stdout
+    result = CliRunner().invoke(main, ["losses", "--json", str(file)])
+    assert msgspec.json.decode(result.stdout)["in_time"] == 0
 
 
 @pytest.mark.parametrize(
@@ -114,9 +114,9 @@
 def test_what_is_no_log_is_refused_with_its_name(tmp_path: Path, text: str) -> None:
     file = tmp_path / "strange"
     file.write_text(text)
-    answer = CliRunner().invoke(main, ["losses", str(file)])
-    assert answer.exit_code == ExitCode.USAGE
-    assert answer.stdout == ""
-    assert "strange" in answer.stderr
-    answer = CliRunner().invoke(main, ["losses", str(tmp_path / "none")])
-    assert answer.exit_code == ExitCode.USAGE
+    result = CliRunner().invoke(main, ["losses", str(file)])
+    assert result.exit_code == ExitCode.USAGE
+    assert result.stdout == ""
+    assert "strange" in result.stderr
+    result = CliRunner().invoke(main, ["losses", str(tmp_path / "none")])
+    assert result.exit_code == ExitCode.USAGE
--- a/tests/toucanyard_emulator/test_engine.py
+++ b/tests/toucanyard_emulator/test_engine.py
@@ -19,7 +19,7 @@
 from toucanyard_emulator.transfers import Link
 from toucanyard_standins.virtual_clock import VirtualClock
 
-BOOK, OWN = PromptBlock("book", 2_000), PromptBlock("own", 1_000)
+SHARED_BLOCK, OWN_BLOCK = PromptBlock("book", 2_000), PromptBlock("own", 1_000)
 
 
 class Bench:
@@ -61,7 +61,7 @@
         job = Job(
             rank=rank,
             scope=f"m/{version}/",
-            blocks=blocks or (BOOK, OWN),
+            blocks=blocks or (SHARED_BLOCK, OWN_BLOCK),
             output_tokens=9,
             weights_version=version,
             fetch_from=fetch_from,
@@ -128,12 +128,12 @@
 
 def test_urgent_call_is_read_first() -> None:
     bench = Bench()
-    late = bench.submit(0, PromptBlock("a", 8_000), rank=1)
-    soon = bench.submit(0, PromptBlock("b", 8_000), rank=0)
+    other = bench.submit(0, PromptBlock("a", 8_000), rank=1)
+    urgent = bench.submit(0, PromptBlock("b", 8_000), rank=0)
     bench.run()
-    assert soon.first_ms is not None
-    assert late.first_ms is not None
-    assert soon.first_ms < late.first_ms
+    assert urgent.first_ms is not None
+    assert other.first_ms is not None
+    assert urgent.first_ms < other.first_ms
 
 
 def test_other_weights_are_refused() -> None:
@@ -155,7 +155,7 @@
     bench.run(2_000.0)
     assert bench.ends[-1] is JobOutcome.DONE
     assert 0 < running.generated_on_other_weights < running.generated_tokens
-    assert bench.engines[0].cache.count_cached_prefix("m/1/", (BOOK,)) == 0
+    assert bench.engines[0].cache.count_cached_prefix("m/1/", (SHARED_BLOCK,)) == 0
 
 
 def test_load_after_calls_waits_for_them() -> None:
--- a/tests/toucanyard_emulator/test_main.py
+++ b/tests/toucanyard_emulator/test_main.py
@@ -16,9 +16,9 @@
     file, plot = tmp_path / "s.toml", tmp_path / "s.svg"
     file.write_text(SHORT)
     arguments = ["emulate", str(file), "--json", "--plot", str(plot)]
-    answer = CliRunner().invoke(main, arguments)
-    assert answer.exit_code == 0, answer.output
-    assert 0 < msgspec.json.decode(answer.stdout)["worth"] <= 1
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == 0, result.output
+    assert 0 < msgspec.json.decode(result.stdout)["worth"] <= 1
     assert plot.read_text().startswith("<?xml")
 
 
@@ -32,7 +32,7 @@
     ],
 )
 def test_bad_input_ends_with_an_error_and_no_result(arguments: list[str]) -> None:
-    answer = CliRunner().invoke(main, arguments)
-    assert answer.exit_code == EXIT_USAGE
-    assert answer.stdout == ""
-    assert "error:" in answer.stderr
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == EXIT_USAGE
+    assert result.stdout == ""
+    assert "error:" in result.stderr
