--- a/packages/toucanyard-cli/src/toucanyard_cli/__init__.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for operators and callers."""
+"""Provide the command line for operators and callers."""
--- a/packages/toucanyard-cli/src/toucanyard_cli/access.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/access.py
@@ -1,4 +1,4 @@
-"""Reach a node: the options that every asking command has, and one request."""
+"""Send requests to nodes; define the options shared by commands that do so."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 T = TypeVar("T")
 
 _TIMEOUT_MS: Final = 15_000
-"""Longer than a node waits for the log to settle a patch."""
+"""Longer than the time for which a node waits for the log to decide a patch."""
 _ADDRESS: Final = re.compile(r"(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}")
 _KEY: Final = re.compile(r"[!-~]+")
 _UNAVAILABLE: Final = 503
 
 
 class Access(msgspec.Struct, frozen=True):
-    """Where to ask, and with whose key."""
+    """The addresses of the nodes to send requests to, and the API key to use."""
 
     nodes: tuple[Address, ...]
     key: str
@@ -51,7 +51,7 @@
 
 
 class NoResponseError(Exception):
-    """No node answered; `is_sent` tells whether one may have taken the request."""
+    """No node responded; `is_sent` is true if one may have processed the request."""
 
     def __init__(self, text: str, is_sent: bool) -> None:
         super().__init__(text)
@@ -59,14 +59,14 @@
 
 
 def json_option(command: F) -> F:
-    """Add `--json`."""
+    """Add the option `--json` to a command."""
     return click.option(
         "--json", "is_json", is_flag=True, help="Print JSON, one document."
     )(command)
 
 
 def access_options(command: F) -> F:
-    """Add the options that say which nodes to ask, with which key, and `--json`."""
+    """Add the options for node addresses and the key file, and `--json`."""
     command = click.option(
         "--key-file",
         type=click.Path(path_type=Path),
@@ -84,7 +84,7 @@
 
 
 def load_access(nodes: tuple[str, ...], key_file: Path | None) -> Access:
-    """Return where to ask, or raise CommandError with status 2."""
+    """Validate the options and load the key, or raise CommandError with status 2."""
     if not nodes:
         raise CommandError(
             ExitCode.USAGE, "found no node; give --node IP:PORT or TOUCANYARD_NODE"
@@ -98,7 +98,10 @@
 
 
 def _read_key(key_file: Path | None) -> str:
-    """Read the key; never from an argument, which every user of the machine can see."""
+    """Read the key from a file or the environment.
+
+    It is never a command line argument, which every user of the machine can see.
+    """
     if key_file is None:
         key = os.environ.get("TOUCANYARD_KEY", "").strip()
     else:
@@ -120,10 +123,12 @@
 def send_request(
     access: Access, method: str, target: str, body: bytes = b""
 ) -> Response:
-    """Ask the nodes in turn; return the first answer that is not "unavailable".
+    """Try the nodes in order; return the first response other than "unavailable".
 
-    A request that a node may have taken is sent to the next one too: questions change
-    nothing, and a patch is settled by its id. Without any answer, NoAnswerError.
+    A request that a node may have processed is sent to the next node as well: queries
+    change nothing, and a patch is deduplicated by its id. Raise NoResponseError if no
+    node responded, or if the only responses were "unavailable" and another node may
+    have processed the request.
     """
     return trio.run(_send_to_nodes, access, method, target, body)
 
@@ -151,7 +156,7 @@
 
 
 def query(access: Access, target: str, kind: type[T]) -> tuple[bytes, T]:
-    """Ask a question and return its answer, raw and decoded, or raise CommandError."""
+    """Send a GET request; return the raw and decoded body, or raise CommandError."""
     try:
         response = send_request(access, "GET", target)
     except NoResponseError as error:
@@ -165,7 +170,7 @@
 
 
 def check_response(response: Response) -> None:
-    """Raise CommandError where an answer is a refusal."""
+    """Raise CommandError if a response is an error."""
     if response.status < 300:
         return
     try:
--- a/packages/toucanyard-cli/src/toucanyard_cli/check_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/check_command.py
@@ -1,4 +1,4 @@
-"""Check files without asking a node."""
+"""Validate settings and patch files without contacting a node."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 
 class PatchFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a file with a patch holds."""
+    """The content of a patch file."""
 
     put: Put = Put()
     remove: Remove = Remove()
 
 
 class VersionFile(msgspec.Struct, frozen=True):
-    """What `show --json` prints."""
+    """The output of `show --json`, as far as it is needed here."""
 
     configuration: Configuration
 
 
 class CheckResult(msgspec.Struct, frozen=True):
-    """What `check --json` prints when all is well."""
+    """The output of `check --json` for a valid file."""
 
     file: str
     kind: str
 
 
 def read_patch_file(file: Path) -> PatchFile:
-    """Read a patch, or raise CommandError with status 2."""
+    """Read a patch file, or raise CommandError with status 2."""
     try:
         return load_document(file, PatchFile)
     except SettingsError as error:
--- a/packages/toucanyard-cli/src/toucanyard_cli/exit_codes.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""The closed list of exit statuses and the table from error kind to status."""
+"""Define the exit statuses and map error kinds to them."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the exit status of a command says."""
+    """The exit status of a command."""
 
     OK = 0
     FAILED = 1
-    """The node failed, or its answer can't be read."""
+    """The node failed, or its response can't be decoded."""
     USAGE = 2
-    """Settings, file, option or key can't be used; nothing was sent."""
+    """Settings, a file, an option or the key is invalid; nothing was sent."""
     CONFLICT = 3
-    """Another patch won on this base; its version is named."""
+    """Another patch on the same base was applied first; its version is reported."""
     INVALID = 4
-    """The patch can't be applied."""
+    """The patch is invalid and can't be applied."""
     OUTCOME_UNKNOWN = 5
-    """The patch may be in force; submit it again with the same id."""
+    """The patch may be in force; resubmit it with the same id."""
     NOT_REACHABLE = 6
-    """No node answered, and nothing was done."""
+    """No node responded, and nothing was changed."""
     NOT_ALLOWED = 7
-    """The key is unknown, or may not do this."""
+    """The key is unknown or lacks the permission."""
     NOT_FOUND = 8
-    """No such version, decision or path."""
+    """The version, decision or path does not exist."""
     UNAVAILABLE = 9
-    """The node can't do this now; nothing was done."""
+    """The node can't serve the request at present; nothing was changed."""
 
 
 _BY_KIND: Final[dict[ErrorKind, ExitCode]] = {
@@ -47,7 +47,7 @@
 
 
 def get_exit_code(kind: ErrorKind | None, status: int) -> ExitCode:
-    """Return the exit status for an answer that is no success."""
+    """Return the exit status for a failed request."""
     if status == _UNAVAILABLE:
         return ExitCode.UNAVAILABLE
     return _BY_KIND.get(kind, ExitCode.FAILED) if kind else ExitCode.FAILED
--- a/packages/toucanyard-cli/src/toucanyard_cli/failures.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/failures.py
@@ -1,4 +1,4 @@
-"""End a command with one line, or one JSON object, that says what went wrong."""
+"""Report the failure of a command as one line of text or one JSON object."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """What `--json` prints when a command fails."""
+    """The output of a failed command with `--json`."""
 
     exit_code: ExitCode
     error: str
@@ -17,10 +17,10 @@
 
 
 class CommandError(Exception):
-    """Carry one failure to the group of commands, which prints it and exits.
+    """A failure that the command group prints before it exits.
 
-    Whether JSON was asked for is read here, since the command's context is closed by
-    the time the failure is printed.
+    Whether `--json` was given is read at construction, since the click context of the
+    command is already closed when the failure is printed.
     """
 
     def __init__(self, code: ExitCode, text: str, error: str = "") -> None:
@@ -30,7 +30,7 @@
         self._is_json = context is not None and bool(context.params.get("is_json"))
 
     def show(self) -> None:
-        """Print the failure: as JSON on standard output where that was asked for."""
+        """Print the failure, as JSON on standard output if `--json` was given."""
         if self._is_json:
             click.echo(msgspec.json.encode(self.failure))
         else:
@@ -38,10 +38,10 @@
 
 
 class CommandGroup(click.Group):
-    """Turn failures of its commands into text and exit status."""
+    """A command group that turns a CommandError into output and exit status."""
 
     def invoke(self, ctx: click.Context) -> object:
-        """Run one command."""
+        """Run a command and report its CommandError, if any."""
         try:
             return super().invoke(ctx)
         except CommandError as error:
--- a/packages/toucanyard-cli/src/toucanyard_cli/limits_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/limits_command.py
@@ -1,4 +1,4 @@
-"""Show customers' limits, their use and who was denied, from nodes' metrics."""
+"""Show the limits of customers, their usage and denials, from nodes' metrics."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 
 
 class LimitUsage(msgspec.Struct):
-    """What one home tells of one customer, in the unit of its limit."""
+    """The usage of one customer at one coordinator, in the unit of its limit."""
 
     customer: str
     home: Address
     rate_per_s: float = 0.0
     share: float = 0.0
-    """Share of the limit that is pledged to this home."""
+    """Share of the limit that is delegated to this coordinator."""
     level: float = 0.0
-    """What may run now; negative while something is owed."""
+    """Credit that is available now; negative while in debt."""
     granted_total: float = 0.0
     denied_total: float = 0.0
 
@@ -69,7 +69,7 @@
 
 
 def parse_limit_usage(text: str, home: Address) -> list[LimitUsage]:
-    """Return what the metrics of one node tell of limits."""
+    """Return the usage of each customer from the metrics of one node."""
     found: dict[str, LimitUsage] = {}
     for name, escaped, value in _parse_metric_lines(text.splitlines()):
         customer = _ESCAPE_SEQUENCE.sub(_unescape, escaped)
@@ -80,7 +80,7 @@
 
 
 def render_limit_usage(usages: Iterable[LimitUsage]) -> str:
-    """Return a table of limits."""
+    """Render a table of limits and their usage."""
     rows: list[tuple[Cell, ...]] = [
         (
             usage.customer,
--- a/packages/toucanyard-cli/src/toucanyard_cli/loss_report.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/loss_report.py
@@ -1,7 +1,8 @@
-"""Tell from nodes' logs which calls were lost or late, when, and for which reason.
+"""Determine from nodes' logs which calls were lost or late, when, and why.
 
-A call leaves lines `sent` and `ended` for each dispatch, or `refused`. What took most
-of a late call's time is its reason, so each call has one and they add up.
+A call logs the events `sent` and `ended` for each dispatch, or `refused`. The reason
+of a late call is the phase that took most of its time, so that each call has exactly
+one reason and the counts add up.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 
 
 class LossReason(enum.StrEnum):
-    """Why a call was lost or late."""
+    """The reason why a call was lost or late."""
 
     REFUSED = "refused"
     REPLICA_LOST = "replica lost"
     CALLER_LEFT = "caller left"
     END_MISSING = "no end in the log"
-    """The node was killed, or the log is cut."""
+    """The node was killed, or the log is truncated."""
     NODE_QUEUE = "waited at the node"
     EARLIER_ATTEMPTS = "tried elsewhere"
     REPLICA_QUEUE = "queued at the replica"
@@ -35,15 +36,15 @@
 
 
 class CallTrace(msgspec.Struct):
-    """What the lines of one call say."""
+    """The data collected from the log lines of one call."""
 
     route: str = ""
     started_ms: float = 0.0
-    """Of its first line, in Unix time."""
+    """Unix time at which the call arrived, estimated from its first log line."""
     queued_ms: float = 0.0
-    """Before its first dispatch."""
+    """Time queued at the node before the first dispatch."""
     wait_ms: float = 0.0
-    """Expected at the replica of its last dispatch."""
+    """Queueing time expected at the replica of the last dispatch."""
     last_sent_ms: float = 0.0
     dispatches: int = 0
     ending: str = ""
@@ -54,22 +55,22 @@
 
 
 class LossReport(msgspec.Struct, frozen=True):
-    """Calls by what came of them; `reasons` and the two others count the same calls."""
+    """Counts of lost and late calls by reason, route and time window."""
 
     calls: int
     in_time: int
     reasons: dict[str, int]
     routes: dict[str, int]
     windows: dict[int, tuple[int, int]]
-    """By seconds from the first line: calls, and those lost or late."""
+    """Maps seconds since the first call to (calls, calls lost or late)."""
 
 
 class InvalidLogError(Exception):
-    """A file holds no lines of a node."""
+    """A file is not a log of a node."""
 
 
 def parse_calls(lines: Iterable[str]) -> dict[str, CallTrace]:
-    """Return the calls that the lines of some nodes tell of."""
+    """Parse log lines and return the traces of calls by call id."""
     calls: dict[str, CallTrace] = {}
     is_log = False
     for line in lines:
@@ -125,7 +126,7 @@
 
 
 def find_reason(call: CallTrace) -> LossReason | None:
-    """Return why a call was lost or late; None if it was in time."""
+    """Return why a call was lost or late, or None if it was in time."""
     if call.ending != _ANSWERED:
         if call.refusal and not call.dispatches:
             return LossReason.REFUSED
@@ -149,7 +150,7 @@
 
 
 def build_report(calls: dict[str, CallTrace], window_s: int) -> LossReport:
-    """Return the counts by reason, route and window."""
+    """Return the counts of calls by reason, route and window."""
     reasons: Counter[str] = Counter()
     routes: Counter[str] = Counter()
     call_counts: Counter[int] = Counter()
--- a/packages/toucanyard-cli/src/toucanyard_cli/losses_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/losses_command.py
@@ -1,4 +1,4 @@
-"""Show from nodes' logs which calls were lost or late, when and why."""
+"""Show which calls were lost or late, when and why, from nodes' logs."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def render_report(report: LossReport) -> str:
-    """Return the tables of a report."""
+    """Render a report as tables."""
     tables = [
         f"{report.calls} calls, {report.in_time} of them in time",
         render_table(("lost or late by", "calls"), list(report.reasons.items())),
--- a/packages/toucanyard-cli/src/toucanyard_cli/main.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/main.py
@@ -1,4 +1,4 @@
-"""Run the command line `toucanyard`."""
+"""Define the program `toucanyard` and its commands."""
 
 from __future__ import annotations
 
--- a/packages/toucanyard-cli/src/toucanyard_cli/patch_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/patch_command.py
@@ -1,4 +1,4 @@
-"""Submit a patch, and settle one whose answer was lost."""
+"""Submit a patch, or resubmit one whose outcome is unknown."""
 
 from __future__ import annotations
 
@@ -49,7 +49,8 @@
     """
     access = load_access(nodes, key_file)
     content = read_patch_file(file)
-    # Printed before sending, so that it is there however this command ends.
+    # Printed before the request is sent, so that the patch can be resubmitted with the
+    # same id however this command ends.
     submitted_id = patch_id or secrets.token_hex(_ID_BYTES)
     click.echo(f"patch id {submitted_id}", err=True)
     body = PatchBody(submitted_id, base, content.put, content.remove)
--- a/packages/toucanyard-cli/src/toucanyard_cli/query_commands.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/query_commands.py
@@ -1,4 +1,4 @@
-"""Ask a node about a decision, its state and what it has measured; or stop it."""
+"""Commands that query a node's decisions, state and statistics, or drain it."""
 
 from __future__ import annotations
 
@@ -82,8 +82,8 @@
 def drain(nodes: tuple[str, ...], key_file: Path | None, is_json: bool) -> None:
     """Begin the planned stop of one node; no request is cut."""
     access = load_access(nodes, key_file)
-    # Elsewhere the next node is asked when one does not answer; here that would stop
-    # a node which nobody wanted to stop.
+    # Other commands fall back to the next node if one does not respond. Here, that
+    # would drain a node that the operator did not mean to drain.
     if len(access.nodes) != 1:
         raise CommandError(ExitCode.USAGE, "drain takes exactly one --node")
     try:
--- a/packages/toucanyard-cli/src/toucanyard_cli/response_rendering.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/response_rendering.py
@@ -1,4 +1,4 @@
-"""Turn a node's answers into text for a person."""
+"""Render responses of nodes as text for display."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def render_decision(record: DecisionRecord) -> str:
-    """Return one decision, step by step, with times since the request arrived."""
+    """Render the steps of a decision, with the time since the request arrived."""
     lines = [
         f"request {record.request_id} of {record.customer},"
         f" configuration {record.configuration_version}"
@@ -62,7 +62,7 @@
 
 
 def render_status(reply: StatusReply) -> str:
-    """Return a node's state: itself, the VMs and the endpoints."""
+    """Render the state of a node and its view of VMs and endpoints."""
     facts: tuple[tuple[str, Cell], ...] = (
         ("node", f"{reply.node} {reply.incarnation} in {reply.domain}"),
         ("version", reply.version),
@@ -111,7 +111,7 @@
 
 
 def render_statistics(reply: Statistics) -> str:
-    """Return quantiles of each customer and class, and counts of refusals."""
+    """Render quantiles per customer and priority class, and refusal counts."""
     groups = render_table(
         ("customer", "class", "n", "first token p50", "p95", "p99", "gap p50", "p95")
         + ("recomputed p95", "hit rate %"),
@@ -146,7 +146,7 @@
 
 
 def render_location(reply: LocateAnswer) -> str:
-    """Return which node to use, and the others."""
+    """Render the node to use and the list of all nodes."""
     nodes = render_table(
         ("node", "address", "domain"),
         [(each.node, each.address, each.domain) for each in reply.addresses],
--- a/packages/toucanyard-cli/src/toucanyard_cli/tables.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/tables.py
@@ -1,4 +1,4 @@
-"""Lay out text for a person: tables with aligned columns, and lists."""
+"""Format values and tables with aligned columns as text."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def render_cell(value: Cell) -> str:
-    """Return one value as text; numbers with a fraction get one digit of it."""
+    """Return a value as text; floats are rounded to one decimal place."""
     match value:
         case None | "":
             return "-"
@@ -24,7 +24,7 @@
 
 
 def render_table(head: Sequence[str], rows: Iterable[Sequence[Cell]]) -> str:
-    """Return a table; columns of numbers only are aligned to the right."""
+    """Return a text table; columns that hold only numbers are right-aligned."""
     row_values = [list(row) for row in rows]
     texts = [list(head), *([render_cell(cell) for cell in row] for row in row_values)]
     widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
--- a/packages/toucanyard-cli/src/toucanyard_cli/version_commands.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/version_commands.py
@@ -1,4 +1,4 @@
-"""Show versions of the configuration and what changed between them."""
+"""Commands that show configuration versions and their differences."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def render_configuration(configuration: Configuration) -> str:
-    """Return a version as tables."""
+    """Render a configuration version as tables."""
     sections = [f"version {configuration.version}"]
     sections.append(
         render_table(
--- a/tests/toucanyard_cli/test_commands.py
+++ b/tests/toucanyard_cli/test_commands.py
@@ -1,4 +1,4 @@
-"""What the command line says and which status it ends with, whatever nodes answer."""
+"""Output and exit status of the command line for responses of nodes."""
 
 from __future__ import annotations
 
@@ -109,8 +109,8 @@
 def test_lost_answer_is_settled_under_the_same_id(
     run: Run, patch_file: str, sent_requests: SentRequests
 ) -> None:
-    # The first node takes the patch and its answer is lost. The second is asked with
-    # the same id, so that the patch can't be applied twice.
+    # The first node applies the patch, but its response is lost. The second node gets
+    # the same patch id, so that the patch can't be applied twice.
     result = run(f"patch --base 7 {patch_file}", LOST, build_patch_reply(200, None))
     assert result.exit_code == 0
     assert [address for address, _, _ in sent_requests] == [A, B]
@@ -123,8 +123,8 @@
 def test_a_patch_that_may_be_in_force_is_never_called_undone(
     run: Run, patch_file: str, sent_requests: SentRequests, second: Answer
 ) -> None:
-    # The first node took the patch; the second can tell nothing. "Not reachable" or
-    # "unavailable" would say that nothing was done.
+    # The first node may have applied the patch and the second can't find out. The
+    # statuses "not reachable" or "unavailable" would claim that nothing was changed.
     result = run(f"patch --base 7 {patch_file}", LOST, second)
     assert result.exit_code == 5
     patch_id = msgspec.json.decode(sent_requests[0][2])["patch_id"]
@@ -137,7 +137,7 @@
 
 
 def test_drain_is_asked_of_one_node_only(run: Run, sent_requests: SentRequests) -> None:
-    # Asked in turn, the second node would be stopped because the first was gone.
+    # A fallback would drain the second node because the first is not reachable.
     assert run("drain").exit_code == 2
     assert sent_requests == []
     assert run(f"drain --node {B}", build_response(202, {})).exit_code == 0
--- a/tests/toucanyard_cli/test_examples.py
+++ b/tests/toucanyard_cli/test_examples.py
@@ -55,7 +55,8 @@
 
 
 def test_check_tries_a_patch_on_a_version(tmp_path: Path) -> None:
-    # A patch that removes a customer fits the version that has it, not the empty one.
+    # A patch that removes a customer applies to the version that contains the customer,
+    # but not to the empty version.
     patch = tmp_path / "patch.json"
     patch.write_text('{"remove": {"customers": ["kioskos"]}}')
     version = apply_patch(Configuration(), load_patch("valdivia"))
--- a/tests/toucanyard_cli/test_real_nodes.py
+++ b/tests/toucanyard_cli/test_real_nodes.py
@@ -39,8 +39,8 @@
 
 
 async def test_commands_against_two_nodes(tmp_path: Path) -> None:
-    # Two operators patch version 1 at the same time, each through another node: one
-    # gets version 2, the other a conflict that names it, and both nodes show it.
+    # Two operators patch version 1 concurrently through different nodes. One creates
+    # version 2, the other gets a conflict that names it, and both nodes show version 2.
     files = [tmp_path / "a.json", tmp_path / "b.json"]
     for file in files:
         put = {"customers": [{"name": file.stem, "key_hashes": []}]}
