--- a/packages/toucanyard-emulator/src/toucanyard_emulator/__init__.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Play many nodes that relay calls, with engines and faults, in one process."""
+"""Simulate many relaying nodes, with engines and faults, in one process."""
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/accounting.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/accounting.py
@@ -1,4 +1,4 @@
-"""Add up what callers got: worth by kind and by window, and why the rest was lost."""
+"""Compute the worth earned by calls, per kind and time window, and causes of loss."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 WINDOW_MS: Final = 2_000.0
 WORST_WINDOWS: Final = 2
 MIN_WINDOW_SHARE: Final = 0.3
-"""Share of the mean window's worth below which a window is too thin to count."""
+"""Windows with less than this share of the mean worth are ignored as too sparse."""
 
 
 class Cause(enum.StrEnum):
-    """Why a call earned less than its worth; each lost piece has one cause."""
+    """Why a call earned less than its worth; each loss has exactly one cause."""
 
     REPLICA_LOST = "replica lost"
     NODE_GONE = "node gone"
@@ -36,21 +36,21 @@
 
 
 class CallOutcome(msgspec.Struct, frozen=True):
-    """How a call ended for its caller."""
+    """The outcome of a call for its caller."""
 
     arrival: Arrival
     is_served: bool
     is_late: bool
     cause: Cause | None
     latency_ms: float
-    """Until the first event, or the answer of a plain call."""
+    """Time until the first event, or until the response of a plain call."""
     outdated_share: float = 0.0
-    """Of its worth that is taken off for older weights."""
+    """Share of its worth that is deducted because it ran on outdated weights."""
     consistent_share: float = 1.0
-    """Of what it made that was made on the weights that it was begun on."""
+    """Share of its output that was generated on the weights it was started on."""
 
     def compute_earned_worth(self) -> float:
-        """Return what it earned, before what is taken off for weights."""
+        """Return the worth earned, before deductions for outdated weights."""
         if not self.is_served:
             return 0.0
         kind = self.arrival.kind
@@ -61,7 +61,7 @@
 
 
 class ResourceCounts(msgspec.Struct):
-    """What else is priced."""
+    """Usage of resources that have a price."""
 
     loads: int = 0
     orders: int = 0
@@ -70,11 +70,11 @@
     reread_tokens: int = 0
     moved_bytes: float = 0.0
     crashes: int = 0
-    """Engines that a request has ended."""
+    """Engines that were crashed by a request."""
 
 
 class Result(msgspec.Struct, frozen=True):
-    """One run, added up; all figures are shares of the worth that was owed."""
+    """The result of a run; worth, prices and causes are shares of the total worth."""
 
     worth: float
     whole: float
@@ -84,7 +84,7 @@
     kinds: dict[str, float]
     windows: tuple[float, ...]
     causes: dict[str, float]
-    """Share of the worth lost by each cause; together they are what is lost."""
+    """Share of the worth lost by each cause; the shares add up to the total loss."""
     served: int
     late: int
     failed: int
@@ -97,7 +97,7 @@
     goal: Objective,
     prices: Prices,
 ) -> Result:
-    """Return the result of a run."""
+    """Aggregate the outcomes of a run into its result."""
     owed, earned = 0.0, 0.0
     by_kind: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
     by_window: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/arrivals.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/arrivals.py
@@ -1,4 +1,4 @@
-"""Draw the calls of a run before it begins: each variant meets the same ones."""
+"""Generate the calls of a run in advance, so that all variants get the same ones."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 )
 
 MAX_SIZE_FACTOR: Final = 4.0
-"""A prompt of more than so many times the mean counts no more than that."""
+"""Cap on the size of a prompt, and on its worth, relative to the mean."""
 FIXED_WORTH_SHARE: Final = 0.3
-"""Share of a call's worth that doesn't depend on its size."""
+"""Share of a call's worth that does not depend on the size of its prompt."""
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """One call as its caller makes it."""
+    """A call as it is made by its caller."""
 
     number: int
     at_ms: float
@@ -36,11 +36,11 @@
     work_ms: float
     worth: float
     crash: CrashingRequest | None = None
-    """Set for a request that ends engines; it is not owed an answer."""
+    """Set for a request that crashes engines; such a call is not accounted for."""
 
 
 def generate_arrivals(scenario: Scenario, seed: int) -> list[Arrival]:
-    """Return all calls of a run, in the order of their arrival."""
+    """Return all calls of a run in order of arrival."""
     arrivals = [
         arrival
         for kind in scenario.kinds
@@ -61,7 +61,7 @@
 def _generate_crashing_requests(
     scenario: Scenario, fault: CrashingRequest, seed: int
 ) -> Iterator[Arrival]:
-    """Repeat one request at even intervals."""
+    """Yield repetitions of one request at regular intervals."""
     rng = random.Random(f"{seed} crashing {fault.kind} {fault.at_s}")
     kind = next(each for each in scenario.kinds if each.name == fault.kind)
     first = _generate_arrival(scenario, kind, fault.at_s, rng)
@@ -79,7 +79,7 @@
 def _generate_kind(
     scenario: Scenario, kind: CallKind, rng: random.Random
 ) -> Iterator[Arrival]:
-    """Thin a Poisson process of the highest rate down to the rate of each moment."""
+    """Sample an inhomogeneous Poisson process by thinning one of the maximum rate."""
     max_factor = 1.0 + scenario.wave_share
     for fault in scenario.faults:
         if isinstance(fault, Burst):
@@ -96,7 +96,7 @@
 
 
 def _compute_rate_factor(scenario: Scenario, at_s: float) -> float:
-    """Return the rate of a moment as a multiple of the mean."""
+    """Return the arrival rate at a time, as a multiple of the mean rate."""
     phase = 2 * math.pi * at_s / scenario.wave_s
     rate = 1.0 + scenario.wave_share * math.sin(phase)
     for fault in scenario.faults:
@@ -137,7 +137,8 @@
             continue
         if 0 <= at_s - fault.at_s < fault.for_s and draw < fault.share:
             subject = 0.0
-    # A subject of a deep level has one subject of each level above it.
+    # The same draw is used at all levels, so that a subject always has the same parent
+    # subjects.
     return tuple(
         PromptBlock(f"{kind.name} {level} {int(subject * each.subjects)}", each.tokens)
         for level, each in enumerate(kind.shared)
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/caller.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/caller.py
@@ -1,4 +1,4 @@
-"""Play one caller: it picks a node, waits, comes back when told to, and gives up."""
+"""Simulate a caller: it chooses a node, waits, retries and eventually gives up."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 ABANDON_MIN_MS: Final = 2_000.0
 ABANDON_TARGET_FACTOR: Final = 4.0
 ABANDON_GAP_FACTOR: Final = 8.0
-"""A caller leaves a stream without an event after the longest of these."""
+"""A caller abandons a stream without any event after the longest of ABANDON_MIN_MS,
+ABANDON_TARGET_FACTOR target latencies and ABANDON_GAP_FACTOR maximum gaps.
+"""
 TRANSIT_MS: Final = 120.0
 
 
 class Caller:
-    """One call from its caller's view. Invariant: it ends once."""
+    """One call as seen by its caller. Invariant: it ends exactly once."""
 
     def __init__(self, simulation: Simulation, arrival: Arrival) -> None:
         self._simulation = simulation
@@ -38,12 +40,12 @@
         self._last_cause = Cause.OTHER
 
     def begin(self) -> None:
-        """Make the first try."""
+        """Start the first attempt."""
         self._started_ms = self._simulation.clock.now_ms
         self._start_attempt()
 
     def _compute_fingerprint(self) -> Fingerprint:
-        """Return what all tries of this call share, or all repeats of its request."""
+        """Return the fingerprint shared by all attempts or repetitions of a request."""
         crash = self._arrival.crash
         number = self._arrival.number
         return Fingerprint(f"call {number}" if crash is None else f"crash {crash.at_s}")
@@ -117,7 +119,7 @@
             )
 
     def _abandon_attempt(self, attempt: int) -> None:
-        """Leave a try that has shown nothing."""
+        """Abandon an attempt that has delivered no event."""
         is_waiting = not self._is_over and attempt == self._attempt_count and self._call
         if not is_waiting or self._first_ms is not None or self._call is None:
             return
@@ -193,7 +195,7 @@
         )
 
     def _find_cause(self, call: RelayedCall) -> Cause:
-        """Return what took most of a late call's time."""
+        """Return the phase in which a late call spent most of its time."""
         trace = call.trace
         sent_ms = trace.first_sent_ms
         if sent_ms is None:
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
@@ -1,7 +1,7 @@
-"""Emulate one engine: batched steps, prompts read in pieces, memory, loads of weights.
+"""Emulate an engine with continuous batching, chunked prefill and weight loading.
 
-Each step makes one token of every call that has been read and reads a piece of the
-prompt that goes first; so a long prompt slows the streams that run beside it.
+Each step generates one token for every call in the decode phase and prefills a chunk of
+the prompts at the head of the queue, so a long prompt slows down concurrent streams.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from toucanyard_standins.virtual_clock import VirtualClock
 
 SOURCE_MISS_MS: Final = 1.0
-"""Time that it takes to find that a source doesn't have a block."""
+"""Time to find out that a source does not hold a block."""
 SOURCE_TIMEOUT_MS: Final = 300.0
 LOAD_CONTENTION_SHARE: Final = 0.5
-"""How much longer a load takes for each one beyond those that go well together."""
+"""Relative slowdown of a load for each concurrent load beyond `loads_at_once`."""
 
 
 class Availability(enum.StrEnum):
-    """Whether a replica is there."""
+    """Whether a replica accepts and answers connections."""
 
     UP = "up"
     DOWN = "down"
@@ -39,7 +39,7 @@
 
 
 class JobOutcome(enum.StrEnum):
-    """How a job ended at its replica."""
+    """The outcome of a job at its replica."""
 
     DONE = "done"
     REFUSED = "refused"
@@ -48,7 +48,7 @@
 
 
 class Job(msgspec.Struct, kw_only=True, eq=False):
-    """One call at one replica; `on_first` and `on_end` tell the node that sent it."""
+    """One call at one replica; `on_first` and `on_end` notify the node that sent it."""
 
     rank: int
     scope: str
@@ -61,25 +61,25 @@
     on_end: Callable[[Job, JobOutcome], None]
     submitted_ms: float = 0.0
     started_ms: float | None = None
-    """When its prompt began to be read."""
+    """Start of the prefill."""
     first_ms: float | None = None
     event_ms: float = 0.0
     worst_gap_ms: float = 0.0
     remaining_prefill_tokens: int = -1
-    """Not known until its reading begins."""
+    """Unknown until the prefill starts."""
     prefilled_tokens: int = 0
-    """Prompt tokens that were read for it."""
+    """Prompt tokens that were not cached and had to be prefilled."""
     fetched_ms: float = 0.0
-    """When what is fetched for it is there."""
+    """Time at which the blocks fetched for it are available."""
     generated_tokens: int = 0
     generated_on_other_weights: int = 0
-    """Tokens made after the weights had changed under it."""
+    """Tokens that were generated after the engine had loaded other weights."""
     is_over: bool = False
     engine: Engine | None = None
 
 
 class LoadCounter:
-    """The loads under way in a pool, which slow each other down."""
+    """The number of weight loads in progress in a pool; they slow each other down."""
 
     __slots__ = ("count",)
 
@@ -88,7 +88,7 @@
 
 
 class Engine:
-    """One life of one replica that runs a model."""
+    """One incarnation of a replica that runs a model."""
 
     def __init__(
         self,
@@ -124,14 +124,14 @@
         self._running: list[Job] = []
         self._is_stepping = False
         self._pending_version: int | None = None
-        """Weights that are loaded once the calls have ended."""
+        """Version of the weights that is being loaded or waits for calls to end."""
 
     def count_calls(self) -> int:
-        """Return how many calls are there, waiting or not."""
+        """Return the number of calls, including waiting ones."""
         return len(self._waiting) + len(self._prefilling) + len(self._running)
 
     def submit(self, job: Job) -> None:
-        """Take one call."""
+        """Accept a call or refuse it."""
         job.submitted_ms = self._clock.now_ms
         job.engine = self
         if self._rng.random() < self.unanswered_share:
@@ -147,13 +147,13 @@
             self._start()
 
     def cancel(self, job: Job) -> None:
-        """Stop a call that nobody waits for."""
+        """Cancel a call whose result is no longer wanted."""
         if not job.is_over:
             job.is_over = True
             self._drop(job)
 
     def stop(self, availability: Availability) -> None:
-        """End this life; its calls are cut, or hang if it falls silent."""
+        """Stop the engine; its calls are lost, or hang if it becomes silent."""
         jobs = self._waiting + self._prefilling + self._running
         self.availability = availability
         self._waiting, self._prefilling, self._running = [], [], []
@@ -164,7 +164,7 @@
                 job.is_over = True
 
     def read_state(self) -> ReplicaState:
-        """Return what it reports of itself."""
+        """Return the state that the engine reports."""
         return ReplicaState(
             weights=(("m", self.version),),
             is_busy=self.is_loading or self._pending_version is not None,
@@ -174,7 +174,7 @@
         )
 
     def apply_order(self, order: WeightsOrder) -> int:
-        """Begin to load weights, or say why not; returns the status."""
+        """Start to load weights, or reject the order; return the HTTP status."""
         if self.is_loading or self._pending_version is not None:
             return 409
         if order.expected_order_count != self.orders:
@@ -212,7 +212,7 @@
             self._clock.call_after(0.0, self._step)
 
     def _step(self) -> None:
-        """Begin one step; what it makes is there at its end."""
+        """Start a step; its results are available at its end."""
         if self.availability is not Availability.UP:
             self._is_stepping = False
             return
@@ -254,7 +254,7 @@
             self._fetch(job)
 
     def _fetch(self, job: Job) -> None:
-        """Bring what another holder has of a prompt, if it was named."""
+        """Fetch the cached prefix of a prompt from the source named by the node."""
         now_ms = self._clock.now_ms
         shared = job.blocks[:-1]
         local_tokens = self.cache.count_cached_prefix(job.scope, shared)
@@ -412,5 +412,5 @@
 
 
 def _count_own_tokens(job: Job) -> int:
-    """Return the tokens that a call holds beside the blocks that prompts share."""
+    """Return the number of tokens that a call holds besides shared blocks."""
     return job.blocks[-1].tokens + job.output_tokens
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
@@ -1,4 +1,4 @@
-"""Play variants on the same scenarios and seeds, and compare them in pairs."""
+"""Run policy variants on the same scenarios and seeds and compare them pairwise."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from toucanyard_emulator.scenario import load_scenario
 from toucanyard_emulator.variants import DEFAULT_VARIANT, Variant
 
-# Two-sided 95% points of Student's t for 1 to 30 degrees of freedom.
+# Two-sided 95% critical values of Student's t for 1 to 30 degrees of freedom.
 T_95: Final = (
     12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14,
     2.13, 2.12, 2.11, 2.10, 2.09, 2.09, 2.08, 2.07, 2.07, 2.06, 2.06, 2.06, 2.05, 2.05,
@@ -25,7 +25,7 @@
 
 
 class Task(msgspec.Struct, frozen=True):
-    """One run."""
+    """The parameters of one run."""
 
     file: Path
     variant: Variant
@@ -33,7 +33,7 @@
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """One run and its result."""
+    """The result of one run."""
 
     scenario: str
     variant: str
@@ -42,7 +42,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """How a variant differs from the usual policy on one scenario."""
+    """The difference between a variant and the default policy on one scenario."""
 
     scenario: str
     variant: str
@@ -50,23 +50,23 @@
     usual: float
     worth: float
     mean: float
-    """Of the differences of worth, seed by seed."""
+    """Mean of the differences of worth, paired by seed."""
     half_width: float
-    """Of the 95% interval around it."""
+    """Half width of the 95% confidence interval of the mean."""
 
     def is_significant(self) -> bool:
-        """Tell whether the interval leaves out zero."""
+        """Return whether the confidence interval excludes zero."""
         return abs(self.mean) > self.half_width
 
 
 def count_workers() -> int:
-    """Return how many runs go on at once: on the processors that are not busy."""
+    """Return the number of parallel runs: one per processor that is not busy."""
     cores = os.cpu_count() or 1
     return max(cores - 1 - count_runnable_tasks(), 2)
 
 
 def count_runnable_tasks() -> int:
-    """Return how many tasks of the machine run now, this one not counted."""
+    """Return the number of runnable tasks on this machine, without this process."""
     try:
         running = Path("/proc/loadavg").read_text().split()[3].partition("/")[0]
     except (OSError, IndexError):
@@ -75,7 +75,7 @@
 
 
 def run_task(task: Task) -> RunResult:
-    """Play one run; called in a process of its own."""
+    """Execute one run; called in a worker process."""
     scenario = load_scenario(task.file)
     result = run_scenario(scenario, task.variant.policy, task.seed)
     return RunResult(scenario.name, task.variant.name, task.seed, result)
@@ -88,7 +88,7 @@
     on_done: Callable[[], None],
     workers: int | None = None,
 ) -> list[RunResult]:
-    """Play every variant, the usual one first, on every scenario and seed."""
+    """Run all variants, the default policy first, on all scenarios and seeds."""
     tasks = [
         Task(file, variant, seed)
         for file in files
@@ -104,7 +104,7 @@
 
 
 def compare(played: Sequence[RunResult]) -> list[Difference]:
-    """Return how each variant differs from the usual policy, scenario by scenario."""
+    """Return the difference of each variant from the default, per scenario."""
     found: dict[tuple[str, str], dict[int, Result]] = {}
     for each in played:
         found.setdefault((each.scenario, each.variant), {})[each.seed] = each.result
@@ -135,7 +135,7 @@
 
 
 def compute_half_width(values: Sequence[float]) -> float:
-    """Return half of the 95% interval around a mean; infinite for one value."""
+    """Return half the 95% confidence interval of a mean; infinite for one value."""
     count = len(values)
     if count < 2:
         return math.inf
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/faults.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/faults.py
@@ -1,4 +1,4 @@
-"""Bring the faults of a scenario about at their times."""
+"""Inject the faults of a scenario at their scheduled times."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def schedule_faults(simulation: Simulation) -> None:
-    """Put every fault of the world's scenario on its clock."""
+    """Schedule all faults of the scenario on the clock of the simulation."""
     for number, fault in enumerate(simulation.scenario.faults):
         begin = _build_fault_action(simulation, fault, f"fault {number}")
         if begin is not None:
@@ -55,7 +55,7 @@
         case NodesKilled():
             return partial(_kill_nodes, simulation, fault, purpose)
         case Burst() | HotSubject() | CrashingRequest():
-            # The arrivals were drawn with them.
+            # These faults are part of the generated arrivals.
             return None
 
 
@@ -79,7 +79,7 @@
 def _restart_engine(
     simulation: Simulation, number: int, version: int, listed_as: ReplicaId | None
 ) -> None:
-    """Start a new life; one under its old id keeps its weights."""
+    """Start a new incarnation; one that keeps its id also keeps its weights."""
     if listed_as is None:
         version = simulation.get_newest_version()
     simulation.pool.add_engine(number, version, listed_as)
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/node.py
@@ -1,4 +1,4 @@
-"""Drive one real core in virtual time: ticks, messages, the store, orders and calls."""
+"""Run a real RelayCore in virtual time: ticks, messages, store, orders and calls."""
 
 from __future__ import annotations
 
@@ -53,19 +53,19 @@
 
 WATCH_INTERVAL_MS: Final = {Topic.REPLICAS: 50.0, Topic.NODES: 250.0}
 STORE_LATENCY_MS: Final = 5.0
-"""Time of one call to the store, the way included."""
+"""Duration of a call to the store, including network latency."""
 STORE_TIMEOUT_MS: Final = 1_200.0
 POLL_RETRY_MS: Final = 250.0
 STATE_READ_TIMEOUT_MS: Final = 500.0
 ORDER_TIMEOUT_MS: Final = 1_000.0
 FOLLOW_INTERVAL_MS: Final = 200.0
-"""Time between two looks at what a holder tells of its parts."""
+"""Interval between reads of the prompt block changes of a holder."""
 FOLLOWED_UPDATE_INTERVAL_MS: Final = 500.0
 _ACCEPTED: Final = 202
 
 
 class EmulatedNode:
-    """One incarnation of one node. Invariant: nothing happens after `stop`."""
+    """One incarnation of a node. Invariant: it does nothing after `stop`."""
 
     def __init__(
         self,
@@ -86,15 +86,15 @@
         self._calls: dict[RequestId, RelayedCall] = {}
         self._next_offsets = dict.fromkeys(Topic, 0)
         self._followed: dict[EndpointName, int] = {}
-        """By holder: how many of its changes were update."""
+        """Number of changes received so far, by holder."""
 
     @property
     def now_ms(self) -> float:
-        """Return the present time."""
+        """Return the current virtual time."""
         return self.simulation.clock.now_ms
 
     def start(self) -> None:
-        """Begin all that a node does by itself."""
+        """Start the periodic tasks of the node."""
         self.schedule(self._rng.uniform(0.0, TICK_MS), self._tick)
         self._poll()
         for topic, interval_ms in WATCH_INTERVAL_MS.items():
@@ -104,14 +104,14 @@
         self.schedule(FOLLOW_INTERVAL_MS, self._update_followed)
 
     def stop(self) -> None:
-        """End at once; callers see their connections cut."""
+        """Stop immediately; connections of callers are closed."""
         self.is_up = False
         for call in list(self._calls.values()):
             call.handle_node_stopped()
         self._calls.clear()
 
     def schedule(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Do something later, if this incarnation still runs then."""
+        """Run a callback after a delay, unless the node was stopped before then."""
 
         def run() -> None:
             if self.is_up:
@@ -120,20 +120,20 @@
         self.simulation.clock.call_after(max(delay_ms, 0.0), run)
 
     def accept_call(self, call: RelayedCall) -> None:
-        """Take a caller's call."""
+        """Accept and start a call from a caller."""
         self._calls[call.request.request_id] = call
         call.begin()
 
     def remove_call(self, call: RelayedCall) -> None:
-        """Drop a call that is over."""
+        """Remove a call that has ended."""
         self._calls.pop(call.request.request_id, None)
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether the node accepts calls."""
         return self.is_up and self.core.is_ready()
 
     def handle(self, event: RelayEvent) -> None:
-        """Give the core an event and carry out what it asks for."""
+        """Pass an event to the core and execute the resulting actions."""
         if not self.is_up:
             return
         for action in self.core.handle(event, self.now_ms):
@@ -144,7 +144,8 @@
             case RelayReply(request_id=request_id, verdict=verdict):
                 call = self._calls.get(request_id)
                 if call is not None:
-                    # The task that asked runs a moment later, as it does for real.
+                    # As in a real node, the waiting task resumes later and not within
+                    # this event.
                     self.schedule(0.0, lambda: call.apply_verdict(verdict))
             case SendToPeer(node=name, message=message):
                 self.simulation.send(
@@ -302,5 +303,5 @@
         self.schedule(FOLLOW_INTERVAL_MS, lambda: self._follow(name))
 
     def set_links(self, peers: tuple[NodeId, ...]) -> None:
-        """Take in to whom there are links."""
+        """Report the currently linked peers to the core."""
         self.handle(PeersLinked(peers))
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/plain_replica.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/plain_replica.py
@@ -1,4 +1,4 @@
-"""Emulate a replica that runs no model: places, and a short queue."""
+"""Emulate a replica that runs no model, with a number of slots and a short queue."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PlainReplica:
-    """One replica of a plain service."""
+    """A replica of a plain service."""
 
     def __init__(
         self, name: EndpointName, settings: PlainReplicaSettings, clock: VirtualClock
@@ -27,7 +27,7 @@
         self._queue: deque[tuple[float, OnEnd]] = deque()
 
     def submit(self, work_ms: float, on_end: OnEnd) -> None:
-        """Take one call, or turn it away."""
+        """Run, queue or refuse a call."""
         if self._running < self._shape.slots:
             self._run(work_ms, on_end)
         elif len(self._queue) < self._shape.queue:
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/prefill_ledger.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/prefill_ledger.py
@@ -1,4 +1,4 @@
-"""Count what all engines read, move and read again."""
+"""Count the tokens prefilled, recomputed and transferred by all engines."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from toucanyard.prompt_block_index import PromptBlock
 
 REUSE_MS: Final = 10_000.0
-"""A block that was not used for longer may be read again without being counted."""
+"""A block unused for longer can be prefilled again without counting as recomputed."""
 
 
 class PrefillLedger:
-    """The blocks that any engine has read, and when each was used last."""
+    """Prefill totals, and the last use of each block by any engine."""
 
     __slots__ = ("_used_ms", "moved_bytes", "prefilled_tokens", "reread_tokens")
 
@@ -29,7 +29,7 @@
         cached_tokens: int,
         now_ms: float,
     ) -> None:
-        """Note that an engine that keeps so many tokens of a front reads the rest."""
+        """Record that an engine prefills all but the cached prefix of a prompt."""
         tokens = 0
         for block in blocks:
             key = (scope, block.name)
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/prompt_cache.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/prompt_cache.py
@@ -1,4 +1,4 @@
-"""Hold blocks of prompts in an engine or a store; those used longest ago yield."""
+"""Cache prompt blocks in an engine or a prompt store, with LRU eviction."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class PromptCache:
-    """Parts that are kept, beside what running calls hold.
+    """The cached blocks and the tokens held by running calls.
 
-    Invariant: blocks that no call needs yield until all fits, so that what doesn't fit
-    is what the running calls hold.
+    Invariant: blocks that no running call holds are evicted until everything fits, so
+    the size is exceeded only by what running calls hold.
     """
 
     __slots__ = (
@@ -30,16 +30,16 @@
     def __init__(self, size_tokens: int) -> None:
         self.size_tokens = size_tokens
         self.changes: list[tuple[float, PromptBlockChange]] = []
-        """What was kept and dropped, with its time, for whoever follows."""
+        """Insertions and evictions with their times, read by followers of the cache."""
         self._held_tokens = 0
-        """Of running calls: their own blocks, and shared ones, each once."""
+        """Tokens held by running calls; blocks that calls share are counted once."""
         self._holds: dict[PromptBlockKey, int] = {}
         self._blocks: OrderedDict[PromptBlockKey, int] = OrderedDict()
         self._evictable_tokens = 0
-        """Of the blocks that are kept and that no running call holds."""
+        """Tokens of the cached blocks that no running call holds."""
 
     def count_cached_prefix(self, scope: str, blocks: Sequence[PromptBlock]) -> int:
-        """Return how many tokens from a prompt's front are kept."""
+        """Return the number of tokens in the cached prefix of a prompt."""
         tokens = 0
         for block in blocks:
             held = self._blocks.get((scope, block.name))
@@ -49,13 +49,13 @@
         return tokens
 
     def touch(self, scope: str, blocks: Sequence[PromptBlock]) -> None:
-        """Note that blocks are used now."""
+        """Mark blocks as most recently used."""
         for block in reversed(blocks):
             if (scope, block.name) in self._blocks:
                 self._blocks.move_to_end((scope, block.name))
 
     def insert(self, scope: str, blocks: Sequence[PromptBlock], now_ms: float) -> None:
-        """Keep blocks; the last of a chain yields first."""
+        """Insert blocks; the last block of a chain is evicted first."""
         for block in reversed(blocks):
             key = (scope, block.name)
             if key in self._blocks:
@@ -71,7 +71,7 @@
     def has_room(
         self, scope: str, blocks: Sequence[PromptBlock], own_tokens: int
     ) -> bool:
-        """Tell whether a call fits beside those that run."""
+        """Return whether a call fits in addition to the running calls."""
         needed = own_tokens + sum(
             block.tokens for block in blocks if (scope, block.name) not in self._holds
         )
@@ -80,7 +80,7 @@
     def hold(
         self, scope: str, blocks: Sequence[PromptBlock], own_tokens: int, now_ms: float
     ) -> None:
-        """Hold what a running call needs."""
+        """Reserve the tokens and blocks that a running call needs."""
         self._held_tokens += own_tokens
         for block in blocks:
             key = (scope, block.name)
@@ -93,7 +93,7 @@
     def release(
         self, scope: str, blocks: Sequence[PromptBlock], own_tokens: int
     ) -> None:
-        """Free what a call held; its shared blocks stay, and may yield."""
+        """Release what a call held; its shared blocks stay cached but evictable."""
         self._held_tokens -= own_tokens
         for block in blocks:
             key = (scope, block.name)
@@ -104,7 +104,7 @@
                 self._evictable_tokens += self._blocks.get(key, 0)
 
     def clear(self, now_ms: float) -> None:
-        """Drop all blocks."""
+        """Remove all blocks."""
         for scope, name in self._blocks:
             self.changes.append((now_ms, PromptBlockChange(scope, name, 0)))
         self._blocks.clear()
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/relayed_call.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/relayed_call.py
@@ -1,4 +1,4 @@
-"""Carry one call through one node: its dispatches, timers and end, as a node does."""
+"""Simulate how a node relays one call: its dispatches, timers and end."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 GAP_TIMEOUT_FACTOR: Final = 2.5
 MIN_GAP_TIMEOUT_MS: Final = 900.0
 GAP_CHECK_INTERVAL_MS: Final = 250.0
-"""Time between two looks at whether a stream has gone silent."""
+"""Interval between checks whether a stream has stalled."""
 
 
 class CallTrace(msgspec.Struct):
-    """How a call spent its time at a node, for whoever asks why it was late."""
+    """How a call spent its time at a node; used to find the cause of a late call."""
 
     queued_ms: float = 0.0
     first_sent_ms: float | None = None
     last_sent_ms: float = 0.0
     dispatches: int = 0
     job: Job | None = None
-    """The last one."""
+    """Job of the last dispatch."""
 
 
 class CallResult(msgspec.Struct, frozen=True):
-    """What a caller's try came to."""
+    """The result of one attempt of a caller."""
 
     is_complete: bool
     is_not_run: bool = False
@@ -50,7 +50,7 @@
 
 
 class RelayedCall:
-    """One caller's try at one node. Invariant: `on_end` is called once at most."""
+    """One attempt of a caller at one node. Invariant: `on_end` runs at most once."""
 
     def __init__(
         self,
@@ -71,17 +71,17 @@
         self._on_end = on_end
         self._dispatch: RelayDispatch | None = None
         self._dispatch_number = 0
-        """Of the last dispatch; what concerns an earlier one is passed over."""
+        """Number of the last dispatch; events of earlier ones are ignored."""
         self._is_over = False
 
     def begin(self) -> None:
-        """Ask the node's core what to do with the call."""
+        """Submit the call to the core of the node and schedule its deadline."""
         left_ms = self.request.deadline_ms - self._node.now_ms
         self._node.schedule(left_ms, self._handle_deadline)
         self._node.handle(CallArrived(self.request))
 
     def apply_verdict(self, verdict: RelayDispatch | Refuse | None) -> None:
-        """Carry out what the core says."""
+        """Execute the verdict of the core."""
         if self._is_over:
             return
         match verdict:
@@ -94,7 +94,7 @@
                 pass
 
     def handle_caller_left(self) -> None:
-        """Take in that the caller is gone."""
+        """Handle that the caller has disconnected."""
         if self._is_over:
             return
         self._is_over = True
@@ -102,7 +102,7 @@
         self._cancel_dispatch()
 
     def handle_node_stopped(self) -> None:
-        """Take in that the node has ended."""
+        """Handle that the node has stopped."""
         if not self._is_over:
             self._is_over = True
             self._cancel_job()
@@ -224,7 +224,7 @@
             self._node.schedule(GAP_CHECK_INTERVAL_MS, lambda: self._check_gap(number))
 
     def _check_gap(self, number: int) -> None:
-        """See whether a stream that may be resumed has gone silent."""
+        """Fail the dispatch of a resumable stream that has stalled."""
         job = self.trace.job
         if number != self._dispatch_number or self._is_over or job is None:
             return
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
@@ -1,4 +1,4 @@
-"""Hold the replicas and the store of prompts of one run, and register them."""
+"""Manage and register the replicas and the prompt store of a run."""
 
 from __future__ import annotations
 
@@ -31,23 +31,26 @@
 ENGINE_SERVICE: Final = ServiceName("engines")
 MODEL: Final = "m"
 REGISTRATION_LAG_MS: Final = 800.0
-"""Time until a replica's change is in the store."""
+"""Maximum delay until a change of an engine is registered in the store."""
 REGISTRATION_LEASE_MS: Final = 3_600.0
-"""Time without heartbeats after which a replica's entry goes."""
+"""Time without heartbeats after which the entry of a replica expires."""
 DRAIN_MS: Final = 2_000.0
-"""How long a replica that drains serves on."""
+"""A draining replica keeps serving for twice this time before it stops."""
 MAX_FOLLOWERS: Final = 12
 
 AnyReplica = Engine | PlainReplica
 
 
 def name_domain(scenario: Scenario, number: int) -> DomainName:
-    """Return the failure domain of the so-and-so-many-th VM of a kind."""
+    """Return the failure domain of a VM by its number within its kind."""
     return DomainName(f"d{number % scenario.domains}")
 
 
 class ReplicaPool:
-    """All lives of all replicas. Invariant: an engine's entry is of its newest life."""
+    """All incarnations of all replicas.
+
+    Invariant: the entry of an engine describes its newest incarnation.
+    """
 
     def __init__(
         self, scenario: Scenario, seed: int, clock: VirtualClock, store: EmulatedStore
@@ -94,7 +97,7 @@
             self._add_plain(number)
 
     def count_loads(self) -> int:
-        """Return how often weights were loaded."""
+        """Return the total number of weight loads."""
         return sum(
             each.loads for each in self._replicas.values() if isinstance(each, Engine)
         )
@@ -102,7 +105,7 @@
     def add_engine(
         self, number: int, version: int, listed_as: ReplicaId | None
     ) -> Engine:
-        """Start a life of an engine and register it."""
+        """Start and register an incarnation of an engine."""
         self._incarnation_count += 1
         born_ms = int(self._clock.now_ms) + self._incarnation_count
         listed = listed_as or ReplicaId(f"e{self._incarnation_count}")
@@ -168,7 +171,7 @@
         self._store.put(Topic.REPLICAS, entry.listed_as, entry)
 
     def _send_heartbeat(self, name: EndpointName) -> None:
-        """Register again what has changed, as heartbeats do."""
+        """Register changes of the weights, as the heartbeats of a replica do."""
         engine = self._replicas[name]
         assert isinstance(engine, Engine)
         if engine.availability is not Availability.UP:
@@ -178,7 +181,7 @@
         self._clock.call_after(REGISTRATION_LAG_MS, lambda: self._send_heartbeat(name))
 
     def list_engines(self) -> list[Engine]:
-        """Return the engines that are there."""
+        """Return the engines that are up."""
         return [
             each
             for each in self._replicas.values()
@@ -186,14 +189,14 @@
         ]
 
     def choose_engines(self, count: int, purpose: str) -> list[Engine]:
-        """Return some engines, the same ones in every variant of a run."""
+        """Return randomly chosen engines, the same ones in every variant of a run."""
         engines = self.list_engines()
         rng = random.Random(f"{self._seed} {purpose}")
         rng.shuffle(engines)
         return engines[: min(count, max(len(engines) - 1, 1))]
 
     def stop_engine(self, engine: Engine, *, is_silent: bool) -> None:
-        """End a life of an engine; its entry goes when its lease runs out."""
+        """Stop an incarnation of an engine; its entry expires with its lease."""
         engine.stop(Availability.SILENT if is_silent else Availability.DOWN)
         self._caches.pop(engine.address, None)
         listed_as = self._entries[engine.name].listed_as
@@ -210,39 +213,39 @@
         self._clock.call_after(REGISTRATION_LEASE_MS, expire)
 
     def find_listed_as(self, engine: Engine) -> ReplicaId:
-        """Return under which id an engine is registered."""
+        """Return the id under which an engine is registered."""
         return self._entries[engine.name].listed_as
 
     def scale_in(self, engine: Engine) -> None:
-        """Let an engine drain and leave."""
+        """Drain an engine, then stop it."""
         self._register(engine.name, is_draining=True)
         self._clock.call_after(
             2 * DRAIN_MS, lambda: self.stop_engine(engine, is_silent=False)
         )
 
     def find_replica(self, name: EndpointName) -> AnyReplica | None:
-        """Return a life of a replica."""
+        """Return an incarnation of a replica by its name."""
         return self._replicas.get(name)
 
     def compute_latency(self, domain: str, name: EndpointName) -> float:
-        """Return the time of one way between a node's domain and a replica."""
+        """Return the one-way latency between a node's failure domain and a replica."""
         is_near = self._entries[name].domain == domain
         return self._scenario.near_ms if is_near else self._scenario.far_ms
 
     def draw_order_delay(self) -> float | None:
-        """Return how late the next order is carried out; None if it is answered."""
+        """Return the delay of the next order, or None if it is answered at once."""
         draw, late_ms = self._order_rng.random(), self._order_rng.uniform(2e3, 12e3)
         return late_ms if draw < self.late_order_share else None
 
     def apply_order(self, order: WeightsOrder) -> int | None:
-        """Carry out an order at its replica."""
+        """Apply an order at its replica; return the HTTP status."""
         engine = self._replicas.get(order.replica)
         if not isinstance(engine, Engine) or engine.availability is not Availability.UP:
             return None
         return engine.apply_order(order)
 
     def apply_order_later(self, order: WeightsOrder, late_ms: float) -> None:
-        """Carry out an order that got no answer."""
+        """Apply an order late, without a response to its sender."""
 
         def apply_order() -> None:
             self.apply_order(order)
@@ -252,7 +255,7 @@
     def read_block_changes(
         self, name: EndpointName, offset: int
     ) -> tuple[tuple[PromptBlockChange, ...], int] | None:
-        """Return what a holder tells of its parts, late and with losses."""
+        """Return a holder's block changes since an offset, delayed and with losses."""
         cache = self._find_cache(name)
         if cache is None:
             return None
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/reports.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/reports.py
@@ -1,4 +1,4 @@
-"""Show results as tables and as a plot."""
+"""Render results as tables and plots."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def render_result(result: Result) -> Iterator[str]:
-    """Return the lines that tell of one run."""
+    """Yield the lines of the report on one run."""
     yield (
         f"worth {result.worth:.3f} = whole {result.whole:.3f}, worst windows "
         f"{result.worst_windows:.3f}, worst kind {result.worst_kind:.3f}, less prices "
@@ -35,7 +35,7 @@
 
 
 def render_differences(differences: Iterable[Difference]) -> Iterator[str]:
-    """Return the lines of a table of differences."""
+    """Yield the lines of a table of differences."""
     head = ("scenario", "variant", "seeds", "usual", "worth")
     yield "{:22} {:22} {:>5} {:>7} {:>7}  change".format(*head)
     for each in differences:
@@ -47,11 +47,11 @@
 
 
 def plot_windows(played: Sequence[RunResult], file: Path) -> None:
-    """Draw worth by window, the mean of all seeds for each scenario and variant."""
+    """Plot worth by window, as the mean over seeds per scenario and variant."""
     import matplotlib
 
     matplotlib.use("svg")
-    # The same results give the same bytes.
+    # A fixed salt makes the output reproducible: equal results give equal bytes.
     matplotlib.rcParams["svg.hashsalt"] = "toucanyard"
     from matplotlib import pyplot
 
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/runner.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/runner.py
@@ -1,4 +1,4 @@
-"""Play one scenario with one policy and one seed."""
+"""Run a scenario with one policy and one seed."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from toucanyard_emulator.simulation import WARM_UP_MS, Simulation
 
 DRAIN_TIME_MS = 15_000.0
-"""Time after the last call in which all calls have ended."""
+"""Time after the end of the arrivals within which all calls have ended."""
 
 
 def run_scenario(scenario: Scenario, policy: RelayPolicy, seed: int) -> Result:
-    """Return what callers got."""
+    """Run a scenario and return its result."""
     simulation = run_simulation(scenario, policy, seed)
     return compute_result(
         simulation.outcomes, simulation.collect_counts(), scenario.goal, scenario.prices
@@ -21,7 +21,7 @@
 
 
 def run_simulation(scenario: Scenario, policy: RelayPolicy, seed: int) -> Simulation:
-    """Play to the end and return all that there was."""
+    """Run a scenario to its end and return the final state of the simulation."""
     simulation = Simulation(scenario, policy, seed)
     simulation.build()
     schedule_faults(simulation)
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/scenario.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/scenario.py
@@ -1,7 +1,7 @@
-"""Read scenarios: what is played, checked field by field.
+"""Define scenarios and load them from files with full validation.
 
 A scenario file is TOML. Durations end in `_ms` or `_s`, sizes in `_tokens`; an unknown
-field, a wrong type or an impossible value is an error that names file and field.
+field, a wrong type or a value out of range is an error that names file and field.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 
 class _StrictTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of a scenario file."""
+    """A table of a scenario file; unknown fields are rejected."""
 
 
 class EngineSettings(_StrictTable, frozen=True, kw_only=True):
-    """What every engine of the pool can do."""
+    """The capacity and speed of each engine of the pool."""
 
     replicas: _PositiveInt
     slots: _PositiveInt
@@ -33,21 +33,21 @@
     bytes_per_token: _PositiveInt
     link_mbps: _Positive
     step_ms: _Positive
-    """Time of one step with one call."""
+    """Base duration of a step."""
     step_ms_per_call: _NonNegative
     tokens_per_ms: _Positive
-    """Prompt tokens that are read in a millisecond."""
+    """Prompt tokens that are prefilled per millisecond."""
     pairs_ms_per_m: _NonNegative
-    """Time for a million pairs of a prompt's tokens."""
+    """Time per million pairs of prompt tokens: the quadratic cost of attention."""
     chunk_tokens: _PositiveInt = 4_096
-    """Most prompt tokens that are read in one step."""
+    """Maximum number of prompt tokens that are prefilled in one step."""
     first_ms: _NonNegative = 0.0
     """Time from the first token to the first event."""
     tokens_per_event: _PositiveInt = 6
     load_ms: _Positive = 1_000.0
-    """Time that new weights take."""
+    """Time to load weights."""
     loads_at_once: _PositiveInt = 2
-    """Loads beyond which each takes longer."""
+    """Concurrent loads above this number slow each other down."""
     events_lag_ms: _NonNegative = 80.0
     events_loss: _Share = 0.01
 
@@ -61,21 +61,21 @@
 
 
 class PromptStoreSettings(_StrictTable, frozen=True, kw_only=True):
-    """A store beside the engines that keeps parts of prompts."""
+    """A store that caches prompt blocks outside of the engines."""
 
     memory_tokens: _PositiveInt
     link_mbps: _Positive
 
 
 class SharedBlock(_StrictTable, frozen=True, kw_only=True):
-    """A part that prompts share: one of so many subjects."""
+    """A prompt block that is shared by all calls on one of a number of subjects."""
 
     tokens: _PositiveInt
     subjects: _PositiveInt
 
 
 class CallKind(_StrictTable, frozen=True, kw_only=True):
-    """One kind of call; it has a prompt if `prompt_tokens` is set."""
+    """A kind of call; it has a prompt if `prompt_tokens` is set."""
 
     name: _Name
     per_s: _Positive
@@ -88,16 +88,16 @@
     is_repeatable: bool = False
     caller_retries: _NonNegativeInt = 1
     prompt_tokens: _NonNegativeInt = 0
-    """Mean of the prompt's own part."""
+    """Mean size of the prompt block that is not shared."""
     output_tokens: _NonNegativeInt = 0
     max_gap_ms: _PositiveInt = 400
     shared: tuple[SharedBlock, ...] = ()
     work_ms: _NonNegative = 0.0
-    """Mean time that a plain call takes."""
+    """Mean service time of a plain call."""
 
 
 class Prices(_StrictTable, frozen=True, kw_only=True):
-    """What is taken off, in worth."""
+    """Prices that are deducted from the worth of a run."""
 
     load: _NonNegative = 0.0
     order: _NonNegative = 0.0
@@ -106,12 +106,12 @@
     store_call: _NonNegative = 0.0
     moved_gb: _NonNegative = 0.0
     old_weights_share: _Share = 0.2
-    """Of a call's worth that is begun on older weights."""
+    """Share of a call's worth that is deducted if it starts on outdated weights."""
     old_after_ms: _NonNegative = 1_500.0
 
 
 class Objective(_StrictTable, frozen=True, kw_only=True):
-    """How the worth of a run is put together; the weights add up to one."""
+    """Weights of the components of the worth of a run; they add up to one."""
 
     whole: _Share = 0.35
     windows: _Share = 0.5
@@ -119,19 +119,19 @@
 
 
 class Crash(_StrictTable, frozen=True, kw_only=True, tag="crash"):
-    """Replicas end and come back empty."""
+    """Replicas crash and restart with an empty cache."""
 
     at_s: _NonNegative
     for_s: _NonNegative
     count: _PositiveInt = 1
     is_silent: bool = False
-    """They answer nothing while they are away, instead of refusing connections."""
+    """While down, they do not respond at all instead of refusing connections."""
     keeps_id: bool = False
-    """They come back under the id that they had."""
+    """They restart under the same id."""
 
 
 class Grey(_StrictTable, frozen=True, kw_only=True, tag="grey"):
-    """Replicas leave a share of their calls without an answer."""
+    """Gray failure: replicas do not respond to a share of their calls."""
 
     at_s: _NonNegative
     for_s: _NonNegative
@@ -140,7 +140,7 @@
 
 
 class Slow(_StrictTable, frozen=True, kw_only=True, tag="slow"):
-    """Replicas take longer."""
+    """Replicas slow down by a factor."""
 
     at_s: _NonNegative
     for_s: _NonNegative
@@ -149,27 +149,27 @@
 
 
 class ScaleIn(_StrictTable, frozen=True, kw_only=True, tag="scale_in"):
-    """Replicas drain and leave for good."""
+    """Replicas drain and are removed."""
 
     at_s: _NonNegative
     count: _PositiveInt = 1
 
 
 class ScaleOut(_StrictTable, frozen=True, kw_only=True, tag="scale_out"):
-    """Replicas are added that keep nothing of any prompt."""
+    """Replicas with an empty cache are added."""
 
     at_s: _NonNegative
     count: _PositiveInt = 1
 
 
 class NewWeights(_StrictTable, frozen=True, kw_only=True, tag="new_weights"):
-    """Operators name new weights."""
+    """Operators set a new target version of the weights."""
 
     at_s: _NonNegative
 
 
 class LateOrders(_StrictTable, frozen=True, kw_only=True, tag="late_orders"):
-    """A share of the orders gets no answer and is carried out late."""
+    """A share of the orders gets no response and is applied late."""
 
     at_s: _NonNegative
     for_s: _NonNegative
@@ -177,25 +177,25 @@
 
 
 class StoreDown(_StrictTable, frozen=True, kw_only=True, tag="store_down"):
-    """The platform's store answers nobody, or not to some nodes."""
+    """The platform's store does not respond to some or all nodes."""
 
     at_s: _NonNegative
     for_s: _NonNegative
     nodes: _NonNegativeInt = 0
-    """How many nodes it leaves without an answer; 0 for all."""
+    """Number of affected nodes; 0 for all."""
 
 
 class NodesKilled(_StrictTable, frozen=True, kw_only=True, tag="nodes_killed"):
-    """Nodes end at once and start again empty."""
+    """Nodes are killed and restart without state."""
 
     at_s: _NonNegative
     for_s: _NonNegative
     count: _NonNegativeInt = 0
-    """How many; 0 for all."""
+    """Number of nodes; 0 for all."""
 
 
 class Burst(_StrictTable, frozen=True, kw_only=True, tag="burst"):
-    """More calls come."""
+    """The arrival rate is multiplied by a factor."""
 
     at_s: _NonNegative
     for_s: _NonNegative
@@ -203,7 +203,7 @@
 
 
 class HotSubject(_StrictTable, frozen=True, kw_only=True, tag="hot_subject"):
-    """A share of a kind's calls is about one subject."""
+    """A share of the calls of a kind is on the same subject."""
 
     at_s: _NonNegative
     for_s: _NonNegative
@@ -212,16 +212,16 @@
 
 
 class CrashingRequest(_StrictTable, frozen=True, kw_only=True, tag="crashing_request"):
-    """One request comes again and again, and ends each engine that begins to run it."""
+    """A request is repeated and crashes each engine that starts to run it."""
 
     at_s: _NonNegative
     for_s: _NonNegative
     kind: _Name
     every_s: _Positive = 0.3
     after_ms: _NonNegative = 60.0
-    """From its first token to the end of the engine."""
+    """Time from its first token to the crash of the engine."""
     back_s: _Positive = 3.0
-    """From there until the engine is back."""
+    """Time from the crash to the restart of the engine."""
 
 
 Fault = (
@@ -241,7 +241,7 @@
 
 
 class Scenario(_StrictTable, frozen=True, kw_only=True):
-    """All that is played."""
+    """A complete scenario: nodes, replicas, calls, prices and faults."""
 
     name: _Name
     length_s: _Positive
@@ -249,13 +249,13 @@
     domains: _PositiveInt = 3
     near_ms: _NonNegative = 0.1
     far_ms: _NonNegative = 0.9
-    """One way between failure domains."""
+    """One-way latency between failure domains."""
     caller_ms: _NonNegative = 1.0
     wave_share: _Share = 0.15
     wave_s: _Positive = 11.0
     weights_deadline_ms: _PositiveInt = 12_000
     start_ms: _NonNegative = 350.0
-    """Time that a node takes from its start to its first call."""
+    """Time from the start of a node until it accepts calls."""
     engines: EngineSettings
     plain: PlainReplicaSettings
     prompt_store: PromptStoreSettings | None = None
@@ -266,7 +266,7 @@
 
 
 class InvalidScenarioError(Exception):
-    """A scenario can't be played; the text names file, field and reason."""
+    """A scenario is invalid; the message names the file, the field and the reason."""
 
 
 _EXTENDS: Final = "extends"
@@ -274,7 +274,7 @@
 
 
 def list_scenarios() -> list[Path]:
-    """Return the scenarios that come with the package."""
+    """Return the scenario files that are included in the package."""
     return sorted(
         file
         for file in _SCENARIO_DIRECTORY.glob("*.toml")
@@ -283,13 +283,13 @@
 
 
 def find_scenario(name: str) -> Path:
-    """Return the file of a scenario, by its path or by its name in the package."""
+    """Return the file of a scenario, given its name in the package or its path."""
     own = _SCENARIO_DIRECTORY / f"{name}.toml"
     return own if own.exists() else Path(name)
 
 
 def load_scenario(file: Path) -> Scenario:
-    """Return the scenario in a file, or raise ScenarioInvalidError."""
+    """Load a scenario from a file, or raise InvalidScenarioError."""
     table = _read_table(file, depth=0)
     try:
         scenario = msgspec.convert(table, Scenario)
@@ -300,7 +300,7 @@
 
 
 def _read_table(file: Path, depth: int) -> dict[str, object]:
-    """Return a file's table over that of the one which it extends."""
+    """Return the table of a file, merged over the table of the file it extends."""
     try:
         table = tomllib.loads(file.read_text("utf-8"))
     except OSError as error:
@@ -316,7 +316,7 @@
 
 
 def _validate(file: Path, scenario: Scenario) -> None:
-    """Raise for what each field allows and all of them together don't."""
+    """Check constraints that span several fields."""
     names = [kind.name for kind in scenario.kinds]
     if not names:
         raise InvalidScenarioError(f"{file}: kinds: there is none")
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/simulation.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/simulation.py
@@ -1,4 +1,4 @@
-"""Hold all that is emulated in one run: nodes, replicas, store, callers and faults."""
+"""Hold the state of one run: nodes, replicas, store, callers and outcomes."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 from toucanyard_standins.virtual_clock import VirtualClock
 
 WARM_UP_MS: Final = 3_000.0
-"""Time that nodes have before the first call comes."""
+"""Time for nodes to start before the first call arrives."""
 CALLER_ADDRESS_CACHE_MS: Final = 1_500.0
-"""How long callers keep a node's address that is gone."""
+"""Time for which callers keep using the address of a stopped node."""
 LINK_INTERVAL_MS: Final = 250.0
 
 
 class Simulation:
-    """One run. Invariant: what is random depends on the seed and on nothing played."""
+    """One run. Invariant: random draws depend only on the seed, not on the course."""
 
     def __init__(self, scenario: Scenario, policy: RelayPolicy, seed: int) -> None:
         self.scenario = scenario
@@ -65,7 +65,7 @@
         self._linked: dict[int, tuple[int, ...]] = {}
 
     def build(self) -> None:
-        """Put up everything and plan the calls."""
+        """Create all nodes and replicas and schedule the calls."""
         scenario = self.scenario
         self._publish_routes()
         self.store.put(Topic.OPERATOR, "weights", WantedWeights(MODEL, 1))
@@ -120,14 +120,14 @@
         node.start()
 
     def stop_node(self, number: int) -> None:
-        """End a node at once."""
+        """Stop a node immediately."""
         self._stopped_ms[number] = self.clock.now_ms
         self.nodes[number].stop()
 
     def choose_node(
         self, rng: random.Random, excluded: set[int]
     ) -> EmulatedNode | None:
-        """Return the node that a caller goes to, which may be gone since."""
+        """Choose a node for a caller; it may have stopped recently."""
         now_ms = self.clock.now_ms
         known = [
             node
@@ -142,7 +142,7 @@
         return rng.choice(known) if known else None
 
     def _link(self) -> None:
-        """Link each two nodes of which one wants it."""
+        """Link all pairs of nodes of which at least one selects the other as a peer."""
         live = [node for node in self.nodes if node.is_up]
         by_name = {node.identity.node: node for node in live}
         found: dict[int, set[int]] = {node.number: set() for node in live}
@@ -177,7 +177,7 @@
         target.schedule(latency_ms, lambda: target.handle(event))
 
     def crash_engine(self, engine: Engine, crash: CrashingRequest) -> None:
-        """End an engine in a moment, since it has begun to run a certain request."""
+        """Schedule the crash of an engine that runs a crashing request."""
 
         def end() -> None:
             if engine.availability is not Availability.UP:
@@ -193,27 +193,27 @@
         self.clock.call_after(crash.after_ms, end)
 
     def set_target_weights(self) -> None:
-        """Let operators name new weights."""
+        """Set the next version of the weights as the operators' target."""
         self._target_set_ms.append(self.clock.now_ms)
         version = len(self._target_set_ms)
         self.store.put(Topic.OPERATOR, "weights", WantedWeights(MODEL, version))
 
     def get_newest_version(self) -> int:
-        """Return the newest weights that were named."""
+        """Return the newest target version of the weights."""
         return len(self._target_set_ms)
 
     def compute_weights_age(self, version: int, started_ms: float | None) -> float:
-        """Return how long newer weights had been named when a call began."""
+        """Return for how long newer weights had been the target when a call started."""
         if started_ms is None or version >= len(self._target_set_ms):
             return 0.0
         return max(started_ms - self._target_set_ms[version], 0.0)
 
     def record_outcome(self, outcome: CallOutcome) -> None:
-        """Keep how a call ended."""
+        """Record the outcome of a call."""
         self.outcomes.append(outcome)
 
     def collect_counts(self) -> ResourceCounts:
-        """Return all that is priced."""
+        """Collect the usage of all priced resources."""
         self.counts.loads = self.pool.count_loads()
         self.counts.store_calls = self.store.calls
         self.counts.reread_tokens = self.pool.ledger.reread_tokens
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/transfers.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/transfers.py
@@ -1,15 +1,15 @@
-"""Move parts of prompts over links that carry one transfer after the other."""
+"""Schedule transfers of prompt blocks over links that carry one at a time."""
 
 from __future__ import annotations
 
 CROSS_DOMAIN_FACTOR = 2.0
-"""How much longer a transfer between failure domains takes."""
+"""Factor by which a transfer between failure domains takes longer."""
 MAX_TRANSFER_WAIT_MS = 2_000.0
-"""A transfer that would wait longer is not started."""
+"""A transfer that would have to wait longer is not started."""
 
 
 class Link:
-    """The link of an engine or a store."""
+    """The network link of an engine or a prompt store."""
 
     __slots__ = ("domain", "free_ms", "mbps")
 
@@ -22,7 +22,7 @@
 def plan_transfer(
     source: Link, target: Link, size_bytes: float, now_ms: float
 ) -> float | None:
-    """Take both links for a transfer and return its end; None if they are too busy."""
+    """Reserve both links and return the end time, or None if they are too busy."""
     begin_ms = max(now_ms, source.free_ms, target.free_ms)
     if begin_ms - now_ms > MAX_TRANSFER_WAIT_MS:
         return None
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/variants.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/variants.py
@@ -1,4 +1,4 @@
-"""Read variants of the policy: a name, and figures that differ from the usual ones."""
+"""Parse policy variants: a name and the settings that differ from the defaults."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class InvalidVariantError(Exception):
-    """A variant names no figure of the policy, or gives it an impossible value."""
+    """A variant names an unknown setting or has an invalid value."""
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """A named policy."""
+    """A policy with a name."""
 
     name: str
     policy: RelayPolicy
 
 
 DEFAULT_VARIANT: Final = Variant("usual", RelayPolicy())
-"""The policy as it is."""
+"""The default policy."""
 
 
 def parse_variant(text: str) -> Variant:
-    """Return the variant in NAME=GROUP.FIGURE:VALUE[,...]."""
+    """Parse a variant of the form NAME=GROUP.FIGURE:VALUE[,...]."""
     name, _, changes = text.partition("=")
     if not name or not changes:
         raise InvalidVariantError(f"{text!r}: expected NAME=GROUP.FIGURE:VALUE[,...]")
@@ -67,4 +67,4 @@
     "quarantine=guard.is_enforced:false",
     "gossip of crashes=guard.shares:false",
 )
-"""Each mechanism of the relay path off by itself."""
+"""Variants that each disable one mechanism of the relay path."""
--- a/tests/toucanyard_emulator/test_engine.py
+++ b/tests/toucanyard_emulator/test_engine.py
@@ -23,7 +23,7 @@
 
 
 class Bench:
-    """Two engines and what came of the jobs given to them."""
+    """Two engines and the outcomes of the jobs submitted to them."""
 
     def __init__(self) -> None:
         self.clock = VirtualClock()
@@ -113,9 +113,9 @@
 
 
 def test_long_prompt_slows_the_stream_beside_it() -> None:
-    """A stream makes a token each 3 ms; a prompt of 12,000 tokens is read meanwhile.
+    """A stream generates a token every 3 ms while a 12,000 token prompt is prefilled.
 
-    Each token then waits for a piece of it, which takes 50 ms.
+    Each token is then delayed by the prefill of a chunk, which takes 50 ms.
     """
     bench = Bench()
     job = bench.submit(0, PromptBlock("own", 10))
--- a/tests/toucanyard_emulator/test_experiment.py
+++ b/tests/toucanyard_emulator/test_experiment.py
@@ -19,7 +19,7 @@
 
 
 def test_difference_is_taken_seed_by_seed(tmp_path: Path) -> None:
-    """Luck moves both variants alike; only what is left is the variant's."""
+    """Variation between seeds affects both variants alike and must cancel out."""
     scenario = build_scenario(length_s=2.0)
     result = run_scenario(scenario, RelayPolicy(), 1)
     played = [
--- a/tests/toucanyard_emulator/test_replayed_loads.py
+++ b/tests/toucanyard_emulator/test_replayed_loads.py
@@ -1,7 +1,7 @@
-"""Replay the loads that the policy's choices answer, each against the choice before.
+"""Replay the loads behind choices of the policy, compared with the previous choice.
 
-Seeds and scenarios are those in which the choice was measured; the same arrivals and
-faults meet both policies.
+The scenarios and seeds are those with which each choice was evaluated. Both policies
+get the same arrivals and faults.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def load_first(name: str, length_s: float) -> Scenario:
-    """Return the first seconds of a scenario."""
+    """Return a scenario that is cut off after its first seconds."""
     scenario = load_scenario(find_scenario(name))
     faults: tuple[Fault, ...] = tuple(
         fault for fault in scenario.faults if fault.at_s < length_s
@@ -28,7 +28,7 @@
 
 
 def compute_gain(name: str, length_s: float, before: str) -> float:
-    """Return how much more worth callers get than under the policy before."""
+    """Return the mean gain in worth over the previous policy."""
     scenario = load_first(name, length_s)
     other = parse_variant(before).policy
     gains = [
@@ -50,19 +50,19 @@
     ],
 )
 def test_two_silent_engines_and_new_weights(before: str, least: float) -> None:
-    """Two of six engines fall silent, one leaves, and new weights are named.
+    """Two of six engines stop responding, one is removed, and new weights are released.
 
-    Callers of the next ten seconds wait for engines that are gone or out of use; what
-    is measured is how many of them still get their answer in time.
+    Calls of the next ten seconds are delayed by engines that are gone or loading; the
+    test measures how many of them are still answered in time.
     """
     assert compute_gain("silence-and-weights", 14.0, before) > least
 
 
 def test_versions_in_series_are_not_held_up_by_pacing() -> None:
-    """Weights are named each few seconds while all engines are there.
+    """New weights are released every few seconds while all engines are up.
 
-    One engine at a time, the roll-out never caught up and all calls ran cold; pacing
-    must not slow it where nothing is away.
+    A rollout to one engine at a time never caught up, and all calls ran with a cold
+    cache; pacing must not slow down the rollout if no engine is missing.
     """
     before = "usual=rollout.is_paced:false"
     assert compute_gain("versions-in-series", 14.0, before) > -0.005
@@ -72,7 +72,7 @@
     "before", ["quarantine=guard.is_enforced:false", "gossip=guard.shares:false"]
 )
 def test_request_that_crashes_engines_costs_few_of_them(before: str) -> None:
-    """Guards against one request whose repeats end engine after engine."""
+    """Guards against one request whose repetitions crash engine after engine."""
     scenario = load_first("crashing-request", 8.0)
     other = parse_variant(before).policy
     for seed in SEEDS:
--- a/tests/toucanyard_emulator/test_runner.py
+++ b/tests/toucanyard_emulator/test_runner.py
@@ -56,9 +56,9 @@
 
 
 def test_every_call_ends_once_under_every_fault() -> None:
-    """All faults come within a few seconds; whatever happens, each caller gets one end.
+    """All faults occur within a few seconds, and every call still ends exactly once.
 
-    A call that never ends would be missing from the sums, and the run look better.
+    A call that never ends would be missing from the totals and improve the result.
     """
     scenario = build_scenario(
         NewWeights(at_s=1.0),
@@ -86,9 +86,9 @@
 
 
 def test_replicas_that_join_are_listed_and_get_calls() -> None:
-    """Two empty engines join three in use; calls that come afterwards go there too.
+    """Two empty engines join three that are in use, and get some of the later calls.
 
-    They must have the newest weights, or no call would be sent there.
+    They must have the newest weights, or no call would be sent to them.
     """
     scenario = build_scenario(NewWeights(at_s=1.0), ScaleOut(at_s=3.0, count=2))
     simulation = run_simulation(scenario, POLICY, 1)
