--- a/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
@@ -95,18 +95,18 @@
         for variant in (DEFAULT_VARIANT, *variants)
         for seed in seeds
     ]
-    played: list[RunResult] = []
+    run_results: list[RunResult] = []
     with ProcessPoolExecutor(workers or count_workers()) as pool:
         for each in pool.map(run_task, tasks):
-            played.append(each)
+            run_results.append(each)
             on_done()
-    return played
+    return run_results
 
 
-def compare(played: Sequence[RunResult]) -> list[Difference]:
+def compare(run_results: Sequence[RunResult]) -> list[Difference]:
     """Return the difference of each variant from the default, per scenario."""
     found: dict[tuple[str, str], dict[int, Result]] = {}
-    for each in played:
+    for each in run_results:
         found.setdefault((each.scenario, each.variant), {})[each.seed] = each.result
     return [
         _compare_one(
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/faults.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/faults.py
@@ -13,14 +13,14 @@
     Crash,
     CrashingRequest,
     Fault,
-    Grey,
+    GrayFailure,
     HotSubject,
     LateOrders,
     NewWeights,
     NodesKilled,
     ScaleIn,
     ScaleOut,
-    Slow,
+    Slowdown,
     StoreDown,
 )
 from toucanyard_emulator.simulation import WARM_UP_MS, Simulation
@@ -29,9 +29,9 @@
 def schedule_faults(simulation: Simulation) -> None:
     """Schedule all faults of the scenario on the clock of the simulation."""
     for number, fault in enumerate(simulation.scenario.faults):
-        begin = _build_fault_action(simulation, fault, f"fault {number}")
-        if begin is not None:
-            simulation.clock.call_after(WARM_UP_MS + fault.at_s * 1000, begin)
+        action = _build_fault_action(simulation, fault, f"fault {number}")
+        if action is not None:
+            simulation.clock.call_after(WARM_UP_MS + fault.at_s * 1000, action)
 
 
 def _build_fault_action(
@@ -39,11 +39,11 @@
 ) -> Callable[[], None] | None:
     match fault:
         case Crash():
-            return partial(_crash, simulation, fault, purpose)
-        case Grey():
-            return partial(_grey, simulation, fault, purpose)
-        case Slow():
-            return partial(_slow, simulation, fault, purpose)
+            return partial(_inject_crash, simulation, fault, purpose)
+        case GrayFailure():
+            return partial(_inject_gray_failure, simulation, fault, purpose)
+        case Slowdown():
+            return partial(_inject_slowdown, simulation, fault, purpose)
         case ScaleIn() | ScaleOut():
             return partial(_scale, simulation, fault, purpose)
         case NewWeights():
@@ -65,7 +65,7 @@
     simulation.clock.call_after(after_s * 1000, callback)
 
 
-def _crash(simulation: Simulation, fault: Crash, purpose: str) -> None:
+def _inject_crash(simulation: Simulation, fault: Crash, purpose: str) -> None:
     for number, engine in enumerate(
         simulation.pool.choose_engines(fault.count, purpose)
     ):
@@ -85,7 +85,9 @@
     simulation.pool.add_engine(number, version, listed_as)
 
 
-def _grey(simulation: Simulation, fault: Grey, purpose: str) -> None:
+def _inject_gray_failure(
+    simulation: Simulation, fault: GrayFailure, purpose: str
+) -> None:
     def set_share(engine: Engine, share: float) -> None:
         engine.unanswered_share = share
 
@@ -94,7 +96,7 @@
         _schedule(simulation, fault.for_s, partial(set_share, engine, 0.0))
 
 
-def _slow(simulation: Simulation, fault: Slow, purpose: str) -> None:
+def _inject_slowdown(simulation: Simulation, fault: Slowdown, purpose: str) -> None:
     def set_factor(engine: Engine, factor: float) -> None:
         engine.slowdown = factor
 
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/main.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/main.py
@@ -111,13 +111,15 @@
         _fail(error)
     count = len(files) * (len(variants) + 1) * seeds
     with click.progressbar(length=count, label="runs", file=sys.stderr) as bar:
-        played = run_all(files, variants, range(1, seeds + 1), lambda: bar.update(1))
-    differences = compare(played)
+        run_results = run_all(
+            files, variants, range(1, seeds + 1), lambda: bar.update(1)
+        )
+    differences = compare(run_results)
     click.echo("\n".join(render_differences(differences)))
     if file is not None:
         file.write_bytes(msgspec.json.format(msgspec.json.encode(differences)))
     if plot is not None:
-        plot_windows(played, plot)
+        plot_windows(run_results, plot)
 
 
 if __name__ == "__main__":
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/reports.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/reports.py
@@ -46,7 +46,7 @@
         )
 
 
-def plot_windows(played: Sequence[RunResult], file: Path) -> None:
+def plot_windows(run_results: Sequence[RunResult], file: Path) -> None:
     """Plot worth by window, as the mean over seeds per scenario and variant."""
     import matplotlib
 
@@ -55,12 +55,12 @@
     matplotlib.rcParams["svg.hashsalt"] = "toucanyard"
     from matplotlib import pyplot
 
-    scenarios = list(dict.fromkeys(each.scenario for each in played))
+    scenarios = list(dict.fromkeys(each.scenario for each in run_results))
     figure, axes = pyplot.subplots(
         len(scenarios), 1, figsize=(9, 2.4 * len(scenarios)), squeeze=False
     )
     for row, scenario in zip(axes[:, 0], scenarios, strict=True):
-        runs = [each for each in played if each.scenario == scenario]
+        runs = [each for each in run_results if each.scenario == scenario]
         for variant in dict.fromkeys(each.variant for each in runs):
             windows = [each.result.windows for each in runs if each.variant == variant]
             length = min(len(each) for each in windows)
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/scenario.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/scenario.py
@@ -130,7 +130,7 @@
     """They restart under the same id."""
 
 
-class Grey(_StrictTable, frozen=True, kw_only=True, tag="grey"):
+class GrayFailure(_StrictTable, frozen=True, kw_only=True, tag="grey"):
     """Gray failure: replicas do not respond to a share of their calls."""
 
     at_s: _NonNegative
@@ -139,7 +139,7 @@
     share: _Share = 0.45
 
 
-class Slow(_StrictTable, frozen=True, kw_only=True, tag="slow"):
+class Slowdown(_StrictTable, frozen=True, kw_only=True, tag="slow"):
     """Replicas slow down by a factor."""
 
     at_s: _NonNegative
@@ -226,8 +226,8 @@
 
 Fault = (
     Crash
-    | Grey
-    | Slow
+    | GrayFailure
+    | Slowdown
     | ScaleIn
     | ScaleOut
     | NewWeights
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/simulation.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/simulation.py
@@ -143,16 +143,16 @@
 
     def _link(self) -> None:
         """Link all pairs of nodes of which at least one selects the other as a peer."""
-        live = [node for node in self.nodes if node.is_up]
-        by_name = {node.identity.node: node for node in live}
-        found: dict[int, set[int]] = {node.number: set() for node in live}
-        for node in live:
+        running_nodes = [node for node in self.nodes if node.is_up]
+        by_name = {node.identity.node: node for node in running_nodes}
+        found: dict[int, set[int]] = {node.number: set() for node in running_nodes}
+        for node in running_nodes:
             for vm in node.core.roster.find_peers(self.clock.now_ms):
                 other = by_name.get(NodeName(vm.name))
                 if other is not None and other is not node:
                     found[node.number].add(other.number)
                     found[other.number].add(node.number)
-        for node in live:
+        for node in running_nodes:
             key = tuple(
                 self._incarnations[number] * 1_000 + number
                 for number in sorted(found[node.number])
--- a/tests/toucanyard_emulator/test_experiment.py
+++ b/tests/toucanyard_emulator/test_experiment.py
@@ -22,7 +22,7 @@
     """Variation between seeds affects both variants alike and must cancel out."""
     scenario = build_scenario(length_s=2.0)
     result = run_scenario(scenario, RelayPolicy(), 1)
-    played = [
+    run_results = [
         RunResult(
             "small",
             variant,
@@ -35,7 +35,7 @@
         for variant, gain in (("usual", 0.0), ("new", 0.05))
         for seed in (1, 2, 3)
     ]
-    (difference,) = compare(played)
+    (difference,) = compare(run_results)
     assert difference.mean == pytest.approx(0.05)
     assert difference.half_width == pytest.approx(0.0, abs=1e-9)
     assert difference.is_significant()
@@ -43,5 +43,5 @@
     assert "worth" in "\n".join(render_result(result))
     files = [tmp_path / "a.svg", tmp_path / "b.svg"]
     for file in files:
-        plot_windows(played, file)
+        plot_windows(run_results, file)
     assert files[0].read_bytes() == files[1].read_bytes()
--- a/tests/toucanyard_emulator/test_runner.py
+++ b/tests/toucanyard_emulator/test_runner.py
@@ -10,14 +10,14 @@
 from toucanyard_emulator.scenario import (
     Burst,
     Crash,
-    Grey,
+    GrayFailure,
     HotSubject,
     LateOrders,
     NewWeights,
     NodesKilled,
     ScaleIn,
     ScaleOut,
-    Slow,
+    Slowdown,
     StoreDown,
 )
 
@@ -64,8 +64,8 @@
         NewWeights(at_s=1.0),
         LateOrders(at_s=0.5, for_s=3.0),
         Crash(at_s=1.5, for_s=1.0, keeps_id=True),
-        Grey(at_s=2.0, for_s=2.0),
-        Slow(at_s=2.0, for_s=2.0),
+        GrayFailure(at_s=2.0, for_s=2.0),
+        Slowdown(at_s=2.0, for_s=2.0),
         StoreDown(at_s=2.0, for_s=1.0, nodes=1),
         NodesKilled(at_s=3.0, for_s=0.3, count=1),
         Crash(at_s=4.0, for_s=1.0, is_silent=True),
