--- a/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/engine.py
@@ -131,7 +131,7 @@
         return len(self._waiting) + len(self._prefilling) + len(self._running)
 
     def submit(self, job: Job) -> None:
-        """Accept a call or refuse it."""
+        """Queue a call or refuse it."""
         job.submitted_ms = self._clock.now_ms
         job.engine = self
         if self._rng.random() < self.unanswered_share:
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/replica_pool.py
@@ -238,7 +238,7 @@
         return late_ms if draw < self.late_order_share else None
 
     def apply_order(self, order: WeightsOrder) -> int | None:
-        """Apply an order at its replica; return the HTTP status."""
+        """Apply an order; return the HTTP status, or None if the replica is down."""
         engine = self._replicas.get(order.replica)
         if not isinstance(engine, Engine) or engine.availability is not Availability.UP:
             return None
