--- a/packages/toucanyard-cli/src/toucanyard_cli/access.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/access.py
@@ -1,4 +1,4 @@
-"""Reach a node: the options that every asking command has, and one request."""
+"""Send requests to nodes; define the options shared by commands that do so."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from toucanyard.errorcodes import ErrorKind
 from toucanyard.names import Address
-from toucanyard_cli.exit_codes import ExitCode, find_exit_code
+from toucanyard_cli.exit_codes import ExitCode, get_exit_code
 from toucanyard_cli.failures import CommandError
 from toucanyard_node.http_client import (
     ConnectionFailedError,
@@ -28,14 +28,14 @@
 T = TypeVar("T")
 
 _TIMEOUT_MS: Final = 15_000
-"""Longer than a node waits for the log to settle a patch."""
+"""Longer than the time for which a node waits for the log to decide a patch."""
 _ADDRESS: Final = re.compile(r"(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}")
 _KEY: Final = re.compile(r"[!-~]+")
 _UNAVAILABLE: Final = 503
 
 
 class Access(msgspec.Struct, frozen=True):
-    """Where to ask, and with whose key."""
+    """The addresses of the nodes to send requests to, and the API key to use."""
 
     nodes: tuple[Address, ...]
     key: str
@@ -50,8 +50,8 @@
     error: _RefusalDetail = _RefusalDetail()
 
 
-class NoAnswerError(Exception):
-    """No node answered; `is_sent` tells whether one may have taken the request."""
+class NoResponseError(Exception):
+    """No node responded; `is_sent` is true if one may have processed the request."""
 
     def __init__(self, text: str, is_sent: bool) -> None:
         super().__init__(text)
@@ -59,14 +59,14 @@
 
 
 def json_option(command: F) -> F:
-    """Add `--json`."""
+    """Add the option `--json` to a command."""
     return click.option(
         "--json", "is_json", is_flag=True, help="Print JSON, one document."
     )(command)
 
 
 def access_options(command: F) -> F:
-    """Add the options that say which nodes to ask, with which key, and `--json`."""
+    """Add the options for node addresses and the key file, and `--json`."""
     command = click.option(
         "--key-file",
         type=click.Path(path_type=Path),
@@ -83,8 +83,8 @@
     return json_option(command)
 
 
-def find_access(nodes: tuple[str, ...], key_file: Path | None) -> Access:
-    """Return where to ask, or raise CommandError with status 2."""
+def load_access(nodes: tuple[str, ...], key_file: Path | None) -> Access:
+    """Validate the options and load the key, or raise CommandError with status 2."""
     if not nodes:
         raise CommandError(
             ExitCode.USAGE, "found no node; give --node IP:PORT or TOUCANYARD_NODE"
@@ -98,7 +98,10 @@
 
 
 def _read_key(key_file: Path | None) -> str:
-    """Read the key; never from an argument, which every user of the machine can see."""
+    """Read the key from a file or the environment.
+
+    It is never a command line argument, which every user of the machine can see.
+    """
     if key_file is None:
         key = os.environ.get("TOUCANYARD_KEY", "").strip()
     else:
@@ -117,58 +120,64 @@
     return key
 
 
-def ask_nodes(access: Access, method: str, target: str, body: bytes = b"") -> Response:
-    """Ask the nodes in turn; return the first answer that is not "unavailable".
+def send_request(
+    access: Access, method: str, target: str, body: bytes = b""
+) -> Response:
+    """Try the nodes in order; return the first response other than "unavailable".
 
-    A request that a node may have taken is sent to the next one too: questions change
-    nothing, and a patch is settled by its id. Without any answer, NoAnswerError.
+    A request that a node may have processed is sent to the next node as well: queries
+    change nothing, and a patch is deduplicated by its id. Raise NoResponseError if no
+    node responded, or if the only responses were "unavailable" and another node may
+    have processed the request.
     """
-    return trio.run(_ask, access, method, target, body)
+    return trio.run(_send_to_nodes, access, method, target, body)
 
 
-async def _ask(access: Access, method: str, target: str, body: bytes) -> Response:
+async def _send_to_nodes(
+    access: Access, method: str, target: str, body: bytes
+) -> Response:
     headers: Headers = (("Authorization", f"Bearer {access.key}"),)
     unavailable: Response | None = None
     failures: list[str] = []
     is_sent = False
     for node in access.nodes:
         try:
-            answer = await fetch(node, method, target, headers, body, _TIMEOUT_MS)
+            response = await fetch(node, method, target, headers, body, _TIMEOUT_MS)
         except (ConnectionFailedError, h11.ProtocolError) as error:
             is_sent = is_sent or getattr(error, "is_sent", True)
             failures.append(f"{node}: {str(error).removeprefix(f'{node}: ')}")
             continue
-        if answer.status != _UNAVAILABLE:
-            return answer
-        unavailable = answer
+        if response.status != _UNAVAILABLE:
+            return response
+        unavailable = response
     if unavailable is None or is_sent:
-        raise NoAnswerError("; ".join(failures), is_sent)
+        raise NoResponseError("; ".join(failures), is_sent)
     return unavailable
 
 
 def query(access: Access, target: str, kind: type[T]) -> tuple[bytes, T]:
-    """Ask a question and return its answer, raw and decoded, or raise CommandError."""
+    """Send a GET request; return the raw and decoded body, or raise CommandError."""
     try:
-        answer = ask_nodes(access, "GET", target)
-    except NoAnswerError as error:
+        response = send_request(access, "GET", target)
+    except NoResponseError as error:
         raise CommandError(ExitCode.NOT_REACHABLE, str(error)) from error
-    check_answer(answer)
+    check_response(response)
     try:
-        return answer.body, msgspec.json.decode(answer.body, type=kind)
+        return response.body, msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
         text = f"the answer can't be read: {error}"
         raise CommandError(ExitCode.FAILED, text) from error
 
 
-def check_answer(answer: Response) -> None:
-    """Raise CommandError where an answer is a refusal."""
-    if answer.status < 300:
+def check_response(response: Response) -> None:
+    """Raise CommandError if a response is an error."""
+    if response.status < 300:
         return
     try:
-        refusal = msgspec.json.decode(answer.body, type=_RefusalBody).error
+        refusal = msgspec.json.decode(response.body, type=_RefusalBody).error
     except msgspec.DecodeError:
         refusal = _RefusalDetail()
     known = {kind.value: kind for kind in ErrorKind}
-    code = find_exit_code(known.get(refusal.code), answer.status)
-    text = refusal.message or f"status {answer.status}"
+    code = get_exit_code(known.get(refusal.code), response.status)
+    text = refusal.message or f"status {response.status}"
     raise CommandError(code, text, refusal.code)
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/experiment.py
@@ -1,4 +1,4 @@
-"""Play variants on the same scenarios and seeds, and compare them in pairs."""
+"""Run policy variants on the same scenarios and seeds and compare them pairwise."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 import msgspec
 
 from toucanyard_emulator.accounting import Result
-from toucanyard_emulator.runner import play
+from toucanyard_emulator.runner import run_scenario
 from toucanyard_emulator.scenario import load_scenario
-from toucanyard_emulator.variants import USUAL, Variant
+from toucanyard_emulator.variants import DEFAULT_VARIANT, Variant
 
-# Two-sided 95% points of Student's t for 1 to 30 degrees of freedom.
+# Two-sided 95% critical values of Student's t for 1 to 30 degrees of freedom.
 T_95: Final = (
     12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14,
     2.13, 2.12, 2.11, 2.10, 2.09, 2.09, 2.08, 2.07, 2.07, 2.06, 2.06, 2.06, 2.05, 2.05,
@@ -25,15 +25,15 @@
 
 
 class Task(msgspec.Struct, frozen=True):
-    """One run."""
+    """The parameters of one run."""
 
     file: Path
     variant: Variant
     seed: int
 
 
-class Played(msgspec.Struct, frozen=True):
-    """One run and its result."""
+class RunResult(msgspec.Struct, frozen=True):
+    """The result of one run."""
 
     scenario: str
     variant: str
@@ -42,7 +42,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """How a variant differs from the usual policy on one scenario."""
+    """The difference between a variant and the default policy on one scenario."""
 
     scenario: str
     variant: str
@@ -50,23 +50,23 @@
     usual: float
     worth: float
     mean: float
-    """Of the differences of worth, seed by seed."""
+    """Mean of the differences of worth, paired by seed."""
     half_width: float
-    """Of the 95% interval around it."""
+    """Half width of the 95% confidence interval of the mean."""
 
-    def is_shown(self) -> bool:
-        """Tell whether the interval leaves out zero."""
+    def is_significant(self) -> bool:
+        """Return whether the confidence interval excludes zero."""
         return abs(self.mean) > self.half_width
 
 
 def count_workers() -> int:
-    """Return how many runs go on at once: on the processors that are not busy."""
+    """Return the number of parallel runs: one per processor that is not busy."""
     cores = os.cpu_count() or 1
-    return max(cores - 1 - count_running(), 2)
+    return max(cores - 1 - count_runnable_tasks(), 2)
 
 
-def count_running() -> int:
-    """Return how many tasks of the machine run now, this one not counted."""
+def count_runnable_tasks() -> int:
+    """Return the number of runnable tasks on this machine, without this process."""
     try:
         running = Path("/proc/loadavg").read_text().split()[3].partition("/")[0]
     except (OSError, IndexError):
@@ -74,44 +74,46 @@
     return max(int(running) - 1, 0)
 
 
-def run_task(task: Task) -> Played:
-    """Play one run; called in a process of its own."""
+def run_task(task: Task) -> RunResult:
+    """Execute one run; called in a worker process."""
     scenario = load_scenario(task.file)
-    result = play(scenario, task.variant.policy, task.seed)
-    return Played(scenario.name, task.variant.name, task.seed, result)
+    result = run_scenario(scenario, task.variant.policy, task.seed)
+    return RunResult(scenario.name, task.variant.name, task.seed, result)
 
 
 def run_all(
     files: Sequence[Path],
     variants: Sequence[Variant],
     seeds: Sequence[int],
-    note_done: Callable[[], None],
+    on_done: Callable[[], None],
     workers: int | None = None,
-) -> list[Played]:
-    """Play every variant, the usual one first, on every scenario and seed."""
+) -> list[RunResult]:
+    """Run all variants, the default policy first, on all scenarios and seeds."""
     tasks = [
         Task(file, variant, seed)
         for file in files
-        for variant in (USUAL, *variants)
+        for variant in (DEFAULT_VARIANT, *variants)
         for seed in seeds
     ]
-    played: list[Played] = []
+    run_results: list[RunResult] = []
     with ProcessPoolExecutor(workers or count_workers()) as pool:
         for each in pool.map(run_task, tasks):
-            played.append(each)
-            note_done()
-    return played
+            run_results.append(each)
+            on_done()
+    return run_results
 
 
-def compare(played: Sequence[Played]) -> list[Difference]:
-    """Return how each variant differs from the usual policy, scenario by scenario."""
+def compare(run_results: Sequence[RunResult]) -> list[Difference]:
+    """Return the difference of each variant from the default, per scenario."""
     found: dict[tuple[str, str], dict[int, Result]] = {}
-    for each in played:
+    for each in run_results:
         found.setdefault((each.scenario, each.variant), {})[each.seed] = each.result
     return [
-        _compare_one(scenario, variant, found[(scenario, USUAL.name)], results)
+        _compare_one(
+            scenario, variant, found[(scenario, DEFAULT_VARIANT.name)], results
+        )
         for (scenario, variant), results in found.items()
-        if variant != USUAL.name
+        if variant != DEFAULT_VARIANT.name
     ]
 
 
@@ -133,7 +135,7 @@
 
 
 def compute_half_width(values: Sequence[float]) -> float:
-    """Return half of the 95% interval around a mean; infinite for one value."""
+    """Return half the 95% confidence interval of a mean; infinite for one value."""
     count = len(values)
     if count < 2:
         return math.inf
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/reports.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/reports.py
@@ -1,4 +1,4 @@
-"""Show results as tables and as a plot."""
+"""Render results as tables and plots."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from pathlib import Path
 
 from toucanyard_emulator.accounting import WINDOW_MS, Result
-from toucanyard_emulator.experiment import Difference, Played
+from toucanyard_emulator.experiment import Difference, RunResult
 
 
 def render_result(result: Result) -> Iterator[str]:
-    """Return the lines that tell of one run."""
+    """Yield the lines of the report on one run."""
     yield (
         f"worth {result.worth:.3f} = whole {result.whole:.3f}, worst windows "
         f"{result.worst_windows:.3f}, worst kind {result.worst_kind:.3f}, less prices "
@@ -35,32 +35,32 @@
 
 
 def render_differences(differences: Iterable[Difference]) -> Iterator[str]:
-    """Return the lines of a table of differences."""
+    """Yield the lines of a table of differences."""
     head = ("scenario", "variant", "seeds", "usual", "worth")
     yield "{:22} {:22} {:>5} {:>7} {:>7}  change".format(*head)
     for each in differences:
-        mark = "" if each.is_shown() else "  (not shown)"
+        mark = "" if each.is_significant() else "  (not shown)"
         yield (
             f"{each.scenario:22} {each.variant:22} {each.seeds:5} {each.usual:7.3f} "
             f"{each.worth:7.3f}  {each.mean:+.3f} ± {each.half_width:.3f}{mark}"
         )
 
 
-def plot_windows(played: Sequence[Played], file: Path) -> None:
-    """Draw worth by window, the mean of all seeds for each scenario and variant."""
+def plot_windows(run_results: Sequence[RunResult], file: Path) -> None:
+    """Plot worth by window, as the mean over seeds per scenario and variant."""
     import matplotlib
 
     matplotlib.use("svg")
-    # The same results give the same bytes.
+    # A fixed salt makes the output reproducible: equal results give equal bytes.
     matplotlib.rcParams["svg.hashsalt"] = "toucanyard"
     from matplotlib import pyplot
 
-    scenarios = list(dict.fromkeys(each.scenario for each in played))
+    scenarios = list(dict.fromkeys(each.scenario for each in run_results))
     figure, axes = pyplot.subplots(
         len(scenarios), 1, figsize=(9, 2.4 * len(scenarios)), squeeze=False
     )
     for row, scenario in zip(axes[:, 0], scenarios, strict=True):
-        runs = [each for each in played if each.scenario == scenario]
+        runs = [each for each in run_results if each.scenario == scenario]
         for variant in dict.fromkeys(each.variant for each in runs):
             windows = [each.result.windows for each in runs if each.variant == variant]
             length = min(len(each) for each in windows)
--- a/packages/toucanyard-emulator/src/toucanyard_emulator/variants.py
+++ b/packages/toucanyard-emulator/src/toucanyard_emulator/variants.py
@@ -1,4 +1,4 @@
-"""Read variants of the policy: a name, and figures that differ from the usual ones."""
+"""Parse policy variants: a name and the settings that differ from the defaults."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from toucanyard.relay_policy import RelayPolicy
 
 
-class VariantInvalidError(Exception):
-    """A variant names no figure of the policy, or gives it an impossible value."""
+class InvalidVariantError(Exception):
+    """A variant names an unknown setting or has an invalid value."""
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """A named policy."""
+    """A policy with a name."""
 
     name: str
     policy: RelayPolicy
 
 
-USUAL: Final = Variant("usual", RelayPolicy())
-"""The policy as it is."""
+DEFAULT_VARIANT: Final = Variant("usual", RelayPolicy())
+"""The default policy."""
 
 
 def parse_variant(text: str) -> Variant:
-    """Return the variant in NAME=GROUP.FIGURE:VALUE[,...]."""
+    """Parse a variant of the form NAME=GROUP.FIGURE:VALUE[,...]."""
     name, _, changes = text.partition("=")
     if not name or not changes:
-        raise VariantInvalidError(f"{text!r}: expected NAME=GROUP.FIGURE:VALUE[,...]")
+        raise InvalidVariantError(f"{text!r}: expected NAME=GROUP.FIGURE:VALUE[,...]")
     return Variant(name, _apply(text, changes.split(",")))
 
 
@@ -36,14 +36,14 @@
     table: dict[str, Any] = msgspec.to_builtins(RelayPolicy())
     for change in changes:
         path, _, value = change.partition(":")
-        group, _, figure = path.partition(".")
-        if figure not in table.get(group, {}):
-            raise VariantInvalidError(f"{text!r}: the policy has no figure {path}")
-        table[group][figure] = value
+        group, _, setting = path.partition(".")
+        if setting not in table.get(group, {}):
+            raise InvalidVariantError(f"{text!r}: the policy has no figure {path}")
+        table[group][setting] = value
     try:
         return msgspec.convert(table, RelayPolicy, strict=False)
     except msgspec.ValidationError as error:
-        raise VariantInvalidError(f"{text!r}: {error}") from error
+        raise InvalidVariantError(f"{text!r}: {error}") from error
 
 
 ABLATIONS: Final = (
@@ -67,4 +67,4 @@
     "quarantine=guard.is_enforced:false",
     "gossip of crashes=guard.shares:false",
 )
-"""Each mechanism of the relay path off by itself."""
+"""Variants that each disable one mechanism of the relay path."""
--- a/tests/toucanyard_cli/test_losses.py
+++ b/tests/toucanyard_cli/test_losses.py
@@ -7,7 +7,7 @@
 from click.testing import CliRunner
 
 from toucanyard_cli.exit_codes import ExitCode
-from toucanyard_cli.loss_report import LossReport, Reason, add_up, read_calls
+from toucanyard_cli.loss_report import LossReason, LossReport, build_report, parse_calls
 from toucanyard_cli.main import main
 
 T = "timestamp=2026-01-01T00:00:"
@@ -34,12 +34,12 @@
     return " ".join(f"{name}={value}" for name, value in fields.items())
 
 
-def find(*lines: str) -> LossReport:
-    return add_up(read_calls(lines), 2)
+def analyze(*lines: str) -> LossReport:
+    return build_report(parse_calls(lines), 2)
 
 
 def test_call_in_time_is_no_loss() -> None:
-    report = find(sent("a", "01.000"), ended("a", "01.090"))
+    report = analyze(sent("a", "01.000"), ended("a", "01.090"))
     assert (report.calls, report.in_time, report.reasons) == (1, 1, {})
 
 
@@ -48,7 +48,7 @@
     [
         (
             [sent("a", "01.600", queued_ms=600), ended("a", "01.9", first_ms=700)],
-            Reason.WAITED,
+            LossReason.NODE_QUEUE,
         ),
         (
             [
@@ -57,30 +57,35 @@
                 sent("a", "01.500"),
                 ended("a", "01.9", first_ms=600),
             ],
-            Reason.TRIED_ELSEWHERE,
+            LossReason.EARLIER_ATTEMPTS,
         ),
         (
             [sent("a", "01.0", wait_ms=500), ended("a", "01.9", first_ms=600)],
-            Reason.QUEUED,
+            LossReason.REPLICA_QUEUE,
         ),
-        ([sent("a", "01.0"), ended("a", "01.9", first_ms=600)], Reason.READ),
+        ([sent("a", "01.0"), ended("a", "01.9", first_ms=600)], LossReason.PROMPT_READ),
         (
             [sent("a", "01.0"), ended("a", "01.9", ending="given_up")],
-            Reason.CALLER_LEFT,
+            LossReason.CALLER_LEFT,
         ),
-        ([sent("a", "01.0"), ended("a", "01.9", ending="lost")], Reason.REPLICA_LOST),
-        ([sent("a", "01.0")], Reason.NO_END),
-        ([f"{T}01Z event=refused call=a kind=overloaded"], Reason.REFUSED),
+        (
+            [sent("a", "01.0"), ended("a", "01.9", ending="lost")],
+            LossReason.REPLICA_LOST,
+        ),
+        ([sent("a", "01.0")], LossReason.END_MISSING),
+        ([f"{T}01Z event=refused call=a kind=overloaded"], LossReason.REFUSED),
     ],
 )
-def test_reason_is_what_took_most_of_the_time(lines: list[str], reason: Reason) -> None:
-    report = find(*lines)
+def test_reason_is_what_took_most_of_the_time(
+    lines: list[str], reason: LossReason
+) -> None:
+    report = analyze(*lines)
     assert report.reasons == {reason.value: 1}
     assert report.calls - report.in_time == 1
 
 
 def test_windows_and_routes_count_the_same_calls() -> None:
-    report = find(
+    report = analyze(
         sent("a", "01.0"),
         ended("a", "01.9", first_ms=600),
         sent("b", "03.5"),
@@ -95,11 +100,11 @@
 def test_command_prints_tables_and_json(tmp_path: Path) -> None:
     file = tmp_path / "log"
     file.write_text("\n".join((sent("a", "01.0"), ended("a", "01.1", first_ms=900))))
-    answer = CliRunner().invoke(main, ["losses", str(file)])
-    assert answer.exit_code == 0, answer.output
-    assert "1 calls, 0 of them in time" in answer.stdout
-    answer = CliRunner().invoke(main, ["losses", "--json", str(file)])
-    assert msgspec.json.decode(answer.stdout)["in_time"] == 0
+    result = CliRunner().invoke(main, ["losses", str(file)])
+    assert result.exit_code == 0, result.output
+    assert "1 calls, 0 of them in time" in result.stdout
+    result = CliRunner().invoke(main, ["losses", "--json", str(file)])
+    assert msgspec.json.decode(result.stdout)["in_time"] == 0
 
 
 @pytest.mark.parametrize(
@@ -109,9 +114,9 @@
 def test_what_is_no_log_is_refused_with_its_name(tmp_path: Path, text: str) -> None:
     file = tmp_path / "strange"
     file.write_text(text)
-    answer = CliRunner().invoke(main, ["losses", str(file)])
-    assert answer.exit_code == ExitCode.USAGE
-    assert answer.stdout == ""
-    assert "strange" in answer.stderr
-    answer = CliRunner().invoke(main, ["losses", str(tmp_path / "none")])
-    assert answer.exit_code == ExitCode.USAGE
+    result = CliRunner().invoke(main, ["losses", str(file)])
+    assert result.exit_code == ExitCode.USAGE
+    assert result.stdout == ""
+    assert "strange" in result.stderr
+    result = CliRunner().invoke(main, ["losses", str(tmp_path / "none")])
+    assert result.exit_code == ExitCode.USAGE
