--- a/packages/toucanyard/src/toucanyard/core_events.py
+++ b/packages/toucanyard/src/toucanyard/core_events.py
@@ -31,13 +31,13 @@
 
 
 class RequestArrived(msgspec.Struct, frozen=True):
-    """A request passed the checks of the API frontend; answered by one Reply."""
+    """A request passed the checks of the client HTTP server; answered by one Reply."""
 
     request: Request
 
 
 class RequestTurnedAway(msgspec.Struct, frozen=True):
-    """An API frontend rejected a customer's request by itself; not answered."""
+    """The client HTTP server rejected a customer's request itself; not answered."""
 
     customer: CustomerName
     configuration_version: int
