--- a/packages/toucanyard/src/toucanyard/admission.py
+++ b/packages/toucanyard/src/toucanyard/admission.py
@@ -126,7 +126,7 @@
             return self.release(request_id, now_ms)
         backend = self._find_backend(compute_backend_name(request))
         backend.queue.remove(request)
-        text = "the caller disconnected while the request was queued"
+        text = "the caller went away while the request waited"
         refusal = self._refuse(request, ErrorKind.CALLER_GONE, text, now_ms)
         return [msgspec.structs.replace(refusal, ending=Ending.NOT_RUN)]
 
@@ -226,7 +226,7 @@
     ) -> Refuse | None:
         customer = request.customer
         if backend.queue.count(customer) >= self._limits.max_queued_per_customer:
-            text = "too many requests of this customer are queued"
+            text = "too many requests of this customer wait"
             return self._refuse(request, ErrorKind.CUSTOMER_LIMIT, text, now_ms)
         ahead = backend.queue.count(customer) * max(
             len(backend.queue.find_customers()), 1
@@ -234,7 +234,7 @@
         wait_ms = backend.drain.compute_wait(min(ahead, len(backend.queue)), now_ms)
         room_ms = min(request.deadline_ms - now_ms, self._limits.max_wait_ms)
         if wait_ms > room_ms:
-            text = f"the estimated wait is about {wait_ms:.0f} ms"
+            text = f"the wait would be about {wait_ms:.0f} ms"
             return self._refuse(request, ErrorKind.OVERLOADED, text, now_ms)
         return None
 
@@ -245,7 +245,7 @@
             if surplus is None:
                 break
             self._remove_waiting(backend, surplus)
-            text = "too many requests are queued"
+            text = "too many requests wait"
             actions.append(self._refuse(surplus, ErrorKind.OVERLOADED, text, now_ms))
         return actions
 
--- a/packages/toucanyard/src/toucanyard/configuration_sync.py
+++ b/packages/toucanyard/src/toucanyard/configuration_sync.py
@@ -166,7 +166,7 @@
             patch_id,
             self._log.configuration.version,
             ErrorKind.LOG_UNAVAILABLE,
-            "the log accepted no record",
+            "the log took no record",
         )
 
     def tick(self, now_ms: float) -> Iterator[SyncAction]:
--- a/packages/toucanyard/src/toucanyard/patches.py
+++ b/packages/toucanyard/src/toucanyard/patches.py
@@ -201,7 +201,7 @@
         for key_hash in owner.key_hashes:
             if not _KEY_HASH.fullmatch(key_hash):
                 raise PatchInvalidError(
-                    f"found a key of {owner.name!r} that is not a hexadecimal SHA-256"
+                    f"found a key of {owner.name!r} that is no SHA-256 in hexadecimal"
                 )
             if key_hash in seen:
                 raise PatchInvalidError(f"found a key of {owner.name!r} twice")
--- a/packages/toucanyard/src/toucanyard/relay_flow.py
+++ b/packages/toucanyard/src/toucanyard/relay_flow.py
@@ -237,7 +237,7 @@
         if dispatch is not None:
             return RelayReply(pending.request.request_id, dispatch)
         if pending.has_begun and not pending.is_awaiting_credit:
-            text = "no replica has capacity for the rest of the response"
+            text = "no replica has room for the rest of the answer"
             return self._refuse(pending, ErrorKind.NO_ENDPOINT, text, now_ms)
         return None
 
@@ -288,7 +288,7 @@
             return None
         wait_ms = self._compute_wait(pending, now_ms)
         if wait_ms > request.deadline_ms - now_ms:
-            text = f"the estimated wait is about {wait_ms:.0f} ms"
+            text = f"the wait would be about {wait_ms:.0f} ms"
             if math.isinf(wait_ms):
                 text = "limits of all replicas leave room for more urgent calls only"
             return self._refuse(pending, ErrorKind.OVERLOADED, text, now_ms)
