--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_capacity.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_capacity.py
@@ -24,7 +24,7 @@
 from toucanyard.names import Address, ServiceName
 from toucanyard_standins.bench_path import (
     BenchSizes,
-    Way,
+    RequestPath,
     build_options,
     measure_events,
     measure_memory,
@@ -55,16 +55,16 @@
 """Token events that one node relays a second."""
 _STREAMS: Final = 575
 """Streams open on one node: 7,200 events a second, one each 80 ms in a stream."""
-_TOKENS: Final = (25, 50, 100, 200)
+_TOKEN_COUNTS: Final = (25, 50, 100, 200)
 _STEP_MS: Final = 20
 _LOAD_STREAMS: Final = 144
 """As many as give 7,200 events a second at one each 20 ms."""
-_HELD: Final = (100, 200, 300, 400)
-_IDLE_NODES: Final = (40, 80, 160, 320)
+_HELD_STREAM_COUNTS: Final = (100, 200, 300, 400)
+_IDLE_NODE_COUNTS: Final = (40, 80, 160, 320)
 _IDLE_SETTLE_S: Final = 8.0
 _IDLE_S: Final = 10.0
 _SLOWDOWN: Final = 2_000.0
-_NOWHERE_PORT: Final = 9
+_CLOSED_PORT: Final = 9
 
 
 class IdleCost(msgspec.Struct, frozen=True):
@@ -77,12 +77,12 @@
 async def measure_relay(deployment: Deployment) -> Slope:
     """Return the processor time of token events that come 7,200 a second."""
     node = deployment.nodes[0]
-    way = Way("node", Target(node.address, CALLER_KEY), node)
+    path = RequestPath("node", Target(node.address, CALLER_KEY), node)
     counts: list[int] = []
     times_us: list[float] = []
-    for tokens in _TOKENS:
+    for tokens in _TOKEN_COUNTS:
         sizes = BenchSizes(0, 0, _LOAD_STREAMS, tokens, 0)
-        cost = await measure_events(way, sizes)
+        cost = await measure_events(path, sizes)
         counts.append(cost.units)
         times_us.append(cost.cpu_s * 1e6)
     return Slope(
@@ -96,15 +96,15 @@
     )
 
 
-async def measure_held(streams: int) -> float:
+async def measure_held_streams(streams: int) -> float:
     """Return the memory that open streams add to a node that had none before."""
     async with open_harness() as harness:
         deployment = await start_deployment(harness, _build_sizes())
         for engine in deployment.engines:
             await harness.control(engine, SlowDown(_SLOWDOWN))
         node = deployment.nodes[0]
-        way = Way("node", Target(node.address, CALLER_KEY), node)
-        return streams * await measure_memory(way, streams)
+        path = RequestPath("node", Target(node.address, CALLER_KEY), node)
+        return streams * await measure_memory(path, streams)
 
 
 async def run_relay() -> None:
@@ -112,12 +112,14 @@
     async with open_harness() as harness:
         deployment = await start_deployment(harness, _build_sizes())
         print(render_slope(await measure_relay(deployment)), flush=True)
-    held = tuple([await measure_held(streams) for streams in _HELD])
+    held = tuple(
+        [await measure_held_streams(streams) for streams in _HELD_STREAM_COUNTS]
+    )
     slope = Slope(
         "caller face and streams",
         "open streams",
         "B",
-        _HELD,
+        _HELD_STREAM_COUNTS,
         held,
         "streams",
         _STREAMS,
@@ -155,7 +157,7 @@
 
 def _move_to_loopback(endpoint: Endpoint) -> Endpoint:
     host = endpoint.address.rpartition(":")[0]
-    address = Address(f"127{host.removeprefix('10')}:{_NOWHERE_PORT}")
+    address = Address(f"127{host.removeprefix('10')}:{_CLOSED_PORT}")
     return msgspec.structs.replace(endpoint, address=address)
 
 
@@ -173,8 +175,10 @@
         for record in records:
             await harness.publish(record)
         for number in range(1, nodes):
-            nowhere = Address(f"127.200.{number // 250}.{number % 250}:{_NOWHERE_PORT}")
-            peer = Vm(f"node-{number}", "domain-1", VmKind.NODE, peers=nowhere)
+            closed_address = Address(
+                f"127.200.{number // 250}.{number % 250}:{_CLOSED_PORT}"
+            )
+            peer = Vm(f"node-{number}", "domain-1", VmKind.NODE, peers=closed_address)
             await harness.put_vm(peer)
         for service in configuration.services:
             for each in service.endpoints:
@@ -184,21 +188,23 @@
         await trio.sleep(_IDLE_SETTLE_S)
         if f"version={len(records)} " not in node.read_log():
             raise HarnessError(f"version {len(records)} is not in force")
-        before_s = node.find_cpu_s()
+        before_s = node.read_cpu_s()
         await trio.sleep(_IDLE_S)
-        cpu_share = (node.find_cpu_s() - before_s) / _IDLE_S
-        return IdleCost(cpu_share, node.find_resident_bytes())
+        cpu_share = (node.read_cpu_s() - before_s) / _IDLE_S
+        return IdleCost(cpu_share, node.read_resident_bytes())
 
 
 async def run_idle() -> None:
     """Print the slopes of a node without requests."""
-    costs = [await measure_idle(nodes) for nodes in _IDLE_NODES]
+    costs = [await measure_idle(nodes) for nodes in _IDLE_NODE_COUNTS]
     role = "whole process, no requests, nothing answers"
     shares = tuple(cost.cpu_share * 100 for cost in costs)
     sizes = tuple(float(cost.resident_bytes) for cost in costs)
     for slope in (
-        Slope(role, "processor", "% of a core", _IDLE_NODES, shares, "nodes", NODES),
-        Slope(role, "resident memory", "B", _IDLE_NODES, sizes, "nodes", NODES),
+        Slope(
+            role, "processor", "% of a core", _IDLE_NODE_COUNTS, shares, "nodes", NODES
+        ),
+        Slope(role, "resident memory", "B", _IDLE_NODE_COUNTS, sizes, "nodes", NODES),
     ):
         print(render_slope(slope), flush=True)
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_claims.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_claims.py
@@ -47,28 +47,28 @@
 from toucanyard_node.http_client import fetch
 from toucanyard_node.log_reader import LogEvent, follow_log
 from toucanyard_node.log_writer import write_log
+from toucanyard_standins.key_recording_costs import print_key_recording_costs
 from toucanyard_standins.key_slopes import (
     compute_page_bytes,
     make_claim,
     print_slopes,
 )
-from toucanyard_standins.note_costs import print_note_costs
 from toucanyard_standins.platform_faults import PlatformCounters
 from toucanyard_standins.processes import start_process, wait_ready
 
 _NODES: Final = 9
 _RUN_S: Final = 3.0
-_WARM_S: Final = 0.5
+_WARM_UP_S: Final = 0.5
 _CAPS_PER_S: Final = (5, 15, 30)
 _RATES_PER_S: Final = (45, 180, 540, 1_080)
 _CUSTOMER: Final = CustomerName("lanchas")
 _LOG_APPENDS_PER_S: Final = 400
 _COLLECTORS: Final = 8
-_BIG_NODES: Final = 320
+_FLEET_NODES: Final = 320
 _ANSWER: Final = CachedAnswer(200, "application/json", b"x" * 300)
 
 
-class Sample(msgspec.Struct):
+class RunCounts(msgspec.Struct):
     """What one run counted."""
 
     added: HdrHistogram
@@ -82,19 +82,19 @@
         self.refused = 0
 
 
-class BenchNode:
+class ClaimNode:
     """One node's decision with its writer and reader; dispatches end at once."""
 
-    def __init__(self, number: int, limits: ClaimLimits, sample: Sample) -> None:
+    def __init__(self, number: int, limits: ClaimLimits, counts: RunCounts) -> None:
         name = NodeName(f"n{number}")
         incarnation = Incarnation(f"{name}-{time.time_ns()}")
         self._core = AtMostOnce(name, incarnation, limits, random.Random(number))
         self._limits = limits
-        self._sample = sample
+        self._counts = counts
         self._sent_ms: dict[RequestId, float] = {}
         self._outbox, self._records = trio.open_memory_channel[AppendToLog](100_000)
         self._prefix = incarnation
-        self._is_up = trio.Event()
+        self._log_is_read = trio.Event()
 
     async def run(
         self,
@@ -104,13 +104,13 @@
     ) -> None:
         """Send keyed requests at random times until cancelled, once the log is read."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(follow_log, address, 1_000, self._take_log)
+            nursery.start_soon(follow_log, address, 1_000, self._handle_log_event)
             nursery.start_soon(
-                write_log, address, self._limits, self._records, self._take_settled
+                write_log, address, self._limits, self._records, self._handle_settled
             )
             nursery.start_soon(self._tick)
             # A claim is refused until the log of earlier runs was read to its end.
-            await self._is_up.wait()
+            await self._log_is_read.wait()
             task_status.started()
             await self._send(rate_per_s)
 
@@ -134,51 +134,51 @@
             await trio.sleep(0.05)
             self._handle(Ticked())
 
-    def _take_settled(self, event: AppendSettled) -> None:
+    def _handle_settled(self, event: AppendSettled) -> None:
         self._handle(RecordsSettled(event.record_ids, event.result))
 
-    def _take_log(self, event: LogEvent) -> None:
+    def _handle_log_event(self, event: LogEvent) -> None:
         match event:
             case LogRead(from_offset=start, next_offset=end, records=records):
                 self._handle(ClaimRecordsRead(start, end, records))
             case LogStateSeen(is_up=is_up):
                 self._handle(LogState(is_up))
-                self._is_up.set()
+                self._log_is_read.set()
             case LogExpired():
                 pass
 
     def _handle(self, event: ClaimEvent) -> None:
         now_ms = trio.current_time() * 1000
         for action in self._core.handle(event, now_ms):
-            self._carry_out(action, now_ms)
+            self._execute(action, now_ms)
 
-    def _carry_out(self, action: ClaimAction, now_ms: float) -> None:
+    def _execute(self, action: ClaimAction, now_ms: float) -> None:
         match action:
             case AppendRecord(record_id, text, is_urgent):
                 self._outbox.send_nowait(AppendToLog(record_id, text, is_urgent))
             case AllowDispatch(request_id=request_id):
                 added_ms = now_ms - self._sent_ms.pop(request_id)
-                self._sample.added.record_value(max(1, int(added_ms * 1000)))
-                self._sample.allowed += 1
+                self._counts.added.record_value(max(1, int(added_ms * 1000)))
+                self._counts.allowed += 1
                 self._handle(
                     DispatchEnded(request_id, DispatchEnding.COMPLETED, _ANSWER)
                 )
             case RefuseKeyedRequest():
-                self._sample.refused += 1
+                self._counts.refused += 1
             case _:
                 pass
 
 
 async def measure_run(address: Address, cap_per_s: int, rate_per_s: int) -> str:
     """Measure one cap of appends at one rate of requests; return its row."""
-    sample = Sample(HdrHistogram(1, 60_000_000, 3))
+    counts = RunCounts(HdrHistogram(1, 60_000_000, 3))
     limits = ClaimLimits(max_appends_per_s=cap_per_s)
     async with trio.open_nursery() as nursery:
         for number in range(_NODES):
-            node = BenchNode(number, limits, sample)
+            node = ClaimNode(number, limits, counts)
             await nursery.start(node.run, address, rate_per_s / _NODES)
-        await trio.sleep(_WARM_S)
-        sample.reset()
+        await trio.sleep(_WARM_UP_S)
+        counts.reset()
         before = await read_counters(address)
         cpu_s = time.process_time()
         await trio.sleep(_RUN_S)
@@ -187,13 +187,13 @@
         nursery.cancel_scope.cancel()
     appends_per_s = (after.appends - before.appends) / _RUN_S
     refused_appends = after.refused_appends - before.refused_appends
-    batch = sample.allowed / max(after.appends - before.appends, 1)
-    p50_ms = sample.added.get_value_at_percentile(50) / 1000
-    p99_ms = sample.added.get_value_at_percentile(99) / 1000
+    batch = counts.allowed / max(after.appends - before.appends, 1)
+    p50_ms = counts.added.get_value_at_percentile(50) / 1000
+    p99_ms = counts.added.get_value_at_percentile(99) / 1000
     return (
-        f"{cap_per_s:>8} {rate_per_s:>8} {sample.allowed / _RUN_S:>9.0f}"
+        f"{cap_per_s:>8} {rate_per_s:>8} {counts.allowed / _RUN_S:>9.0f}"
         f" {appends_per_s:>9.0f} {batch:>8.1f}"
-        f" {p50_ms:>8.1f} {p99_ms:>8.1f} {sample.refused:>7} {refused_appends:>6}"
+        f" {p50_ms:>8.1f} {p99_ms:>8.1f} {counts.refused:>7} {refused_appends:>6}"
         f" {cpu_s / _RUN_S:>6.2f}"
     )
 
@@ -227,17 +227,19 @@
             await platform.stop()
 
 
-def print_worked_out() -> None:
+def print_extrapolation() -> None:
     """Print what 320 nodes would get out of the log, by calculation only."""
-    alone_ms = 1000 * _BIG_NODES / _LOG_APPENDS_PER_S
-    gathered_ms = 1000 * _COLLECTORS / _LOG_APPENDS_PER_S
+    direct_interval_ms = 1000 * _FLEET_NODES / _LOG_APPENDS_PER_S
+    collected_interval_ms = 1000 * _COLLECTORS / _LOG_APPENDS_PER_S
     record_bytes = len(make_claim("n319", 11_000))
     page_bytes = compute_page_bytes()
-    print(f"worked out for {_BIG_NODES} nodes, {_LOG_APPENDS_PER_S} appends/s in all:")
-    print(f"  every node appends: one append each {alone_ms:.0f} ms a node")
+    print(
+        f"worked out for {_FLEET_NODES} nodes, {_LOG_APPENDS_PER_S} appends/s in all:"
+    )
+    print(f"  every node appends: one append each {direct_interval_ms:.0f} ms a node")
     print(
         f"  {_COLLECTORS} collectors by hash of the key: one append each"
-        f" {gathered_ms:.0f} ms, one hop more"
+        f" {collected_interval_ms:.0f} ms, one hop more"
     )
     print(
         f"  a claim is {record_bytes} bytes, {page_bytes:.0f} on a page of the log;"
@@ -253,9 +255,9 @@
     parts = arguments or ["curve", "notes", "slopes"]
     if "curve" in parts:
         trio.run(measure_curve)
-        print_worked_out()
+        print_extrapolation()
     if "notes" in parts:
-        print_note_costs()
+        print_key_recording_costs()
     if "slopes" in parts:
         print_slopes()
     return 0
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_configuration.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_configuration.py
@@ -31,16 +31,16 @@
     start_deployment,
 )
 from toucanyard_standins.harness import Harness, ask, hash_key, open_harness
-from toucanyard_standins.log_gate import LogGate
+from toucanyard_standins.log_proxy import LogProxy
 from toucanyard_standins.platform_faults import SlowPart
 from toucanyard_standins.processes import HarnessError, ProcessHandle
 
 _NODES: Final = 9
 _BOUND_MS: Final = 5_000
-_PATIENCE_S: Final = 30.0
-_MAX_TRIES: Final = 2
+_IN_FORCE_TIMEOUT_S: Final = 30.0
+_MAX_ATTEMPTS: Final = 2
 _LONG_TIMEOUT_MS: Final = 4_000
-_ANY: Final = Address("127.0.0.1:0")
+_ANY_PORT: Final = Address("127.0.0.1:0")
 _PATCH_TIMEOUT_MS: Final = 20_000.0
 _CUSTOMERS: Final = 8
 _IN_FORCE: Final = "event=configuration_in_force"
@@ -111,7 +111,7 @@
     ) -> PatchReply | None:
         body = msgspec.json.encode(build_patch(number, base))
         address = node.addresses["operators"]
-        for _ in range(_MAX_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             answer = await ask(
                 address, "POST", "/patches", OPERATOR_KEY, body, (), _PATCH_TIMEOUT_MS
             )
@@ -124,7 +124,7 @@
         return None
 
     async def _wait_in_force(self, version: int) -> float:
-        with trio.fail_after(_PATIENCE_S):
+        with trio.fail_after(_IN_FORCE_TIMEOUT_S):
             while True:
                 seen = [find_in_force_s(each, version) for each in self._nodes]
                 times = [each for each in seen if each is not None]
@@ -174,26 +174,28 @@
     return Options(
         NodeName("node"),
         DomainName("domain"),
-        ListenOptions(_ANY, _ANY, _ANY),
-        PlatformOptions(_ANY, _ANY),
+        ListenOptions(_ANY_PORT, _ANY_PORT, _ANY_PORT),
+        PlatformOptions(_ANY_PORT, _ANY_PORT),
         ("bench",),
         claims=ClaimLimits(append_timeout_ms=append_timeout_ms),
     )
 
 
-async def run_by_peers(patches: int) -> str:
+async def run_blocked_log(patches: int) -> str:
     """Return a row for a log that only one node can reach."""
     async with open_harness() as harness, trio.open_nursery() as nursery:
         sizes = DeploymentSizes(nodes=1, engines=1, services=0)
         (first,) = (await start_deployment(harness, sizes)).nodes
         platform = harness.get_platform()
-        gate = LogGate(platform.address)
-        gated = ProcessHandle(platform.name, platform.process, platform.log_file)
-        gated.addresses = {"address": await nursery.start(gate.serve)}
-        harness.platform = gated
+        proxy = LogProxy(platform.address)
+        proxied_platform = ProcessHandle(
+            platform.name, platform.process, platform.log_file
+        )
+        proxied_platform.addresses = {"address": await nursery.start(proxy.serve)}
+        harness.platform = proxied_platform
         nodes = [first, *await start_more(harness)]
         sender = PatchSender(nodes)
-        gate.is_closed = True
+        proxy.is_log_blocked = True
         times = PatchTimes()
         for _ in range(patches):
             await sender.send([first], times)
@@ -225,7 +227,7 @@
     print(f"claims.append_timeout_ms {_LONG_TIMEOUT_MS}:")
     await run_conditions((slow,), _LONG_TIMEOUT_MS)
     print("default settings again:")
-    print(await run_by_peers(patches))
+    print(await run_blocked_log(patches))
 
 
 def main(arguments: list[str]) -> int:
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_detectors.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_detectors.py
@@ -18,7 +18,7 @@
     Scenario,
     build_rules,
     build_trace,
-    judge,
+    evaluate_rule,
 )
 from toucanyard_standins.membership_costs import measure_bytes, measure_costs
 
@@ -42,14 +42,14 @@
                 continue
             result = Result()
             for polls in traces:
-                judge(rule, scenario, polls, result)
-            _print(scenario, rule, result)
+                evaluate_rule(rule, scenario, polls, result)
+            _print_row(scenario, rule, result)
 
 
-def _print(scenario: Scenario, rule: Rule, result: Result) -> None:
-    noticed = result.notice_ms
-    middle = f"{statistics.median(noticed):.0f}" if noticed else "-"
-    longest = f"{max(noticed):.0f}" if noticed else "-"
+def _print_row(scenario: Scenario, rule: Rule, result: Result) -> None:
+    detected_ms = result.detection_ms
+    middle = f"{statistics.median(detected_ms):.0f}" if detected_ms else "-"
+    longest = f"{max(detected_ms):.0f}" if detected_ms else "-"
     share = result.wrong_ms / (result.hours * 3_600_000) * 100
     print(
         f"{scenario.name:18} {rule.name:20} {middle:>10} {longest:>8}"
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
@@ -26,12 +26,12 @@
 from toucanyard_node.operator_answers import PatchBody, PatchReply
 from toucanyard_standins.bench_path import build_options
 from toucanyard_standins.campaign_callers import Callers
-from toucanyard_standins.campaign_faults import Fault, FaultSource
-from toucanyard_standins.campaign_nodes import CampaignNodes
-from toucanyard_standins.campaign_verdict import (
+from toucanyard_standins.campaign_checks import (
     iterate_hold_problems,
     iterate_stream_problems,
 )
+from toucanyard_standins.campaign_faults import Fault, FaultGenerator
+from toucanyard_standins.campaign_nodes import CampaignNodes
 from toucanyard_standins.deployment import (
     CALLER_KEY,
     OPERATOR_KEY,
@@ -58,28 +58,28 @@
 _HOLDERS: Final = 8
 _READERS: Final = 6
 _OPERATORS: Final = 2
-_PAUSE_S: Final = 0.1
-_PATCH_PAUSE_S: Final = 0.5
+_REQUEST_INTERVAL_S: Final = 0.1
+_PATCH_INTERVAL_S: Final = 0.5
 _ROLL_OUT_SHARE: Final = 0.1
 _PATCH_TIMEOUT_MS: Final = 8_000.0
-_SETTLE_S: Final = 30.0
-_POLL_S: Final = 0.1
+_RECOVERY_TIMEOUT_S: Final = 30.0
+_POLL_INTERVAL_S: Final = 0.1
 _MAX_PROBLEM_CHARS: Final = 4_000
 _MAX_BEFORE_CHARS: Final = 500
 _TRACEBACK: Final = "Traceback"
 _ENGINE: Final = ("--decode-step-ms", "5", "--decode-ms-per-sequence", "0")
 
 
-class _PoolShown(msgspec.Struct, frozen=True):
+class _PoolBody(msgspec.Struct, frozen=True):
     weights_version: str
 
 
-class _ConfigurationShown(msgspec.Struct, frozen=True):
-    pools: tuple[_PoolShown, ...]
+class _ConfigurationBody(msgspec.Struct, frozen=True):
+    pools: tuple[_PoolBody, ...]
 
 
-class _Shown(msgspec.Struct, frozen=True):
-    configuration: _ConfigurationShown
+class _ConfigurationAnswer(msgspec.Struct, frozen=True):
+    configuration: _ConfigurationBody
 
 
 class Operators:
@@ -108,12 +108,12 @@
         base = 1
         while True:
             base = await self.submit(base)
-            await trio.sleep(self._rng.expovariate(1 / _PATCH_PAUSE_S))
+            await trio.sleep(self._rng.expovariate(1 / _PATCH_INTERVAL_S))
 
     async def submit(self, base: int) -> int:
         """Submit one patch at a random node; return the version to go on from."""
         self._number += 1
-        patch = PatchBody(f"patch-{self._number}", base, self._draw_put())
+        patch = PatchBody(f"patch-{self._number}", base, self._build_random_put())
         node = self._rng.choice(self._nodes.nodes)
         try:
             answer = await ask(
@@ -131,10 +131,10 @@
             return base
         self.outcomes[reply.error or "accepted"] += 1
         if reply.error is None:
-            self._note_accepted(reply)
+            self._record_accepted(reply)
         return max(base, reply.version)
 
-    def _draw_put(self) -> Put:
+    def _build_random_put(self) -> Put:
         if self._rng.random() < _ROLL_OUT_SHARE:
             version = f"w{self._number}"
             pool = build_pool(self._engines, PlacementPolicy(), version)
@@ -142,7 +142,7 @@
         customer = Customer(CustomerName("extra"), (hash_key(f"{self._number}"),))
         return Put(customers=(customer,))
 
-    def _note_accepted(self, reply: PatchReply) -> None:
+    def _record_accepted(self, reply: PatchReply) -> None:
         known = self.accepted.setdefault(reply.version, reply.patch_id)
         if known != reply.patch_id:
             text = f"version {reply.version} is {known} and {reply.patch_id}"
@@ -168,24 +168,24 @@
         """Run for a while under faults; return every problem found."""
         async with trio.open_nursery() as nursery:
             for _ in range(_HOLDERS):
-                nursery.start_soon(self.callers.run_holds, _PAUSE_S)
+                nursery.start_soon(self.callers.run_holds, _REQUEST_INTERVAL_S)
             for _ in range(_READERS):
-                nursery.start_soon(self.callers.run_streams, _PAUSE_S)
+                nursery.start_soon(self.callers.run_streams, _REQUEST_INTERVAL_S)
             for _ in range(_OPERATORS):
                 nursery.start_soon(self.operators.run)
             nursery.start_soon(self._follow_versions)
             await self._run_faults(seconds, faults_per_s)
             nursery.cancel_scope.cancel()
-        await self.nodes.end_faults()
-        return [*await self._settle(), *await self._judge()]
+        await self.nodes.reset_faults()
+        return [*await self._check_recovery(), *await self._check_promises()]
 
     async def _run_faults(self, seconds: float, faults_per_s: float) -> None:
         """Begin faults at random moments and wait until all of them are over."""
-        source = FaultSource(self._rng, _NODES, _ENGINES, _SERVICES)
+        generator = FaultGenerator(self._rng, _NODES, _ENGINES, _SERVICES)
         end_s = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             while trio.current_time() < end_s:
-                fault = source.draw()
+                fault = generator.draw()
                 self.faults[find_label(fault)] += 1
                 nursery.start_soon(self.nodes.apply, fault)
                 await trio.sleep(self._rng.expovariate(faults_per_s))
@@ -198,24 +198,24 @@
                     if node.process.pid not in followed:
                         followed.add(node.process.pid)
                         nursery.start_soon(self.versions.follow, node)
-                await trio.sleep(_POLL_S)
+                await trio.sleep(_POLL_INTERVAL_S)
 
-    async def _settle(self) -> list[str]:
+    async def _check_recovery(self) -> list[str]:
         """After the faults every node must serve, and all show one version."""
         problems: list[str] = []
         for node in self.nodes.nodes:
             try:
-                await wait_until_serving(node, CALLER_KEY, _SETTLE_S)
+                await wait_until_serving(node, CALLER_KEY, _RECOVERY_TIMEOUT_S)
             except HarnessError as error:
                 problems.append(f"after the faults: {error}")
         if problems:
             return problems
-        if not await self._agree():
+        if not await self._wait_for_same_version():
             problems.append("nodes show different versions after the faults")
-        if (loaded := await self._find_other_weights()) is not None:
+        if (loaded := await self._wait_for_weights()) is not None:
             problems.append(f"engines have other weights than desired: {loaded}")
         for _ in range(_NODES):
-            hold = await self.callers.hold(is_issued=False)
+            hold = await self.callers.hold(has_issued_key=False)
             if not hold.bodies:
                 problems.append(f"a hold after the faults ended as {hold.endings}")
             stream = await self.callers.stream()
@@ -223,29 +223,29 @@
                 problems.append(f"a stream after the faults ended as {stream}")
         return problems
 
-    async def _agree(self) -> bool:
-        with trio.move_on_after(_SETTLE_S):
+    async def _wait_for_same_version(self) -> bool:
+        with trio.move_on_after(_RECOVERY_TIMEOUT_S):
             while True:
-                shown = {await find_version(node) for node in self.nodes.nodes}
+                shown = {await read_version(node) for node in self.nodes.nodes}
                 if len(shown) == 1 and max(shown) >= max(self.operators.accepted):
                     return True
-                await trio.sleep(_POLL_S)
+                await trio.sleep(_POLL_INTERVAL_S)
         return False
 
-    async def _find_other_weights(self) -> str | None:
+    async def _wait_for_weights(self) -> str | None:
         """Wait until every engine has the weights desired; return what they have."""
         loaded: set[str] = set()
         wanted = ""
-        with trio.move_on_after(_SETTLE_S):
+        with trio.move_on_after(_RECOVERY_TIMEOUT_S):
             while True:
-                wanted = await find_weights(self.nodes.nodes[0])
-                loaded = await self._find_loaded()
+                wanted = await read_desired_weights(self.nodes.nodes[0])
+                loaded = await self._read_loaded_weights()
                 if loaded == {wanted}:
                     return None
-                await trio.sleep(_POLL_S)
+                await trio.sleep(_POLL_INTERVAL_S)
         return f"{sorted(loaded)} for {wanted}"
 
-    async def _find_loaded(self) -> set[str]:
+    async def _read_loaded_weights(self) -> set[str]:
         states = [
             await fetch(each.address, "GET", "/v1/state")
             for each in self._deployment.engines
@@ -255,14 +255,14 @@
             for each in states
         }
 
-    async def _judge(self) -> list[str]:
+    async def _check_promises(self) -> list[str]:
         executions: Counter[str] = Counter()
         for service in self._deployment.services:
             counters = await self._harness.count(service, ServiceCounters)
             executions.update(counters.by_key)
         return [
             *iterate_hold_problems(self.callers.holds, executions),
-            *iterate_stream_problems(self.callers.streams, self.nodes.disturbed),
+            *iterate_stream_problems(self.callers.streams, self.nodes.interrupted),
             *(str(each) for each in self.versions.regressions),
             *self.operators.problems,
             *self.nodes.problems,
@@ -313,7 +313,7 @@
     return problems
 
 
-async def find_version(node: ProcessHandle) -> int:
+async def read_version(node: ProcessHandle) -> int:
     """Return the version that a node shows, or -1."""
     try:
         return (await read_status(node, OPERATOR_KEY)).version
@@ -321,11 +321,11 @@
         return -1
 
 
-async def find_weights(node: ProcessHandle) -> str:
+async def read_desired_weights(node: ProcessHandle) -> str:
     """Return the weights that the version in force desires."""
     address = node.addresses["operators"]
     answer = await ask(address, "GET", "/configuration", OPERATOR_KEY)
-    shown = msgspec.json.decode(answer.body, type=_Shown)
+    shown = msgspec.json.decode(answer.body, type=_ConfigurationAnswer)
     return shown.configuration.pools[0].weights_version
 
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_herd.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_herd.py
@@ -36,7 +36,7 @@
 from toucanyard_standins.prefix_load import (
     LoadShape,
     PrefixLoad,
-    RequestSeen,
+    RequestResult,
     find_error,
 )
 from toucanyard_standins.processes import ProcessHandle
@@ -47,9 +47,9 @@
 _WARM_UP_S: Final = 8.0
 _BEFORE_S: Final = 6.0
 _WINDOWS_S: Final = ((0.0, 2.0), (2.0, 5.0), (5.0, 10.0))
-_REFUSED_S: Final = 2.0
-_PATIENCE_S: Final = 30.0
-_FOREIGN_RECORD: Final = msgspec.json.encode({"kind": "other", "x": "x" * 200}).decode()
+_REFUSED_TIMEOUT_S: Final = 2.0
+_SERVED_TIMEOUT_S: Final = 30.0
+_OTHER_RECORD: Final = msgspec.json.encode({"kind": "other", "x": "x" * 200}).decode()
 _RECORDS_PER_APPEND: Final = 1_000
 _AGE_MS: Final = 2_400_000
 """More than a starting node reads, less than the log keeps."""
@@ -58,7 +58,7 @@
 _COMPLETION: Final = encode_completion("first", 1, is_stream=False)
 
 
-class FirstServed(msgspec.Struct, frozen=True):
+class StartTimes(msgspec.Struct, frozen=True):
     """When one start came to what, after the process was begun."""
 
     listening_ms: float
@@ -66,26 +66,26 @@
     refusals: Counter[str]
 
 
-async def start_and_ask(harness: Harness, name: str, patience_s: float) -> FirstServed:
+async def start_and_ask(harness: Harness, name: str, timeout_s: float) -> StartTimes:
     """Start a node and ask it until it serves a completion."""
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     node = await harness.start_node(name, find_domain(0))
-    listening_ms = (time.monotonic() - began_s) * 1000
+    listening_ms = (time.monotonic() - started_s) * 1000
     refusals: Counter[str] = Counter()
     served_ms: float | None = None
-    with trio.move_on_after(patience_s):
+    with trio.move_on_after(timeout_s):
         while True:
             answer = await ask(
                 node.address, "POST", "/v1/completions", CALLER_KEY, _COMPLETION
             )
             if answer.status == 200:
-                served_ms = (time.monotonic() - began_s) * 1000
+                served_ms = (time.monotonic() - started_s) * 1000
                 break
             refusals[find_error(answer.status, answer.body)] += 1
             await trio.sleep(0.005)
     await node.end()
     await harness.remove_vm(name)
-    return FirstServed(listening_ms, served_ms, refusals)
+    return StartTimes(listening_ms, served_ms, refusals)
 
 
 async def run_first_requests(times: int, records: int) -> None:
@@ -95,21 +95,21 @@
         sizes = DeploymentSizes(nodes=2, engines=2, services=0)
         deployment = await start_deployment(harness, sizes)
         platform = deployment.platform
-        await _print_starts(harness, "two peers and the log", times)
+        await _measure_starts(harness, "two peers and the log", times)
         await harness.control(platform, Outage(is_on=True))
-        await _print_starts(harness, "two peers, the log down", times)
+        await _measure_starts(harness, "two peers, the log down", times)
         for node in deployment.nodes:
             await node.end()
             await harness.remove_vm(node.name)
-        await _print_starts(harness, "neither peer nor log", 1, _REFUSED_S)
+        await _measure_starts(harness, "neither peer nor log", 1, _REFUSED_TIMEOUT_S)
         await harness.control(platform, Outage(is_on=False))
-        await _print_starts(harness, "the log only", times)
+        await _measure_starts(harness, "the log only", times)
         for _ in range(records // _RECORDS_PER_APPEND):
-            await harness.publish(*(_FOREIGN_RECORD,) * _RECORDS_PER_APPEND)
-        await _print_starts(harness, f"the log only, {records} records", times)
+            await harness.publish(*(_OTHER_RECORD,) * _RECORDS_PER_APPEND)
+        await _measure_starts(harness, f"the log only, {records} records", times)
         await harness.control(platform, AgeRecords(_AGE_MS))
         await publish_checkpoint(harness)
-        await _print_starts(harness, "the same, older than a span", times)
+        await _measure_starts(harness, "the same, older than a span", times)
 
 
 async def publish_checkpoint(harness: Harness) -> None:
@@ -127,11 +127,11 @@
     await harness.publish(encode_checkpoint(checkpoint))
 
 
-async def _print_starts(
-    harness: Harness, what: str, times: int, patience_s: float = _PATIENCE_S
+async def _measure_starts(
+    harness: Harness, what: str, times: int, timeout_s: float = _SERVED_TIMEOUT_S
 ) -> None:
     starts = [
-        await start_and_ask(harness, f"late-{number}", patience_s)
+        await start_and_ask(harness, f"late-{number}", timeout_s)
         for number in range(times)
     ]
     listening = sorted(each.listening_ms for each in starts)
@@ -177,9 +177,9 @@
     harness: Harness, deployment: Deployment, load: PrefixLoad, kept: int
 ) -> tuple[list[ProcessHandle], float]:
     """Kill all nodes but some at once, start them at once; return them and when."""
-    survivors, lost = deployment.nodes[:kept], deployment.nodes[kept:]
+    survivors, stopped = deployment.nodes[:kept], deployment.nodes[kept:]
     load.targets = survivors
-    for node in lost:
+    for node in stopped:
         await node.end()
     started: list[ProcessHandle] = []
 
@@ -187,13 +187,13 @@
         started.append(await harness.start_node(name, find_domain(number)))
 
     async with trio.open_nursery() as nursery:
-        for number, node in enumerate(lost, start=kept):
+        for number, node in enumerate(stopped, start=kept):
             nursery.start_soon(start, number, node.name)
     load.targets = (*survivors, *started)
     return started, time.monotonic()
 
 
-def print_window(name: str, seen: Sequence[RequestSeen]) -> None:
+def print_window(name: str, seen: Sequence[RequestResult]) -> None:
     """Print hit rate, times to first token and errors of some requests."""
     whole = [each for each in seen if not each.error]
     errors = Counter(each.error for each in seen if each.error)
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_path.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_path.py
@@ -47,17 +47,17 @@
 )
 from toucanyard_standins.processes import ProcessHandle
 
-_AIM_FIRST_TOKEN_MS: Final = 3.0
-_AIM_REQUESTS_PER_S: Final = 600.0
-_AIM_EVENT_US: Final = 40.0
-_AIM_STREAM_KB: Final = 64.0
+_MAX_FIRST_TOKEN_MS: Final = 3.0
+_MIN_REQUESTS_PER_S: Final = 600.0
+_MAX_EVENT_US: Final = 40.0
+_MAX_STREAM_KB: Final = 64.0
 _LIGHT_TOKENS: Final = 4
 _CONNECTIONS: Final = 16
 _HELD_SLOWDOWN: Final = 2_000.0
-_SETTLE_S: Final = 1.0
+_MEMORY_SETTLE_S: Final = 1.0
 _PROFILE_LINES: Final = 40
 _PROFILE_STOP_S: Final = 15.0
-_ANY: Final = Address("127.0.0.1:0")
+_ANY_PORT: Final = Address("127.0.0.1:0")
 _ENGINE_ARGUMENTS: Final = (
     *("--decode-step-ms", "2"),
     *("--decode-ms-per-sequence", "0"),
@@ -75,7 +75,7 @@
     held_streams: int
 
 
-class Way(msgspec.Struct, frozen=True):
+class RequestPath(msgspec.Struct, frozen=True):
     """One way to an engine, and the process whose cost counts on it."""
 
     name: str
@@ -109,8 +109,8 @@
     return Options(
         NodeName("node"),
         DomainName("domain"),
-        ListenOptions(_ANY, _ANY, _ANY),
-        PlatformOptions(_ANY, _ANY),
+        ListenOptions(_ANY_PORT, _ANY_PORT, _ANY_PORT),
+        PlatformOptions(_ANY_PORT, _ANY_PORT),
         ("bench",),
         callers=CallerLimits(locate_ttl_ms=1),
         admission=AdmissionLimits(max_queued=10_000, max_queued_per_customer=10_000),
@@ -121,64 +121,66 @@
 async def measure_first_token(targets: tuple[Target, ...], count: int) -> Row:
     """Compare the time to the first token at a light load."""
     times = await time_streams(targets, count, _LIGHT_TOKENS)
-    medians = [statistics.median(each.first_token_ms for each in way) for way in times]
+    medians = [
+        statistics.median(each.first_token_ms for each in path) for path in times
+    ]
     added = medians[2] - medians[0]
-    aim = f"added < {_AIM_FIRST_TOKEN_MS:g}"
-    is_met = added < _AIM_FIRST_TOKEN_MS
+    aim = f"added < {_MAX_FIRST_TOKEN_MS:g}"
+    is_met = added < _MAX_FIRST_TOKEN_MS
     name = "first token, median"
     return Row(name, "ms", medians, added, aim, is_met)
 
 
-async def measure_requests(way: Way, count: int) -> Cost:
+async def measure_requests(path: RequestPath, count: int) -> Cost:
     """Return the processor time that a process uses for short requests."""
-    before_s = way.handle.find_cpu_s()
-    elapsed_s = await run_short_requests(way.target, count, _CONNECTIONS)
-    return Cost(way.handle.find_cpu_s() - before_s, count, elapsed_s)
+    before_s = path.handle.read_cpu_s()
+    elapsed_s = await run_short_requests(path.target, count, _CONNECTIONS)
+    return Cost(path.handle.read_cpu_s() - before_s, count, elapsed_s)
 
 
-async def measure_events(way: Way, sizes: BenchSizes) -> Cost:
+async def measure_events(path: RequestPath, sizes: BenchSizes) -> Cost:
     """Return the processor time that a process uses for token events."""
-    before_s, started_s = way.handle.find_cpu_s(), trio.current_time()
-    times = await run_streams(way.target, sizes.streams, sizes.tokens)
+    before_s, started_s = path.handle.read_cpu_s(), trio.current_time()
+    times = await run_streams(path.target, sizes.streams, sizes.tokens)
     elapsed_s = trio.current_time() - started_s
     events = sum(each.events for each in times)
-    return Cost(way.handle.find_cpu_s() - before_s, events, elapsed_s)
+    return Cost(path.handle.read_cpu_s() - before_s, events, elapsed_s)
 
 
-async def measure_memory(way: Way, streams: int) -> float:
+async def measure_memory(path: RequestPath, streams: int) -> float:
     """Return the bytes that one open stream adds to a process."""
-    handle = way.handle
-    before = handle.find_resident_bytes()
+    handle = path.handle
+    before = handle.read_resident_bytes()
     async with trio.open_nursery() as nursery:
-        await nursery.start(hold_streams, way.target, streams)
-        await trio.sleep(_SETTLE_S)
-        after = handle.find_resident_bytes()
+        await nursery.start(hold_streams, path.target, streams)
+        await trio.sleep(_MEMORY_SETTLE_S)
+        after = handle.read_resident_bytes()
         nursery.cancel_scope.cancel()
-    await trio.sleep(_SETTLE_S)
+    await trio.sleep(_MEMORY_SETTLE_S)
     return (after - before) / streams
 
 
 def compare_requests(costs: list[Cost]) -> Row:
     """Return the short requests that one core carries."""
     rates = [cost.units / cost.cpu_s for cost in costs]
-    is_met = rates[2] >= _AIM_REQUESTS_PER_S
-    aim = f"node >= {_AIM_REQUESTS_PER_S:g}"
+    is_met = rates[2] >= _MIN_REQUESTS_PER_S
+    aim = f"node >= {_MIN_REQUESTS_PER_S:g}"
     return Row("short requests of one core", "1/s", rates, rates[2], aim, is_met)
 
 
 def compare_events(costs: list[Cost]) -> Row:
     """Return the processor time of one token event."""
     each_us = [cost.cpu_s * 1e6 / cost.units for cost in costs]
-    is_met = each_us[2] < _AIM_EVENT_US
-    aim = f"node < {_AIM_EVENT_US:g}"
+    is_met = each_us[2] < _MAX_EVENT_US
+    aim = f"node < {_MAX_EVENT_US:g}"
     return Row("processor time of one event", "us", each_us, each_us[2], aim, is_met)
 
 
 def compare_memory(sizes_bytes: list[float]) -> Row:
     """Return the memory of one open stream."""
     sizes = [each / 1024 for each in sizes_bytes]
-    is_met = sizes[2] < _AIM_STREAM_KB
-    aim = f"node < {_AIM_STREAM_KB:g}"
+    is_met = sizes[2] < _MAX_STREAM_KB
+    aim = f"node < {_MAX_STREAM_KB:g}"
     return Row("memory of one stream", "KB", sizes, sizes[2], aim, is_met)
 
 
@@ -186,24 +188,24 @@
     """Measure every figure and print each as soon as it is known."""
     node, engine = deployment.nodes[0], deployment.engines[0]
     relay = await harness.start_relay(engine)
-    ways = (
-        Way("direct", Target(engine.address), engine),
-        Way("relay", Target(relay.address), relay),
-        Way("node", Target(node.address, CALLER_KEY), node),
+    paths = (
+        RequestPath("direct", Target(engine.address), engine),
+        RequestPath("relay", Target(relay.address), relay),
+        RequestPath("node", Target(node.address, CALLER_KEY), node),
     )
-    for way in ways:
-        await run_short_requests(way.target, 10 * _CONNECTIONS, _CONNECTIONS)
-    targets = tuple(way.target for way in ways)
+    for path in paths:
+        await run_short_requests(path.target, 10 * _CONNECTIONS, _CONNECTIONS)
+    targets = tuple(path.target for path in paths)
     print_row(await measure_first_token(targets, sizes.light_requests))
-    costs = [await measure_requests(way, sizes.short_requests) for way in ways]
+    costs = [await measure_requests(path, sizes.short_requests) for path in paths]
     print_row(compare_requests(costs))
-    print_costs(ways, costs)
-    costs = [await measure_events(way, sizes) for way in ways]
+    print_costs(paths, costs)
+    costs = [await measure_events(path, sizes) for path in paths]
     print_row(compare_events(costs))
-    print_costs(ways, costs)
+    print_costs(paths, costs)
     for each in deployment.engines:
         await harness.control(each, SlowDown(_HELD_SLOWDOWN))
-    memory = [await measure_memory(way, sizes.held_streams) for way in ways]
+    memory = [await measure_memory(path, sizes.held_streams) for path in paths]
     print_row(compare_memory(memory))
 
 
@@ -220,11 +222,11 @@
     )
 
 
-def print_costs(ways: tuple[Way, ...], costs: list[Cost]) -> None:
+def print_costs(paths: tuple[RequestPath, ...], costs: list[Cost]) -> None:
     """Print what the figures of one part were taken from."""
-    for way, cost in zip(ways, costs, strict=True):
+    for path, cost in zip(paths, costs, strict=True):
         print(
-            f"  {way.name}: {cost.units} in {cost.elapsed_s:.2f} s with"
+            f"  {path.name}: {cost.units} in {cost.elapsed_s:.2f} s with"
             f" {cost.cpu_s:.2f} s of processor time"
         )
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_placement_cost.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_placement_cost.py
@@ -40,7 +40,7 @@
 REPLICAS: Final = (50, 200, 800, 2_000, 4_400)
 BLOCKS: Final = (25_000, 50_000, 100_000, 200_000, 400_000)
 CHAIN_BLOCKS: Final = 140
-LEVEL_BLOCKS: Final = 12
+LEVELS: Final = 12
 PREFIXES: Final = 400
 DECISIONS: Final = 4_000
 EVENTS: Final = 40_000
@@ -66,9 +66,9 @@
     """Return a prompt of 12 levels; each level has fewer choices than the next."""
     chain: list[int] = []
     parent = prefix
-    for level in range(LEVEL_BLOCKS):
+    for level in range(LEVELS):
         parent = hash((parent, rng.randrange(1 + level // 3)))
-        for number in range(CHAIN_BLOCKS // LEVEL_BLOCKS):
+        for number in range(CHAIN_BLOCKS // LEVELS):
             chain.append(hash((parent, number)) & (2**64 - 1))
     return tuple(chain)
 
@@ -105,9 +105,9 @@
     requests = [make_request(rng, number) for number in range(DECISIONS)]
     for number, request in enumerate(requests):
         now_ms = number * 5.0
-        began_ns = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         placed = placement.choose(request, pool, pool.endpoints, now_ms)
-        took_us = (time.perf_counter_ns() - began_ns) // 1_000
+        took_us = (time.perf_counter_ns() - started_ns) // 1_000
         assert placed is not None
         placement.record_dispatch(request, placed, pool, now_ms)
         if number >= DECISIONS // 4:
@@ -134,11 +134,11 @@
         for number in range(EVENTS // endpoints)
     ]
     names = [EndpointName(f"e{number}") for number in range(endpoints)]
-    began_ns = time.perf_counter_ns()
+    started_ns = time.perf_counter_ns()
     for number, batch in enumerate(batches):
         for name in names:
             placement.apply_cache_events(name, batch, float(number))
-    took_s = (time.perf_counter_ns() - began_ns) / 1e9
+    took_s = (time.perf_counter_ns() - started_ns) / 1e9
     return len(batches) * endpoints * HASHES_PER_EVENT / took_s
 
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_restart.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_restart.py
@@ -85,12 +85,12 @@
 
 def measure(action: Callable[[], T], times: int) -> tuple[float, T]:
     """Return the median time of an action in milliseconds, and its last result."""
-    spent: list[float] = []
+    times_ms: list[float] = []
     for _ in range(times):
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         result = action()
-        spent.append((time.perf_counter() - began) * 1000)
-    return statistics.median(spent), result
+        times_ms.append((time.perf_counter() - started_s) * 1000)
+    return statistics.median(times_ms), result
 
 
 def build_snapshot(log: ConfigurationLog, endpoints: int) -> Snapshot:
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_callers.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_callers.py
@@ -23,7 +23,7 @@
 from toucanyard_standins.processes import ProcessHandle
 
 HTTP_OK: Final = 200
-_MAX_TRIES: Final = 6
+_MAX_ATTEMPTS: Final = 6
 _DEADLINE_MS: Final = 4_000
 _TIMEOUT_MS: Final = 8_000.0
 _CONNECT_TIMEOUT_MS: Final = 1_000.0
@@ -31,20 +31,20 @@
 _PROMPTS: Final = 12
 _TOKENS: Final = (24, 240)
 _ANSWERED: Final = "answered"
-_OPEN: Final = ""
+_NO_ENDING: Final = ""
 
 
-class HoldSeen(msgspec.Struct):
+class ObservedHold(msgspec.Struct):
     """What one caller was told about one hold, try by try."""
 
     key: str
-    is_issued: bool
+    has_issued_key: bool
     endings: list[str] = []
     bodies: list[bytes] = []
     """Of the answers, so that they can be compared."""
 
 
-class StreamSeen(msgspec.Struct):
+class ObservedStream(msgspec.Struct):
     """What one caller saw of one stream."""
 
     prompt: int
@@ -62,13 +62,13 @@
         return self.is_cut and self.status == HTTP_OK
 
 
-class _RefusalDetail(msgspec.Struct, frozen=True):
+class _ErrorDetail(msgspec.Struct, frozen=True):
     ending: str
     retry_after_ms: int | None = None
 
 
-class _Refusal(msgspec.Struct, frozen=True):
-    error: _RefusalDetail
+class _ErrorBody(msgspec.Struct, frozen=True):
+    error: _ErrorDetail
 
 
 class Callers:
@@ -82,8 +82,8 @@
     ) -> None:
         self._list_nodes = list_nodes
         self._rng = rng
-        self.holds: list[HoldSeen] = []
-        self.streams: list[StreamSeen] = []
+        self.holds: list[ObservedHold] = []
+        self.streams: list[ObservedStream] = []
 
     async def run_holds(self, pause_s: float) -> None:
         """Make holds one after the other until cancelled."""
@@ -97,27 +97,27 @@
             await self.stream()
             await trio.sleep(self._rng.expovariate(1 / pause_s))
 
-    async def hold(self, is_issued: bool) -> HoldSeen:
+    async def hold(self, has_issued_key: bool) -> ObservedHold:
         """Hold one seat, retrying under the same key until something final is known."""
         key = f"hold-{self._rng.getrandbits(64):016x}"
-        node = self._choose()
-        if is_issued:
-            prefix = await self._ask_prefix(node)
-            is_issued = prefix != ""
+        node = self._choose_node()
+        if has_issued_key:
+            prefix = await self._request_key_prefix(node)
+            has_issued_key = prefix != ""
             key = prefix + key
-        seen = HoldSeen(key, is_issued)
-        self.holds.append(seen)
-        began_s = trio.current_time()
-        for _ in range(_MAX_TRIES):
-            age_ms = int((trio.current_time() - began_s) * 1000)
-            wait_s = await self._try_hold(node, seen, age_ms)
+        observed = ObservedHold(key, has_issued_key)
+        self.holds.append(observed)
+        started_s = trio.current_time()
+        for _ in range(_MAX_ATTEMPTS):
+            age_ms = int((trio.current_time() - started_s) * 1000)
+            wait_s = await self._attempt_hold(node, observed, age_ms)
             if wait_s is None:
                 break
             await trio.sleep(wait_s)
-            node = self._choose()
-        return seen
+            node = self._choose_node()
+        return observed
 
-    async def _ask_prefix(self, node: ProcessHandle) -> str:
+    async def _request_key_prefix(self, node: ProcessHandle) -> str:
         try:
             answer = await ask(node.address, "GET", "/v1/locate?stay=true", CALLER_KEY)
             located = msgspec.json.decode(answer.body, type=LocateAnswer)
@@ -125,66 +125,68 @@
             return ""
         return "" if located.issued_key is None else located.issued_key.prefix
 
-    async def _try_hold(
-        self, node: ProcessHandle, seen: HoldSeen, age_ms: int
+    async def _attempt_hold(
+        self, node: ProcessHandle, observed: ObservedHold, age_ms: int
     ) -> float | None:
         """Make one try; return how long to wait for the next, None at the end."""
         headers: Headers = (
-            ("Idempotency-Key", seen.key),
+            ("Idempotency-Key", observed.key),
             ("X-Key-Age-Ms", str(age_ms)),
             ("X-Deadline-Ms", str(_DEADLINE_MS)),
         )
         target = f"/v1/services/{SERVICE}/holds"
-        body = seen.key.encode()
+        body = observed.key.encode()
         # Stays open when the campaign ends meanwhile: this try may yet run the hold.
-        seen.endings.append(_OPEN)
+        observed.endings.append(_NO_ENDING)
         try:
             answer = await ask(
                 node.address, "POST", target, CALLER_KEY, body, headers, _TIMEOUT_MS
             )
         except ConnectionFailedError:
             return self._rng.uniform(0.05, 0.5)
-        return self._note_hold(answer, seen)
+        return self._record_hold_answer(answer, observed)
 
-    def _note_hold(self, answer: Response, seen: HoldSeen) -> float | None:
+    def _record_hold_answer(
+        self, answer: Response, observed: ObservedHold
+    ) -> float | None:
         if answer.status == HTTP_OK:
-            seen.endings[-1] = _ANSWERED
-            seen.bodies.append(answer.body)
-            return None if len(seen.bodies) > 1 else 0.0
-        error = msgspec.json.decode(answer.body, type=_Refusal).error
-        seen.endings[-1] = error.ending
+            observed.endings[-1] = _ANSWERED
+            observed.bodies.append(answer.body)
+            return None if len(observed.bodies) > 1 else 0.0
+        error = msgspec.json.decode(answer.body, type=_ErrorBody).error
+        observed.endings[-1] = error.ending
         return min((error.retry_after_ms or 0) / 1000, _MAX_WAIT_S)
 
-    async def stream(self) -> StreamSeen:
+    async def stream(self) -> ObservedStream:
         """Read one stream to its end, or to where its connection breaks."""
         number = self._rng.randrange(_PROMPTS)
-        node = self._choose()
+        node = self._choose_node()
         tokens = self._rng.choice(_TOKENS)
-        seen = StreamSeen(number, tokens, node.process.pid)
-        self.streams.append(seen)
+        observed = ObservedStream(number, tokens, node.process.pid)
+        self.streams.append(observed)
         prompt = f"prompt {number} " * 60
         body = encode_completion(prompt, tokens, is_stream=True)
         with trio.move_on_after(_TIMEOUT_MS / 1000) as scope:
-            await self._read_stream(node.address, body, seen)
-        seen.is_cut |= scope.cancelled_caught
-        seen.is_over = True
-        return seen
+            await self._read_stream(node.address, body, observed)
+        observed.is_cut |= scope.cancelled_caught
+        observed.is_over = True
+        return observed
 
     async def _read_stream(
-        self, address: Address, body: bytes, seen: StreamSeen
+        self, address: Address, body: bytes, observed: ObservedStream
     ) -> None:
         headers = (("Authorization", f"Bearer {CALLER_KEY}"),)
         try:
             connection = await connect(address, _CONNECT_TIMEOUT_MS)
             try:
                 await connection.send("POST", "/v1/completions", headers, body)
-                seen.status = (await connection.read_head()).status
-                while (part := await connection.read_part()) is not None:
-                    seen.body += part
+                observed.status = (await connection.read_head()).status
+                while (chunk := await connection.read_part()) is not None:
+                    observed.body += chunk
             finally:
                 await connection.close()
         except ConnectionFailedError:
-            seen.is_cut = True
+            observed.is_cut = True
 
-    def _choose(self) -> ProcessHandle:
+    def _choose_node(self) -> ProcessHandle:
         return self._rng.choice(self._list_nodes())
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_verdict.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_checks.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from toucanyard_standins.campaign_callers import HTTP_OK, HoldSeen, StreamSeen
+from toucanyard_standins.campaign_callers import HTTP_OK, ObservedHold, ObservedStream
 from toucanyard_standins.openai_shape import Completion
 from toucanyard_standins.plain_service import CallAnswer
 
@@ -19,7 +19,7 @@
 
 
 def iterate_hold_problems(
-    holds: Sequence[HoldSeen], executions: Mapping[str, int]
+    holds: Sequence[ObservedHold], executions: Mapping[str, int]
 ) -> Iterator[str]:
     """Yield each hold that broke a promise.
 
@@ -43,7 +43,7 @@
 
 
 def iterate_stream_problems(
-    streams: Sequence[StreamSeen], disturbed: Set[int]
+    streams: Sequence[ObservedStream], interrupted: Set[int]
 ) -> Iterator[str]:
     """Yield each stream with a gap, without an end, or with another prompt's text.
 
@@ -53,7 +53,7 @@
     for stream in streams:
         if stream.status != HTTP_OK or not stream.is_over:
             continue
-        if stream.is_cut_in_middle() and stream.process_id not in disturbed:
+        if stream.is_cut_in_middle() and stream.process_id not in interrupted:
             yield f"stream of prompt {stream.prompt} was cut: {stream.body[-300:]!r}"
         numbers = [int(number) for number in _ID.findall(stream.body)]
         if numbers != list(range(len(numbers))):
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_faults.py
@@ -86,7 +86,7 @@
 )
 
 
-class FaultSource:
+class FaultGenerator:
     """Draw one fault after the other."""
 
     __slots__ = ("_engines", "_nodes", "_rng", "_services")
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_nodes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_nodes.py
@@ -29,14 +29,14 @@
 from toucanyard_standins.processes import ProcessHandle
 
 _STOP_TIMEOUT_S: Final = 30.0
-_UP_POLL_S: Final = 0.1
-_PLATFORM_ENDS: Final = (Outage(False), SlowPart(0), LoseAnswers(0))
-_ENGINE_ENDS: Final = (
+_UP_POLL_INTERVAL_S: Final = 0.1
+_PLATFORM_RESETS: Final = (Outage(False), SlowPart(0), LoseAnswers(0))
+_ENGINE_RESETS: Final = (
     engine_faults.CutAfterEvents(0, count=0),
     engine_faults.CrossAnswers(0),
     engine_faults.DelayAnswers(0, count=0),
 )
-_SERVICE_ENDS: Final = (
+_SERVICE_RESETS: Final = (
     plain_service.DieAfterExecution(0),
     plain_service.DelayAnswers(0, count=0),
     plain_service.CrossAnswers(0),
@@ -56,25 +56,25 @@
         self._harness = harness
         self._deployment = deployment
         self._options = options
-        self._busy: set[int] = set()
+        self._busy_slots: set[int] = set()
         self.nodes = list(deployment.nodes)
         self.started: list[ProcessHandle] = list(deployment.nodes)
-        self.disturbed: set[int] = set()
+        self.interrupted: set[int] = set()
         """Processes that were killed or paused."""
         self.problems: list[str] = []
 
     async def apply(self, fault: Fault) -> None:
         """Carry out one fault to its end; a place that is busy is left alone."""
         match fault:
-            case KillNode(node=place) | StopNode(node=place) | PauseNode(node=place):
-                if place not in self._busy:
-                    self._busy.add(place)
+            case KillNode(node=slot) | StopNode(node=slot) | PauseNode(node=slot):
+                if slot not in self._busy_slots:
+                    self._busy_slots.add(slot)
                     await self._apply_to_node(fault)
-                    self._busy.remove(place)
+                    self._busy_slots.remove(slot)
             case LogOutage(for_s):
-                await self._hold_log(Outage(True), Outage(False), for_s)
+                await self._apply_log_fault(Outage(True), Outage(False), for_s)
             case SlowLog(delay_ms, for_s):
-                await self._hold_log(SlowPart(delay_ms), SlowPart(0), for_s)
+                await self._apply_log_fault(SlowPart(delay_ms), SlowPart(0), for_s)
             case PlatformFault(fault=platform_fault):
                 await self._control(self._deployment.platform, platform_fault)
             case EngineFault(engine, engine_fault):
@@ -83,35 +83,35 @@
                 await self._control(self._deployment.services[service], service_fault)
 
     async def _apply_to_node(self, fault: KillNode | StopNode | PauseNode) -> None:
-        place = fault.node
-        node = self.nodes[place]
+        slot = fault.node
+        node = self.nodes[slot]
         if not node.is_running():
             self.problems.append(f"{node.name} ended by itself:\n{node.read_log()}")
         match fault:
             case PauseNode(for_s=for_s):
-                self.disturbed.add(node.process.pid)
+                self.interrupted.add(node.process.pid)
                 node.pause()
                 await trio.sleep(for_s)
-                node.go_on()
+                node.resume()
             case KillNode(down_s=down_s):
-                self.disturbed.add(node.process.pid)
+                self.interrupted.add(node.process.pid)
                 await node.end()
-                await self._start_again(place, down_s)
+                await self._restart(slot, down_s)
             case StopNode(down_s=down_s):
                 if not await node.stop(_STOP_TIMEOUT_S):
                     self.problems.append(f"{node.name} did not stop")
                 elif node.process.returncode != 0:
                     self.problems.append(f"{node.name} failed:\n{node.read_log()}")
-                await self._start_again(place, down_s)
+                await self._restart(slot, down_s)
 
-    async def _start_again(self, place: int, down_s: float) -> None:
+    async def _restart(self, slot: int, down_s: float) -> None:
         await trio.sleep(down_s)
-        name = f"node-{place}"
-        node = await self._harness.start_node(name, find_domain(place), self._options)
-        self.nodes[place] = node
+        name = f"node-{slot}"
+        node = await self._harness.start_node(name, find_domain(slot), self._options)
+        self.nodes[slot] = node
         self.started.append(node)
 
-    async def _hold_log(
+    async def _apply_log_fault(
         self,
         begin: Outage | SlowPart,
         end: Outage | SlowPart,
@@ -122,15 +122,15 @@
         await trio.sleep(for_s)
         await self._control(platform, end)
 
-    async def end_faults(self) -> None:
+    async def reset_faults(self) -> None:
         """End what faults may have left switched on."""
         deployment = self._deployment
-        ends: tuple[tuple[Sequence[ProcessHandle], Sequence[msgspec.Struct]], ...] = (
-            ((deployment.platform,), _PLATFORM_ENDS),
-            (deployment.engines, _ENGINE_ENDS),
-            (deployment.services, _SERVICE_ENDS),
+        resets: tuple[tuple[Sequence[ProcessHandle], Sequence[msgspec.Struct]], ...] = (
+            ((deployment.platform,), _PLATFORM_RESETS),
+            (deployment.engines, _ENGINE_RESETS),
+            (deployment.services, _SERVICE_RESETS),
         )
-        for handles, faults in ends:
+        for handles, faults in resets:
             for handle in handles:
                 await wait_up(handle)
                 for fault in faults:
@@ -148,4 +148,4 @@
         with suppress(ConnectionFailedError):
             await fetch(handle.address, "GET", "/control")
             return
-        await trio.sleep(_UP_POLL_S)
+        await trio.sleep(_UP_POLL_INTERVAL_S)
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_pauses.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_pauses.py
@@ -17,9 +17,9 @@
 _SIZES: Final = (25, 50, 75, 100)
 _CLAIMS: Final = 50_000
 _ISSUED: Final = 20_600
-_NOTED: Final = 41_200
+_BACKUP_RECORDS: Final = 41_200
 _RECORDS: Final = 20_000
-_PASSES: Final = 5
+_REPETITIONS: Final = 5
 
 
 def iterate_pause_slopes() -> Iterator[Slope]:
@@ -38,21 +38,21 @@
 def _measure_pause_us(percent: int) -> float:
     gc.collect()
     gc.freeze()
-    held = _hold(percent)
+    keys_and_records = _build_keys_and_records(percent)
     gc.collect()
     times_us: list[float] = []
-    for _ in range(_PASSES):
-        began_s = time.perf_counter()
+    for _ in range(_REPETITIONS):
+        started_s = time.perf_counter()
         gc.collect()
-        times_us.append((time.perf_counter() - began_s) * 1e6)
-    del held
+        times_us.append((time.perf_counter() - started_s) * 1e6)
+    del keys_and_records
     gc.unfreeze()
     return statistics.median(times_us)
 
 
-def _hold(percent: int) -> tuple[AtMostOnce, ExplanationRing]:
+def _build_keys_and_records(percent: int) -> tuple[AtMostOnce, ExplanationRing]:
     keys = key_slopes.make_core()
     key_slopes.fill_claims(keys, _CLAIMS * percent // 100)
     key_slopes.fill_issued(keys, _ISSUED * percent // 100)
-    key_slopes.fill_notes(keys, _NOTED * percent // 100)
+    key_slopes.fill_backup_records(keys, _BACKUP_RECORDS * percent // 100)
     return keys, fill_records(_RECORDS * percent // 100)
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_requests.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_requests.py
@@ -32,7 +32,7 @@
 from toucanyard_standins import bench_placement_cost as placement_cost
 from toucanyard_standins.bench_path import build_options
 from toucanyard_standins.bench_restart import build_configuration
-from toucanyard_standins.capacity_sizes import CUSTOMERS, POOL, encode_patches
+from toucanyard_standins.capacity_sizes import CUSTOMERS, POOL_REPLICAS, encode_patches
 from toucanyard_standins.capacity_slope import (
     Slope,
     measure_held_bytes,
@@ -60,7 +60,7 @@
         "all decisions from arrival to end, median",
         "us",
         "replicas in the pool",
-        POOL,
+        POOL_REPLICAS,
         sizes,
         _time_request,
     )
@@ -76,7 +76,7 @@
     for number in range(_REQUESTS):
         request = placement_cost.make_request(rng, number)
         now_ms = number * 30.0
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         actions = core.handle(RequestArrived(request), now_ms)
         (reply,) = [each for each in actions if isinstance(each, Reply)]
         assert isinstance(reply.verdict, Dispatch)
@@ -90,7 +90,7 @@
             completion_tokens=10,
         )
         core.handle(DispatchFinished(outcome), now_ms + 20.0)
-        times_us.append((time.perf_counter() - began) * 1e6)
+        times_us.append((time.perf_counter() - started_s) * 1e6)
     return statistics.median(times_us)
 
 
@@ -108,7 +108,7 @@
 
 
 def _measure_admission() -> Iterator[Slope]:
-    def queue(waiting: int) -> Admission:
+    def fill_queue(waiting: int) -> Admission:
         limits = AdmissionLimits(
             max_queued=10**6, max_queued_per_customer=10**6, max_wait_ms=10**8
         )
@@ -123,19 +123,19 @@
             admission.offer(placement_cost.make_request(rng, number), 0.0)
         return admission
 
-    def turn(waiting: int) -> float:
-        admission = queue(waiting)
+    def time_offer(waiting: int) -> float:
+        admission = fill_queue(waiting)
         request = placement_cost.make_request(random.Random(1), waiting + 1)
 
-        def take_turn() -> None:
+        def offer_and_abandon() -> None:
             admission.offer(request, 1.0)
             admission.abandon(request.request_id, 1.0)
 
-        return time_us(take_turn)
+        return time_us(offer_and_abandon)
 
     sizes = (250, 500, 1_000, 2_000)
     role, per = "admission", "waiting requests"
-    yield measure_slope(role, "one in and out", "us", per, 2_000, sizes, turn)
+    yield measure_slope(role, "one in and out", "us", per, 2_000, sizes, time_offer)
     yield measure_slope(
         role,
         "memory of the queue, prompts' hashes with it",
@@ -143,7 +143,7 @@
         per,
         2_000,
         sizes,
-        lambda waiting: measure_held_bytes(lambda: queue(waiting)),
+        lambda waiting: measure_held_bytes(lambda: fill_queue(waiting)),
     )
 
 
@@ -176,20 +176,22 @@
         )
 
     role, per = "statistics", "customers in two classes"
-    sizes, wanted = (200, 400, 800, CUSTOMERS), CUSTOMERS
+    sizes, target_size = (200, 400, 800, CUSTOMERS), CUSTOMERS
     yield measure_slope(
         role,
         "memory of the histograms",
         "B",
         per,
-        wanted,
+        target_size,
         sizes,
         lambda customers: measure_held_bytes(lambda: fill(customers)),
     )
-    yield measure_slope(role, "quantiles of all", "us", per, wanted, sizes, read)
+    yield measure_slope(role, "quantiles of all", "us", per, target_size, sizes, read)
     step = "the longest step of it, lists and the first group"
-    yield measure_slope(role, step, "us", per, wanted, sizes, read_one)
-    yield measure_slope(role, "one dispatch noted", "us", per, wanted, sizes, record)
+    yield measure_slope(role, step, "us", per, target_size, sizes, read_one)
+    yield measure_slope(
+        role, "one dispatch noted", "us", per, target_size, sizes, record
+    )
 
 
 def fill_records(count: int) -> ExplanationRing:
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_roles.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_roles.py
@@ -37,7 +37,7 @@
     build_snapshot,
 )
 from toucanyard_standins.capacity_requests import iterate_request_slopes
-from toucanyard_standins.capacity_sizes import CUSTOMERS, NODES, POOL, REPLICAS
+from toucanyard_standins.capacity_sizes import CUSTOMERS, NODES, POOL_REPLICAS, REPLICAS
 from toucanyard_standins.capacity_slope import (
     Slope,
     measure_held_bytes,
@@ -55,8 +55,8 @@
 """Cache events that one node reads a second: 330,000, each by 3 of 320 nodes."""
 
 _REPLICA_SIZES: Final = (550, 1_100, 2_200, 4_400)
-_DEAD: Final = 14
-_BYTES_S: Final = 20
+_DEAD_ENDPOINTS: Final = 14
+_BYTES_RUN_S: Final = 20
 
 
 def iterate_slopes() -> Iterator[Slope]:
@@ -86,7 +86,7 @@
         text = encode_checkpoint(_build_checkpoint(replicas))
         return time_us(lambda: decode_record(text))
 
-    def hold(replicas: int) -> float:
+    def measure_held(replicas: int) -> float:
         text = encode_checkpoint(_build_checkpoint(replicas))
         return measure_held_bytes(lambda: decode_record(text))
 
@@ -99,7 +99,7 @@
     for cost, unit, action in (
         ("checkpoint", "B", size),
         ("reading a checkpoint", "us", replay),
-        ("memory of one version", "B", hold),
+        ("memory of one version", "B", measure_held),
         ("snapshot with 4,096 prefixes", "B", snapshot),
     ):
         yield measure_slope(role, cost, unit, per, REPLICAS, _REPLICA_SIZES, action)
@@ -110,25 +110,31 @@
         times = placement_cost.measure_decisions(replicas)
         return float(times.get_value_at_percentile(50))
 
-    def hold(blocks: int) -> float:
+    def measure_held(blocks: int) -> float:
         held, held_bytes = placement_cost.measure_memory(blocks)
         return held_bytes * blocks / held
 
-    def take_in(endpoints: int) -> float:
+    def apply_events(endpoints: int) -> float:
         hashes = placement_cost.HASHES_PER_EVENT
         return hashes * 1e6 / placement_cost.measure_events(endpoints)
 
     role = "placement view"
     sizes = placement_cost.REPLICAS[:4]
     yield measure_slope(
-        role, "one decision, median", "us", "replicas in the pool", POOL, sizes, decide
+        role,
+        "one decision, median",
+        "us",
+        "replicas in the pool",
+        POOL_REPLICAS,
+        sizes,
+        decide,
     )
     sizes = placement_cost.BLOCKS[:4]
     yield measure_slope(
-        role, "memory of the view", "B", "blocks", BLOCKS_HELD, sizes, hold
+        role, "memory of the view", "B", "blocks", BLOCKS_HELD, sizes, measure_held
     )
     yield measure_slope(
-        role, "one event", "us", "endpoints fed", 41, (1, 4, 16, 64), take_in
+        role, "one event", "us", "endpoints fed", 41, (1, 4, 16, 64), apply_events
     )
     for cost, unit, action in (
         ("an answer with events, bytes", "B", _count_event_bytes),
@@ -166,21 +172,29 @@
     fills: tuple[tuple[str, Callable[[AtMostOnce, int], None], int], ...] = (
         ("claim of any node", key_slopes.fill_claims, 50_000),
         ("issued key with an answer of 300 B", key_slopes.fill_issued, KEYS),
-        ("key noted as witness", key_slopes.fill_notes, 2 * KEYS),
+        ("key noted as witness", key_slopes.fill_backup_records, 2 * KEYS),
     )
-    for cost, fill, wanted in fills:
+    for cost, fill, target_size in fills:
 
-        def hold(count: int, fill: Callable[[AtMostOnce, int], None] = fill) -> float:
+        def measure_held(
+            count: int, fill: Callable[[AtMostOnce, int], None] = fill
+        ) -> float:
             return measure_held_bytes(lambda: _fill(fill, count))
 
-        def take(count: int, fill: Callable[[AtMostOnce, int], None] = fill) -> float:
-            began_s = time.process_time()
+        def measure_time_us(
+            count: int, fill: Callable[[AtMostOnce, int], None] = fill
+        ) -> float:
+            started_s = time.process_time()
             _fill(fill, count)
-            return (time.process_time() - began_s) * 1e6
+            return (time.process_time() - started_s) * 1e6
 
         role = "at most once"
-        yield measure_slope(role, f"{cost}, memory", "B", "keys", wanted, sizes, hold)
-        yield measure_slope(role, f"{cost}, time", "us", "keys", wanted, sizes, take)
+        yield measure_slope(
+            role, f"{cost}, memory", "B", "keys", target_size, sizes, measure_held
+        )
+        yield measure_slope(
+            role, f"{cost}, time", "us", "keys", target_size, sizes, measure_time_us
+        )
 
 
 def _fill(fill: Callable[[AtMostOnce, int], None], count: int) -> AtMostOnce:
@@ -199,14 +213,22 @@
         return time_us(lambda: orders.plan(pool, 10_000.0, 2.0))
 
     yield measure_slope(
-        "orders", "one plan", "us", "replicas", POOL, (110, 220, 440, 880), plan
+        "orders",
+        "one plan",
+        "us",
+        "replicas",
+        POOL_REPLICAS,
+        (110, 220, 440, 880),
+        plan,
     )
 
 
 def _measure_membership() -> Iterator[Slope]:
     sizes = (40, 80, 160, 320)
     costs = {nodes: measure_costs(nodes, nodes * REPLICAS // NODES) for nodes in sizes}
-    sent = {nodes: measure_bytes(nodes, _DEAD, _BYTES_S) for nodes in sizes}
+    sent = {
+        nodes: measure_bytes(nodes, _DEAD_ENDPOINTS, _BYTES_RUN_S) for nodes in sizes
+    }
     rows: tuple[tuple[str, str, Callable[[int], float]], ...] = (
         ("one tick", "us", lambda nodes: costs[nodes].tick_ms * 1_000),
         ("a VM list", "us", lambda nodes: costs[nodes].vm_list_ms * 1_000),
@@ -219,7 +241,7 @@
         ("memory", "B", lambda nodes: float(costs[nodes].held_bytes)),
         ("digests sent, quiet", "B/s", lambda nodes: sent[nodes].quiet_bytes_per_s),
         (
-            f"digests sent after {_DEAD} deaths at once, mean",
+            f"digests sent after {_DEAD_ENDPOINTS} deaths at once, mean",
             "B/s",
             lambda nodes: sent[nodes].after_bytes_per_s,
         ),
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_sizes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_sizes.py
@@ -11,7 +11,7 @@
 NODES: Final = 320
 REPLICAS: Final = 4_400
 CUSTOMERS: Final = 1_600
-POOL: Final = 880
+POOL_REPLICAS: Final = 880
 """Replicas of one of five models."""
 
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_slope.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_slope.py
@@ -11,7 +11,7 @@
 
 from toucanyard_standins.bench_restart import measure
 
-_TIMES: Final = 9
+_REPETITIONS: Final = 9
 
 
 class Slope(msgspec.Struct, frozen=True):
@@ -26,17 +26,17 @@
     sizes: tuple[int, ...]
     values: tuple[float, ...]
     per: str
-    wanted: int
+    target_size: int
 
     def compute_line(self) -> tuple[float, float]:
         """Return the cost for each more, and the cost of none."""
         slope, base = np.polyfit(self.sizes, self.values, 1)
         return float(slope), float(base)
 
-    def compute_wanted(self) -> float:
+    def compute_at_target(self) -> float:
         """Return what the line gives at the size wanted."""
         slope, base = self.compute_line()
-        return base + slope * self.wanted
+        return base + slope * self.target_size
 
 
 def measure_slope(
@@ -44,18 +44,18 @@
     cost: str,
     unit: str,
     per: str,
-    wanted: int,
+    target_size: int,
     sizes: Sequence[int],
     measure: Callable[[int], float],
 ) -> Slope:
     """Return the slope of what `measure` gives at each size."""
     values = tuple(measure(size) for size in sizes)
-    return Slope(role, cost, unit, tuple(sizes), values, per, wanted)
+    return Slope(role, cost, unit, tuple(sizes), values, per, target_size)
 
 
 def time_us(action: Callable[[], object]) -> float:
     """Return the median time of an action in microseconds."""
-    return measure(action, _TIMES)[0] * 1_000
+    return measure(action, _REPETITIONS)[0] * 1_000
 
 
 def measure_held_bytes(build: Callable[[], object]) -> float:
@@ -77,5 +77,5 @@
         f"{slope.role}: {slope.cost}\n"
         f"  {slope.unit} {measured}  at {sizes} {slope.per}\n"
         f"  {each:.4g} {slope.unit} each + {base:.4g};"
-        f" at {slope.wanted}: {slope.compute_wanted():.4g} {slope.unit}"
+        f" at {slope.target_size}: {slope.compute_at_target():.4g} {slope.unit}"
     )
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_ticks.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_ticks.py
@@ -45,24 +45,24 @@
 
 def _time_tick(nodes: int) -> float:
     core = _build_core(nodes)
-    began = time.perf_counter()
-    _tick(core)
-    return (time.perf_counter() - began) * 1e6 / _TICKS
+    started_s = time.perf_counter()
+    _run_ticks(core)
+    return (time.perf_counter() - started_s) * 1e6 / _TICKS
 
 
 def _count_dumps(nodes: int) -> float:
-    return _tick(_build_core(nodes)) * 1_000 / (_TICKS * _TICK_MS)
+    return _run_ticks(_build_core(nodes)) * 1_000 / (_TICKS * _TICK_MS)
 
 
 def _time_vm_list(nodes: int) -> float:
     core = _build_core(nodes)
     event = VmsRead(_build_vms(core.configuration, nodes))
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     core.handle(event, 1.0)
-    return (time.perf_counter() - began) * 1e6
+    return (time.perf_counter() - started_s) * 1e6
 
 
-def _tick(core: NodeCore) -> int:
+def _run_ticks(core: NodeCore) -> int:
     """Let time pass; return how many lists of blocks were asked for."""
     dumps = 0
     for number in range(_TICKS):
@@ -84,9 +84,9 @@
     core.handle(LogRead(0, len(records), records, len(records), 0.0), 0.0)
     core.handle(LogStateSeen(True), 0.0)
     core.handle(VmsRead(_build_vms(core.configuration, nodes)), 0.0)
-    nothing = CacheEvents(Incarnation("i"), 0, 1, ())
+    no_events = CacheEvents(Incarnation("i"), 0, 1, ())
     for endpoint in core.list_endpoints():
-        core.handle(CacheEventsRead(endpoint.name, nothing), 0.0)
+        core.handle(CacheEventsRead(endpoint.name, no_events), 0.0)
     return core
 
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/demo.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/demo.py
@@ -27,8 +27,8 @@
 _RULEBOOK: Final = "Rule: no crossing above 1.2 m of tide at the quay. " * 60
 _QUESTION: Final = "May lancha 4 cross at 06:40?"
 _TOKENS: Final = 12
-_EXPLAIN_TRIES: Final = 20
-_EXPLAIN_PAUSE_S: Final = 0.1
+_MAX_EXPLAIN_ATTEMPTS: Final = 20
+_EXPLAIN_INTERVAL_S: Final = 0.1
 
 
 class DemoError(Exception):
@@ -125,7 +125,7 @@
     )
 
 
-async def hold_seat_twice(harness: Harness, deployment: Deployment) -> None:
+async def hold_seat_on_every_node(harness: Harness, deployment: Deployment) -> None:
     """Send one seat hold to two nodes under the same key; it must run once."""
     headers: Headers = (("Idempotency-Key", "demo-hold-1"),)
     body = msgspec.json.encode({"crossing": "06:40", "seat": 7})
@@ -148,11 +148,11 @@
 async def explain(deployment: Deployment, request_id: str) -> None:
     """Ask the other node why the request went where it went."""
     address = deployment.nodes[-1].addresses["operators"]
-    for _ in range(_EXPLAIN_TRIES):
+    for _ in range(_MAX_EXPLAIN_ATTEMPTS):
         answer = await ask(address, "GET", f"/explain/{request_id}", OPERATOR_KEY)
         if answer.status == 200:
             break
-        await trio.sleep(_EXPLAIN_PAUSE_S)
+        await trio.sleep(_EXPLAIN_INTERVAL_S)
     check_status(answer, f"explain {request_id}")
     text = msgspec.json.format(answer.body).decode()
     print(f"explain {request_id}, asked of {deployment.nodes[-1].name}:")
@@ -166,7 +166,7 @@
     again = await complete(address)
     check(first.text == again.text, "the answers to the same prompt differ")
     check(again.cached_tokens > first.cached_tokens, "the prompt was not cached")
-    await hold_seat_twice(harness, deployment)
+    await hold_seat_on_every_node(harness, deployment)
     await explain(deployment, first.request_id)
 
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/detector_traces.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/detector_traces.py
@@ -20,7 +20,7 @@
 _TIMINGS: Final = MembershipTimings()
 POLL_MS: Final = 250.0
 TIMEOUT_MS: Final = 500.0
-SPREAD_MS: Final = 150.0
+DISSEMINATION_MS: Final = 150.0
 """How long a source's report takes to the others."""
 WATCHERS: Final = 9
 ENDPOINTS: Final = 14
@@ -46,7 +46,7 @@
     name: str
     build: Callable[[float], Detector]
     sources: int
-    doubts_itself: bool = False
+    ignores_own_outage: bool = False
     """Whether a watcher for which most endpoints fail accuses none."""
 
 
@@ -62,7 +62,7 @@
 class Result(msgspec.Struct):
     """What one rule made of a scenario's traces."""
 
-    notice_ms: list[float] = msgspec.field(default_factory=list)
+    detection_ms: list[float] = msgspec.field(default_factory=list)
     missed: int = 0
     wrong: int = 0
     """Times that a live endpoint came to be condemned."""
@@ -108,7 +108,7 @@
             "same, doubts itself",
             lambda _: ErrorRun(reports, window_ms),
             sources,
-            doubts_itself=True,
+            ignores_own_outage=True,
         ),
     )
 
@@ -160,44 +160,55 @@
     return wait_ms + rng.uniform(1.0, 5.0), True
 
 
-def judge(rule: Rule, scenario: Scenario, polls: list[Poll], result: Result) -> None:
+def evaluate_rule(
+    rule: Rule, scenario: Scenario, polls: list[Poll], result: Result
+) -> None:
     """Run one rule over one trace and add to its result."""
     local = {
         (watcher, endpoint): rule.build(0.0)
         for watcher in range(WATCHERS)
         for endpoint in range(ENDPOINTS)
     }
-    joined = [SourceCount(rule.sources, 1e12) for _ in range(ENDPOINTS)]
-    since: dict[int, float] = {}
+    agreed = [SourceCount(rule.sources, 1e12) for _ in range(ENDPOINTS)]
+    condemned_since: dict[int, float] = {}
     failing: list[set[int]] = [set() for _ in range(WATCHERS)]
-    noticed = False
-    for now_ms, watcher, endpoint, poll in _iterate(polls, scenario.duration_ms):
+    is_detected = False
+    for now_ms, watcher, endpoint, poll in _iterate_polls_and_checks(
+        polls, scenario.duration_ms
+    ):
         detector = local[watcher, endpoint]
         if poll is not None:
-            _note(detector, failing[watcher], poll)
-        is_doubted = rule.doubts_itself and 2 * len(failing[watcher]) > ENDPOINTS
-        if detector.is_suspect(now_ms) and not is_doubted:
-            joined[endpoint].note_report(str(watcher), now_ms)
+            _record_poll(detector, failing[watcher], poll)
+        is_ignored = rule.ignores_own_outage and 2 * len(failing[watcher]) > ENDPOINTS
+        if detector.is_suspect(now_ms) and not is_ignored:
+            agreed[endpoint].note_report(str(watcher), now_ms)
         else:
-            joined[endpoint].withdraw(str(watcher))
-        is_condemned = joined[endpoint].is_condemned(now_ms)
+            agreed[endpoint].withdraw(str(watcher))
+        is_condemned = agreed[endpoint].is_condemned(now_ms)
         dead_ms = scenario.dead_at_ms
         is_dead = endpoint == 0 and dead_ms is not None and now_ms >= dead_ms
-        if is_condemned and endpoint not in since:
-            since[endpoint] = now_ms
+        if is_condemned and endpoint not in condemned_since:
+            condemned_since[endpoint] = now_ms
             if not is_dead:
                 result.wrong += 1
-        if not is_condemned and endpoint in since:
-            result.wrong_ms += now_ms - since.pop(endpoint)
-        if is_dead and dead_ms is not None and endpoint in since and not noticed:
-            noticed = True
-            result.notice_ms.append(max(now_ms, dead_ms) - dead_ms + SPREAD_MS)
-    if scenario.dead_at_ms is not None and not noticed:
+        if not is_condemned and endpoint in condemned_since:
+            result.wrong_ms += now_ms - condemned_since.pop(endpoint)
+        if (
+            is_dead
+            and dead_ms is not None
+            and endpoint in condemned_since
+            and not is_detected
+        ):
+            is_detected = True
+            result.detection_ms.append(
+                max(now_ms, dead_ms) - dead_ms + DISSEMINATION_MS
+            )
+    if scenario.dead_at_ms is not None and not is_detected:
         result.missed += 1
     result.hours += scenario.duration_ms / 3_600_000 * ENDPOINTS
 
 
-def _note(detector: Detector, failing: set[int], poll: Poll) -> None:
+def _record_poll(detector: Detector, failing: set[int], poll: Poll) -> None:
     if poll.is_ok:
         detector.note_ok(poll.at_ms)
         failing.discard(poll.endpoint)
@@ -206,15 +217,15 @@
         failing.add(poll.endpoint)
 
 
-def _iterate(
+def _iterate_polls_and_checks(
     polls: list[Poll], duration_ms: float
 ) -> Iterator[tuple[float, int, int, Poll | None]]:
     """Give polls, and looks at every 100 ms, since silence has no event."""
-    looks = (
+    checks = (
         (at_ms * 100.0, watcher, endpoint, None)
         for at_ms in range(int(duration_ms / 100))
         for watcher in range(WATCHERS)
         for endpoint in range(ENDPOINTS)
     )
     ends = ((poll.at_ms, poll.watcher, poll.endpoint, poll) for poll in polls)
-    return heapq.merge(looks, ends, key=lambda each: each[0])
+    return heapq.merge(checks, ends, key=lambda each: each[0])
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine.py
@@ -39,14 +39,14 @@
     SilenceConnections,
     apply_network_fault,
 )
-from toucanyard_standins.platform_weights import WeightLeave
+from toucanyard_standins.platform_weights import LoadPermit
 
 _MIN_STEP_MS: Final = 0.1
 _STORE_RETRY_MS: Final = 100
 _MAX_ORDERS: Final = 100
 
 
-class _OrderWork:
+class _PendingOrder:
     """One accepted order; a crash meanwhile leaves it without effect on what follows.
 
     Invariant: `done` is set once its effect is in `state`.
@@ -75,11 +75,13 @@
         self.counters = EngineCounters()
         self.model_time = ModelTime(options.time_scale)
         self.load = LoadReport()
-        self.load_taken_ms = 0.0
+        self.load_sampled_ms = 0.0
         self._random = random.Random(options.seed)
         self._lost_event_share = options.lost_event_share
-        self._work = trio.Event()
-        self._orders, self._accepted = trio.open_memory_channel[_OrderWork](_MAX_ORDERS)
+        self._has_work = trio.Event()
+        self._order_sender, self._order_receiver = trio.open_memory_channel[
+            _PendingOrder
+        ](_MAX_ORDERS)
         self.state = self._build_state()
 
     def _build_state(self) -> EngineState:
@@ -87,7 +89,7 @@
         state = EngineState(self.options, incarnation, self._random)
         state.cache_events.lost_share = self._lost_event_share
         self.counters.incarnation = incarnation
-        self._take_load(state)
+        self._sample_load(state)
         return state
 
     async def run(self) -> None:
@@ -95,18 +97,18 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._compute)
             nursery.start_soon(self._report_load)
-            async for work in self._accepted:
-                nursery.start_soon(self._carry_out, work)
+            async for pending in self._order_receiver:
+                nursery.start_soon(self._execute, pending)
 
-    def start_work(self) -> None:
+    def wake_computation(self) -> None:
         """Wake the computation after a request was submitted."""
-        self._work.set()
+        self._has_work.set()
 
     async def _compute(self) -> None:
         while True:
             if self.state.batch.is_idle():
-                self._work = trio.Event()
-                await self._work.wait()
+                self._has_work = trio.Event()
+                await self._has_work.wait()
             state = self.state
             step = state.plan_step()
             duration_ms = max(step.duration_ms * self.faults.slow_factor, _MIN_STEP_MS)
@@ -118,18 +120,18 @@
         """Take the load now and then, so that reports lag."""
         while True:
             await self.model_time.sleep_ms(self.options.load_lag_ms)
-            self._take_load(self.state)
+            self._sample_load(self.state)
 
-    def _take_load(self, state: EngineState) -> None:
+    def _sample_load(self, state: EngineState) -> None:
         self.load = state.compute_load()
-        self.load_taken_ms = self.model_time.now_ms()
+        self.load_sampled_ms = self.model_time.now_ms()
 
     async def count_event(self, is_of_resumed: bool) -> None:
         """Count an event that was sent and carry out the faults that wait for it."""
         faults = self.faults
         self.counters.events_sent += 1
-        is_spared = is_of_resumed and faults.die_spares_resumed
-        if faults.die_after_events is not None and not is_spared:
+        is_exempt = is_of_resumed and faults.die_spares_resumed
+        if faults.die_after_events is not None and not is_exempt:
             faults.die_after_events -= 1
             if faults.die_after_events <= 0:
                 faults.die_after_events = None
@@ -144,7 +146,7 @@
         """Lose everything, stay away for a while and come back empty."""
         self.counters.crashes += 1
         old = self.state
-        self._count_blocks(old)
+        self._add_block_counts(old)
         self.state = self._build_state()
         for stream in old.streams.values():
             stream.cancel()
@@ -159,7 +161,7 @@
         counters.open_connections = len(self.listener.streams)
         return counters
 
-    def _count_blocks(self, state: EngineState) -> None:
+    def _add_block_counts(self, state: EngineState) -> None:
         self.counters.computed_blocks += state.computed_blocks
         self.counters.matched_blocks += state.matched_blocks
 
@@ -176,40 +178,40 @@
             case _:
                 self.faults.switch(fault)
 
-    async def take_order(self, order: Order) -> OrderRefusal | None:
+    async def execute_order(self, order: Order) -> OrderRefusal | None:
         """Carry out an order to its end, or return why it is refused."""
         state = self.state
         self.counters.orders += 1
-        if order.order_id in state.done_orders:
+        if order.order_id in state.executed_orders:
             return None
         refusal = find_refusal(order, state, self.options.checks_fence)
         if refusal is not None:
             return refusal
-        state.done_orders.add(order.order_id)
+        state.executed_orders.add(order.order_id)
         state.fence = max(state.fence, order.fence)
         weights = compute_weights(order, state.weights)
         state.is_loading = True
         # Carried out by a task of the engine: whoever gave the order may hang up.
-        work = _OrderWork(state, order.kind, weights)
-        self._orders.send_nowait(work)
-        await work.done.wait()
+        pending = _PendingOrder(state, order.kind, weights)
+        self._order_sender.send_nowait(pending)
+        await pending.done.wait()
         return None
 
-    async def _carry_out(self, work: _OrderWork) -> None:
-        if work.kind is OrderKind.LOAD:
-            await self._load_weights(work.weights)
-        work.state.load(work.weights, self.model_time.now_ms())
-        work.state.is_loading = False
-        work.done.set()
+    async def _execute(self, pending: _PendingOrder) -> None:
+        if pending.kind is OrderKind.LOAD:
+            await self._load_weights(pending.weights)
+        pending.state.load(pending.weights, self.model_time.now_ms())
+        pending.state.is_loading = False
+        pending.done.set()
 
     async def _load_weights(self, weights: Weights) -> None:
         """Wait for leave of the weight store, then for the load."""
         load_ms = self.options.load_weights_ms
         if self.options.weight_store:
-            load_ms *= await self._ask_weight_store(weights)
+            load_ms *= await self._wait_for_load_permit(weights)
         await self.model_time.sleep_ms(load_ms)
 
-    async def _ask_weight_store(self, weights: Weights) -> float:
+    async def _wait_for_load_permit(self, weights: Weights) -> float:
         """Ask until the store lets the load start; return how many times slower."""
         store = Address(self.options.weight_store)
         target = f"/weights/{weights.model}/{weights.weights_version}"
@@ -220,6 +222,6 @@
                 await self.model_time.sleep_ms(_STORE_RETRY_MS)
                 continue
             if answer.status == 200:
-                return msgspec.json.decode(answer.body, type=WeightLeave).slowdown
+                return msgspec.json.decode(answer.body, type=LoadPermit).slowdown
             wait_ms = float(answer.headers.get("retry-after-ms", _STORE_RETRY_MS))
             await self.model_time.sleep_ms(wait_ms)
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_answers.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_completions.py
@@ -13,9 +13,9 @@
     HttpRequest,
     Responder,
 )
-from toucanyard_standins.answers import JSON_TYPE, send_error
 from toucanyard_standins.engine import Engine
 from toucanyard_standins.engine_streams import TOKEN_BYTES, AnswerStream
+from toucanyard_standins.json_responses import JSON_TYPE, send_error
 from toucanyard_standins.openai_shape import (
     CompletionRequest,
     find_generated,
@@ -30,7 +30,7 @@
 _HEARTBEAT: Final = b": heartbeat\n\n"
 
 
-class EngineAnswers:
+class CompletionHandler:
     """Answer the requests that concern one stream."""
 
     def __init__(self, engine: Engine) -> None:
@@ -39,23 +39,23 @@
     async def complete(self, request: HttpRequest, responder: Responder) -> None:
         """Compute and send an answer, or refuse before anything is computed."""
         body = msgspec.json.decode(request.body, type=CompletionRequest)
-        echo = self._identify(request.headers.get("x-request-id", ""))
+        identity = self._build_identity_headers(request.headers.get("x-request-id", ""))
         if self._engine.faults.is_refusing or self._engine.state.is_loading:
             self._engine.counters.refused += 1
-            await send_error(responder, 503, "takes no requests", echo)
+            await send_error(responder, 503, "takes no requests", identity)
             return
         wanted = request.headers.get("x-weights-version", "")
         loaded = self._engine.state.weights.weights_version
         if wanted and wanted != loaded:
             self._engine.counters.refused += 1
-            await send_error(responder, 412, f"loaded {loaded}", echo)
+            await send_error(responder, 412, f"loaded {loaded}", identity)
             return
         stream = self._submit(request, body)
         await self._delay_answer()
         if self._engine.faults.cross_count > 0:
             self._engine.faults.cross_count -= 1
             self._engine.counters.crossed += 1
-            stream = self._submit_foreign(stream)
+            stream = self._submit_other_request(stream)
         if body.stream:
             await self._send_stream(stream, responder, 0)
         else:
@@ -85,17 +85,17 @@
             priority=int(headers.get("x-priority", "0")),
             max_tokens=tokens,
         )
-        count_in(engine.counters.executions, request_id)
+        increment_count(engine.counters.executions, request_id)
         if key := headers.get("idempotency-key", ""):
-            count_in(engine.counters.keyed_executions, key)
-        engine.start_work()
+            increment_count(engine.counters.keyed_executions, key)
+        engine.wake_computation()
         return stream
 
-    def _submit_foreign(self, stream: AnswerStream) -> AnswerStream:
+    def _submit_other_request(self, stream: AnswerStream) -> AnswerStream:
         """Start another request, whose answer is given in place of the right one."""
         engine = self._engine
         prompt = b"another request"
-        foreign = AnswerStream(
+        other = AnswerStream(
             f"crossed-{time.time_ns():x}",
             stream.model,
             stream.is_chat,
@@ -103,9 +103,9 @@
             stream.created_s,
         )
         tokens = engine.options.default_tokens
-        engine.state.submit(foreign, "another", prompt, 0, tokens)
-        engine.start_work()
-        return foreign
+        engine.state.submit(other, "another", prompt, 0, tokens)
+        engine.wake_computation()
+        return other
 
     async def _delay_answer(self) -> None:
         faults = self._engine.faults
@@ -113,7 +113,7 @@
             faults.delay_count -= 1
             await trio.sleep(faults.delay_ms / 1000)
 
-    def _identify(self, request_id: str) -> Headers:
+    def _build_identity_headers(self, request_id: str) -> Headers:
         state = self._engine.state
         return (
             ("X-Request-Id", request_id),
@@ -122,7 +122,7 @@
         )
 
     async def _send_whole(self, stream: AnswerStream, responder: Responder) -> None:
-        headers = self._identify(stream.request_id)
+        headers = self._build_identity_headers(stream.request_id)
         while not stream.is_done and not stream.is_cancelled:
             await stream.wait_beyond(len(stream.events))
         if stream.is_done:
@@ -133,10 +133,10 @@
         self, stream: AnswerStream, responder: Responder, position: int
     ) -> None:
         """Send events from a position on; a cancelled stream ends without a mark."""
-        headers = self._identify(stream.request_id)
+        headers = self._build_identity_headers(stream.request_id)
         event_stream = ("Content-Type", "text/event-stream")
         await responder.start(200, (event_stream, *headers))
-        cut_at = self._take_cut()
+        cut_at = self._consume_cut()
         while not stream.is_cancelled:
             while position < len(stream.events):
                 if position == cut_at:
@@ -148,9 +148,9 @@
                 await responder.write(_DONE)
                 await responder.finish()
                 return
-            await self._wait_or_beat(stream, position, responder)
+            await self._wait_or_send_heartbeat(stream, position, responder)
 
-    def _take_cut(self) -> int | None:
+    def _consume_cut(self) -> int | None:
         """Return the event before which this stream is to be cut, if any."""
         faults = self._engine.faults
         if faults.cut_count <= 0:
@@ -158,13 +158,13 @@
         faults.cut_count -= 1
         return faults.cut_after_events
 
-    async def _wait_or_beat(
+    async def _wait_or_send_heartbeat(
         self, stream: AnswerStream, position: int, responder: Responder
     ) -> None:
         """Wait for an event; send a heartbeat when none comes in time."""
         with trio.move_on_after(self._engine.options.heartbeat_ms / 1000) as scope:
             await stream.wait_beyond(position)
-        if scope.cancelled_caught and not self._engine.faults.is_without_heartbeats:
+        if scope.cancelled_caught and not self._engine.faults.are_heartbeats_stopped:
             await responder.write(_HEARTBEAT)
 
     async def resume(self, request: HttpRequest, responder: Responder) -> None:
@@ -172,8 +172,8 @@
         request_id = request.path.removeprefix(STREAMS_PATH)
         stream = self._engine.state.streams.get(request_id)
         if stream is None:
-            echo = self._identify(request_id)
-            await send_error(responder, 404, "no such stream", echo)
+            identity = self._build_identity_headers(request_id)
+            await send_error(responder, 404, "no such stream", identity)
             return
         self._engine.counters.resumed += 1
         position = int(request.headers.get("last-event-id", "-1")) + 1
@@ -184,9 +184,9 @@
         request_id = request.path.removeprefix(STREAMS_PATH)
         if self._engine.state.cancel(request_id):
             self._engine.counters.cancelled += 1
-        await responder.send(204, self._identify(request_id), b"")
+        await responder.send(204, self._build_identity_headers(request_id), b"")
 
 
-def count_in(counts: dict[str, int], name: str) -> None:
+def increment_count(counts: dict[str, int], name: str) -> None:
     """Add one to a named count."""
     counts[name] = counts.get(name, 0) + 1
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_faults.py
@@ -126,7 +126,7 @@
     delay_count: int = 0
     slow_factor: float = 1.0
     is_refusing: bool = False
-    is_without_heartbeats: bool = False
+    are_heartbeats_stopped: bool = False
 
     def switch(self, fault: AnswerFault) -> None:
         """Switch one fault."""
@@ -147,4 +147,4 @@
             case RefuseRequests(is_on):
                 self.is_refusing = is_on
             case StopHeartbeats(is_stopped):
-                self.is_without_heartbeats = is_stopped
+                self.are_heartbeats_stopped = is_stopped
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_face.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_server.py
@@ -17,14 +17,14 @@
     ServerLimits,
     find_port,
 )
-from toucanyard_standins.answers import run_route, send_error, send_json
 from toucanyard_standins.engine import Engine
-from toucanyard_standins.engine_answers import STREAMS_PATH, EngineAnswers
 from toucanyard_standins.engine_cache import CacheEvent
+from toucanyard_standins.engine_completions import STREAMS_PATH, CompletionHandler
 from toucanyard_standins.engine_faults import EngineFault
 from toucanyard_standins.engine_orders import Order
 from toucanyard_standins.engine_state import EngineOptions, EngineRole
 from toucanyard_standins.faulty_listener import FaultyListener
+from toucanyard_standins.json_responses import handle_route, send_error, send_json
 
 _LIMITS: Final = ServerLimits(idle_timeout_ms=600_000)
 _EVENT_POLL_MS: Final = 20
@@ -60,25 +60,25 @@
     fence: int
 
 
-class EngineFace:
+class EngineHandler:
     """Answer the requests of nodes and of the control path."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
-        self._answers = EngineAnswers(engine)
+        self._completions = CompletionHandler(engine)
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer one request."""
-        await run_route(self._route, request, responder)
+        await handle_route(self._route, request, responder)
 
     async def _route(self, request: HttpRequest, responder: Responder) -> None:
         match request.method, request.path:
             case "POST", "/v1/completions" | "/v1/chat/completions":
-                await self._answers.complete(request, responder)
+                await self._completions.complete(request, responder)
             case "GET", path if path.startswith(STREAMS_PATH):
-                await self._answers.resume(request, responder)
+                await self._completions.resume(request, responder)
             case "DELETE", path if path.startswith(STREAMS_PATH):
-                await self._answers.cancel(request, responder)
+                await self._completions.cancel(request, responder)
             case "GET", "/v1/cache/events":
                 await self._send_cache_events(request, responder)
             case _:
@@ -88,7 +88,7 @@
         engine = self._engine
         match request.method, request.path:
             case "GET", "/v1/load":
-                age_ms = int(engine.model_time.now_ms() - engine.load_taken_ms)
+                age_ms = int(engine.model_time.now_ms() - engine.load_sampled_ms)
                 report = msgspec.structs.replace(engine.load, age_ms=age_ms)
                 await send_json(responder, 200, report)
             case "GET", "/v1/cache/dump":
@@ -96,7 +96,7 @@
             case "GET", "/v1/state":
                 await send_json(responder, 200, self._compute_state())
             case "POST", "/v1/orders":
-                await self._order(request, responder)
+                await self._handle_order(request, responder)
             case "POST", "/control":
                 fault = msgspec.json.decode(request.body, type=EngineFault)
                 await send_json(responder, 200, fault)
@@ -149,9 +149,9 @@
             fence=state.fence,
         )
 
-    async def _order(self, request: HttpRequest, responder: Responder) -> None:
+    async def _handle_order(self, request: HttpRequest, responder: Responder) -> None:
         order = msgspec.json.decode(request.body, type=Order)
-        refusal = await self._engine.take_order(order)
+        refusal = await self._engine.execute_order(order)
         if refusal is not None:
             await send_json(responder, 409, refusal)
             return
@@ -166,7 +166,7 @@
     """Run one engine until cancelled; report its address once it is ready."""
     faulty = FaultyListener(listener)
     engine = Engine(options, faulty)
-    server = HttpServer(EngineFace(engine).handle, _LIMITS)
+    server = HttpServer(EngineHandler(engine).handle, _LIMITS)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(engine.run)
         nursery.start_soon(server.serve, faulty.as_socket_listener())
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_state.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_state.py
@@ -85,7 +85,7 @@
         )
         self.is_loading = False
         self.fence = 0
-        self.done_orders: set[str] = set()
+        self.executed_orders: set[str] = set()
         self.cache = PrefixCache(options.capacity_blocks)
         self.cache_events = CacheEventLog(
             options.event_delay_ms, options.lost_event_share, random_source
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_streams.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_streams.py
@@ -36,7 +36,7 @@
     def __init__(self, prompt: bytes) -> None:
         self._digest = xxhash.xxh3_64(prompt)
 
-    def take_token(self) -> str:
+    def generate_token(self) -> str:
         """Return the next token, a blank and three letters."""
         number = self._digest.intdigest()
         letters: list[str] = []
@@ -95,7 +95,7 @@
 
     def add_token(self) -> None:
         """Generate one token and its event."""
-        token = self._source.take_token()
+        token = self._source.generate_token()
         self.tokens.append(token)
         self._add_event(self._render_choice(token, None), None)
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/harness.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/harness.py
@@ -30,7 +30,7 @@
 
 T = TypeVar("T")
 
-_POLL_S: Final = 0.02
+_POLL_INTERVAL_S: Final = 0.02
 _ANY_PORT: Final = Address("127.0.0.1:0")
 
 
@@ -67,8 +67,8 @@
     ) -> ProcessHandle:
         """Start an engine and put it into the VM list."""
         store = self.platform.address if self.platform else ""
-        named = ("--name", name, "--weight-store", store, *arguments)
-        engine = await self._start_standin(name, "engine", *named)
+        all_arguments = ("--name", name, "--weight-store", store, *arguments)
+        engine = await self._start_standin(name, "engine", *all_arguments)
         await self._list_endpoint(engine, domain)
         return engine
 
@@ -76,8 +76,8 @@
         self, name: str, domain: str, *arguments: str
     ) -> ProcessHandle:
         """Start a plain service and put it into the VM list."""
-        named = ("--name", name, *arguments)
-        service = await self._start_standin(name, "service", *named)
+        all_arguments = ("--name", name, *arguments)
+        service = await self._start_standin(name, "service", *all_arguments)
         await self._list_endpoint(service, domain)
         return service
 
@@ -120,7 +120,7 @@
         """Put one VM into the platform's list."""
         await self.control(self.get_platform(), PutVm(vm))
 
-    async def leave_vm(self, vm: Vm) -> None:
+    async def mark_vm_leaving(self, vm: Vm) -> None:
         """Mark one VM of the platform's list as leaving."""
         await self.put_vm(msgspec.structs.replace(vm, state=VmState.LEAVING))
 
@@ -162,10 +162,14 @@
     def _write_settings(self, name: str, domain: str, options: Options | None) -> Path:
         platform = self.get_platform().address
         listen = ListenOptions(_ANY_PORT, _ANY_PORT, _ANY_PORT)
-        places = PlatformOptions(platform, platform)
+        platform_options = PlatformOptions(platform, platform)
         if options is None:
             options = Options(
-                NodeName(name), DomainName(domain), listen, places, ("harness",)
+                NodeName(name),
+                DomainName(domain),
+                listen,
+                platform_options,
+                ("harness",),
             )
         else:
             options = msgspec.structs.replace(
@@ -173,7 +177,7 @@
                 name=NodeName(name),
                 domain=DomainName(domain),
                 listen=listen,
-                platform=places,
+                platform=platform_options,
             )
         file = self._directory / f"{name}.json"
         file.write_bytes(msgspec.json.format(msgspec.json.encode(options)))
@@ -224,11 +228,11 @@
                     return
             except ConnectionFailedError as error:
                 last = str(error)
-            await trio.sleep(_POLL_S)
+            await trio.sleep(_POLL_INTERVAL_S)
     raise HarnessError(f"{node.name} does not serve: {last}\n{node.read_log()}")
 
 
-class SeenEndpoint(msgspec.Struct, frozen=True):
+class EndpointStatus(msgspec.Struct, frozen=True):
     """What the harness reads of one endpoint in a node's status."""
 
     name: str
@@ -239,7 +243,7 @@
     """What the harness reads of a node's status."""
 
     version: int
-    endpoints: tuple[SeenEndpoint, ...]
+    endpoints: tuple[EndpointStatus, ...]
 
 
 async def read_status(node: ProcessHandle, operator_key: str) -> NodeStatus:
@@ -251,19 +255,21 @@
     return msgspec.json.decode(answer.body, type=NodeStatus)
 
 
-async def wait_until_watching(
+async def wait_until_endpoints_reported(
     node: ProcessHandle, operator_key: str, timeout_s: float = 10.0
 ) -> None:
     """Wait until a node has had a report from each endpoint."""
-    unseen: list[str] = []
+    unreported: list[str] = []
     with trio.move_on_after(timeout_s):
         while True:
             status = await read_status(node, operator_key)
-            unseen = [each.name for each in status.endpoints if not each.incarnation]
-            if not unseen:
+            unreported = [
+                each.name for each in status.endpoints if not each.incarnation
+            ]
+            if not unreported:
                 return
-            await trio.sleep(_POLL_S)
-    raise HarnessError(f"{node.name} has no report from {', '.join(unseen)}")
+            await trio.sleep(_POLL_INTERVAL_S)
+    raise HarnessError(f"{node.name} has no report from {', '.join(unreported)}")
 
 
 @asynccontextmanager
--- a/packages/toucanyard-standins/src/toucanyard_standins/answers.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/json_responses.py
@@ -38,7 +38,9 @@
     await send_json(responder, status, ErrorText(text), headers)
 
 
-async def run_route(route: Route, request: HttpRequest, responder: Responder) -> None:
+async def handle_route(
+    route: Route, request: HttpRequest, responder: Responder
+) -> None:
     """Answer one request; 400 when it can't be read, nothing when nobody listens."""
     try:
         try:
--- a/packages/toucanyard-standins/src/toucanyard_standins/note_costs.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/key_recording_costs.py
@@ -31,20 +31,20 @@
 from toucanyard.requests import CachedAnswer, DispatchEnding
 from toucanyard.wire import encode_message
 
-GATHERS_MS: Final = (1, 10, 20, 50, 100)
+GATHER_TIMES_MS: Final = (1, 10, 20, 50, 100)
 RATES_PER_S: Final = (3, 34, 340)
 _RUN_MS: Final = 120_000.0
 _HOP_MS: Final = 1.5
 _TICK_MS: Final = 50.0
-_FRAME_BYTES: Final = 6
+_FRAME_HEADER_BYTES: Final = 6
 """Header of a short message from the node that opened the link."""
 _CUSTOMER: Final = CustomerName("lanchas")
 _ISSUER: Final = NodeId(NodeName("n001"), Incarnation("0123456789"))
-_WITNESS: Final = NodeId(NodeName("n002"), Incarnation("abcdef0123"))
+_BACKUP: Final = NodeId(NodeName("n002"), Incarnation("abcdef0123"))
 _ANSWER: Final = CachedAnswer(200, "application/json", b"x")
 
 
-class NoteCosts(msgspec.Struct):
+class KeyRecordingCosts(msgspec.Struct):
     """What the notes of one run cost."""
 
     keys: int = 0
@@ -53,7 +53,7 @@
     added_ms: list[float] = []
 
 
-class NoteRun:
+class KeyRecordingRun:
     """One issuer and one witness over links that lose nothing."""
 
     def __init__(self, gather_ms: int, rate_per_s: float) -> None:
@@ -62,28 +62,28 @@
         self._rate_per_ms = rate_per_s / 1000
         self._nodes = {
             each: AtMostOnce(each.node, each.incarnation, limits, self._rng)
-            for each in (_ISSUER, _WITNESS)
+            for each in (_ISSUER, _BACKUP)
         }
         self._arrived_ms: dict[RequestId, float] = {}
         self._due: list[tuple[float, int, NodeId, KeyMessage | None]] = []
         self._count = 0
-        self.costs = NoteCosts()
+        self.costs = KeyRecordingCosts()
 
-    def run(self) -> NoteCosts:
+    def run(self) -> KeyRecordingCosts:
         """Run to the end and return the costs."""
-        view = PeerView(_WITNESS.node, _WITNESS.incarnation, True)
+        view = PeerView(_BACKUP.node, _BACKUP.incarnation, True)
         issuer = self._nodes[_ISSUER]
-        self._carry_out(_ISSUER, issuer.handle(PeersChanged((view,)), 0), 0)
-        self._put(_TICK_MS * self._rng.random(), _ISSUER, None)
+        self._execute(_ISSUER, issuer.handle(PeersChanged((view,)), 0), 0)
+        self._schedule(_TICK_MS * self._rng.random(), _ISSUER, None)
         next_ms = 10.0
         while next_ms < _RUN_MS:
             while self._due and self._due[0][0] <= next_ms:
-                self._take_due()
-            self._arrive(next_ms)
+                self._process_next_due()
+            self._send_keyed_request(next_ms)
             next_ms += self._rng.expovariate(self._rate_per_ms)
         return self.costs
 
-    def _arrive(self, now_ms: float) -> None:
+    def _send_keyed_request(self, now_ms: float) -> None:
         issuer = self._nodes[_ISSUER]
         key = issuer.issue_prefix(now_ms) + "mine"
         request_id = RequestId(f"r{now_ms}")
@@ -91,41 +91,41 @@
         event = KeyedRequestArrived(
             request_id, _CUSTOMER, key, b"d" * 16, now_ms + 30_000, 0
         )
-        self._carry_out(_ISSUER, issuer.handle(event, now_ms), now_ms)
+        self._execute(_ISSUER, issuer.handle(event, now_ms), now_ms)
 
-    def _put(self, at_ms: float, to: NodeId, message: KeyMessage | None) -> None:
+    def _schedule(self, at_ms: float, to: NodeId, message: KeyMessage | None) -> None:
         self._count += 1
         heapq.heappush(self._due, (at_ms, self._count, to, message))
 
-    def _take_due(self) -> None:
+    def _process_next_due(self) -> None:
         now_ms, _, to, message = heapq.heappop(self._due)
         node = self._nodes[to]
         if message is None:
-            self._put(now_ms + _TICK_MS, to, None)
-            self._carry_out(to, node.handle(Ticked(), now_ms), now_ms)
+            self._schedule(now_ms + _TICK_MS, to, None)
+            self._execute(to, node.handle(Ticked(), now_ms), now_ms)
             return
-        sender = _WITNESS if to == _ISSUER else _ISSUER
+        sender = _BACKUP if to == _ISSUER else _ISSUER
         actions = node.handle(PeerMessageArrived(sender, message), now_ms)
-        self._carry_out(to, actions, now_ms)
+        self._execute(to, actions, now_ms)
 
-    def _carry_out(
+    def _execute(
         self, node: NodeId, actions: Sequence[ClaimAction], now_ms: float
     ) -> None:
         for action in actions:
             match action:
                 case SendToPeer(message=message):
-                    to = _WITNESS if node == _ISSUER else _ISSUER
-                    self._put(now_ms + _HOP_MS, to, message)
+                    to = _BACKUP if node == _ISSUER else _ISSUER
+                    self._schedule(now_ms + _HOP_MS, to, message)
                     if isinstance(message, RecordKeys | KeysRecorded):
                         self.costs.messages += 1
-                        size_bytes = len(encode_message(message)) + _FRAME_BYTES
+                        size_bytes = len(encode_message(message)) + _FRAME_HEADER_BYTES
                         self.costs.bytes_sent += size_bytes
                 case AllowDispatch(request_id=request_id):
-                    self._allow(request_id, now_ms)
+                    self._record_allowed(request_id, now_ms)
                 case _:
                     pass
 
-    def _allow(self, request_id: RequestId, now_ms: float) -> None:
+    def _record_allowed(self, request_id: RequestId, now_ms: float) -> None:
         waited_ms = now_ms - self._arrived_ms.pop(request_id)
         self.costs.added_ms.append(waited_ms)
         self.costs.keys += 1
@@ -133,14 +133,14 @@
         self._nodes[_ISSUER].handle(ended, now_ms)
 
 
-def print_note_costs() -> None:
+def print_key_recording_costs() -> None:
     """Print bytes and waits for each time of gathering and rate of keys."""
     seconds = _RUN_MS / 1000
     print(f"notes of one node, all keyed; {2 * _HOP_MS:.0f} ms there and back")
     print("gather ms  keys/s  messages/s  bytes/s  mean ms  p50 ms  p99 ms")
     for rate_per_s in RATES_PER_S:
-        for gather_ms in GATHERS_MS:
-            costs = NoteRun(gather_ms, rate_per_s).run()
+        for gather_ms in GATHER_TIMES_MS:
+            costs = KeyRecordingRun(gather_ms, rate_per_s).run()
             p50_ms, p99_ms = np.percentile(costs.added_ms, (50, 99))
             print(
                 f"{gather_ms:>9} {costs.keys / seconds:>7.1f}"
--- a/packages/toucanyard-standins/src/toucanyard_standins/key_slopes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/key_slopes.py
@@ -64,8 +64,8 @@
 def compute_page_bytes() -> float:
     """Return how many bytes of a page of the log each claim takes."""
     records = tuple(
-        PageRecord(1_000_000 + place, 1_700_000_000_000, make_claim("n319", place))
-        for place in range(_PAGE_CLAIMS)
+        PageRecord(1_000_000 + index, 1_700_000_000_000, make_claim("n319", index))
+        for index in range(_PAGE_CLAIMS)
     )
     page = msgspec.json.encode(ReadBody(0, 0, records))
     return (len(page) - len(msgspec.json.encode(ReadBody(0, 0, ())))) / _PAGE_CLAIMS
@@ -83,8 +83,8 @@
     """Let a node read claims of others."""
     for start in range(0, count, 500):
         records = tuple(
-            LogRecord(start + place, 0, make_claim("b", start + place))
-            for place in range(500)
+            LogRecord(start + index, 0, make_claim("b", start + index))
+            for index in range(500)
         )
         core.handle(ClaimRecordsRead(start, start + 500, records), 0)
 
@@ -101,28 +101,28 @@
         core.handle(DispatchEnded(request_id, DispatchEnding.COMPLETED, answer), 0)
 
 
-def fill_notes(core: AtMostOnce, count: int) -> None:
+def fill_backup_records(core: AtMostOnce, count: int) -> None:
     """Let a node witness keys of another."""
     owner = NodeId(NodeName("b"), Incarnation("b-1"))
     core.handle(PeerMessageArrived(owner, OpenLedger(Incarnation("a-1"), 1)), 0)
     for number in range(count):
         name = KeyName(_CUSTOMER, f"tk1~b~b-1~a~a-1~1~0~{number:016x}~mine")
-        note = RecordKeys(
+        record_keys = RecordKeys(
             Incarnation("a-1"), 1, number, (compute_key_fingerprint(name),)
         )
-        core.handle(PeerMessageArrived(owner, note), 0)
+        core.handle(PeerMessageArrived(owner, record_keys), 0)
 
 
-def fill_handed(core: AtMostOnce, count: int) -> None:
+def fill_transferred(core: AtMostOnce, count: int) -> None:
     """Let a node take ended keys of one that stops, with answers of 300 bytes."""
     owner = NodeId(NodeName("b"), Incarnation("b-1"))
     for start in range(0, count, 250):
-        keys = tuple(make_handed(start + place) for place in range(250))
+        keys = tuple(make_transferred(start + index) for index in range(250))
         batch = TransferKeys(Incarnation("a-1"), start, keys)
         core.handle(PeerMessageArrived(owner, batch), 0)
 
 
-def make_handed(number: int) -> TransferredKey:
+def make_transferred(number: int) -> TransferredKey:
     """Return one ended key of another node."""
     name = KeyName(_CUSTOMER, f"tk1~b~b-1~a~a-1~1~0~{number:016x}~mine")
     answer = CachedAnswer(200, "application/json", bytes(300))
@@ -137,8 +137,8 @@
     for label, fill in (
         ("claim of any node, read from the log", fill_claims),
         ("issued key run here, answer of 300 bytes", fill_issued),
-        ("key noted as witness", fill_notes),
-        ("key handed over, answer of 300 bytes", fill_handed),
+        ("key noted as witness", fill_backup_records),
+        ("key handed over, answer of 300 bytes", fill_transferred),
     ):
         sizes_bytes, times_us = [], []
         for count in _SIZES:
--- a/packages/toucanyard-standins/src/toucanyard_standins/load.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/load.py
@@ -70,9 +70,9 @@
     first_s = 0.0
     events = 0
     tail = b""
-    while (part := await connection.read_part()) is not None:
+    while (chunk := await connection.read_part()) is not None:
         # A mark may be cut by the end of a part; heads of events are counted once.
-        window = tail + part
+        window = tail + chunk
         events += window.count(_EVENT_MARK) - tail.count(_EVENT_MARK)
         if events and not first_s:
             first_s = time.perf_counter()
@@ -107,7 +107,7 @@
     """Read many streams at once to their ends."""
     times: list[StreamTimes] = []
 
-    async def run_one(number: int) -> None:
+    async def read_one_stream(number: int) -> None:
         connection = await connect(target.address, _CONNECT_TIMEOUT_MS)
         body = encode_completion(f"stream {number}", tokens, is_stream=True)
         times.append(await read_stream(connection, target, body))
@@ -115,19 +115,19 @@
 
     async with trio.open_nursery() as nursery:
         for number in range(streams):
-            nursery.start_soon(run_one, number)
+            nursery.start_soon(read_one_stream, number)
     return times
 
 
 async def run_short_requests(target: Target, count: int, connections: int) -> float:
     """Make plain requests on kept connections; return the seconds they took."""
     started_s = time.perf_counter()
-    share = count // connections
+    requests_per_connection = count // connections
 
-    async def run_share(lane: int) -> None:
+    async def run_connection(connection_number: int) -> None:
         connection = await connect(target.address, _CONNECT_TIMEOUT_MS)
-        for number in range(share):
-            prompt = f"short request {number} of lane {lane}"
+        for number in range(requests_per_connection):
+            prompt = f"short request {number} of lane {connection_number}"
             body = encode_completion(prompt, 1, is_stream=False)
             await connection.send("POST", _PATH, target.build_headers(), body)
             head = await connection.read_head()
@@ -137,8 +137,8 @@
         await connection.close()
 
     async with trio.open_nursery() as nursery:
-        for lane in range(connections):
-            nursery.start_soon(run_share, lane)
+        for connection_number in range(connections):
+            nursery.start_soon(run_connection, connection_number)
     return time.perf_counter() - started_s
 
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/log_gate.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/log_proxy.py
@@ -22,12 +22,12 @@
 _TIMEOUT_MS: Final = 10_000.0
 
 
-class LogGate:
+class LogProxy:
     """Forward every request to the platform, but none to its log while closed."""
 
     def __init__(self, platform: Address) -> None:
         self._platform = platform
-        self.is_closed = False
+        self.is_log_blocked = False
 
     async def serve(
         self, task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED
@@ -43,7 +43,7 @@
         """Forward one request and its answer."""
         is_log = request.path.startswith("/log/")
         try:
-            if is_log and self.is_closed:
+            if is_log and self.is_log_blocked:
                 await responder.send(503, (), b"")
                 return
             answer = await fetch(
@@ -58,7 +58,7 @@
             await responder.send(502, (), b"")
             return
         # A read that was waiting when the gate closed must bring nothing either.
-        if is_log and self.is_closed:
+        if is_log and self.is_log_blocked:
             await responder.send(503, (), b"")
             return
         content_type = ("Content-Type", "application/json")
--- a/packages/toucanyard-standins/src/toucanyard_standins/membership_costs.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/membership_costs.py
@@ -40,7 +40,7 @@
 from toucanyard.wire import encode_message
 
 _TIMINGS: Final = MembershipTimings()
-_MOST: Final = 0.9
+_MOST_NODES_SHARE: Final = 0.9
 """Share of the nodes that has to know of a death."""
 _HEADER_BYTES: Final = 46
 """Websocket, TCP and IP headers of one small message."""
@@ -107,7 +107,7 @@
     for step in range(1, duration_s * 10 + 1):
         now_ms = step * 100.0
         if now_ms >= half_ms:
-            _fail(members, endpoints, dead, now_ms)
+            _report_poll_results(members, endpoints, dead, now_ms)
         second = int((now_ms - 1) // 1_000)
         for name, member in members.items():
             sizes = sent[name]
@@ -117,12 +117,12 @@
                     sizes[second] += len(encode_message(action.digest)) + _HEADER_BYTES
                     arrived = DigestArrived(name, action.digest)
                     members[action.to].handle(arrived, now_ms)
-        knows = sum(
+        informed = sum(
             len(member.find_condemned(now_ms)) >= dead for member in members.values()
         )
-        if most_ms is None and knows >= _MOST * nodes:
+        if most_ms is None and informed >= _MOST_NODES_SHARE * nodes:
             most_ms = now_ms - half_ms
-        if all_ms is None and knows == nodes:
+        if all_ms is None and informed == nodes:
             all_ms = now_ms - half_ms
     quiet = [size for sizes in sent.values() for size in sizes[2 : duration_s // 2]]
     after = [size for sizes in sent.values() for size in sizes[duration_s // 2 :]]
@@ -191,17 +191,17 @@
 def _time(
     action: Callable[[], object], prepare: Callable[[], object] | None = None
 ) -> float:
-    spent: list[float] = []
+    times_ms: list[float] = []
     for _ in range(9):
         if prepare is not None:
             prepare()
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         action()
-        spent.append((time.perf_counter() - began) * 1000)
-    return statistics.median(spent)
+        times_ms.append((time.perf_counter() - started_s) * 1000)
+    return statistics.median(times_ms)
 
 
-def _fail(
+def _report_poll_results(
     members: dict[NodeName, Membership],
     endpoints: tuple[Endpoint, ...],
     dead: int,
--- a/packages/toucanyard-standins/src/toucanyard_standins/plain_relay.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/plain_relay.py
@@ -21,7 +21,7 @@
     ServerLimits,
     find_port,
 )
-from toucanyard_standins.answers import run_route
+from toucanyard_standins.json_responses import handle_route
 
 _CONNECT_TIMEOUT_MS: Final = 5_000
 
@@ -37,15 +37,15 @@
 
     def __init__(self, options: RelayOptions) -> None:
         self._engine = options.engine
-        self._idle: list[HttpConnection] = []
+        self._idle_connections: list[HttpConnection] = []
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Relay one request."""
-        await run_route(self._relay, request, responder)
+        await handle_route(self._relay, request, responder)
 
     async def _relay(self, request: HttpRequest, responder: Responder) -> None:
-        if self._idle:
-            connection = self._idle.pop()
+        if self._idle_connections:
+            connection = self._idle_connections.pop()
         else:
             connection = await connect(self._engine, _CONNECT_TIMEOUT_MS)
         await connection.send(request.method, request.path, (), request.body)
@@ -56,10 +56,10 @@
             await responder.send(head.status, (content_type,), body)
         else:
             await responder.start(head.status, (content_type,))
-            while (part := await connection.read_part()) is not None:
-                await responder.write(part)
+            while (chunk := await connection.read_part()) is not None:
+                await responder.write(chunk)
             await responder.finish()
-        self._idle.append(connection)
+        self._idle_connections.append(connection)
 
 
 async def serve_plain_relay(
--- a/packages/toucanyard-standins/src/toucanyard_standins/plain_service.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/plain_service.py
@@ -18,8 +18,8 @@
     ServerLimits,
     find_port,
 )
-from toucanyard_standins.answers import run_route, send_error, send_json
 from toucanyard_standins.faulty_listener import FaultyListener
+from toucanyard_standins.json_responses import handle_route, send_error, send_json
 from toucanyard_standins.network_faults import NetworkFault, apply_network_fault
 
 _LIMITS: Final = ServerLimits(idle_timeout_ms=600_000)
@@ -121,10 +121,10 @@
         self._counters = ServiceCounters(incarnation=self._build_incarnation())
         self._running = 0
         self._load = ServiceLoad(self._counters.incarnation, 0, 0)
-        self._load_taken_s = trio.current_time()
+        self._load_sampled_s = trio.current_time()
         self._work_ms = options.work_ms
-        self._die = DieAfterExecution(count=0)
-        self._delay = DelayAnswers(delay_ms=0, count=0)
+        self._crash_fault = DieAfterExecution(count=0)
+        self._delay_fault = DelayAnswers(delay_ms=0, count=0)
         self._cross_count = 0
         self._is_refusing = False
 
@@ -133,16 +133,16 @@
         while True:
             await trio.sleep(self._options.load_lag_ms / 1000)
             self._load = ServiceLoad(self._counters.incarnation, self._running, 0)
-            self._load_taken_s = trio.current_time()
+            self._load_sampled_s = trio.current_time()
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer one request."""
-        await run_route(self._route, request, responder)
+        await handle_route(self._route, request, responder)
 
     async def _route(self, request: HttpRequest, responder: Responder) -> None:
         match request.method, request.path:
             case "GET", "/load":
-                age_ms = int((trio.current_time() - self._load_taken_s) * 1000)
+                age_ms = int((trio.current_time() - self._load_sampled_s) * 1000)
                 report = msgspec.structs.replace(self._load, age_ms=age_ms)
                 await send_json(responder, 200, report)
             case "POST", "/control":
@@ -157,13 +157,13 @@
     async def _call(self, request: HttpRequest, responder: Responder) -> None:
         if self._is_refusing:
             self._counters.refused += 1
-            echo = (("X-Request-Id", request.headers.get("x-request-id", "")),)
-            await send_error(responder, 503, "takes no calls", echo)
+            identity = (("X-Request-Id", request.headers.get("x-request-id", "")),)
+            await send_error(responder, 503, "takes no calls", identity)
             return
         answer = await self._execute(request)
-        if self._die.count > 0:
-            count, down_ms = self._die.count - 1, self._die.down_ms
-            self._die = DieAfterExecution(count, down_ms)
+        if self._crash_fault.count > 0:
+            count, down_ms = self._crash_fault.count - 1, self._crash_fault.down_ms
+            self._crash_fault = DieAfterExecution(count, down_ms)
             await self._crash(down_ms)
             return
         await self._delay_answer()
@@ -198,9 +198,9 @@
         )
 
     async def _delay_answer(self) -> None:
-        if self._delay.count > 0:
-            delay_ms = self._delay.delay_ms
-            self._delay = DelayAnswers(delay_ms, self._delay.count - 1)
+        if self._delay_fault.count > 0:
+            delay_ms = self._delay_fault.delay_ms
+            self._delay_fault = DelayAnswers(delay_ms, self._delay_fault.count - 1)
             await trio.sleep(delay_ms / 1000)
 
     async def _apply_fault(self, fault: ServiceFault) -> None:
@@ -208,9 +208,9 @@
             case SlowCalls(delay_ms):
                 self._work_ms = delay_ms or self._options.work_ms
             case DieAfterExecution():
-                self._die = fault
+                self._crash_fault = fault
             case DelayAnswers():
-                self._delay = fault
+                self._delay_fault = fault
             case RefuseCalls(is_on):
                 self._is_refusing = is_on
             case CrossAnswers(count):
--- a/packages/toucanyard-standins/src/toucanyard_standins/platform.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/platform.py
@@ -18,8 +18,8 @@
     ServerLimits,
     find_port,
 )
-from toucanyard_standins.answers import run_route, send_error, send_json
 from toucanyard_standins.faulty_listener import FaultyListener
+from toucanyard_standins.json_responses import handle_route, send_error, send_json
 from toucanyard_standins.network_faults import apply_network_fault
 from toucanyard_standins.platform_faults import (
     AgeRecords,
@@ -107,31 +107,33 @@
         self._vms = VmList(options.vm_lag_ms)
         self._weights = WeightStore(options.weights, now_ms)
         self._counters = PlatformCounters()
-        self._down: set[PlatformPart] = set()
+        self._parts_down: set[PlatformPart] = set()
         self._delay_ms: dict[PlatformPart, int] = {}
-        self._lose = LoseAnswers(count=0)
+        self._lost_answers_fault = LoseAnswers(count=0)
         self._appended = trio.Event()
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer one request."""
-        await run_route(self._handle_part, request, responder)
+        await handle_route(self._apply_part_faults, request, responder)
 
-    async def _handle_part(self, request: HttpRequest, responder: Responder) -> None:
+    async def _apply_part_faults(
+        self, request: HttpRequest, responder: Responder
+    ) -> None:
         part = find_part(request.path)
         if request.path == "/log/append":
-            self._count_asked(request)
+            self._count_requested_records(request)
         if part is not None:
             await trio.sleep(self._delay_ms.get(part, 0) / 1000)
-        if part in self._down:
+        if part in self._parts_down:
             await send_error(responder, 503, "outage")
             return
         await self._route(request, responder)
 
-    def _count_asked(self, request: HttpRequest) -> None:
-        counted = self._counters.asked_records
+    def _count_requested_records(self, request: HttpRequest) -> None:
+        counts = self._counters.asked_records
         for text in msgspec.json.decode(request.body, type=AppendBody).records:
             kind = _find_kind(text)
-            counted[kind] = counted.get(kind, 0) + 1
+            counts[kind] = counts.get(kind, 0) + 1
 
     async def _route(self, request: HttpRequest, responder: Responder) -> None:
         match request.method, request.path:
@@ -141,10 +143,10 @@
                 await self._read(request, responder)
             case "GET", "/vms":
                 self._counters.vm_reads += 1
-                shown = self._vms.find_shown(self._now_ms())
-                await send_json(responder, 200, VmListBody(shown))
+                visible = self._vms.find_visible(self._now_ms())
+                await send_json(responder, 200, VmListBody(visible))
             case "POST", path if path.startswith("/weights/"):
-                await self._let_load(responder)
+                await self._handle_load_request(responder)
             case "POST", "/control":
                 fault = msgspec.json.decode(request.body, type=PlatformFault)
                 await self._apply_fault(fault)
@@ -159,25 +161,27 @@
     async def _append(self, request: HttpRequest, responder: Responder) -> None:
         body = msgspec.json.decode(request.body, type=AppendBody)
         now_ms = self._now_ms()
-        if not self._log.take_token(now_ms):
+        if not self._log.consume_token(now_ms):
             self._counters.refused_appends += 1
             await send_error(responder, 429, "over the rate")
             return
         appended = self._log.append(body.records, now_ms)
         self._counters.appends += 1
-        if self._lose.count > 0:
+        if self._lost_answers_fault.count > 0:
             # Readers find it at the end of their wait: by then whoever appended has
             # lost the answer, which a record that came at once would make good for.
-            await self._lose_answer()
+            await self._drop_answer()
             return
         done, self._appended = self._appended, trio.Event()
         done.set()
         await send_json(responder, 200, appended)
 
-    async def _lose_answer(self) -> None:
-        self._lose = LoseAnswers(self._lose.count - 1, self._lose.is_silent)
+    async def _drop_answer(self) -> None:
+        self._lost_answers_fault = LoseAnswers(
+            self._lost_answers_fault.count - 1, self._lost_answers_fault.is_silent
+        )
         self._counters.lost_answers += 1
-        if self._lose.is_silent:
+        if self._lost_answers_fault.is_silent:
             await trio.sleep_forever()
 
     async def _read(self, request: HttpRequest, responder: Responder) -> None:
@@ -190,7 +194,7 @@
                 await self._appended.wait()
         self._log.drop_expired(self._now_ms())
         oldest, end = self._log.find_oldest(), self._log.find_next()
-        if PlatformPart.LOG in self._down:
+        if PlatformPart.LOG in self._parts_down:
             await send_error(responder, 503, "outage")
         elif first < oldest:
             await send_json(responder, 410, RangeBody(oldest, end))
@@ -198,10 +202,10 @@
             records = self._log.find_records(first, limit)
             await send_json(responder, 200, ReadBody(oldest, end, records))
 
-    async def _let_load(self, responder: Responder) -> None:
-        leave = self._weights.ask(self._now_ms())
-        if leave is not None:
-            await send_json(responder, 200, leave)
+    async def _handle_load_request(self, responder: Responder) -> None:
+        permit = self._weights.request_permit(self._now_ms())
+        if permit is not None:
+            await send_json(responder, 200, permit)
             return
         self._counters.weight_refusals += 1
         wait_ms = str(self._weights.compute_wait_ms())
@@ -212,11 +216,11 @@
     async def _apply_fault(self, fault: PlatformFault) -> None:
         match fault:
             case Outage(is_on, part):
-                (self._down.add if is_on else self._down.discard)(part)
+                (self._parts_down.add if is_on else self._parts_down.discard)(part)
             case SlowPart(delay_ms, part):
                 self._delay_ms[part] = delay_ms
             case LoseAnswers():
-                self._lose = fault
+                self._lost_answers_fault = fault
             case ExpireRecords(before):
                 self._log.drop_before(before)
             case AgeRecords(by_ms):
--- a/packages/toucanyard-standins/src/toucanyard_standins/platform_log.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/platform_log.py
@@ -55,7 +55,7 @@
         """Return the lowest offset still kept."""
         return self._records[0].offset if self._records else self._next
 
-    def take_token(self, now_ms: float) -> bool:
+    def consume_token(self, now_ms: float) -> bool:
         """Use up one append of the rate; return whether there was one."""
         options = self._options
         refill = (now_ms - self._refilled_ms) * options.appends_per_s / 1000
--- a/packages/toucanyard-standins/src/toucanyard_standins/platform_vms.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/platform_vms.py
@@ -52,11 +52,11 @@
 class VmList:
     """VMs by name; a change becomes visible after the lag."""
 
-    __slots__ = ("_changes", "_shown", "lag_ms")
+    __slots__ = ("_changes", "_visible", "lag_ms")
 
     def __init__(self, lag_ms: float) -> None:
         self.lag_ms = lag_ms
-        self._shown: dict[str, Vm] = {}
+        self._visible: dict[str, Vm] = {}
         self._changes: deque[_Change] = deque()
 
     def put(self, vm: Vm, now_ms: float) -> None:
@@ -67,12 +67,12 @@
         """Remove one VM."""
         self._changes.append(_Change(now_ms + self.lag_ms, name, None))
 
-    def find_shown(self, now_ms: float) -> tuple[Vm, ...]:
+    def find_visible(self, now_ms: float) -> tuple[Vm, ...]:
         """Return the VMs that readers see now."""
         while self._changes and self._changes[0].visible_ms <= now_ms:
             change = self._changes.popleft()
             if change.vm is None:
-                self._shown.pop(change.name, None)
+                self._visible.pop(change.name, None)
             else:
-                self._shown[change.name] = change.vm
-        return tuple(self._shown.values())
+                self._visible[change.name] = change.vm
+        return tuple(self._visible.values())
--- a/packages/toucanyard-standins/src/toucanyard_standins/platform_weights.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/platform_weights.py
@@ -19,7 +19,7 @@
     """How long a load counts as under way after its start."""
 
 
-class WeightLeave(msgspec.Struct, frozen=True):
+class LoadPermit(msgspec.Struct, frozen=True):
     """Leave to start a load now, and how many times slower it is."""
 
     slowdown: float
@@ -37,7 +37,7 @@
         self._started_ms: deque[float] = deque()
         self.starts = 0
 
-    def ask(self, now_ms: float) -> WeightLeave | None:
+    def request_permit(self, now_ms: float) -> LoadPermit | None:
         """Take a leave, or None while the rate is used up."""
         options = self._options
         refill = (now_ms - self._refilled_ms) * options.starts_per_s / 1000
@@ -50,7 +50,7 @@
         while self._started_ms and self._started_ms[0] < now_ms - options.load_ms:
             self._started_ms.popleft()
         self._started_ms.append(now_ms)
-        return WeightLeave(max(1.0, len(self._started_ms) / _FULL_SPEED_LOADS))
+        return LoadPermit(max(1.0, len(self._started_ms) / _FULL_SPEED_LOADS))
 
     def compute_wait_ms(self) -> int:
         """Return how long until a leave may be had."""
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_baselines.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_baselines.py
@@ -17,7 +17,7 @@
 from toucanyard.requests import ModelTarget, Request
 from toucanyard_standins.policy_engine import FakeEngine
 
-AFFINITY_PLACE: Final = DEPTHS.index(8) + 1
+AFFINITY_DEPTH_INDEX: Final = DEPTHS.index(8) + 1
 
 
 class Baseline(Placement):
@@ -55,8 +55,8 @@
         load = self._view(name).load
         report = load.report
         known = 0 if report is None else report.running + report.waiting
-        fresh = sum(own.sent_ms > load.measured_ms for own in load.own.values())
-        return (known + fresh, self._rng.random())
+        sent_since = sum(own.sent_ms > load.measured_ms for own in load.own.values())
+        return (known + sent_since, self._rng.random())
 
 
 class AffinityOnly(Baseline):
@@ -68,12 +68,12 @@
         """Return the match, negated, and the place in the hash's ranking."""
         warm = self._view(name).count_warm(target)
         keys = target.find_affinity_keys()
-        key = keys[min(AFFINITY_PLACE, len(keys)) - 1]
+        key = keys[min(AFFINITY_DEPTH_INDEX, len(keys)) - 1]
         ring = EndpointRing(names)
         return (-warm, ring.rank(names, key).index(name))
 
 
-class KnowsAll(Baseline):
+class Oracle(Baseline):
     """Choose by the engines' true state, what is queued there included."""
 
     def __init__(
@@ -96,8 +96,8 @@
         jobs = [job for _, _, job in engine.waiting]
         jobs += [engine.prefill] if engine.prefill is not None else []
         for job in jobs:
-            warm = max(warm, count_common(job.chain, chain))
-        ms_per_block = engine.shape.prefill_ms_per_block * engine.slowness
+            warm = max(warm, count_shared_blocks(job.chain, chain))
+        ms_per_block = engine.shape.prefill_ms_per_block * engine.slowdown
         wait_ms = engine.compute_queued_blocks() * ms_per_block
         surplus = len(engine.running) + len(engine.waiting) - engine.shape.slots
         if surplus >= 0:
@@ -108,7 +108,7 @@
         return (wait_ms + missing_ms * self._price, self._rng.random())
 
 
-def count_common(first: Sequence[int], second: Sequence[int]) -> int:
+def count_shared_blocks(first: Sequence[int], second: Sequence[int]) -> int:
     """Return how many leading blocks two chains share."""
     count = 0
     for one, other in zip(first, second, strict=False):
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_conditions.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_conditions.py
@@ -14,7 +14,7 @@
     RANDOM = "random"
     LEAST_LOADED = "least_loaded"
     AFFINITY = "affinity"
-    KNOWS_ALL = "knows_all"
+    ORACLE = "knows_all"
 
 
 class Condition(enum.StrEnum):
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_engine.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_engine.py
@@ -65,18 +65,18 @@
         self.name = name
         self.shape = shape
         self.clock = clock
-        self.slowness = 1.0
+        self.slowdown = 1.0
         self.is_up = True
         self.is_loading = False
         self.weights_version = "w1"
         self.restarts = 0
         self.recomputed_blocks = 0
         self._computed = computed
-        self._begin()
+        self._reset()
         self.snapshots: deque[tuple[float, LoadReport]] = deque(maxlen=KEPT_SNAPSHOTS)
         self._take_snapshot()
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self.incarnation = Incarnation(f"{self.name}-{self.restarts}")
         self.cache: OrderedDict[int, None] = OrderedDict()
         self.events: deque[TimedEvent] = deque(maxlen=KEPT_EVENTS)
@@ -86,7 +86,7 @@
         self.ends_ms: dict[int, float] = {}
         self.prefill: Job | None = None
         self.prefill_ends_ms = 0.0
-        self._order = 0
+        self._submitted = 0
 
     def submit(self, job: Job) -> None:
         """Take one request, or refuse it while down."""
@@ -94,8 +94,8 @@
             job.is_over = True
             job.on_end(job, DispatchEnding.NOT_SENT)
             return
-        self._order += 1
-        heapq.heappush(self.waiting, (job.rank, self._order, job))
+        self._submitted += 1
+        heapq.heappush(self.waiting, (job.rank, self._submitted, job))
         self._start_next()
 
     def stop(self, ending: DispatchEnding = DispatchEnding.LOST) -> None:
@@ -103,7 +103,7 @@
         jobs = [job for _, _, job in self.waiting] + list(self.running.values())
         self.is_up = False
         self.restarts += 1
-        self._begin()
+        self._reset()
         for job in jobs:
             job.is_over = True
             job.on_end(job, ending)
@@ -173,23 +173,23 @@
         self._computed.update(missing)
         self.prefill = job
         self.running[order] = job
-        took_ms = (len(missing) + 1) * self.shape.prefill_ms_per_block * self.slowness
+        took_ms = (len(missing) + 1) * self.shape.prefill_ms_per_block * self.slowdown
         self.prefill_ends_ms = self.clock.now_ms + took_ms
-        token_ms = self.shape.token_ms * self.slowness
+        token_ms = self.shape.token_ms * self.slowdown
         self.ends_ms[order] = self.prefill_ends_ms + job.tokens * token_ms
-        self.clock.call_after(took_ms, lambda: self._end_prefill(order, job))
+        self.clock.call_after(took_ms, lambda: self._complete_prefill(order, job))
 
-    def _end_prefill(self, order: int, job: Job) -> None:
+    def _complete_prefill(self, order: int, job: Job) -> None:
         if job.is_over:
             return
         self.prefill = None
         self._store(job.chain)
         job.on_first_token(job)
         left_ms = self.ends_ms[order] - self.clock.now_ms
-        self.clock.call_after(left_ms, lambda: self._end(order, job))
+        self.clock.call_after(left_ms, lambda: self._complete(order, job))
         self._start_next()
 
-    def _end(self, order: int, job: Job) -> None:
+    def _complete(self, order: int, job: Job) -> None:
         if job.is_over:
             return
         job.is_over = True
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_node.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_node.py
@@ -58,12 +58,12 @@
         self.admission = Admission(AdmissionLimits(), self.rng)
         self.admission.apply_node_count(run.deployment.nodes)
         self.admission.apply_configuration(run.configuration)
-        self.placement = run.make_chooser(self.rng)
+        self.placement = run.build_placement(self.rng)
         self.placement.apply_node_count(run.deployment.nodes)
         self.tasks: dict[RequestId, Task] = {}
         self.read_seqs: dict[EndpointName, tuple[str, int]] = {}
         self.down: set[EndpointName] = set()
-        self.is_gone = False
+        self.is_stopped = False
         run.clock.call_after(self.rng.uniform(0.0, POLL_MS), self.poll)
         run.clock.call_after(TICK_MS, self.tick)
 
@@ -74,13 +74,13 @@
 
     def tick(self) -> None:
         """Let admission refuse what is late."""
-        if not self.is_gone:
+        if not self.is_stopped:
             self._apply(self.admission.tick(self.run.clock.now_ms))
             self.run.clock.call_after(TICK_MS, self.tick)
 
     def poll(self) -> None:
         """Fetch load reports, cache events and dumps of all engines."""
-        if self.is_gone:
+        if self.is_stopped:
             return
         now_ms = self.run.clock.now_ms
         for engine in self.run.engines.values():
@@ -124,7 +124,7 @@
                     self._dispatch(task)
                 case Refuse(request_id=request_id, retry_after_ms=retry_after_ms):
                     task = self.tasks.pop(request_id)
-                    self.run.note_refusal(task, retry_after_ms)
+                    self.run.record_refused_task(task, retry_after_ms)
 
     def _dispatch(self, task: Task) -> None:
         request = task.request
@@ -158,12 +158,12 @@
             target.find_chain(engine.weights_version),
             task.arrival.tokens,
             task.priority,
-            partial(self._note_first_token, task),
-            partial(self._note_end, task),
+            partial(self._record_first_token, task),
+            partial(self._record_end, task),
         )
         engine.submit(job)
 
-    def _note_first_token(self, task: Task, job: Job) -> None:
+    def _record_first_token(self, task: Task, job: Job) -> None:
         run = self.run
         now_ms = run.clock.now_ms + run.deployment.one_way_ms
         after_ms = now_ms - task.sent_ms
@@ -174,16 +174,16 @@
         task.weights_version = run.engines[task.endpoint].weights_version
         missing = len(job.chain) - job.warm_blocks
         work_ms = missing * run.deployment.policy.prefill_ms_per_block
-        run.note_prompt(task, job)
-        if self.is_gone:
+        run.record_prompt_blocks(task, job)
+        if self.is_stopped:
             return
         self.placement.record_first_token(request_id, task.endpoint, after_ms, now_ms)
         self.admission.record_first_token(request_id, after_ms - work_ms, now_ms)
 
-    def _note_end(self, task: Task, job: Job, ending: DispatchEnding) -> None:
+    def _record_end(self, task: Task, job: Job, ending: DispatchEnding) -> None:
         now_ms = self.run.clock.now_ms
         assert task.endpoint is not None
-        if not self.is_gone:
+        if not self.is_stopped:
             engine = self.run.engines[task.endpoint]
             incarnation = engine.incarnation if engine.is_up else None
             outcome = Outcome(
@@ -195,30 +195,30 @@
             )
             self.placement.record_dispatch_end(task.request, outcome, now_ms)
         if ending == DispatchEnding.COMPLETED:
-            self.run.note_served(task)
+            self.run.record_served(task)
             self._finish(task)
             return
-        if not self.is_gone:
-            self._note_down(task.endpoint)
+        if not self.is_stopped:
+            self._record_down(task.endpoint)
             self.admission.record_failure(task.request.request_id, now_ms)
-        if not self.is_gone and self.admission.may_retry(task.attempt):
+        if not self.is_stopped and self.admission.may_retry(task.attempt):
             self.run.result.retries += 1
             self._dispatch(task)
             return
         self._fail(task)
 
-    def _note_down(self, name: EndpointName) -> None:
+    def _record_down(self, name: EndpointName) -> None:
         if name not in self.down:
             self.down.add(name)
             delay_ms = DETECTION_MS
             self.run.clock.call_after(delay_ms, lambda: self.down.discard(name))
 
     def _fail(self, task: Task) -> None:
-        self.run.note_failed(task)
+        self.run.record_failed(task)
         self._finish(task)
 
     def _finish(self, task: Task) -> None:
         self.tasks.pop(task.request.request_id, None)
-        if not self.is_gone:
+        if not self.is_stopped:
             now_ms = self.run.clock.now_ms
             self._apply(self.admission.release(task.request.request_id, now_ms))
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_report.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_report.py
@@ -17,7 +17,7 @@
 from matplotlib import axes, pyplot
 
 BASELINES: Final = (Policy.RANDOM, Policy.LEAST_LOADED, Policy.AFFINITY)
-STORMS: Final = (Condition.OVERLOAD_1_5, Condition.OVERLOAD_3)
+OVERLOADS: Final = (Condition.OVERLOAD_1_5, Condition.OVERLOAD_3)
 TOKENS_PER_BLOCK: Final = 64
 """Tokens of one block of 256 bytes, at four bytes a token."""
 MAX_RATIO: Final = 0.6
@@ -112,11 +112,11 @@
     lines.append(header)
     for deployment, condition, policy in find_groups(results):
         line = f"{deployment:11}{condition:14}{policy:14}"
-        for _, measure, shape in MEASURES:
+        for _, measure, format_spec in MEASURES:
             values = find_values(results, deployment, condition, policy, measure)
-            middle = statistics.median(values)
-            spread = f"[{min(values):{shape}}..{max(values):{shape}}]"
-            line += f"{f'{middle:{shape}} {spread}':>30}"
+            median_value = statistics.median(values)
+            spread = f"[{min(values):{format_spec}}..{max(values):{format_spec}}]"
+            line += f"{f'{median_value:{format_spec}} {spread}':>30}"
         lines.append(line)
     return "\n".join(lines)
 
@@ -155,7 +155,7 @@
     text = f"{name} beside the best baseline"
     aims.append(Aim(deployment, condition, text, ratio, MAX_RATIO))
     if deployment == "hangang":
-        bound = find_median(Policy.KNOWS_ALL, measure_hits)
+        bound = find_median(Policy.ORACLE, measure_hits)
         gap = bound - find_median(Policy.TOUCANYARD, measure_hits)
         text = "hit rate behind the one that knows all"
         aims.append(Aim(deployment, condition, text, gap, MAX_HIT_GAP))
@@ -166,7 +166,7 @@
     served = [find_median(each, measure_served) for each in BASELINES]
     loss = max(served) / max(find_median(Policy.TOUCANYARD, measure_served), 1e-9)
     aims.append(Aim(deployment, condition, "served no fewer", loss, MAX_LOSS))
-    if condition in STORMS:
+    if condition in OVERLOADS:
         seconds = find_median(Policy.TOUCANYARD, measure_recovery)
         text = "seconds until 95% of the goodput before"
         aims.append(Aim(deployment, condition, text, seconds, MAX_RECOVERY_S))
@@ -238,15 +238,15 @@
     )
     policies = list(dict.fromkeys(key.policy for key in results))
     width = 0.8 / len(policies)
-    for place, policy in enumerate(policies):
+    for index, policy in enumerate(policies):
         groups = [
             find_values(results, deployment, condition, policy, measure)
             for condition in conditions
         ]
-        middles = [statistics.median(values) for values in groups]
-        below = [m - min(values) for m, values in zip(middles, groups, strict=True)]
-        above = [max(values) - m for m, values in zip(middles, groups, strict=True)]
-        places = [number + place * width for number in range(len(conditions))]
-        axis.bar(places, middles, width, yerr=[below, above], label=policy)
+        medians = [statistics.median(values) for values in groups]
+        below = [m - min(values) for m, values in zip(medians, groups, strict=True)]
+        above = [max(values) - m for m, values in zip(medians, groups, strict=True)]
+        positions = [number + index * width for number in range(len(conditions))]
+        axis.bar(positions, medians, width, yerr=[below, above], label=policy)
     axis.set_xticks([number + 0.4 for number in range(len(conditions))], conditions)
     axis.tick_params(axis="x", labelsize=7)
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_run.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_run.py
@@ -27,8 +27,8 @@
 from toucanyard_standins.policy_baselines import (
     AffinityOnly,
     Baseline,
-    KnowsAll,
     LeastLoaded,
+    Oracle,
 )
 from toucanyard_standins.policy_conditions import Condition, Policy, Result
 from toucanyard_standins.policy_engine import FakeEngine, Job
@@ -44,13 +44,13 @@
 from toucanyard_standins.virtual_clock import VirtualClock
 
 END_MS: Final = 26_000.0
-MIDDLE_MS: Final = 10_000.0
-STORM_MS: Final = 6_000.0
-COOL_MS: Final = 12_000.0
+DISRUPTION_START_MS: Final = 10_000.0
+OVERLOAD_MS: Final = 6_000.0
+COOL_DOWN_MS: Final = 12_000.0
 WARM_UP_MS: Final = 6_000.0
 LOAD_LAG_MS: Final = 300.0
 LOAD_INTERVAL_MS: Final = 2_000.0
-LEAVE_MS: Final = 1_500.0
+DRAIN_MS: Final = 1_500.0
 MAX_CALLER_TRIES: Final = 3
 UNITS_PER_MS: Final = 10
 
@@ -87,7 +87,7 @@
         self._candidates: dict[tuple[str, ...], tuple[Endpoint, ...]] = {}
         self._histogram = HdrHistogram(1, 600_000, 3)
         self._smallest = HdrHistogram(1, 600_000, 3)
-        seconds = int(END_MS + COOL_MS) // 1_000
+        seconds = int(END_MS + COOL_DOWN_MS) // 1_000
         self.result.served_at_s = [0] * seconds
         self.result.offered_at_s = [0] * seconds
 
@@ -95,10 +95,10 @@
         """Run to the end and return the measures."""
         for arrival in self._make_arrivals():
             delay_ms = arrival.at_ms
-            self.clock.call_after(delay_ms, partial(self._arrive, arrival))
+            self.clock.call_after(delay_ms, partial(self._offer_arrival, arrival))
         self._schedule_faults()
         # Whatever is still on its way is waited for: left out, the worst would be.
-        end_ms = END_MS + COOL_MS
+        end_ms = END_MS + COOL_DOWN_MS
         while self.clock.now_ms < end_ms or self._count_open() > 0:
             self.clock.run_until(self.clock.now_ms + 1_000.0)
         result = self.result
@@ -112,7 +112,7 @@
         result.recovery_s = compute_recovery(result)
         return result
 
-    def make_chooser(self, rng: random.Random) -> Placement:
+    def build_placement(self, rng: random.Random) -> Placement:
         """Return a new chooser of this run's policy."""
         match self.policy:
             case Policy.TOUCANYARD:
@@ -123,9 +123,9 @@
                 return LeastLoaded(rng)
             case Policy.AFFINITY:
                 return AffinityOnly(rng)
-            case Policy.KNOWS_ALL:
+            case Policy.ORACLE:
                 price = self.deployment.policy.recompute_price
-                return KnowsAll(rng, self.engines, price)
+                return Oracle(rng, self.engines, price)
 
     def find_candidates(
         self, weights_version: str | None, down: set[EndpointName]
@@ -144,47 +144,47 @@
             self._candidates[names] = found
         return found
 
-    def note_prompt(self, task: Task, job: Job) -> None:
+    def record_prompt_blocks(self, task: Task, job: Job) -> None:
         """Count a prompt's warm blocks."""
         self.result.prompt_blocks += len(job.chain)
         self.result.warm_blocks += job.warm_blocks
 
-    def note_served(self, task: Task) -> None:
+    def record_served(self, task: Task) -> None:
         """Count a complete answer, or a failure if it began after the deadline."""
         assert task.first_token_ms is not None
         since_ms = task.request.arrived_ms - task.arrival.at_ms
         if task.first_token_ms - since_ms > self.deployment.deadline_ms:
             self.result.failed += 1
-            self._record(task, task.first_token_ms)
+            self._record_latency(task, task.first_token_ms)
             return
         self.result.served += 1
         second = int(self.clock.now_ms) // 1_000
         if second < len(self.result.served_at_s):
             self.result.served_at_s[second] += 1
-        self._record(task, task.first_token_ms)
+        self._record_latency(task, task.first_token_ms)
 
-    def note_failed(self, task: Task) -> None:
+    def record_failed(self, task: Task) -> None:
         """Count a request that got no answer; its time counts as the deadline."""
         self.result.failed += 1
-        self._record(task, self.deployment.deadline_ms)
+        self._record_latency(task, self.deployment.deadline_ms)
 
-    def note_refusal(self, task: Task, retry_after_ms: int) -> None:
+    def record_refused_task(self, task: Task, retry_after_ms: int) -> None:
         """Let the caller come back when it was told to, or give up."""
         if task.tries >= MAX_CALLER_TRIES:
             self.result.refused += 1
             if self.condition not in (Condition.OVERLOAD_1_5, Condition.OVERLOAD_3):
-                self._record(task, self.deployment.deadline_ms)
+                self._record_latency(task, self.deployment.deadline_ms)
             return
         arrival, tries = task.arrival, task.tries + 1
         self.clock.call_after(
-            retry_after_ms, lambda: self._arrive(arrival, tries=tries)
+            retry_after_ms, lambda: self._offer_arrival(arrival, tries=tries)
         )
 
     def _count_open(self) -> int:
         result = self.result
         return result.offered - result.served - result.refused - result.failed
 
-    def _record(self, task: Task, first_token_ms: float) -> None:
+    def _record_latency(self, task: Task, first_token_ms: float) -> None:
         if task.arrival.at_ms < WARM_UP_MS:
             return
         units = max(int(first_token_ms * UNITS_PER_MS), 1)
@@ -207,7 +207,7 @@
     def _make_arrivals(self) -> list[Arrival]:
         deployment = self.deployment
         over = deployment.capacity_per_s / deployment.per_s
-        window = (MIDDLE_MS, MIDDLE_MS + STORM_MS)
+        window = (DISRUPTION_START_MS, DISRUPTION_START_MS + OVERLOAD_MS)
         match self.condition:
             case Condition.OVERLOAD_1_5:
                 return make_arrivals(
@@ -220,11 +220,13 @@
             case Condition.FLOOD:
                 return make_arrivals(deployment, self.seed, END_MS, flood=6.0)
             case Condition.HERD:
-                return make_arrivals(deployment, self.seed, END_MS, shift_ms=MIDDLE_MS)
+                return make_arrivals(
+                    deployment, self.seed, END_MS, shift_ms=DISRUPTION_START_MS
+                )
             case _:
                 return make_arrivals(deployment, self.seed, END_MS)
 
-    def _arrive(self, arrival: Arrival, tries: int = 1) -> None:
+    def _offer_arrival(self, arrival: Arrival, tries: int = 1) -> None:
         now_ms = self.clock.now_ms
         if tries == 1:
             self.result.offered += 1
@@ -259,46 +261,46 @@
         engines = list(self.engines.values())
         match self.condition:
             case Condition.CRASH:
-                self.clock.call_after(MIDDLE_MS, engines[0].stop)
-                self.clock.call_after(MIDDLE_MS + 2_000.0, engines[0].start)
+                self.clock.call_after(DISRUPTION_START_MS, engines[0].stop)
+                self.clock.call_after(DISRUPTION_START_MS + 2_000.0, engines[0].start)
             case Condition.SLOW_REPLICA:
-                engines[0].slowness = 4.0
+                engines[0].slowdown = 4.0
             case Condition.HERD:
-                self.clock.call_after(MIDDLE_MS, self._restart_nodes)
+                self.clock.call_after(DISRUPTION_START_MS, self._restart_nodes)
             case Condition.ROLL_OUT:
-                self.clock.call_after(MIDDLE_MS, self._patch)
+                self.clock.call_after(DISRUPTION_START_MS, self._publish_weights)
                 for number, engine in enumerate(engines):
-                    delay_ms = MIDDLE_MS + LOAD_INTERVAL_MS * number
-                    self.clock.call_after(delay_ms, partial(self._load, engine))
+                    delay_ms = DISRUPTION_START_MS + LOAD_INTERVAL_MS * number
+                    self.clock.call_after(delay_ms, partial(self._start_load, engine))
             case _:
                 return
 
-    def _patch(self) -> None:
+    def _publish_weights(self) -> None:
         self.weights_version = "w2"
 
-    def _load(self, engine: FakeEngine) -> None:
+    def _start_load(self, engine: FakeEngine) -> None:
         engine.is_loading = True
         # The old run's requests are served to their end before the weights change.
-        self.clock.call_after(LEAVE_MS, partial(self._swap, engine))
+        self.clock.call_after(DRAIN_MS, partial(self._finish_load, engine))
 
-    def _swap(self, engine: FakeEngine) -> None:
+    def _finish_load(self, engine: FakeEngine) -> None:
         engine.stop()
         engine.start("w2")
 
     def _restart_nodes(self) -> None:
         for number, node in enumerate(self.nodes):
-            node.is_gone = True
+            node.is_stopped = True
             for task in list(node.tasks.values()):
                 if task.endpoint is None:
-                    node.run.note_failed(task)
+                    node.run.record_failed(task)
             self.nodes[number] = Node(self, number)
 
 
 def compute_recovery(result: Result) -> float:
     """Return seconds after the storm until goodput holds 95% of that before it."""
-    start, end = int(WARM_UP_MS) // 1_000, int(MIDDLE_MS) // 1_000
+    start, end = int(WARM_UP_MS) // 1_000, int(DISRUPTION_START_MS) // 1_000
     before = sum(result.served_at_s[start:end]) / (end - start)
-    first = int(MIDDLE_MS + STORM_MS) // 1_000
+    first = int(DISRUPTION_START_MS + OVERLOAD_MS) // 1_000
     last = int(END_MS) // 1_000
     for second in range(first, last - 2):
         after = sum(result.served_at_s[second : second + 3]) / 3
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_workload.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_workload.py
@@ -23,7 +23,7 @@
 """Time over which the load rises at the beginning, when all engines are empty."""
 
 
-class Part(msgspec.Struct, frozen=True):
+class PromptLevel(msgspec.Struct, frozen=True):
     """One level of a prompt: its name and length in blocks."""
 
     name: str
@@ -36,7 +36,7 @@
     at_ms: float
     customer: int
     priority: PriorityClass
-    parts: tuple[Part, ...]
+    levels: tuple[PromptLevel, ...]
     tokens: int
 
 
@@ -85,13 +85,15 @@
 )
 
 
-def make_chain(customer: int, weights: str, parts: tuple[Part, ...]) -> tuple[int, ...]:
+def make_chain(
+    customer: int, weights: str, levels: tuple[PromptLevel, ...]
+) -> tuple[int, ...]:
     """Return the hashes of a prompt's blocks under one customer and weights."""
     parent = xxhash.xxh3_64_intdigest(f"{customer} {weights}".encode())
     chain: list[int] = []
-    for part in parts:
-        for number in range(part.blocks):
-            text = f"{parent} {part.name} {number}"
+    for level in levels:
+        for number in range(level.blocks):
+            text = f"{parent} {level.name} {number}"
             parent = xxhash.xxh3_64_intdigest(text.encode())
             chain.append(parent)
     return tuple(chain)
@@ -111,7 +113,7 @@
         chain = self._chains.get(weights_version)
         if chain is None:
             arrival = self._arrival
-            chain = make_chain(arrival.customer, weights_version, arrival.parts)
+            chain = make_chain(arrival.customer, weights_version, arrival.levels)
             self._chains[weights_version] = chain
         return chain
 
@@ -137,19 +139,19 @@
         now_ms += rng.expovariate(deployment.per_s * peak / 1_000)
         if now_ms >= end_ms:
             break
-        wanted = surge[2] if surge[0] <= now_ms < surge[1] else 1.0
-        wanted *= min(now_ms / RAMP_MS, 1.0)
+        rate_factor = surge[2] if surge[0] <= now_ms < surge[1] else 1.0
+        rate_factor *= min(now_ms / RAMP_MS, 1.0)
         weights = [CUSTOMER_SHARES[0] * flood, *CUSTOMER_SHARES[1:]]
-        if rng.random() >= wanted * sum(weights) / peak:
+        if rng.random() >= rate_factor * sum(weights) / peak:
             continue
         customer = rng.choices(range(8), weights)[0]
         edition = "new" if now_ms >= shift_ms else "old"
-        arrivals.append(_make_one(deployment, rng, now_ms, customer, edition))
+        arrivals.append(_make_arrival(deployment, rng, now_ms, customer, edition))
     arrivals += _make_bursts(deployment, rng, end_ms)
     return sorted(arrivals, key=lambda arrival: arrival.at_ms)
 
 
-def _make_one(
+def _make_arrival(
     deployment: Deployment,
     rng: random.Random,
     now_ms: float,
@@ -157,31 +159,31 @@
     edition: str,
 ) -> Arrival:
     tail = f"tail {now_ms}"
-    parts: tuple[Part, ...]
+    levels: tuple[PromptLevel, ...]
     if deployment.name == "hangang":
-        parts = (
-            Part(f"template {edition}", 128),
-            Part(f"language {rng.randrange(4)}", 32),
-            Part(f"station {rng.randrange(5)}", 16),
-            Part(tail, rng.randint(4, 12)),
+        levels = (
+            PromptLevel(f"template {edition}", 128),
+            PromptLevel(f"language {rng.randrange(4)}", 32),
+            PromptLevel(f"station {rng.randrange(5)}", 16),
+            PromptLevel(tail, rng.randint(4, 12)),
         )
         tokens = rng.randint(80, 200)
-        return Arrival(now_ms, customer, PriorityClass.DRAFT, parts, tokens)
+        return Arrival(now_ms, customer, PriorityClass.DRAFT, levels, tokens)
     if rng.random() < 0.4:
-        parts = (
-            Part(f"rulebook {edition}", 96),
-            Part(f"route {rng.randrange(6)}", 24),
-            Part(tail, rng.randint(3, 9)),
+        levels = (
+            PromptLevel(f"rulebook {edition}", 96),
+            PromptLevel(f"route {rng.randrange(6)}", 24),
+            PromptLevel(tail, rng.randint(3, 9)),
         )
         tokens = rng.randint(15, 50)
-        return Arrival(now_ms, customer, PriorityClass.CHECK, parts, tokens)
-    parts = (
-        Part(f"riders {edition}", 8),
-        Part(f"kiosk {rng.randrange(10)}", 4),
-        Part(tail, rng.randint(1, 3)),
+        return Arrival(now_ms, customer, PriorityClass.CHECK, levels, tokens)
+    levels = (
+        PromptLevel(f"riders {edition}", 8),
+        PromptLevel(f"kiosk {rng.randrange(10)}", 4),
+        PromptLevel(tail, rng.randint(1, 3)),
     )
     tokens = rng.randint(30, 90)
-    return Arrival(now_ms, customer, PriorityClass.CHAT, parts, tokens)
+    return Arrival(now_ms, customer, PriorityClass.CHAT, levels, tokens)
 
 
 def _make_bursts(
@@ -194,23 +196,23 @@
         customer = rng.choices(range(8), CUSTOMER_SHARES)[0]
         for number in range(24):
             at_ms = start_ms + rng.uniform(0.0, 1_500.0)
-            tail = Part(f"burst {start_ms} {number}", rng.randint(2, 6))
-            parts: tuple[Part, ...]
+            tail = PromptLevel(f"burst {start_ms} {number}", rng.randint(2, 6))
+            levels: tuple[PromptLevel, ...]
             if deployment.name == "hangang":
-                parts = (
-                    Part("template old", 128),
-                    Part(f"incident {start_ms}", 48),
-                    Part(f"language {number % 4}", 8),
+                levels = (
+                    PromptLevel("template old", 128),
+                    PromptLevel(f"incident {start_ms}", 48),
+                    PromptLevel(f"language {number % 4}", 8),
                     tail,
                 )
                 kind, tokens = PriorityClass.DRAFT, rng.randint(80, 200)
             else:
-                parts = (
-                    Part("riders old", 8),
-                    Part(f"shift {start_ms}", 24),
+                levels = (
+                    PromptLevel("riders old", 8),
+                    PromptLevel(f"shift {start_ms}", 24),
                     tail,
                 )
                 kind, tokens = PriorityClass.CHAT, rng.randint(20, 60)
-            bursts.append(Arrival(at_ms, customer, kind, parts, tokens))
+            bursts.append(Arrival(at_ms, customer, kind, levels, tokens))
         start_ms += 6_000.0
     return bursts
--- a/packages/toucanyard-standins/src/toucanyard_standins/prefix_load.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/prefix_load.py
@@ -40,7 +40,7 @@
     tokens: int = 4
 
 
-class RequestSeen(msgspec.Struct, frozen=True):
+class RequestResult(msgspec.Struct, frozen=True):
     """What one caller saw; `error` is empty where the answer was whole."""
 
     node: str
@@ -62,7 +62,7 @@
             self._write_text(shape.template_blocks) for _ in range(shape.templates)
         ]
         self.targets: tuple[ProcessHandle, ...] = ()
-        self.seen: list[RequestSeen] = []
+        self.results: list[RequestResult] = []
 
     async def run(self) -> None:
         """Send requests until cancelled."""
@@ -75,12 +75,12 @@
 
     def find_between(
         self, from_s: float, to_s: float, nodes: Sequence[ProcessHandle]
-    ) -> list[RequestSeen]:
+    ) -> list[RequestResult]:
         """Return the requests that began in an interval at some nodes."""
         names = {node.name for node in nodes}
         return [
             each
-            for each in self.seen
+            for each in self.results
             if from_s <= each.started_s < to_s and each.node in names
         ]
 
@@ -93,18 +93,18 @@
 
     async def _send(self, node: ProcessHandle, prompt: str) -> None:
         started_s = time.monotonic()
-        seen = RequestSeen(node.name, started_s, 0.0, 0, 0, "timeout")
+        result = RequestResult(node.name, started_s, 0.0, 0, 0, "timeout")
         with trio.move_on_after(_TIMEOUT_S):
             try:
                 connection = await connect(node.address, _CONNECT_TIMEOUT_MS)
                 try:
-                    seen = await self._exchange(connection, node, prompt, started_s)
+                    result = await self._exchange(connection, node, prompt, started_s)
                 finally:
                     await connection.close()
             except ConnectionFailedError as error:
                 text = f"connection: {error}"
-                seen = RequestSeen(node.name, started_s, 0.0, 0, 0, text)
-        self.seen.append(seen)
+                result = RequestResult(node.name, started_s, 0.0, 0, 0, text)
+        self.results.append(result)
 
     async def _exchange(
         self,
@@ -112,7 +112,7 @@
         node: ProcessHandle,
         prompt: str,
         started_s: float,
-    ) -> RequestSeen:
+    ) -> RequestResult:
         target = Target(node.address, CALLER_KEY)
         body = encode_completion(prompt, self._shape.tokens, is_stream=True)
         headers = target.build_headers()
@@ -120,16 +120,16 @@
         head = await connection.read_head()
         answer = b""
         first_s = 0.0
-        while (part := await connection.read_part()) is not None:
-            answer += part
+        while (chunk := await connection.read_part()) is not None:
+            answer += chunk
             if not first_s and _EVENT_MARK in answer:
                 first_s = time.monotonic()
         usage = _USAGE.search(answer)
         if head.status != 200 or _DONE_MARK not in answer or usage is None:
-            return RequestSeen(
+            return RequestResult(
                 node.name, started_s, 0.0, 0, 0, find_error(head.status, answer)
             )
-        return RequestSeen(
+        return RequestResult(
             node.name,
             started_s,
             (first_s - started_s) * 1000,
--- a/packages/toucanyard-standins/src/toucanyard_standins/processes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/processes.py
@@ -15,7 +15,7 @@
 
 _READY_TIMEOUT_S: Final = 15.0
 _STOP_TIMEOUT_S: Final = 5.0
-_POLL_S: Final = 0.02
+_POLL_INTERVAL_S: Final = 0.02
 _READY_MARK: Final = "event=listening"
 
 
@@ -50,14 +50,14 @@
         """Return what the process wrote so far."""
         return self.log_file.read_text(errors="replace")
 
-    def find_cpu_s(self) -> float:
+    def read_cpu_s(self) -> float:
         """Return the processor time the process has used."""
         stat = Path(f"/proc/{self.process.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
-    def find_resident_bytes(self) -> int:
+    def read_resident_bytes(self) -> int:
         """Return the memory that the process holds."""
         statm = Path(f"/proc/{self.process.pid}/statm").read_text().split()
         return int(statm[1]) * os.sysconf("SC_PAGE_SIZE")
@@ -70,7 +70,7 @@
         """Stop the process without its knowing."""
         self.process.send_signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Let a paused process go on."""
         self.process.send_signal(signal.SIGCONT)
 
@@ -118,7 +118,7 @@
                 return
         if not is_running:
             raise HarnessError(f"{handle.name} ended:\n{handle.read_log()}")
-        await trio.sleep(_POLL_S)
+        await trio.sleep(_POLL_INTERVAL_S)
 
 
 def parse_ready_line(line: str) -> dict[str, Address]:
--- a/packages/toucanyard-standins/src/toucanyard_standins/version_watch.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/version_watch.py
@@ -47,7 +47,7 @@
         """Return the highest version that a node has shown."""
         return self._highest.get(node, 0)
 
-    def note(self, node: str, version: int) -> None:
+    def record_version(self, node: str, version: int) -> None:
         """Take in what one node shows."""
         self.reads += 1
         highest = self.find_highest(node)
@@ -60,11 +60,11 @@
         """Ask one process for its status until it has ended."""
         while node.is_running():
             try:
-                await self._follow_connection(node)
+                await self._poll_connection(node)
             except ConnectionFailedError:
                 await trio.sleep(_INTERVAL_S)
 
-    async def _follow_connection(self, node: ProcessHandle) -> None:
+    async def _poll_connection(self, node: ProcessHandle) -> None:
         connection = await connect(node.addresses["operators"], _TIMEOUT_MS)
         try:
             while connection.is_reusable():
@@ -84,4 +84,4 @@
             # A node without a configuration knows no operator and shows no version.
             if head.status == 200:
                 version = msgspec.json.decode(body, type=_Status).version
-                self.note(name, version)
+                self.record_version(name, version)
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -15,7 +15,7 @@
 from toucanyard_standins.harness import ask, wait_until_serving
 from toucanyard_standins.platform_faults import SlowPart
 from toucanyard_standins.version_watch import VersionWatch
-from world import PATIENCE_S, World
+from world import TIMEOUT_S, World
 
 FOREIGN = '{"kind": "other"}'
 MIN_READS = 100
@@ -92,7 +92,7 @@
         nodes[index] = await world.harness.start_node(name, find_domain(index))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.watch.follow, nodes[index])
-            await wait_until_serving(nodes[index], CALLER_KEY, PATIENCE_S)
+            await wait_until_serving(nodes[index], CALLER_KEY, TIMEOUT_S)
             nursery.cancel_scope.cancel()
 
     async def restart_all() -> None:
--- a/tests/features/steps/fault_steps.py
+++ b/tests/features/steps/fault_steps.py
@@ -98,13 +98,13 @@
 
 
 @given("node {number:d} has a witness")
-def wait_witness(context: Context, number: int) -> None:
+def wait_backup(context: Context, number: int) -> None:
     world: World = context.world
 
-    def has_witness() -> bool:
+    def has_backup() -> bool:
         return world.count_peers(number) > 0
 
-    world.wait_for("a link to a peer", has_witness)
+    world.wait_for("a link to a peer", has_backup)
 
 
 @when("a claim is on its way to the log")
@@ -167,7 +167,9 @@
     'a caller sends a hold with key "{key}" and {patience_ms:d} ms of patience'
     " to node {number:d}"
 )
-def hold_patient(context: Context, key: str, patience_ms: int, number: int) -> None:
+def hold_with_deadline(
+    context: Context, key: str, patience_ms: int, number: int
+) -> None:
     headers = (("Idempotency-Key", key), ("X-Deadline-Ms", str(patience_ms)))
     context.world.ask_node(number, "POST", HOLDS, BODY, headers)
 
@@ -186,7 +188,7 @@
 
 
 @when('{count:d} callers send a hold with key "{key}" over all nodes at once')
-def storm(context: Context, count: int, key: str) -> None:
+def send_concurrent_holds(context: Context, count: int, key: str) -> None:
     world: World = context.world
     nodes = len(world.deployment.nodes)
     for number in range(count):
@@ -244,7 +246,7 @@
 
 
 @then('no answer says "{ending}" if the hold "{key}" ran')
-def check_truth(context: Context, ending: str, key: str) -> None:
+def check_no_false_ending(context: Context, ending: str, key: str) -> None:
     world: World = context.world
     endings = [seen.find_ending() for seen in world.seen if seen.is_whole]
     assert world.count_holds(key) == 0 or ending not in endings, endings
--- a/tests/features/steps/handover_steps.py
+++ b/tests/features/steps/handover_steps.py
@@ -22,7 +22,7 @@
 from world import World
 
 ANY = Address("127.0.0.1:0")
-SOON_MS = 100
+SHORT_MS = 100
 SILENT_MS = 600_000
 LONG_MS = 50_000
 
@@ -41,14 +41,14 @@
 def start_stoppable(context: Context, nodes: int) -> None:
     options = msgspec.structs.replace(
         build_options(),
-        callers=CallerLimits(locate_ttl_ms=SOON_MS),
-        drain=DrainTimings(min_notice_ms=SOON_MS),
+        callers=CallerLimits(locate_ttl_ms=SHORT_MS),
+        drain=DrainTimings(min_notice_ms=SHORT_MS),
     )
     start_linked(context, nodes, options)
 
 
 @given("{nodes:d} nodes that wait long for records of the log")
-def start_patient(context: Context, nodes: int) -> None:
+def start_with_long_log_poll(context: Context, nodes: int) -> None:
     """Let no read of the log time out while its node is paused."""
     timings = ConfigurationTimings(log_poll_wait_ms=LONG_MS, stale_after_ms=LONG_MS)
     options = msgspec.structs.replace(build_options(), configuration=timings)
@@ -105,7 +105,7 @@
     'a caller sends a first try of a hold with key "{key}" and {patience_ms:d} ms'
     " of patience"
 )
-def hold_first_patient(context: Context, key: str, patience_ms: int) -> None:
+def hold_first_with_deadline(context: Context, key: str, patience_ms: int) -> None:
     headers = (
         ("Idempotency-Key", key),
         ("X-Key-Age-Ms", "0"),
--- a/tests/features/steps/rollout_steps.py
+++ b/tests/features/steps/rollout_steps.py
@@ -11,9 +11,9 @@
 from toucanyard_node.http_client import fetch
 from toucanyard_standins.deployment import OPERATOR_KEY
 from toucanyard_standins.harness import ask
-from world import Seen, World, build_completion, request
+from world import RequestResult, World, build_completion, request
 
-PAUSE_S = 0.05
+INTERVAL_S = 0.05
 
 
 @when("callers keep sending completions to every node")
@@ -23,11 +23,11 @@
 
     async def send_on(address: str) -> None:
         while True:
-            seen = Seen()
+            seen = RequestResult()
             body = build_completion(PROMPT, 2, is_stream=False)
             await request(address, "POST", COMPLETIONS, body, (), seen)
             context.sent.append(seen)
-            await trio.sleep(PAUSE_S)
+            await trio.sleep(INTERVAL_S)
 
     for node in world.deployment.nodes:
         world.portal.spawn(send_on, node.address)
@@ -71,7 +71,7 @@
     assert not failed, (len(failed), len(context.sent), failed[:3])
 
 
-def find_holder(world: World) -> int:
+def find_lease_holder(world: World) -> int:
     """Return the number of the node that holds a duty; 0 if none does."""
     for number in range(1, len(world.deployment.nodes) + 1):
         if not world.find_node(number).is_running():
@@ -84,13 +84,13 @@
 
 @given("a node holds the duty")
 def wait_holder(context: Context) -> None:
-    context.world.wait_for("a holder", lambda: find_holder(context.world) > 0)
+    context.world.wait_for("a holder", lambda: find_lease_holder(context.world) > 0)
 
 
 @when("the holder of the duty is killed")
 def kill_holder(context: Context) -> None:
     world: World = context.world
-    context.killed = find_holder(world)
+    context.killed = find_lease_holder(world)
     world.find_node(context.killed).kill()
 
 
--- a/tests/features/steps/shared_state_steps.py
+++ b/tests/features/steps/shared_state_steps.py
@@ -107,7 +107,7 @@
     world: World = context.world
     engine = world.deployment.engines[number]
     vm = Vm(engine.name, find_domain(number), VmKind.ENDPOINT, endpoint=engine.address)
-    world.portal.call(world.harness.leave_vm, vm)
+    world.portal.call(world.harness.mark_vm_leaving, vm)
 
 
 @then("both nodes soon send nothing more to engine {number:d}")
--- a/tests/features/steps/stream_steps.py
+++ b/tests/features/steps/stream_steps.py
@@ -10,7 +10,7 @@
 from toucanyard_node.http_client import connect
 from toucanyard_standins.deployment import CALLER_KEY, DeploymentSizes
 from toucanyard_standins.engine_faults import EngineCounters
-from world import Seen, World, build_completion
+from world import RequestResult, World, build_completion
 
 SLOW_TOKENS = ("--time-scale", "4")
 
@@ -110,7 +110,7 @@
         assert last.find_ending() in ("not_run", "unknown"), last
 
 
-def find_text(seen: Seen) -> str:
+def find_text(seen: RequestResult) -> str:
     """Return the text of a plain answer."""
     (choice,) = msgspec.json.decode(seen.body)["choices"]
     return str(choice["text"])
--- a/tests/features/steps/whole_path_steps.py
+++ b/tests/features/steps/whole_path_steps.py
@@ -9,7 +9,7 @@
 from behave.runner import Context
 
 from toucanyard_standins.deployment import DeploymentSizes
-from world import Seen, World, build_completion
+from world import RequestResult, World, build_completion
 
 PROMPT = "All the rules of the ferry. " * 60
 COMPLETIONS = "/v1/completions"
@@ -91,7 +91,7 @@
     assert again and all(again), cached_tokens
 
 
-def find_endpoint(world: World, seen: Seen) -> str:
+def find_endpoint(world: World, seen: RequestResult) -> str:
     """Return where a request was sent, as the node that served it explains it."""
     names = [node.name for node in world.deployment.nodes]
     number = names.index(seen.headers["x-node"]) + 1
@@ -105,7 +105,7 @@
     check_stream_of(context, context.world.seen[-1])
 
 
-def check_stream_of(context: Context, seen: Seen) -> None:
+def check_stream_of(context: Context, seen: RequestResult) -> None:
     context.world.wait_for("the stream's end", lambda: seen.is_over)
     assert seen.is_whole and seen.status == 200, seen
     lines = seen.body.decode().splitlines()
@@ -121,7 +121,9 @@
     assert sent["endpoint"] == sent["scores"][0]["endpoint"], sent
 
 
-def explain_request(world: World, number: int, seen: Seen) -> list[dict[str, Any]]:
+def explain_request(
+    world: World, number: int, seen: RequestResult
+) -> list[dict[str, Any]]:
     """Return the steps of a request as a node explains them."""
     request_id = seen.headers["x-request-id"]
     answer = world.ask_operator(number, f"/explain/{request_id}")
--- a/tests/features/world.py
+++ b/tests/features/world.py
@@ -27,12 +27,12 @@
 from toucanyard_standins.plain_service import ServiceCounters
 from toucanyard_standins.processes import ProcessHandle
 
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 """How long a scenario waits for what must happen; never asserted as a time."""
 LOG_TAIL = 3_000
 
 
-class Seen(msgspec.Struct):
+class RequestResult(msgspec.Struct):
     """What one caller saw of one request."""
 
     status: int = 0
@@ -55,7 +55,7 @@
         self.portal = portal
         self.harness = harness
         self.deployment: Deployment
-        self.seen: list[Seen] = []
+        self.seen: list[RequestResult] = []
 
     def start(self, sizes: DeploymentSizes) -> None:
         self.deployment = self.portal.call(start_deployment, self.harness, sizes)
@@ -78,24 +78,24 @@
         target: str,
         body: bytes = b"",
         headers: Headers = (),
-    ) -> Seen:
+    ) -> RequestResult:
         """Make one request and wait for its end."""
-        seen = self._note_request()
+        seen = self._add_result()
         address = self.find_node(number).address
         self.portal.call(request, address, method, target, body, headers, seen)
         return seen
 
     def begin_request(
         self, number: int, method: str, target: str, body: bytes, headers: Headers = ()
-    ) -> Seen:
+    ) -> RequestResult:
         """Make one request that goes on during later steps."""
-        seen = self._note_request()
+        seen = self._add_result()
         address = self.find_node(number).address
         self.portal.spawn(request, address, method, target, body, headers, seen)
         return seen
 
-    def _note_request(self) -> Seen:
-        seen = Seen()
+    def _add_result(self) -> RequestResult:
+        seen = RequestResult()
         self.seen.append(seen)
         return seen
 
@@ -115,7 +115,7 @@
         """Wait until something holds; fail after a long while."""
 
         async def wait() -> None:
-            with trio.move_on_after(PATIENCE_S):
+            with trio.move_on_after(TIMEOUT_S):
                 while not await trio.to_thread.run_sync(is_true):
                     await trio.sleep(0.05)
                 return
@@ -139,7 +139,7 @@
     target: str,
     body: bytes,
     headers: Headers,
-    seen: Seen,
+    seen: RequestResult,
 ) -> None:
     """Make one request and note what comes, part by part."""
     try:
--- a/tests/standin_examples.py
+++ b/tests/standin_examples.py
@@ -19,7 +19,7 @@
     open_listener,
 )
 from toucanyard_standins.engine_batch import CostModel
-from toucanyard_standins.engine_face import serve_engine
+from toucanyard_standins.engine_server import serve_engine
 from toucanyard_standins.engine_state import EngineOptions
 from toucanyard_standins.plain_service import ServiceOptions, serve_plain_service
 from toucanyard_standins.platform import PlatformOptions, serve_platform
