--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -69,32 +69,32 @@
 KEY = "key-of-rio"
 OTHER_KEY = "key-of-mar"
 AUTHORIZED = (("Authorization", f"Bearer {KEY}"),)
-ANYWHERE = Address("127.0.0.1:0")
+ANY_PORT = Address("127.0.0.1:0")
 
 
 def build_configuration(service_calls: tuple[str, ...] = ()) -> Configuration:
     """Return two customers, one pool and one service; addresses come from cores."""
-    nowhere = Endpoint(EndpointName("e0"), ANYWHERE, DomainName("d"))
+    any_endpoint = Endpoint(EndpointName("e0"), ANY_PORT, DomainName("d"))
     return Configuration(
         version=7,
         customers=(
             Customer(CustomerName("rio"), (compute_key_hash(KEY),)),
             Customer(CustomerName("mar"), (compute_key_hash(OTHER_KEY),)),
         ),
-        pools=(Pool(PoolName("p"), "model", "w1", (nowhere,), adapters=("a",)),),
-        services=(Service(ServiceName("desk"), (nowhere,), service_calls),),
+        pools=(Pool(PoolName("p"), "model", "w1", (any_endpoint,), adapters=("a",)),),
+        services=(Service(ServiceName("desk"), (any_endpoint,), service_calls),),
         rules=(Rule("model", PoolName("p")),),
     )
 
 
 def build_options(streams: StreamLimits | None = None) -> Options:
     """Return settings that listen nowhere in particular."""
-    listen = ListenOptions(ANYWHERE, ANYWHERE, ANYWHERE)
+    listen = ListenOptions(ANY_PORT, ANY_PORT, ANY_PORT)
     return Options(
         name=NodeName("n1"),
         domain=DomainName("d"),
         listen=listen,
-        platform=PlatformOptions(ANYWHERE, ANYWHERE),
+        platform=PlatformOptions(ANY_PORT, ANY_PORT),
         peer_secrets=("secret",),
         streams=streams or StreamLimits(connect_timeout_ms=500),
     )
@@ -115,13 +115,13 @@
         self.refusal = ErrorKind.OVERLOADED
         self.is_waiting = False
         self.is_refusing_retries = False
-        self.is_careless = False
+        self.retries_run_once = False
         """Send elsewhere what may run once only."""
         self.replay: Replay | None = None
         self.requests: list[Request] = []
         self.outcomes: list[Outcome] = []
         self.abandoned: list[RequestId] = []
-        self.turned_away: list[RequestTurnedAway] = []
+        self.rejections: list[RequestTurnedAway] = []
         self.configuration = build_configuration()
         self._attempts: dict[RequestId, int] = {}
         send, self._receive = trio.open_memory_channel[CoreMessage](1_000)
@@ -137,11 +137,11 @@
                         reply.send_nowait(self._decide(request.request_id))
                 case Report(outcome, reply):
                     self.outcomes.append(outcome)
-                    reply.send_nowait(self._follow(outcome))
+                    reply.send_nowait(self._decide_next(outcome))
                 case Abandon(request_id):
                     self.abandoned.append(request_id)
                 case RequestTurnedAway():
-                    self.turned_away.append(message)
+                    self.rejections.append(message)
 
     def find_endings(self) -> list[DispatchEnding]:
         """Return how the dispatches ended."""
@@ -168,7 +168,7 @@
             silence_ms=self.silence_ms,
         )
 
-    def _follow(self, outcome: Outcome) -> Verdict | None:
+    def _decide_next(self, outcome: Outcome) -> Verdict | None:
         if outcome.ending in (DispatchEnding.COMPLETED, DispatchEnding.CANCELLED):
             return None
         request = next(
@@ -178,7 +178,7 @@
         if self.is_refusing_retries:
             kind, not_run = ErrorKind.OVERLOADED, Ending.NOT_RUN
             return Refuse(outcome.request_id, kind, not_run, "too much at once", 800)
-        is_repeatable = request.repeatability == "repeatable" or self.is_careless
+        is_repeatable = request.repeatability == "repeatable" or self.retries_run_once
         if not is_repeatable and not is_not_run:
             return None
         if self._attempts[outcome.request_id] >= len(self.addresses):
@@ -186,7 +186,7 @@
         return self._decide(outcome.request_id)
 
 
-class ServedFace:
+class ServedCallers:
     """A face that is being served, and how to ask it."""
 
     def __init__(
@@ -194,18 +194,18 @@
         core: ScriptedCore,
         options: Options,
         connect_engine: Connect = connect,
-        connect_face: Connect = connect,
+        connect_client: Connect = connect,
     ) -> None:
-        self.address = ANYWHERE
+        self.address = ANY_PORT
         self.network: MemoryNetwork | None = None
         self.core = core
         self.drain = DrainState()
-        self._connect = connect_face
+        self._connect = connect_client
         identity = NodeIdentity(NodeName("n1"), Incarnation("x7"))
-        self.face = CallersFace(
+        self.client_server = CallersFace(
             core.client, options, identity, self._locate, self.drain, connect_engine
         )
-        self.server = HttpServer(self.face.handle, find_server_limits(options))
+        self.server = HttpServer(self.client_server.handle, find_server_limits(options))
 
     def _locate(self, is_staying: bool) -> LocateAnswer:
         node = NodeName("n2" if self.drain.is_draining() else "n1")
@@ -245,25 +245,25 @@
 
 
 @asynccontextmanager
-async def serve_face(
+async def serve_callers(
     core: ScriptedCore, options: Options | None = None
-) -> AsyncIterator[ServedFace]:
+) -> AsyncIterator[ServedCallers]:
     """Serve a face on a port that the kernel chose."""
-    served = ServedFace(core, options or build_options())
+    served = ServedCallers(core, options or build_options())
     async with trio.open_nursery() as nursery:
         listener = await open_listener("127.0.0.1", 0)
         served.address = Address(f"127.0.0.1:{find_port(listener)}")
         nursery.start_soon(core.run)
-        await nursery.start(served.face.run)
+        await nursery.start(served.client_server.run)
         nursery.start_soon(served.server.serve, listener)
         yield served
         nursery.cancel_scope.cancel()
 
 
 @asynccontextmanager
-async def serve_in_memory(
+async def serve_callers_in_memory(
     engines: list[ScriptedEngine], options: Options | None = None
-) -> AsyncIterator[ServedFace]:
+) -> AsyncIterator[ServedCallers]:
     """Serve a face and engines in memory; tries go to the engines in their order."""
     names = [Address(f"10.0.0.{place}:80") for place in range(len(engines))]
     async with trio.open_nursery() as nursery:
@@ -272,14 +272,14 @@
             network.serve(name, engine.handle)
         core = ScriptedCore(names)
         options = options or build_options()
-        served = ServedFace(core, options, network.connect, network.connect)
+        served = ServedCallers(core, options, network.connect, network.connect)
         served.address = Address("10.0.1.1:80")
         served.network = network
         served.server = network.serve(
-            served.address, served.face.handle, find_server_limits(options)
+            served.address, served.client_server.handle, find_server_limits(options)
         )
         nursery.start_soon(core.run)
-        await nursery.start(served.face.run)
+        await nursery.start(served.client_server.run)
         yield served
         nursery.cancel_scope.cancel()
 
--- a/tests/support/engines.py
+++ b/tests/support/engines.py
@@ -14,22 +14,22 @@
 )
 
 
-class Then(enum.Enum):
+class StepEnd(enum.Enum):
     """What follows the events of a step."""
 
     END = enum.auto()
     CUT = enum.auto()
     SILENCE = enum.auto()
-    BEAT = enum.auto()
+    HEARTBEAT = enum.auto()
     """Send heartbeats, but no events, for ever."""
 
 
 class Step(msgspec.Struct, frozen=True):
     """How one POST or GET of a stream is answered."""
 
-    until: int = 10**6
+    stop_before: int = 10**6
     """Number of the first event that isn't sent."""
-    then: Then = Then.END
+    then: StepEnd = StepEnd.END
     status: int = 200
     """0 closes the connection without an answer."""
     echo: str | None = None
@@ -38,7 +38,7 @@
     skip: int | None = None
     """An event that is left out."""
     head_delay_s: float = 0.0
-    is_repeating: bool = False
+    restarts_numbering: bool = False
     """Resume from the first event, whatever was asked for."""
     quiet_until_s: float = 0.0
     """Time on the clock before which there are neither events nor heartbeats."""
@@ -54,7 +54,7 @@
     def __init__(self, tokens: tuple[str, ...], *steps: Step) -> None:
         self._tokens = tokens
         self._steps = list(steps)
-        self._resumed_after: dict[str, int] = {}
+        self._resumed_tokens: dict[str, int] = {}
         self.requests: list[HttpRequest] = []
         self.cancelled: list[str] = []
         self.events_sent = 0
@@ -84,12 +84,12 @@
             await responder.send(step.status, headers, b'{"error": "scripted"}')
             return
         first = int(request.headers.get("last-event-id", "-1")) + 1
-        if step.is_repeating:
+        if step.restarts_numbering:
             first = 0
         if request.method == "POST":
             done = int(request.headers.get("x-resume-text-tokens", "0"))
-            self._resumed_after[request_id] = done
-        done = self._resumed_after.get(request_id, 0)
+            self._resumed_tokens[request_id] = done
+        done = self._resumed_tokens.get(request_id, 0)
         stream = ("Content-Type", "text/event-stream")
         await responder.start(200, (stream, *headers))
         await self._send(responder, step, first, self._tokens[done:])
@@ -99,11 +99,11 @@
     ) -> None:
         await trio.sleep_until(step.quiet_until_s)
         if step.joined:
-            numbers = range(first, min(step.until, len(tokens) + 1))
+            numbers = range(first, min(step.stop_before, len(tokens) + 1))
             events = b"".join(_render(number, tokens) for number in numbers)
             await responder.write(events + step.joined)
-            first = step.until
-        for number in range(first, min(step.until, len(tokens) + 1)):
+            first = step.stop_before
+        for number in range(first, min(step.stop_before, len(tokens) + 1)):
             if step.gap_s:
                 await trio.sleep(step.gap_s / 2)
                 await responder.write(b": heartbeat\n\n")
@@ -112,12 +112,12 @@
                 await responder.write(_render(number, tokens))
                 self.events_sent += 1
         match step.then:
-            case Then.END:
+            case StepEnd.END:
                 await responder.write(b"data: [DONE]\n\n")
                 await responder.finish()
-            case Then.SILENCE:
+            case StepEnd.SILENCE:
                 await trio.sleep_forever()
-            case Then.BEAT:
+            case StepEnd.HEARTBEAT:
                 while True:
                     await trio.sleep(0.1)
                     await responder.write(b": heartbeat\n\n")
--- a/tests/support/network.py
+++ b/tests/support/network.py
@@ -42,7 +42,7 @@
         self.opened: list[Address] = []
         self._unread: list[trio.abc.Stream] = []
         self.connect_delay_s = 0.0
-        self.deaf: set[Address] = set()
+        self.blocked: set[Address] = set()
         """Addresses whose connections take no byte."""
 
     def serve(
@@ -65,10 +65,10 @@
         if listener is None:
             raise ConnectionFailedError("refused", is_sent=False)
         self.opened.append(address)
-        if address in self.deaf:
-            taking_none, theirs = trio.testing.lockstep_stream_pair()
+        if address in self.blocked:
+            blocked_stream, theirs = trio.testing.lockstep_stream_pair()
             self._unread.append(theirs)
-            return HttpConnection(address, taking_none, trio.current_time() * 1000)
+            return HttpConnection(address, blocked_stream, trio.current_time() * 1000)
         ours = await _open_stream(listener)
         return HttpConnection(address, ours, trio.current_time() * 1000)
 
--- a/tests/support/operators.py
+++ b/tests/support/operators.py
@@ -60,8 +60,8 @@
         )
         self.drain = DrainState()
         self.task = CoreTask(options, Incarnation("x7"), outputs)
-        self.face = OperatorsFace(self.task, options, self.drain)
-        network.serve(ADDRESS, self.face.handle, ServerLimits())
+        self.handler = OperatorsFace(self.task, options, self.drain)
+        network.serve(ADDRESS, self.handler.handle, ServerLimits())
 
     async def run(self) -> None:
         """Run core and log until cancelled."""
--- a/tests/toucanyard/test_collected_objects.py
+++ b/tests/toucanyard/test_collected_objects.py
@@ -32,7 +32,7 @@
 
 def hold_notes() -> object:
     core = key_slopes.make_core()
-    key_slopes.fill_notes(core, COUNT)
+    key_slopes.fill_backup_records(core, COUNT)
     return core
 
 
--- a/tests/toucanyard_node/test_drain.py
+++ b/tests/toucanyard_node/test_drain.py
@@ -8,11 +8,11 @@
 
 from support.callers import (
     AUTHORIZED,
-    ServedFace,
+    ServedCallers,
     build_completion,
     build_options,
     read_numbers,
-    serve_in_memory,
+    serve_callers_in_memory,
 )
 from support.engines import ScriptedEngine, Step
 from toucanyard.requests import DispatchEnding
@@ -23,9 +23,9 @@
 KEYED = (*AUTHORIZED, ("Idempotency-Key", "k1"))
 
 
-async def run_drain(served: ServedFace, results: list[bool]) -> None:
+async def run_drain(served: ServedCallers, results: list[bool]) -> None:
     options = build_options()
-    wait_idle = served.face.wait_idle
+    wait_idle = served.client_server.wait_idle
     results.append(await drain(served.drain, served.server, options, wait_idle))
 
 
@@ -38,7 +38,10 @@
     """
     results: list[bool] = []
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.5))
-    async with serve_in_memory([engine]) as served, trio.open_nursery() as nursery:
+    async with (
+        serve_callers_in_memory([engine]) as served,
+        trio.open_nursery() as nursery,
+    ):
         body = build_completion()
         stream = await served.open("POST", "/v1/completions", AUTHORIZED, body)
         await stream.read_head()
@@ -68,7 +71,10 @@
     """A keyed request runs on for a caller that hung up; the stop waits for it."""
     results: list[bool] = []
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.5))
-    async with serve_in_memory([engine]) as served, trio.open_nursery() as nursery:
+    async with (
+        serve_callers_in_memory([engine]) as served,
+        trio.open_nursery() as nursery,
+    ):
         body = build_completion()
         stream = await served.open("POST", "/v1/completions", KEYED, body)
         await stream.read_head()
--- a/tests/toucanyard_node/test_log_writer.py
+++ b/tests/toucanyard_node/test_log_writer.py
@@ -29,7 +29,7 @@
 from toucanyard_node.log_client import append_records
 from toucanyard_node.log_reader import LogEvent, follow_log
 from toucanyard_node.log_writer import write_log
-from toucanyard_standins.answers import send_json
+from toucanyard_standins.json_responses import send_json
 from toucanyard_standins.platform import RangeBody, ReadBody
 from toucanyard_standins.platform_log import Appended, LogRecord
 
--- a/tests/toucanyard_node/test_stream_ends.py
+++ b/tests/toucanyard_node/test_stream_ends.py
@@ -11,9 +11,9 @@
     build_completion,
     read_numbers,
     read_text,
-    serve_in_memory,
+    serve_callers_in_memory,
 )
-from support.engines import ScriptedEngine, Step, Then
+from support.engines import ScriptedEngine, Step, StepEnd
 from toucanyard.requests import DispatchEnding
 from toucanyard_node.http_client import Headers
 
@@ -44,10 +44,10 @@
     or its numbers would have a hole, and never see the failed engine's error.
     """
     first = ScriptedEngine(
-        TOKENS, Step(until=2, joined=bad), Step(status=404), Step(status=404)
+        TOKENS, Step(stop_before=2, joined=bad), Step(status=404), Step(status=404)
     )
     second = ScriptedEngine(TOKENS)
-    async with serve_in_memory([first, second]) as served:
+    async with serve_callers_in_memory([first, second]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         (asked,) = second.find_requests("POST")
@@ -61,7 +61,7 @@
     node asks again; the stream would otherwise pass for whole without its end.
     """
     engine = ScriptedEngine(TOKENS, Step(skip=LAST))
-    async with serve_in_memory([engine]) as served:
+    async with serve_callers_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         (resumed,) = engine.find_requests("GET")
@@ -72,7 +72,7 @@
     """The last event is missing at each try. The tries are bounded, and the caller is
     told that the stream is incomplete."""
     engine = ScriptedEngine(TOKENS, *[Step(skip=LAST)] * 20)
-    async with serve_in_memory([engine]) as served:
+    async with serve_callers_in_memory([engine]) as served:
         answer = await served.complete()
         assert read_text(answer.body) == TEXT
         assert b"[DONE]" not in answer.body
@@ -89,9 +89,9 @@
     Everything was said, so the caller gets the end from the node; told that the
     outcome is unknown, it would have to ask a person about a hold that it has.
     """
-    steps = (Step(until=LAST + 1, then=Then.CUT), Step(status=404))
+    steps = (Step(stop_before=LAST + 1, then=StepEnd.CUT), Step(status=404))
     engine = ScriptedEngine(TOKENS, *steps)
-    async with serve_in_memory([engine]) as served:
+    async with serve_callers_in_memory([engine]) as served:
         answer = await served.complete(headers=headers)
         check_whole(answer.body)
         (outcome,) = served.core.outcomes
@@ -107,9 +107,9 @@
 
     The end of one is not the end of the stream, which would pass for whole.
     """
-    steps = (Step(until=LAST + 1, then=Then.CUT), Step(status=404))
+    steps = (Step(stop_before=LAST + 1, then=StepEnd.CUT), Step(status=404))
     engines = [ScriptedEngine(TOKENS, *steps), ScriptedEngine(TOKENS)]
-    async with serve_in_memory(engines) as served:
+    async with serve_callers_in_memory(engines) as served:
         body = build_completion() | many
         answer = await served.ask("POST", "/v1/completions", AUTHORIZED, body)
         assert read_text(answer.body) == TEXT
@@ -127,10 +127,10 @@
     The task that sought an engine ends with the caller's connection. The one that
     takes the stream over goes on from there, with every event once.
     """
-    steps = [Step(until=2, then=Then.SILENCE), Step(status=404)]
+    steps = [Step(stop_before=2, then=StepEnd.SILENCE), Step(status=404)]
     first = ScriptedEngine(TOKENS, *steps)
     others = [ScriptedEngine(TOKENS), ScriptedEngine(TOKENS)]
-    async with serve_in_memory([first, *others]) as served:
+    async with serve_callers_in_memory([first, *others]) as served:
         assert served.network is not None
         body = build_completion()
         connection = await served.open("POST", "/v1/completions", AUTHORIZED, body)
@@ -157,9 +157,9 @@
     while another engine is idle.
     """
     engines = [ScriptedEngine(TOKENS), ScriptedEngine(TOKENS)]
-    async with serve_in_memory(engines) as served:
+    async with serve_callers_in_memory(engines) as served:
         assert served.network is not None
-        served.network.deaf.add(served.core.addresses[0])
+        served.network.blocked.add(served.core.addresses[0])
         with trio.fail_after(20):
             answer = await served.complete(is_stream)
         assert answer.status == 200
--- a/tests/toucanyard_standins/test_bench_capacity.py
+++ b/tests/toucanyard_standins/test_bench_capacity.py
@@ -13,7 +13,7 @@
         "role", "cost", "us", "nodes", 320, (10, 20, 40, 80), lambda size: 5 + 2 * size
     )
     assert slope.compute_line() == pytest.approx((2.0, 5.0))
-    assert slope.compute_wanted() == pytest.approx(645.0)
+    assert slope.compute_at_target() == pytest.approx(645.0)
     assert "at 320: 645 us" in render_slope(slope)
 
 
--- a/tests/toucanyard_standins/test_campaign_verdict.py
+++ b/tests/toucanyard_standins/test_campaign_checks.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from toucanyard_standins.campaign_callers import HoldSeen, StreamSeen
-from toucanyard_standins.campaign_verdict import (
+from toucanyard_standins.campaign_callers import ObservedHold, ObservedStream
+from toucanyard_standins.campaign_checks import (
     iterate_hold_problems,
     iterate_stream_problems,
 )
@@ -35,7 +35,7 @@
 def test_broken_promise_to_a_hold_is_found(
     endings: list[str], bodies: list[bytes], executions: int
 ) -> None:
-    hold = HoldSeen(KEY, False, endings, bodies)
+    hold = ObservedHold(KEY, False, endings, bodies)
     assert list(iterate_hold_problems([hold], {KEY: executions}))
 
 
@@ -52,17 +52,17 @@
 def test_kept_promise_to_a_hold_is_no_problem(
     endings: list[str], bodies: list[bytes], executions: int
 ) -> None:
-    hold = HoldSeen(KEY, False, endings, bodies)
+    hold = ObservedHold(KEY, False, endings, bodies)
     assert not list(iterate_hold_problems([hold], {KEY: executions}))
 
 
-def make_stream(*words: str, end: str = "data: [DONE]") -> StreamSeen:
+def make_stream(*words: str, end: str = "data: [DONE]") -> ObservedStream:
     events = "".join(
         f'id: {number}\ndata: {{"id":"r","object":"o","created":1,"model":"m",'
         f'"choices":[{{"finish_reason":null,"text":"{word}","index":0}}]}}\n\n'
         for number, word in enumerate(words)
     )
-    return StreamSeen(0, 2, 7, f"{events}{end}\n\n".encode(), 200, is_over=True)
+    return ObservedStream(0, 2, 7, f"{events}{end}\n\n".encode(), 200, is_over=True)
 
 
 def test_broken_streams_are_found() -> None:
--- a/tests/toucanyard_standins/test_deployment.py
+++ b/tests/toucanyard_standins/test_deployment.py
@@ -33,7 +33,7 @@
     Harness,
     ask,
     open_harness,
-    wait_until_watching,
+    wait_until_endpoints_reported,
 )
 from toucanyard_standins.openai_shape import Completion
 from toucanyard_standins.plain_service import DieAfterExecution, ServiceCounters
@@ -122,7 +122,7 @@
     """
     async with run_deployment() as (harness, deployment):
         node, engines = deployment.nodes[0], deployment.engines
-        await wait_until_watching(node, OPERATOR_KEY)
+        await wait_until_endpoints_reported(node, OPERATOR_KEY)
         whole = join_text(await stream(node.address))
         await control_engines(harness, engines, fault)
         assert join_text(await stream(node.address)) == whole
@@ -161,7 +161,7 @@
     # so they take turns in crossing until one was asked.
     async with run_deployment() as (harness, deployment):
         node, engines = deployment.nodes[0], deployment.engines
-        await wait_until_watching(node, OPERATOR_KEY)
+        await wait_until_endpoints_reported(node, OPERATOR_KEY)
         whole = join_text(await stream(node.address))
         with trio.fail_after(30):
             for engine in itertools.cycle(engines):
--- a/tests/toucanyard_standins/test_detector_traces.py
+++ b/tests/toucanyard_standins/test_detector_traces.py
@@ -6,7 +6,7 @@
     Scenario,
     build_rules,
     build_trace,
-    judge,
+    evaluate_rule,
 )
 
 
@@ -24,6 +24,6 @@
     scenario = find_scenario("process dies")
     result = Result()
     rule = build_rules()[-1]
-    judge(rule, scenario, build_trace(scenario, 1), result)
+    evaluate_rule(rule, scenario, build_trace(scenario, 1), result)
     assert result.missed == result.wrong == 0
-    assert len(result.notice_ms) == 1
+    assert len(result.detection_ms) == 1
--- a/tests/toucanyard_standins/test_engine_face.py
+++ b/tests/toucanyard_standins/test_engine_server.py
@@ -19,11 +19,6 @@
 from toucanyard.prefix import BLOCK_BYTES, CacheIdentity, compute_chain
 from toucanyard_node.http_client import ConnectionFailedError, connect, fetch
 from toucanyard_standins.engine_batch import CostModel
-from toucanyard_standins.engine_face import (
-    CacheDumpBody,
-    CacheEventsBody,
-    EngineStateBody,
-)
 from toucanyard_standins.engine_faults import (
     Crash,
     CrossAnswers,
@@ -35,6 +30,11 @@
     RefuseRequests,
     StopHeartbeats,
 )
+from toucanyard_standins.engine_server import (
+    CacheDumpBody,
+    CacheEventsBody,
+    EngineStateBody,
+)
 from toucanyard_standins.network_faults import SilenceConnections
 from toucanyard_standins.openai_shape import Completion
 
--- a/tests/toucanyard_standins/test_platform.py
+++ b/tests/toucanyard_standins/test_platform.py
@@ -119,8 +119,8 @@
 
 def test_loads_slow_down_while_more_than_two_are_under_way() -> None:
     store = WeightStore(WeightStoreOptions(starts_per_s=1.0, burst=4), now_ms=0.0)
-    leaves = [store.ask(now_ms=0.0) for _ in range(5)]
+    leaves = [store.request_permit(now_ms=0.0) for _ in range(5)]
     assert [leave.slowdown for leave in leaves if leave] == [1.0, 1.0, 1.5, 2.0]
     assert leaves[4] is None
-    later = store.ask(now_ms=2_000.0)
+    later = store.request_permit(now_ms=2_000.0)
     assert later is not None and later.slowdown == 1.0
--- a/tests/toucanyard_standins/test_policy_run.py
+++ b/tests/toucanyard_standins/test_policy_run.py
@@ -12,8 +12,8 @@
 @pytest.fixture(autouse=True)
 def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(policy_run, "END_MS", 8_000.0)
-    monkeypatch.setattr(policy_run, "MIDDLE_MS", 3_000.0)
-    monkeypatch.setattr(policy_run, "STORM_MS", 1_000.0)
+    monkeypatch.setattr(policy_run, "DISRUPTION_START_MS", 3_000.0)
+    monkeypatch.setattr(policy_run, "OVERLOAD_MS", 1_000.0)
 
 
 def test_same_seed_gives_the_same_figures() -> None:
