--- a/packages/toucanyard-standins/src/toucanyard_standins/__init__.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what surrounds the router, and the benches that use them."""
+"""Stand-ins for the systems around the router, and the benches that use them."""
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine: compute in steps, crash, load weights, take orders."""
+"""Simulate a model engine: batched steps, crashes, weight loads and orders."""
 
 from __future__ import annotations
 
@@ -47,9 +47,11 @@
 
 
 class _PendingOrder:
-    """One accepted order; a crash meanwhile leaves it without effect on what follows.
+    """An accepted order and the state it applies to.
 
-    Invariant: `done` is set once its effect is in `state`.
+    A crash during the order replaces the engine's state, so the order then has no
+    effect on the new incarnation.
+    Invariant: `done` is set after the order was applied to `state`.
     """
 
     __slots__ = ("done", "kind", "state", "weights")
@@ -62,10 +64,10 @@
 
 
 class Engine:
-    """One engine; all of its tasks run in the nursery of `serve`.
+    """One simulated engine; its tasks run in the nursery of `run`.
 
-    Invariant: `state` is replaced in a crash and by nothing else, so a task that
-    finds another state after a wait drops what it was about to do.
+    Invariant: only a crash replaces `state`, so a task that finds another state
+    after a wait must discard its result.
     """
 
     def __init__(self, options: EngineOptions, listener: FaultyListener) -> None:
@@ -93,7 +95,7 @@
         return state
 
     async def run(self) -> None:
-        """Compute and report until cancelled."""
+        """Compute steps, sample the load and execute orders until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._compute)
             nursery.start_soon(self._report_load)
@@ -101,7 +103,7 @@
                 nursery.start_soon(self._execute, pending)
 
     def wake_computation(self) -> None:
-        """Wake the computation after a request was submitted."""
+        """Wake the computing task after a request was submitted."""
         self._has_work.set()
 
     async def _compute(self) -> None:
@@ -117,7 +119,7 @@
                 state.apply_step(step, self.model_time.now_ms())
 
     async def _report_load(self) -> None:
-        """Take the load now and then, so that reports lag."""
+        """Sample the load periodically, so that reports lag behind it."""
         while True:
             await self.model_time.sleep_ms(self.options.load_lag_ms)
             self._sample_load(self.state)
@@ -127,7 +129,7 @@
         self.load_sampled_ms = self.model_time.now_ms()
 
     async def count_event(self, is_of_resumed: bool) -> None:
-        """Count an event that was sent and carry out the faults that wait for it."""
+        """Count a sent event and trigger faults that are due after it."""
         faults = self.faults
         self.counters.events_sent += 1
         is_exempt = is_of_resumed and faults.die_spares_resumed
@@ -143,7 +145,7 @@
                 self.listener.silence()
 
     async def crash(self, down_ms: float) -> None:
-        """Lose everything, stay away for a while and come back empty."""
+        """Lose all state, refuse connections for a while and restart empty."""
         self.counters.crashes += 1
         old = self.state
         self._add_block_counts(old)
@@ -154,7 +156,7 @@
         await self.listener.cut()
 
     def compute_counters(self) -> EngineCounters:
-        """Return the counters with what this incarnation adds to them."""
+        """Return the counters, including the blocks of the current incarnation."""
         counters = msgspec.structs.replace(self.counters)
         counters.computed_blocks += self.state.computed_blocks
         counters.matched_blocks += self.state.matched_blocks
@@ -166,7 +168,7 @@
         self.counters.matched_blocks += state.matched_blocks
 
     async def apply_fault(self, fault: EngineFault) -> None:
-        """Switch one fault."""
+        """Apply one fault, or switch it on or off."""
         match fault:
             case Crash(down_ms):
                 await self.crash(down_ms)
@@ -179,7 +181,7 @@
                 self.faults.switch(fault)
 
     async def execute_order(self, order: Order) -> OrderRefusal | None:
-        """Carry out an order to its end, or return why it is refused."""
+        """Execute an order and wait for its end, or return its refusal."""
         state = self.state
         self.counters.orders += 1
         if order.order_id in state.executed_orders:
@@ -191,7 +193,8 @@
         state.fence = max(state.fence, order.fence)
         weights = compute_weights(order, state.weights)
         state.is_loading = True
-        # Carried out by a task of the engine: whoever gave the order may hang up.
+        # A task of the engine executes the order, so that it completes even if the
+        # connection of the sender closes.
         pending = _PendingOrder(state, order.kind, weights)
         self._order_sender.send_nowait(pending)
         await pending.done.wait()
@@ -205,14 +208,14 @@
         pending.done.set()
 
     async def _load_weights(self, weights: Weights) -> None:
-        """Wait for leave of the weight store, then for the load."""
+        """Wait for a permit of the weight store, then for the duration of the load."""
         load_ms = self.options.load_weights_ms
         if self.options.weight_store:
             load_ms *= await self._wait_for_load_permit(weights)
         await self.model_time.sleep_ms(load_ms)
 
     async def _wait_for_load_permit(self, weights: Weights) -> float:
-        """Ask until the store lets the load start; return how many times slower."""
+        """Request a permit until one is granted; return the slowdown of the load."""
         store = Address(self.options.weight_store)
         target = f"/weights/{weights.model}/{weights.weights_version}"
         while True:
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_batch.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""Model continuous batching: what each step computes and how long it takes."""
+"""Model continuous batching: the work and the duration of each step."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CostModel(msgspec.Struct, frozen=True):
-    """What the parts of a step cost and how many sequences share one."""
+    """The costs of prefill and decoding, and the limits of one step."""
 
     prefill_ms_per_block: float = 8.0
     decode_step_ms: float = 20.0
@@ -28,7 +28,7 @@
     """Leading blocks found in the cache or computed so far."""
 
     def count_missing(self) -> int:
-        """Return the blocks still to compute before the first token."""
+        """Return the number of blocks to compute before the first token."""
         return len(self.chain) - self.computed_blocks
 
 
@@ -40,7 +40,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """What one step does."""
+    """The prefills and decoded sequences of one step, and its duration."""
 
     duration_ms: float
     prefills: tuple[Prefill, ...]
@@ -49,7 +49,7 @@
 
 
 class Batch:
-    """Sequences that wait, by priority and age, and those that run.
+    """Waiting sequences, ordered by priority and age, and running ones.
 
     Invariant: at most `max_running` sequences run.
     """
@@ -67,26 +67,26 @@
         return not self._running and not self._waiting
 
     def count_running(self) -> int:
-        """Return the sequences in execution."""
+        """Return the number of running sequences."""
         return len(self._running)
 
     def count_waiting(self) -> int:
-        """Return the sequences not admitted yet."""
+        """Return the number of waiting sequences."""
         return len(self._waiting)
 
     def count_queued_blocks(self) -> int:
-        """Return the blocks of the prompt still to compute, hits not deducted."""
+        """Return the number of blocks to compute, without deducting cache hits."""
         waiting = sum(each.count_missing() for _, _, each in self._waiting)
         return waiting + sum(each.count_missing() for each in self._running.values())
 
     def add(self, sequence: Sequence) -> None:
-        """Let a sequence wait for its turn."""
+        """Queue a sequence."""
         entry = (sequence.priority, self._arrivals, sequence)
         heapq.heappush(self._waiting, entry)
         self._arrivals += 1
 
     def remove(self, request_id: str) -> None:
-        """Forget a sequence that is over or cancelled."""
+        """Remove a sequence that ended or was cancelled."""
         self._running.pop(request_id, None)
         kept = [each for each in self._waiting if each[2].request_id != request_id]
         if len(kept) != len(self._waiting):
@@ -94,7 +94,7 @@
             self._waiting = kept
 
     def admit(self) -> tuple[Sequence, ...]:
-        """Start waiting sequences, the most urgent first; return those started."""
+        """Start waiting sequences in order of priority; return those started."""
         admitted: list[Sequence] = []
         while self._waiting and len(self._running) < self._cost.max_running:
             _, _, sequence = heapq.heappop(self._waiting)
@@ -103,7 +103,7 @@
         return tuple(admitted)
 
     def plan_step(self) -> Step:
-        """Return the next step; urgent sequences get their blocks first."""
+        """Return the next step; prefill budget is assigned in order of priority."""
         budget = self._cost.prefill_blocks_per_step
         prefills: list[Prefill] = []
         decoded: list[Sequence] = []
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_cache.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""Cache prefix blocks in limited memory and publish what is stored and evicted."""
+"""Cache prefix blocks up to a capacity and publish stored and evicted ones."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class CacheChange(msgspec.Struct, frozen=True):
-    """Blocks that one computation stored, and those evicted to make room."""
+    """Blocks that were stored, and those evicted to make room."""
 
     stored: tuple[int, ...]
     evicted: tuple[int, ...]
 
 
 class PrefixCache:
-    """Blocks named by the hashes of a chain, the least recently used evicted first.
+    """An LRU cache of blocks, which are identified by their chain hashes.
 
-    Invariant: at most `capacity_blocks` blocks are held.
+    Invariant: the cache holds at most `capacity_blocks` blocks.
     """
 
     __slots__ = ("_blocks", "capacity_blocks")
@@ -35,24 +35,24 @@
         return len(self._blocks)
 
     def find_hashes(self) -> tuple[int, ...]:
-        """Return every block held, least recently used first."""
+        """Return the hashes of all blocks, least recently used first."""
         return tuple(self._blocks)
 
     def count_matched(self, chain: tuple[int, ...]) -> int:
-        """Return how many leading blocks of a chain are held."""
+        """Return how many leading blocks of a chain are cached."""
         for count, block in enumerate(chain):
             if block not in self._blocks:
                 return count
         return len(chain)
 
     def touch(self, chain: tuple[int, ...]) -> None:
-        """Mark blocks as used now; deeper ones are evicted before their parents."""
+        """Mark blocks as recently used, parents last, so that they outlive children."""
         for block in reversed(chain):
             if block in self._blocks:
                 self._blocks.move_to_end(block)
 
     def store(self, blocks: tuple[int, ...]) -> CacheChange:
-        """Hold blocks that were computed."""
+        """Add computed blocks and evict others beyond the capacity."""
         stored = tuple(block for block in blocks if block not in self._blocks)
         for block in stored:
             self._blocks[block] = None
@@ -64,7 +64,7 @@
         return CacheChange(stored, tuple(evicted))
 
     def clear(self) -> CacheChange:
-        """Drop every block."""
+        """Evict all blocks."""
         evicted = self.find_hashes()
         self._blocks.clear()
         return CacheChange((), evicted)
@@ -79,7 +79,7 @@
 
 
 class _Published(msgspec.Struct, frozen=True):
-    """An event, when it becomes visible and whether it is lost on its way."""
+    """An event, the time at which readers see it, and whether it is lost."""
 
     event: CacheEvent
     visible_ms: float
@@ -87,9 +87,9 @@
 
 
 class CacheEventLog:
-    """Number events, show them late, and lose a share of them.
+    """A log of numbered events that become visible late and are partly lost.
 
-    Invariant: a lost event still takes a number, so that a reader can see the gap.
+    Invariant: a lost event uses up a number, so that readers can detect the gap.
     """
 
     __slots__ = ("_next", "_published", "_random", "delay_ms", "lost_share")
@@ -120,7 +120,7 @@
         self._next += 1
 
     def find_oldest(self) -> int:
-        """Return the lowest number still kept."""
+        """Return the lowest retained number."""
         return self._published[0].event.seq if self._published else self._next
 
     def find_last(self) -> int:
@@ -135,7 +135,7 @@
         return self.find_oldest()
 
     def find_after(self, seq: int, now_ms: float) -> tuple[CacheEvent, ...]:
-        """Return the visible events beyond a number that were not lost."""
+        """Return the visible events after a number, without lost ones."""
         return tuple(
             published.event
             for published in self._published
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_completions.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_completions.py
@@ -1,4 +1,4 @@
-"""Answer completions: start, stream, resume and cancel them, with their faults."""
+"""Handle completions: start, stream, resume and cancel, and apply injected faults."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 class CompletionHandler:
-    """Answer the requests that concern one stream."""
+    """Handle requests that start, resume or cancel a completion."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
     async def complete(self, request: HttpRequest, responder: Responder) -> None:
-        """Compute and send an answer, or refuse before anything is computed."""
+        """Compute and send a completion, or refuse it before computing anything."""
         body = msgspec.json.decode(request.body, type=CompletionRequest)
         identity = self._build_identity_headers(request.headers.get("x-request-id", ""))
         if self._engine.faults.is_refusing or self._engine.state.is_loading:
@@ -62,7 +62,7 @@
             await self._send_whole(stream, responder)
 
     def _submit(self, request: HttpRequest, body: CompletionRequest) -> AnswerStream:
-        """Start the computation of a request."""
+        """Queue a request and return the stream of its completion."""
         engine = self._engine
         headers = request.headers
         request_id = headers.get("x-request-id") or f"anonymous-{time.time_ns():x}"
@@ -92,7 +92,7 @@
         return stream
 
     def _submit_other_request(self, stream: AnswerStream) -> AnswerStream:
-        """Start another request, whose answer is given in place of the right one."""
+        """Queue another request, whose completion replaces the one asked for."""
         engine = self._engine
         prompt = b"another request"
         other = AnswerStream(
@@ -132,7 +132,7 @@
     async def _send_stream(
         self, stream: AnswerStream, responder: Responder, position: int
     ) -> None:
-        """Send events from a position on; a cancelled stream ends without a mark."""
+        """Send events from a position on; a cancelled stream has no [DONE] event."""
         headers = self._build_identity_headers(stream.request_id)
         event_stream = ("Content-Type", "text/event-stream")
         await responder.start(200, (event_stream, *headers))
@@ -151,7 +151,7 @@
             await self._wait_or_send_heartbeat(stream, position, responder)
 
     def _consume_cut(self) -> int | None:
-        """Return the event before which this stream is to be cut, if any."""
+        """Return the event before which to cut this stream, or None; use up one cut."""
         faults = self._engine.faults
         if faults.cut_count <= 0:
             return None
@@ -161,14 +161,14 @@
     async def _wait_or_send_heartbeat(
         self, stream: AnswerStream, position: int, responder: Responder
     ) -> None:
-        """Wait for an event; send a heartbeat when none comes in time."""
+        """Wait for an event; send a heartbeat if there is none within the interval."""
         with trio.move_on_after(self._engine.options.heartbeat_ms / 1000) as scope:
             await stream.wait_beyond(position)
         if scope.cancelled_caught and not self._engine.faults.are_heartbeats_stopped:
             await responder.write(_HEARTBEAT)
 
     async def resume(self, request: HttpRequest, responder: Responder) -> None:
-        """Send the rest of a stream that is kept or under way."""
+        """Send the remaining events of a running or finished stream."""
         request_id = request.path.removeprefix(STREAMS_PATH)
         stream = self._engine.state.streams.get(request_id)
         if stream is None:
@@ -180,7 +180,7 @@
         await self._send_stream(stream, responder, position)
 
     async def cancel(self, request: HttpRequest, responder: Responder) -> None:
-        """Stop a computation, known or not."""
+        """Cancel a request; the status is 204 for unknown requests, too."""
         request_id = request.path.removeprefix(STREAMS_PATH)
         if self._engine.state.cancel(request_id):
             self._engine.counters.cancelled += 1
@@ -188,5 +188,5 @@
 
 
 def increment_count(counts: dict[str, int], name: str) -> None:
-    """Add one to a named count."""
+    """Add one to the count of a name."""
     counts[name] = counts.get(name, 0) + 1
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_faults.py
@@ -1,4 +1,4 @@
-"""Faults that an engine can be told to have, and its counters."""
+"""Define the faults that can be injected into an engine, and its counters."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class Crash(msgspec.Struct, frozen=True, tag_field="fault", tag="crash"):
-    """Drop every connection and stream and come back empty under a new incarnation."""
+    """Close all connections, lose all streams and restart as a new incarnation."""
 
     down_ms: int = 0
 
 
 class CutAfterEvents(msgspec.Struct, frozen=True, tag_field="fault", tag="cut_after"):
-    """Cut the connection of the next streams after so many events."""
+    """Close the connection of the next `count` streams after `events` events."""
 
     events: int
     count: int = 1
 
 
 class DieAfterEvents(msgspec.Struct, frozen=True, tag_field="fault", tag="die_after"):
-    """Crash once so many more events were sent over all streams.
+    """Crash after `events` more events were sent over all streams.
 
-    With `spares_resumed` the events of an answer that goes on with earlier text don't
-    count, so every engine can be told to die and only the first one used does.
+    With `spares_resumed`, events of completions that continue earlier text don't
+    count: the fault can be set on every engine, and only the first one used crashes.
     """
 
     events: int
@@ -35,38 +35,38 @@
 class SilenceAfterEvents(
     msgspec.Struct, frozen=True, tag_field="fault", tag="silence_after"
 ):
-    """Make all open connections silent once so many more events were sent."""
+    """Silence all open connections after `events` more events were sent."""
 
     events: int
 
 
 class CrossAnswers(msgspec.Struct, frozen=True, tag_field="fault", tag="cross"):
-    """Give the next requests the answer and id of another request."""
+    """Respond to the next requests with the completion and id of another one."""
 
     count: int = 1
 
 
 class DelayAnswers(msgspec.Struct, frozen=True, tag_field="fault", tag="delay"):
-    """Hold back the head of the next answers; the request itself runs at once."""
+    """Delay the head of the next responses; the requests run without delay."""
 
     delay_ms: int
     count: int = 1
 
 
 class SlowDown(msgspec.Struct, frozen=True, tag_field="fault", tag="slow"):
-    """Make each step take so many times longer; 1 ends it."""
+    """Multiply the duration of each step; a factor of 1 ends the fault."""
 
     factor: float
 
 
 class RefuseRequests(msgspec.Struct, frozen=True, tag_field="fault", tag="refuse"):
-    """Answer new requests with 503 without running them."""
+    """Respond to new requests with 503 without running them."""
 
     is_on: bool
 
 
 class StopHeartbeats(msgspec.Struct, frozen=True, tag_field="fault", tag="heartbeats"):
-    """Send no comments on streams without tokens."""
+    """Send no heartbeat comments on streams that wait for tokens."""
 
     is_stopped: bool
 
@@ -93,7 +93,7 @@
 
 
 class EngineCounters(msgspec.Struct):
-    """What an engine did since its process started; a crash keeps them."""
+    """Counters of an engine process; an injected crash keeps them."""
 
     incarnation: str = ""
     executions: dict[str, int] = {}
@@ -113,7 +113,7 @@
 
 
 class EngineFaults(msgspec.Struct):
-    """Which faults are switched on."""
+    """The faults that are currently active."""
 
     cut_after_events: int = 0
     cut_count: int = 0
@@ -129,7 +129,7 @@
     are_heartbeats_stopped: bool = False
 
     def switch(self, fault: AnswerFault) -> None:
-        """Switch one fault."""
+        """Switch one fault on or off."""
         match fault:
             case CutAfterEvents(events, count):
                 self.cut_after_events, self.cut_count = events, count
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_orders.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine: what they say, when they are refused, what they lead to."""
+"""Define orders to an engine, their refusals and their effect on its weights."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an order changes."""
+    """The part of an engine's state that an order changes."""
 
     LOAD = "load"
     ADAPTER = "adapter"
@@ -18,7 +18,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """One order; fields that its kind doesn't use stay empty."""
+    """One order; fields that don't apply to its kind stay unset."""
 
     order_id: str
     kind: OrderKind
@@ -31,7 +31,7 @@
 
 
 class OrderRefusalReason(enum.StrEnum):
-    """Why an order was not carried out."""
+    """Why an order was refused."""
 
     STALE_FENCE = "stale_fence"
     UNEXPECTED_STATE = "unexpected_state"
@@ -39,7 +39,7 @@
 
 
 class OrderRefusal(msgspec.Struct, frozen=True):
-    """The body of a refused order."""
+    """The response body for a refused order."""
 
     reason: OrderRefusalReason
 
@@ -47,7 +47,7 @@
 def find_refusal(
     order: Order, state: EngineState, checks_fence: bool
 ) -> OrderRefusal | None:
-    """Return why an order is refused, if it is."""
+    """Return the refusal of an order, or None if it is accepted."""
     if checks_fence and order.fence < state.fence:
         return OrderRefusal(OrderRefusalReason.STALE_FENCE)
     if state.is_loading:
@@ -59,7 +59,7 @@
 
 
 def compute_weights(order: Order, weights: Weights) -> Weights:
-    """Return what is loaded once an order is carried out."""
+    """Return the weights that are loaded after an order was executed."""
     match order.kind:
         case OrderKind.LOAD:
             return Weights(
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_server.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_server.py
@@ -1,4 +1,4 @@
-"""Serve an engine over HTTP and SSE."""
+"""Serve a stand-in engine over HTTP and server-sent events."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class CacheEventsBody(msgspec.Struct, frozen=True):
-    """The answer to a read of cache events."""
+    """The response to a read of cache events."""
 
     incarnation: str
     oldest: int
@@ -40,7 +40,7 @@
 
 
 class CacheDumpBody(msgspec.Struct, frozen=True):
-    """Every block held."""
+    """The response to a dump: the hashes of all cached blocks."""
 
     incarnation: str
     next: int
@@ -48,7 +48,7 @@
 
 
 class EngineStateBody(msgspec.Struct, frozen=True):
-    """What an engine has loaded and obeys."""
+    """The state of an engine: loaded weights, role and fencing number."""
 
     incarnation: str
     model: str
@@ -61,14 +61,14 @@
 
 
 class EngineHandler:
-    """Answer the requests of nodes and of the control path."""
+    """Handle requests of nodes and fault control requests."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
         self._completions = CompletionHandler(engine)
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         await handle_route(self._route, request, responder)
 
     async def _route(self, request: HttpRequest, responder: Responder) -> None:
@@ -163,7 +163,7 @@
     listener: trio.SocketListener,
     task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run one engine until cancelled; report its address once it is ready."""
+    """Run one engine until cancelled; report its address once it listens."""
     faulty = FaultyListener(listener)
     engine = Engine(options, faulty)
     server = HttpServer(EngineHandler(engine).handle, _LIMITS)
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_state.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_state.py
@@ -1,4 +1,4 @@
-"""What an engine knows and loses in a crash, and how it computes one step."""
+"""Hold the state that an engine loses in a crash, and compute its steps."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EngineRole(enum.StrEnum):
-    """Which part of a request an engine takes."""
+    """The phases of a request that an engine serves."""
 
     BOTH = "both"
     PREFILL = "prefill"
@@ -27,7 +27,7 @@
 
 
 class EngineOptions(msgspec.Struct, frozen=True):
-    """How one engine is set up."""
+    """The settings of one engine."""
 
     name: str
     model: str = "model"
@@ -48,7 +48,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """The load as it was some time ago."""
+    """A load report, with its age when it is sent."""
 
     incarnation: str = ""
     model: str = ""
@@ -62,7 +62,7 @@
 
 
 class Weights(msgspec.Struct, frozen=True):
-    """What an engine has loaded."""
+    """The model, adapters and role that an engine has loaded."""
 
     model: str
     weights_version: str
@@ -71,9 +71,9 @@
 
 
 class EngineState:
-    """Everything that a crash loses.
+    """The volatile state of an engine.
 
-    Invariant: belongs to one incarnation, which is never used again.
+    Invariant: it belongs to one incarnation; incarnations are never reused.
     """
 
     def __init__(
@@ -114,7 +114,7 @@
         self.batch.add(Sequence(stream.request_id, priority, chain, max_tokens))
 
     def cancel(self, request_id: str) -> bool:
-        """Stop computing a request; return whether it was known."""
+        """Cancel a request; return whether it was known."""
         stream = self.streams.pop(request_id, None)
         if stream is None:
             return False
@@ -123,7 +123,7 @@
         return True
 
     def plan_step(self) -> Step:
-        """Admit what fits, look it up in the cache and return the next step."""
+        """Admit waiting sequences, look up cached blocks and return the next step."""
         for sequence in self.batch.admit():
             matched = self.cache.count_matched(sequence.chain)
             sequence.computed_blocks = matched
@@ -134,7 +134,7 @@
         return self.batch.plan_step()
 
     def apply_step(self, step: Step, now_ms: float) -> None:
-        """Store the blocks that a step computed and hand out its tokens."""
+        """Store the blocks that a step computed and emit its tokens."""
         for prefill in step.prefills:
             sequence = prefill.sequence
             start = sequence.computed_blocks
@@ -146,13 +146,13 @@
             self._decode(sequence)
 
     def load(self, weights: Weights, now_ms: float) -> None:
-        """Put new weights in force; blocks of the old ones are of no use."""
+        """Replace the weights; blocks of another weights version are evicted."""
         if weights.weights_version != self.weights.weights_version:
             self.cache_events.publish(self.cache.clear(), now_ms)
         self.weights = weights
 
     def compute_load(self) -> LoadReport:
-        """Return the load as it is now."""
+        """Return the current load."""
         return LoadReport(
             incarnation=self.incarnation,
             model=self.weights.model,
--- a/packages/toucanyard-standins/src/toucanyard_standins/engine_streams.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/engine_streams.py
@@ -1,4 +1,4 @@
-"""Keep the answers of an engine as numbered events, so that they can be resumed."""
+"""Keep completions as numbered events, so that streams can be resumed."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class TextSource:
-    """Generate tokens as a function of all the text before them.
+    """Generate each token as a function of all preceding text.
 
-    A request that goes on elsewhere, with its prompt and what was already generated,
-    hence yields the same answer as one that was never interrupted, and the answers
-    to different prompts differ.
+    A request that another engine continues, with its prompt and the text generated
+    so far, therefore yields the same completion as an uninterrupted one, and
+    different prompts yield different completions.
     """
 
     __slots__ = ("_digest",)
@@ -37,7 +37,7 @@
         self._digest = xxhash.xxh3_64(prompt)
 
     def generate_token(self) -> str:
-        """Return the next token, a blank and three letters."""
+        """Return the next token: a space and three letters."""
         number = self._digest.intdigest()
         letters: list[str] = []
         for _ in range(TOKEN_BYTES - 1):
@@ -49,7 +49,7 @@
 
 
 class AnswerStream:
-    """One answer under way or kept.
+    """The stream of one running or finished completion.
 
     Invariant: events are only appended; event N never changes.
     """
@@ -100,18 +100,18 @@
         self._add_event(self._render_choice(token, None), None)
 
     def finish(self) -> None:
-        """Add the last event, which carries the usage."""
+        """Add the last event, which contains the usage."""
         self._add_event(self._render_choice("", "length"), self.compute_usage())
         self.is_done = True
         self._wake()
 
     def cancel(self) -> None:
-        """End without a last event."""
+        """End the stream without a last event."""
         self.is_cancelled = True
         self._wake()
 
     def compute_usage(self) -> Usage:
-        """Return the token counts, those generated before a resume included."""
+        """Return the token counts, including tokens generated before a resume."""
         tokens = self.resumed_tokens + len(self.tokens)
         details = PromptDetails(self.cached_tokens)
         total = self.prompt_tokens + tokens
@@ -123,7 +123,7 @@
             await self._changed.wait()
 
     def render_whole(self) -> bytes:
-        """Return the body of an answer that isn't streamed."""
+        """Return the response body for a request without streaming."""
         text = "".join(self.tokens)
         if self.is_chat:
             choice = Choice("length", message=Message("assistant", text))
--- a/packages/toucanyard-standins/src/toucanyard_standins/faulty_listener.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/faulty_listener.py
@@ -1,7 +1,7 @@
-"""Break connections below HTTP: silent, cut, or closed as soon as they are made.
+"""Inject connection faults below HTTP: silence, close, or close on accept.
 
-A stand-in serves on a FaultyListener in place of a trio listener, so that its HTTP
-server can't tell a fault from a broken network.
+A stand-in serves on a FaultyListener in place of a trio listener, so its HTTP server
+can't distinguish an injected fault from a network failure.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 class FaultyStream(trio.abc.HalfCloseableStream):
     """Wrap one accepted connection.
 
-    Invariant: once silent, no byte and no end of the connection leaves it again,
-    and nothing that arrives is seen.
+    Invariant: a silent connection sends neither data nor a close, and ignores all
+    received data.
     """
 
     def __init__(self, stream: trio.SocketStream, listener: FaultyListener) -> None:
@@ -24,18 +24,18 @@
         self.is_silent = False
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        """Send, or drop the data when silent."""
+        """Send data, or drop it when silent."""
         if self.is_silent:
             await trio.lowlevel.checkpoint()
             return
         await self._stream.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Wait until the wrapped connection takes data."""
+        """Wait until the wrapped connection accepts data."""
         await self._stream.wait_send_all_might_not_block()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Receive, or wait for ever when silent."""
+        """Receive data, or block forever when silent."""
         if not self.is_silent:
             data = await self._stream.receive_some(max_bytes)
         if self.is_silent:
@@ -48,10 +48,10 @@
             await self._stream.send_eof()
 
     async def aclose(self) -> None:
-        """Close, or keep the connection open when silent.
+        """Close the connection, or keep it open when silent.
 
-        The kernel would tell the other side of a close, which is just what it must
-        not learn from a connection that something between the two has forgotten.
+        On a close the kernel would notify the peer. A peer gets no such notice when a
+        device on the path has dropped the state of the connection.
         """
         if self.is_silent:
             await trio.lowlevel.checkpoint()
@@ -66,7 +66,7 @@
 
 
 class FaultyListener(trio.abc.Listener[FaultyStream]):
-    """Accept connections and remember those that are open."""
+    """Accept connections and keep track of open ones."""
 
     def __init__(self, listener: trio.SocketListener) -> None:
         self._listener = listener
@@ -74,14 +74,14 @@
         self._down_until_s = 0.0
 
     def as_socket_listener(self) -> trio.SocketListener:
-        """Return this listener under the type that servers ask for.
+        """Return this listener, typed as the class that servers require.
 
-        trio's own class is final; servers call nothing but accept and aclose.
+        trio's class is final; servers only call accept and aclose.
         """
         return cast(trio.SocketListener, self)
 
     async def accept(self) -> FaultyStream:
-        """Accept the next connection; while down, close each at once."""
+        """Accept the next connection; while down, close connections immediately."""
         while True:
             stream = await self._listener.accept()
             if trio.current_time() >= self._down_until_s:
@@ -96,15 +96,15 @@
         await self._listener.aclose()
 
     def go_down(self, for_ms: float) -> None:
-        """Close new connections at once for a while of real time."""
+        """Close new connections immediately for a period of real time."""
         self._down_until_s = trio.current_time() + for_ms / 1000
 
     def silence(self) -> None:
-        """Make every connection that is open now silent for good."""
+        """Permanently silence all currently open connections."""
         for stream in self.streams:
             stream.is_silent = True
 
     async def cut(self) -> None:
-        """Close every connection that is open now."""
+        """Close all currently open connections."""
         for stream in tuple(self.streams):
             await stream.cut()
--- a/packages/toucanyard-standins/src/toucanyard_standins/json_responses.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/json_responses.py
@@ -1,4 +1,4 @@
-"""Send the answers that every stand-in gives: JSON, plain text and nothing."""
+"""Send JSON responses and errors, for the handlers of all stand-ins."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ErrorText(msgspec.Struct, frozen=True):
-    """The body of an error."""
+    """The body of an error response."""
 
     error: str
 
@@ -27,26 +27,27 @@
 async def send_json(
     responder: Responder, status: int, body: object, headers: Headers = ()
 ) -> None:
-    """Send one whole JSON body."""
+    """Send a response with a JSON body."""
     await responder.send(status, (JSON_TYPE, *headers), msgspec.json.encode(body))
 
 
 async def send_error(
     responder: Responder, status: int, text: str, headers: Headers = ()
 ) -> None:
-    """Send one error."""
+    """Send an error response."""
     await send_json(responder, status, ErrorText(text), headers)
 
 
 async def handle_route(
     route: Route, request: HttpRequest, responder: Responder
 ) -> None:
-    """Answer one request; 400 when it can't be read, nothing when nobody listens."""
+    """Handle one request; respond with 400 if it is malformed."""
     try:
         try:
             await route(request, responder)
         except (msgspec.MsgspecError, ValueError) as error:
             await send_error(responder, 400, str(error))
     except CallerGoneError:
-        # What was started goes on: an engine, for one, only stops for a DELETE.
+        # The caller closed its connection. Started work continues: an engine, for
+        # example, stops computing only after a DELETE.
         return
--- a/packages/toucanyard-standins/src/toucanyard_standins/log_proxy.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/log_proxy.py
@@ -1,4 +1,4 @@
-"""Stand between some nodes and the platform, so that the log is down for these only."""
+"""Proxy requests of some nodes to the platform, so that only they lose the log."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class LogProxy:
-    """Forward every request to the platform, but none to its log while closed."""
+    """Forward requests to the platform, except log requests while blocked."""
 
     def __init__(self, platform: Address) -> None:
         self._platform = platform
@@ -32,7 +32,7 @@
     async def serve(
         self, task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the gate's address."""
+        """Serve until cancelled; report the address of the proxy."""
         listener = await open_listener("127.0.0.1", 0)
         server = HttpServer(self.handle, ServerLimits())
         async with trio.open_nursery() as nursery:
@@ -40,7 +40,7 @@
             task_status.started(Address(f"127.0.0.1:{find_port(listener)}"))
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Forward one request and its answer."""
+        """Forward one request and its response."""
         is_log = request.path.startswith("/log/")
         try:
             if is_log and self.is_log_blocked:
@@ -57,7 +57,7 @@
         except ConnectionFailedError:
             await responder.send(502, (), b"")
             return
-        # A read that was waiting when the gate closed must bring nothing either.
+        # A read that was waiting when the log was blocked must not return records.
         if is_log and self.is_log_blocked:
             await responder.send(503, (), b"")
             return
--- a/packages/toucanyard-standins/src/toucanyard_standins/model_time.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/model_time.py
@@ -1,4 +1,4 @@
-"""Scale the time that stand-ins model, so that tests needn't wait for it."""
+"""Scale simulated time, so that tests run faster than real time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ModelTime:
-    """Map modelled milliseconds to real ones; a scale of 0.1 is ten times faster."""
+    """Map simulated milliseconds to real ones; a scale of 0.1 is ten times faster."""
 
     __slots__ = ("scale",)
 
@@ -16,9 +16,9 @@
         self.scale = scale
 
     def now_ms(self) -> float:
-        """Return the present modelled time."""
+        """Return the current simulated time."""
         return trio.current_time() * 1000 / self.scale
 
     async def sleep_ms(self, duration_ms: float) -> None:
-        """Sleep for a modelled duration."""
+        """Sleep for a simulated duration."""
         await trio.sleep(duration_ms * self.scale / 1000)
--- a/packages/toucanyard-standins/src/toucanyard_standins/network_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/network_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the network that every stand-in can be told to have."""
+"""Define the network faults that can be injected into every stand-in."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class SilenceConnections(msgspec.Struct, frozen=True, tag_field="fault", tag="silence"):
-    """Make the connections that are open now silent for good."""
+    """Permanently silence all currently open connections."""
 
 
 class CutConnections(msgspec.Struct, frozen=True, tag_field="fault", tag="cut"):
-    """Close the connections that are open now."""
+    """Close all currently open connections."""
 
 
 class GoDown(msgspec.Struct, frozen=True, tag_field="fault", tag="down"):
-    """Close all connections, and new ones at once, those of the control path too."""
+    """Close all connections and new ones on accept, control requests included."""
 
     for_ms: int
 
@@ -25,7 +25,7 @@
 
 
 async def apply_network_fault(fault: NetworkFault, listener: FaultyListener) -> None:
-    """Carry out one fault of the network."""
+    """Apply one network fault to a listener."""
     match fault:
         case SilenceConnections():
             listener.silence()
--- a/packages/toucanyard-standins/src/toucanyard_standins/openai_shape.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/openai_shape.py
@@ -1,4 +1,4 @@
-"""Typed bodies of completions and chat completions, requests and answers."""
+"""Define request and response bodies of completions and chat completions."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ContentPart(msgspec.Struct, frozen=True):
-    """One part of a message's content; parts that aren't text have no `text`."""
+    """One part of a message's content; `text` is empty for other media."""
 
     text: str = ""
 
@@ -19,7 +19,7 @@
 
 
 class CompletionRequest(msgspec.Struct, frozen=True):
-    """What the stand-in reads of a request; other fields are ignored."""
+    """The fields of a request that the stand-in uses; others are ignored."""
 
     model: str
     prompt: str = ""
@@ -30,7 +30,7 @@
 
 
 class PromptDetails(msgspec.Struct, frozen=True):
-    """How much of a prompt came from the cache."""
+    """Details of the prompt tokens."""
 
     cached_tokens: int
 
@@ -45,13 +45,13 @@
 
 
 class Delta(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a chunk of a chat adds."""
+    """The text that a chunk adds to a chat message."""
 
     content: str = ""
 
 
 class Choice(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The only choice of an answer or chunk; one of its contents is set."""
+    """The only choice of a response or chunk; one of its contents is set."""
 
     finish_reason: str | None
     text: str | None = None
@@ -61,7 +61,7 @@
 
 
 class Completion(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A whole answer or one chunk of it."""
+    """A whole completion or one chunk of it."""
 
     id: str
     object: str
@@ -72,7 +72,7 @@
 
 
 def render_prompt(request: CompletionRequest) -> bytes:
-    """Return the text that a request's cached blocks are cut from."""
+    """Return the text of a request from which the block hashes are computed."""
     if not request.messages:
         return request.prompt.encode()
     lines = (f"{each.role}\n{_join(each.content)}\n" for each in request.messages)
@@ -80,7 +80,7 @@
 
 
 def find_generated(request: CompletionRequest, tokens: int, token_bytes: int) -> bytes:
-    """Return the end of the prompt that an interrupted computation had generated."""
+    """Return the end of the prompt that an interrupted request had generated."""
     if tokens == 0:
         return b""
     if request.messages:
@@ -89,7 +89,7 @@
 
 
 def strip_generated(request: CompletionRequest, generated: bytes) -> CompletionRequest:
-    """Return the request as it was before text was generated."""
+    """Return a request without the text generated before an interruption."""
     if not generated:
         return request
     if request.messages:
@@ -99,7 +99,7 @@
 
 
 def find_token_limit(request: CompletionRequest, default: int) -> int:
-    """Return how many tokens to generate."""
+    """Return the maximum number of tokens to generate."""
     return request.max_tokens or request.max_completion_tokens or default
 
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/plain_relay.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/plain_relay.py
@@ -1,6 +1,7 @@
-"""Relay bytes between callers and one engine, deciding nothing.
+"""Forward requests to one engine without any routing decision.
 
-It costs what the libraries cost: the floor that a node's path is compared with.
+Its cost is that of the HTTP libraries alone: the lower bound that the cost of a node
+is compared with.
 """
 
 from __future__ import annotations
@@ -27,20 +28,20 @@
 
 
 class RelayOptions(msgspec.Struct, frozen=True):
-    """Where everything goes."""
+    """The engine that all requests are forwarded to."""
 
     engine: Address
 
 
 class PlainRelay:
-    """Forward each request on a kept connection, and each part of its answer."""
+    """Forward requests on pooled connections, and responses chunk by chunk."""
 
     def __init__(self, options: RelayOptions) -> None:
         self._engine = options.engine
         self._idle_connections: list[HttpConnection] = []
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Relay one request."""
+        """Forward one request."""
         await handle_route(self._relay, request, responder)
 
     async def _relay(self, request: HttpRequest, responder: Responder) -> None:
@@ -67,7 +68,7 @@
     listener: trio.SocketListener,
     task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run one relay until cancelled; report its address once it is ready."""
+    """Run one relay until cancelled; report its address once it listens."""
     server = HttpServer(PlainRelay(options).handle, ServerLimits())
     async with trio.open_nursery() as nursery:
         nursery.start_soon(server.serve, listener)
--- a/packages/toucanyard-standins/src/toucanyard_standins/plain_service.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/plain_service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service whose calls may not all be repeated."""
+"""Simulate a plain service with calls that are not all repeatable."""
 
 from __future__ import annotations
 
@@ -26,33 +26,33 @@
 
 
 class SlowCalls(msgspec.Struct, frozen=True, tag_field="fault", tag="slow"):
-    """Make each execution take so long; 0 ends it."""
+    """Set the duration of each execution; 0 ends the fault."""
 
     delay_ms: int
 
 
 class DieAfterExecution(msgspec.Struct, frozen=True, tag_field="fault", tag="die"):
-    """Crash after the next executions, before their answers."""
+    """Crash after the next executions, before their responses are sent."""
 
     count: int = 1
     down_ms: int = 0
 
 
 class DelayAnswers(msgspec.Struct, frozen=True, tag_field="fault", tag="delay"):
-    """Hold back the next answers after their executions."""
+    """Delay the next responses after their executions."""
 
     delay_ms: int
     count: int = 1
 
 
 class RefuseCalls(msgspec.Struct, frozen=True, tag_field="fault", tag="refuse"):
-    """Answer 503 without executing while on."""
+    """Respond with 503 without executing the call while on."""
 
     is_on: bool
 
 
 class CrossAnswers(msgspec.Struct, frozen=True, tag_field="fault", tag="cross"):
-    """Give the next answers another call's request id."""
+    """Send the next responses with the request id of another call."""
 
     count: int = 1
 
@@ -68,7 +68,7 @@
 
 
 class ServiceOptions(msgspec.Struct, frozen=True):
-    """How one plain service is set up."""
+    """The settings of one plain service."""
 
     name: str
     work_ms: float = 5.0
@@ -76,7 +76,7 @@
 
 
 class ServiceCounters(msgspec.Struct):
-    """Executions since the process started; a crash keeps them."""
+    """Counters of a service process; an injected crash keeps them."""
 
     incarnation: str = ""
     executions: int = 0
@@ -89,7 +89,7 @@
 
 
 class ServiceLoad(msgspec.Struct, frozen=True):
-    """The load as it was some time ago."""
+    """A load report, with its age when it is sent."""
 
     incarnation: str
     running: int
@@ -97,7 +97,7 @@
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
-    """What one execution gives: its number, and what was executed."""
+    """The response body of one execution: its number and the call."""
 
     service: str
     execution: int
@@ -111,8 +111,8 @@
 class PlainService:
     """Execute calls and count each execution.
 
-    Invariant: a call is counted when its work is done, before any part of its
-    answer leaves.
+    Invariant: a call is counted when its work is done, before any byte of its
+    response is sent.
     """
 
     def __init__(self, options: ServiceOptions, listener: FaultyListener) -> None:
@@ -129,14 +129,14 @@
         self._is_refusing = False
 
     async def report_load(self) -> None:
-        """Take the load now and then, so that reports lag."""
+        """Sample the load periodically, so that reports lag behind it."""
         while True:
             await trio.sleep(self._options.load_lag_ms / 1000)
             self._load = ServiceLoad(self._counters.incarnation, self._running, 0)
             self._load_sampled_s = trio.current_time()
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         await handle_route(self._route, request, responder)
 
     async def _route(self, request: HttpRequest, responder: Responder) -> None:
@@ -175,7 +175,7 @@
         await send_json(responder, 200, answer, (("X-Request-Id", request_id),))
 
     async def _execute(self, request: HttpRequest) -> CallAnswer:
-        """Do the work to its end, even if the caller hangs up meanwhile."""
+        """Do the work, and complete it even if the caller disconnects."""
         headers = request.headers
         request_id = headers.get("x-request-id", "")
         self._running += 1
@@ -219,7 +219,7 @@
                 await apply_network_fault(fault, self._listener)
 
     async def _crash(self, down_ms: int) -> None:
-        """Drop every connection and come back under a new incarnation."""
+        """Close all connections and restart as a new incarnation."""
         self._counters.crashes += 1
         self._counters.incarnation = self._build_incarnation()
         self._listener.go_down(down_ms)
@@ -234,7 +234,7 @@
     listener: trio.SocketListener,
     task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run one plain service until cancelled; report its address once it is ready."""
+    """Run one plain service until cancelled; report its address once it listens."""
     faulty = FaultyListener(listener)
     service = PlainService(options, faulty)
     server = HttpServer(service.handle, _LIMITS)
--- a/packages/toucanyard-standins/src/toucanyard_standins/platform.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform: log service, VM list and weight store on one port."""
+"""Simulate the platform: log service, VM list and weight store on one port."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class PlatformOptions(msgspec.Struct, frozen=True):
-    """How the platform is set up."""
+    """The settings of the platform."""
 
     log: LogOptions = LogOptions()
     weights: WeightStoreOptions = WeightStoreOptions()
@@ -56,7 +56,7 @@
 
 
 def _find_kind(text: str) -> str:
-    """Return the kind of a record, empty when it has none."""
+    """Return the kind of a record, or an empty string."""
     try:
         return msgspec.json.decode(text, type=_Record).kind
     except msgspec.DecodeError:
@@ -64,13 +64,13 @@
 
 
 class AppendBody(msgspec.Struct, frozen=True):
-    """Records to append together."""
+    """The request to append records together."""
 
     records: tuple[str, ...]
 
 
 class ReadBody(msgspec.Struct, frozen=True):
-    """The answer to a read of the log."""
+    """The response to a read of the log."""
 
     oldest: int
     next: int
@@ -78,7 +78,7 @@
 
 
 class RangeBody(msgspec.Struct, frozen=True):
-    """Which offsets are kept, when those asked for are not."""
+    """The response when the offsets asked for have expired: the retained range."""
 
     oldest: int
     next: int
@@ -98,7 +98,7 @@
 
 
 class Platform:
-    """The three services, their faults and their face."""
+    """The three services, their injected faults and their HTTP handler."""
 
     def __init__(self, options: PlatformOptions, listener: FaultyListener) -> None:
         now_ms = self._now_ms()
@@ -113,7 +113,7 @@
         self._appended = trio.Event()
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         await handle_route(self._apply_part_faults, request, responder)
 
     async def _apply_part_faults(
@@ -168,8 +168,9 @@
         appended = self._log.append(body.records, now_ms)
         self._counters.appends += 1
         if self._lost_answers_fault.count > 0:
-            # Readers find it at the end of their wait: by then whoever appended has
-            # lost the answer, which a record that came at once would make good for.
+            # Waiting readers are not woken: they get the record after their wait. By
+            # then the sender has lost the response; a record that was read at once
+            # would make up for it.
             await self._drop_answer()
             return
         done, self._appended = self._appended, trio.Event()
@@ -243,7 +244,7 @@
     listener: trio.SocketListener,
     task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run the platform until cancelled; report its address once it is ready."""
+    """Run the platform until cancelled; report its address once it listens."""
     faulty = FaultyListener(listener)
     server = HttpServer(Platform(options, faulty).handle, _LIMITS)
     async with trio.open_nursery() as nursery:
--- a/packages/toucanyard-standins/src/toucanyard_standins/platform_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/platform_faults.py
@@ -1,4 +1,4 @@
-"""Faults and changes that the platform can be told, and its counters."""
+"""Define faults and changes that can be applied to the platform, and its counters."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 
 class Outage(msgspec.Struct, frozen=True, tag_field="fault", tag="outage"):
-    """Answer 503 for one part while on."""
+    """Respond with 503 for one service while on."""
 
     is_on: bool
     part: PlatformPart = PlatformPart.LOG
 
 
 class SlowPart(msgspec.Struct, frozen=True, tag_field="fault", tag="slow"):
-    """Delay each answer of one part; 0 ends it."""
+    """Delay each response of one service; 0 ends the fault."""
 
     delay_ms: int
     part: PlatformPart = PlatformPart.LOG
 
 
 class LoseAnswers(msgspec.Struct, frozen=True, tag_field="fault", tag="lose_answers"):
-    """Leave the next appends unanswered after their effect.
+    """Execute the next appends without sending a response.
 
-    Their connections are closed, or kept open without an answer.
+    Their connections are closed, or kept open without any byte if `is_silent`.
     """
 
     count: int
@@ -43,19 +43,19 @@
 
 
 class ExpireRecords(msgspec.Struct, frozen=True, tag_field="fault", tag="expire"):
-    """Drop the log's records below an offset."""
+    """Drop the log records before an offset."""
 
     before: int
 
 
 class AgeRecords(msgspec.Struct, frozen=True, tag_field="fault", tag="age"):
-    """Make the log's records older by some time, as if they had waited."""
+    """Move the append times of all log records into the past."""
 
     by_ms: int
 
 
 class PutVm(msgspec.Struct, frozen=True, tag_field="fault", tag="put_vm"):
-    """Add or replace a VM of the list."""
+    """Add or replace a VM in the list."""
 
     vm: Vm
 
@@ -67,7 +67,7 @@
 
 
 class SetVmLag(msgspec.Struct, frozen=True, tag_field="fault", tag="vm_lag"):
-    """Change the lag of the VM list."""
+    """Change the time after which changes of the VM list become visible."""
 
     lag_ms: float
 
@@ -86,10 +86,10 @@
 
 
 class PlatformCounters(msgspec.Struct):
-    """What the platform did since it started."""
+    """Counters of the platform since its start."""
 
     asked_records: dict[str, int] = {}
-    """Records that were to be appended, by kind, also those without an effect."""
+    """Records in append requests by kind, including rejected requests."""
     appends: int = 0
     refused_appends: int = 0
     reads: int = 0
--- a/packages/toucanyard-standins/src/toucanyard_standins/platform_log.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/platform_log.py
@@ -1,4 +1,4 @@
-"""The log service: append-only with offsets, limited retention and limited rate."""
+"""Simulate the log service: append-only, with limited retention and rate."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True):
-    """One record; `at_ms` is the service's own time of the append."""
+    """One record; `at_ms` is the time of the append by the service's clock."""
 
     offset: int
     at_ms: int
@@ -25,7 +25,7 @@
 
 
 class Appended(msgspec.Struct, frozen=True):
-    """Where records were put: from `first` up to but without `next`."""
+    """The offsets of appended records, from `first` up to but excluding `next`."""
 
     first: int
     next: int
@@ -34,7 +34,7 @@
 class LogService:
     """Records in the order of their appends.
 
-    Invariants: an offset is given once; records leave only at the old end.
+    Invariants: an offset is assigned once; only the oldest records are dropped.
     """
 
     __slots__ = ("_next", "_options", "_records", "_refilled_ms", "_tokens", "appends")
@@ -48,15 +48,15 @@
         self.appends = 0
 
     def find_next(self) -> int:
-        """Return the offset that the next record will get."""
+        """Return the offset of the next record."""
         return self._next
 
     def find_oldest(self) -> int:
-        """Return the lowest offset still kept."""
+        """Return the lowest retained offset."""
         return self._records[0].offset if self._records else self._next
 
     def consume_token(self, now_ms: float) -> bool:
-        """Use up one append of the rate; return whether there was one."""
+        """Consume one append of the rate limit; return whether one was available."""
         options = self._options
         refill = (now_ms - self._refilled_ms) * options.appends_per_s / 1000
         self._tokens = min(float(options.burst), self._tokens + refill)
@@ -77,7 +77,7 @@
         return Appended(first, self._next)
 
     def drop_expired(self, now_ms: float) -> None:
-        """Drop what is older than the retention or beyond the number kept."""
+        """Drop records that exceed the retention time or the maximum number."""
         options = self._options
         self.drop_before(self._next - options.max_records)
         oldest_ms = now_ms - options.retention_ms
@@ -85,19 +85,19 @@
             self._records.popleft()
 
     def age(self, by_ms: int) -> None:
-        """Make all records older."""
+        """Move the append times of all records into the past."""
         self._records = deque(
             msgspec.structs.replace(each, at_ms=each.at_ms - by_ms)
             for each in self._records
         )
 
     def drop_before(self, offset: int) -> None:
-        """Drop the records below an offset."""
+        """Drop the records before an offset."""
         while self._records and self._records[0].offset < offset:
             self._records.popleft()
 
     def find_records(self, first: int, limit: int) -> tuple[LogRecord, ...]:
-        """Return records from an offset on, at most `limit`."""
+        """Return up to `limit` records from an offset on."""
         start = first - self.find_oldest()
         stop = min(start + limit, len(self._records))
         return tuple(self._records[index] for index in range(start, stop))
--- a/packages/toucanyard-standins/src/toucanyard_standins/platform_vms.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/platform_vms.py
@@ -1,4 +1,4 @@
-"""The VM list: live and leaving VMs, shown with a lag."""
+"""Simulate the VM list: live and leaving VMs, with delayed visibility."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class VmState(enum.StrEnum):
-    """Whether a VM stays."""
+    """Whether a VM is live or about to be removed."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class VmKind(enum.StrEnum):
-    """What a VM runs."""
+    """The kind of process on a VM."""
 
     NODE = "node"
     ENDPOINT = "endpoint"
@@ -36,13 +36,13 @@
 
 
 class VmListBody(msgspec.Struct, frozen=True):
-    """The answer to a read of the list."""
+    """The response to a read of the list."""
 
     vms: tuple[Vm, ...]
 
 
 class _Change(msgspec.Struct, frozen=True):
-    """One change and when readers see it; no VM means that the name is removed."""
+    """A change and the time at which it becomes visible; no VM means removal."""
 
     visible_ms: float
     name: str
@@ -50,7 +50,7 @@
 
 
 class VmList:
-    """VMs by name; a change becomes visible after the lag."""
+    """VMs by name; changes become visible after a lag."""
 
     __slots__ = ("_changes", "_visible", "lag_ms")
 
@@ -68,7 +68,7 @@
         self._changes.append(_Change(now_ms + self.lag_ms, name, None))
 
     def find_visible(self, now_ms: float) -> tuple[Vm, ...]:
-        """Return the VMs that readers see now."""
+        """Return the VMs that are currently visible."""
         while self._changes and self._changes[0].visible_ms <= now_ms:
             change = self._changes.popleft()
             if change.vm is None:
--- a/packages/toucanyard-standins/src/toucanyard_standins/platform_weights.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/platform_weights.py
@@ -1,4 +1,4 @@
-"""The weight store: let a load start, not too often, slower while many load."""
+"""Simulate the weight store: permits to load at a limited rate and shared speed."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class WeightStoreOptions(msgspec.Struct, frozen=True):
-    """Rate of the weight store."""
+    """The settings of the weight store."""
 
     starts_per_s: float = 4.0
     burst: int = 4
     load_ms: float = 450.0
-    """How long a load counts as under way after its start."""
+    """The time for which a started load counts as concurrent."""
 
 
 class LoadPermit(msgspec.Struct, frozen=True):
-    """Leave to start a load now, and how many times slower it is."""
+    """A permit to start a load, and the factor by which the load is slower."""
 
     slowdown: float
 
 
 class WeightStore:
-    """Hand out leaves at a limited rate."""
+    """Grant permits to load at a limited rate."""
 
     __slots__ = ("_options", "_refilled_ms", "_started_ms", "_tokens", "starts")
 
@@ -38,7 +38,7 @@
         self.starts = 0
 
     def request_permit(self, now_ms: float) -> LoadPermit | None:
-        """Take a leave, or None while the rate is used up."""
+        """Return a permit, or None if the rate is exceeded."""
         options = self._options
         refill = (now_ms - self._refilled_ms) * options.starts_per_s / 1000
         self._tokens = min(float(options.burst), self._tokens + refill)
@@ -53,6 +53,6 @@
         return LoadPermit(max(1.0, len(self._started_ms) / _FULL_SPEED_LOADS))
 
     def compute_wait_ms(self) -> int:
-        """Return how long until a leave may be had."""
+        """Return the time until the next permit can be granted."""
         missing = max(0.0, 1 - self._tokens)
         return int(missing * 1000 / self._options.starts_per_s) + 1
--- a/packages/toucanyard-standins/src/toucanyard_standins/version_watch.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/version_watch.py
@@ -1,4 +1,4 @@
-"""Follow which configuration version each node shows, across its restarts."""
+"""Watch the configuration version that each node reports, across restarts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Regression(msgspec.Struct, frozen=True):
-    """A node showed a lower version than it had shown before."""
+    """A node reported a lower version than before."""
 
     node: str
     before: int
@@ -27,13 +27,13 @@
 
 
 class VersionWatch:
-    """What nodes showed, by name, so that a restarted node counts as the same.
+    """The highest version of each node, by name, so that it survives restarts.
 
-    With `is_by_process` each process counts for itself: while the log is down, a node
-    that starts can't know what only nodes that have died knew.
+    With `is_by_process`, each process is watched separately: while the log is down, a
+    starting node can't know a version that only dead nodes knew.
 
-    Invariants: a node's highest version only grows; whatever a node showed below its
-    highest is among `regressions`.
+    Invariants: a node's highest version only grows; each report of a lower version
+    is in `regressions`.
     """
 
     def __init__(self, operator_key: str, is_by_process: bool = False) -> None:
@@ -44,11 +44,11 @@
         self.reads = 0
 
     def find_highest(self, node: str) -> int:
-        """Return the highest version that a node has shown."""
+        """Return the highest version that a node has reported."""
         return self._highest.get(node, 0)
 
     def record_version(self, node: str, version: int) -> None:
-        """Take in what one node shows."""
+        """Record the version that a node reports."""
         self.reads += 1
         highest = self.find_highest(node)
         if version < highest:
@@ -57,7 +57,7 @@
         self._highest[node] = version
 
     async def follow(self, node: ProcessHandle) -> None:
-        """Ask one process for its status until it has ended."""
+        """Poll the status of one process until it has ended."""
         while node.is_running():
             try:
                 await self._poll_connection(node)
@@ -81,7 +81,7 @@
             await connection.send("GET", "/status", self._headers)
             head = await connection.read_head()
             body = await connection.read_body()
-            # A node without a configuration knows no operator and shows no version.
+            # A node without a configuration knows no operator, so it rejects the key.
             if head.status == 200:
                 version = msgspec.json.decode(body, type=_Status).version
                 self.record_version(name, version)
--- a/packages/toucanyard-standins/src/toucanyard_standins/virtual_clock.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/virtual_clock.py
@@ -1,4 +1,4 @@
-"""Run calls in the order of a time of their own, which only they move on."""
+"""Run scheduled calls in virtual time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class VirtualClock:
-    """Calls ordered by virtual time; ties run in the order of scheduling."""
+    """A scheduler in virtual time; ties run in the order of scheduling."""
 
     __slots__ = ("_calls", "_order", "now_ms")
 
@@ -17,12 +17,12 @@
         self._calls: list[tuple[float, int, Callable[[], None]]] = []
 
     def call_after(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Run a call after a delay."""
+        """Schedule a call after a delay."""
         self._order += 1
         heapq.heappush(self._calls, (self.now_ms + delay_ms, self._order, call))
 
     def run_until(self, end_ms: float) -> None:
-        """Run all calls up to a point in time."""
+        """Run all calls that are due up to a time, and advance the clock to it."""
         while self._calls and self._calls[0][0] <= end_ms:
             self.now_ms, _, call = heapq.heappop(self._calls)
             call()
