--- a/packages/toucanyard-standins/src/toucanyard_standins/bench.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench.py
@@ -1,4 +1,4 @@
-"""Run one bench by name; each is a module `bench_NAME` beside this one."""
+"""Run one bench by name; each is a module `bench_NAME` of this package."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the bench that the first argument names; the others are its own."""
+    """Run the bench named by the first argument with the other arguments."""
     name, rest = (arguments[0], arguments[1:]) if arguments else ("", [])
     if name not in NAMES:
         print(USAGE, file=sys.stderr)
@@ -32,7 +32,7 @@
 
 
 def run_bench(module_name: str, arguments: list[str]) -> int:
-    """Import one bench, which may need much that others don't, and run it."""
+    """Import and run one bench; imports are lazy since benches differ in dependencies."""
     try:
         module = importlib.import_module(module_name)
     except ModuleNotFoundError as error:
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_claims.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_claims.py
@@ -1,8 +1,9 @@
-"""Measure what claims cost: appends against requests against added latency, memory.
+"""Measure the cost of claims: appends, added latency and memory by request rate.
 
-Nine nodes' decisions, writers and readers run in this process against the platform's
-stand-in in another. Prints one row a run, a worked-out part for 320 nodes, what notes
-of issued keys cost, and the slopes of memory and time per remembered key.
+The decisions, log writers and log readers of nine nodes run in this process against a
+platform stand-in in another. Print one row for each run, an extrapolation to 320
+nodes, the cost of recording issued keys at a backup node, and the slopes of memory
+and time per stored key.
 """
 
 from __future__ import annotations
@@ -69,21 +70,24 @@
 
 
 class RunCounts(msgspec.Struct):
-    """What one run counted."""
+    """The counters of one run."""
 
     added: HdrHistogram
     allowed: int = 0
     refused: int = 0
 
     def reset(self) -> None:
-        """Count from now on."""
+        """Reset all counters."""
         self.added.reset()
         self.allowed = 0
         self.refused = 0
 
 
 class ClaimNode:
-    """One node's decision with its writer and reader; dispatches end at once."""
+    """The claim decisions of one node with log writer and reader.
+
+    Dispatches complete immediately.
+    """
 
     def __init__(self, number: int, limits: ClaimLimits, counts: RunCounts) -> None:
         name = NodeName(f"n{number}")
@@ -102,14 +106,14 @@
         rate_per_s: float,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Send keyed requests at random times until cancelled, once the log is read."""
+        """Read the log to its end, then send keyed requests at random until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follow_log, address, 1_000, self._handle_log_event)
             nursery.start_soon(
                 write_log, address, self._limits, self._records, self._handle_settled
             )
             nursery.start_soon(self._tick)
-            # A claim is refused until the log of earlier runs was read to its end.
+            # Claims are refused until the log of earlier runs was read to its end.
             await self._log_is_read.wait()
             task_status.started()
             await self._send(rate_per_s)
@@ -121,7 +125,8 @@
             due_s += rng.expovariate(rate_per_s)
             await trio.sleep_until(due_s)
             request_id = RequestId(f"{self._prefix}-{number}")
-            # From the planned time on, so that a late sender doesn't hide a wait.
+            # Latency is measured from the planned time, so that a late sender doesn't
+            # hide waiting time.
             self._sent_ms[request_id] = due_s * 1000
             deadline_ms = due_s * 1000 + 5_000
             event = KeyedRequestArrived(
@@ -170,7 +175,7 @@
 
 
 async def measure_run(address: Address, cap_per_s: int, rate_per_s: int) -> str:
-    """Measure one cap of appends at one rate of requests; return its row."""
+    """Measure one limit of appends at one rate of requests; return its row."""
     counts = RunCounts(HdrHistogram(1, 60_000_000, 3))
     limits = ClaimLimits(max_appends_per_s=cap_per_s)
     async with trio.open_nursery() as nursery:
@@ -199,13 +204,13 @@
 
 
 async def read_counters(address: Address) -> PlatformCounters:
-    """Return what the platform has counted."""
+    """Return the counters of the platform."""
     answer = await fetch(address, "GET", "/control")
     return msgspec.json.decode(answer.body, type=PlatformCounters)
 
 
 async def measure_curve() -> None:
-    """Print a row for each cap and rate."""
+    """Print a row for each limit of appends and rate of requests."""
     print(f"claims through the log, {_NODES} nodes in one process, gather 5 ms")
     print(
         "cap/node  offered   run/s appends/s  a batch   p50 ms   p99 ms refused"
@@ -228,7 +233,7 @@
 
 
 def print_extrapolation() -> None:
-    """Print what 320 nodes would get out of the log, by calculation only."""
+    """Print the claim throughput of the log for 320 nodes, by calculation only."""
     direct_interval_ms = 1000 * _FLEET_NODES / _LOG_APPENDS_PER_S
     collected_interval_ms = 1000 * _COLLECTORS / _LOG_APPENDS_PER_S
     record_bytes = len(make_claim("n319", 11_000))
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_configuration.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_configuration.py
@@ -1,7 +1,7 @@
-"""Measure how long a patch takes until it is in force on every node.
+"""Measure the time until a patch is in force on every node.
 
-Real processes: one platform, one engine and nine nodes. A time is from the sending of
-the patch until the last node has logged that its version is in force.
+Runs real processes: one platform, one engine and nine nodes. Times are measured from
+sending the patch until the last node has logged that its version is in force.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """What the log does while patches are submitted."""
+    """The delay of the log while patches are submitted."""
 
     name: str
     delay_ms: int
@@ -85,7 +85,7 @@
 
 
 class PatchSender:
-    """Submit patches one after the other and time them."""
+    """Submit patches sequentially and time them."""
 
     def __init__(self, nodes: Sequence[ProcessHandle]) -> None:
         self._nodes = nodes
@@ -93,7 +93,7 @@
         self._numbers = itertools.count()
 
     async def send(self, through: Sequence[ProcessHandle], times: PatchTimes) -> bool:
-        """Submit one patch and wait for every node; tell whether it was accepted."""
+        """Submit one patch and wait for every node; return whether it was accepted."""
         number = next(self._numbers)
         node = through[number % len(through)]
         started_s = time.time()
@@ -134,7 +134,7 @@
 
 
 def find_in_force_s(node: ProcessHandle, version: int) -> float | None:
-    """Return when a node's log says that a version, or a later one, came into force."""
+    """Return when a version or a later one came into force, from a node's log."""
     for line in node.read_log().splitlines():
         if _IN_FORCE not in line:
             continue
@@ -145,7 +145,7 @@
 
 
 def build_patch(number: int, base: int) -> PatchBody:
-    """Return a patch that gives one of a few customers a new key."""
+    """Return a patch that sets a new key for one of a few customers."""
     name = CustomerName(f"customer-{number % _CUSTOMERS}")
     customer = Customer(name, (hash_key(f"key {number}"),))
     return PatchBody(f"patch-{number}", base, Put(customers=(customer,)))
@@ -154,7 +154,7 @@
 async def run_conditions(
     conditions: Sequence[Condition], append_timeout_ms: int
 ) -> None:
-    """Print a row for each condition of a log that all nodes share."""
+    """Print a row for each condition of the log, which applies to all nodes."""
     options = build_options(append_timeout_ms)
     async with open_harness() as harness:
         sizes = DeploymentSizes(nodes=_NODES, engines=1, services=0, options=options)
@@ -170,7 +170,7 @@
 
 
 def build_options(append_timeout_ms: int) -> Options:
-    """Return default settings but for how long an append is waited for."""
+    """Return default settings with another timeout of appends."""
     return Options(
         NodeName("node"),
         DomainName("domain"),
@@ -182,7 +182,7 @@
 
 
 async def run_blocked_log(patches: int) -> str:
-    """Return a row for a log that only one node can reach."""
+    """Return the row for a log that only one node can reach."""
     async with open_harness() as harness, trio.open_nursery() as nursery:
         sizes = DeploymentSizes(nodes=1, engines=1, services=0)
         (first,) = (await start_deployment(harness, sizes)).nodes
@@ -204,7 +204,7 @@
 
 
 async def start_more(harness: Harness) -> list[ProcessHandle]:
-    """Start the nodes beside the first one."""
+    """Start all nodes except the first one."""
     return [
         await harness.start_node(f"node-{number}", find_domain(number))
         for number in range(1, _NODES)
@@ -231,7 +231,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Measure under each condition."""
+    """Run the bench under each condition."""
     parser = argparse.ArgumentParser(prog="bench configuration")
     parser.add_argument("--patches", type=int, default=30)
     options = parser.parse_args(arguments)
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_detectors.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_detectors.py
@@ -1,4 +1,4 @@
-"""Compare failure detectors on the same traces, and count digests' bytes."""
+"""Compare failure detectors on the same traces, and measure bytes of digests."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def run_traces(seeds: int, named: str) -> None:
-    """Print the table of rules and scenarios."""
+    """Print a row for each scenario and rule."""
     print(
         f"{WATCHERS} watchers, {ENDPOINTS} endpoints, a poll every {POLL_MS:.0f} ms"
         f" with {TIMEOUT_MS:.0f} ms timeout, {seeds} traces each"
@@ -58,7 +58,7 @@
 
 
 def run_bytes(nodes: int, dead: int, duration_s: int) -> None:
-    """Print what memberships of many nodes send."""
+    """Print the bytes that the memberships of many nodes send."""
     sent = measure_bytes(nodes, dead, duration_s)
     print(
         f"{nodes} nodes, {sent.links:.1f} links each: quiet"
@@ -72,7 +72,7 @@
 
 
 def run_costs(nodes: int, endpoint_count: int) -> None:
-    """Print one membership's time and memory at a size."""
+    """Print the time and memory of one membership at a size."""
     costs = measure_costs(nodes, endpoint_count)
     print(
         f"{nodes} nodes, {endpoint_count} endpoints: tick {costs.tick_ms:.3f} ms,"
@@ -83,7 +83,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the comparison and the count of bytes."""
+    """Run the comparison, the measurement of bytes and that of costs."""
     parser = argparse.ArgumentParser(prog="bench detectors")
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--rule", default="", help="only rules with this in the name")
--- a/packages/toucanyard-standins/src/toucanyard_standins/demo.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/demo.py
@@ -1,4 +1,4 @@
-"""Serve requests through separate processes and explain one of them."""
+"""Serve requests through a deployment of processes and explain one of them."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 class DemoError(Exception):
-    """Say what was expected and what was found instead."""
+    """A step of the demo had an unexpected result."""
 
 
 class LocateBody(msgspec.Struct, frozen=True):
-    """What the demo reads of a locate answer."""
+    """The fields of a locate response that the demo uses."""
 
     node: str
     address: str
@@ -44,7 +44,7 @@
 
 
 class StreamResult(msgspec.Struct, frozen=True):
-    """What one streamed completion gave."""
+    """The result of one streamed completion."""
 
     request_id: str
     node: str
@@ -55,19 +55,19 @@
 
 
 def check(is_expected: bool, text: str) -> None:
-    """Raise DemoError unless something is as expected."""
+    """Raise DemoError unless a condition holds."""
     if not is_expected:
         raise DemoError(text)
 
 
 def check_status(answer: Response, what: str) -> None:
-    """Raise DemoError unless an answer has status 200."""
+    """Raise DemoError unless a response has status 200."""
     text = answer.body.decode(errors="replace")
     check(answer.status == 200, f"{what}: status {answer.status}: {text}")
 
 
 async def locate(address: Address) -> Address:
-    """Ask a node which address to use."""
+    """Request the address to use from a node."""
     answer = await ask(address, "GET", "/v1/locate", CALLER_KEY)
     check_status(answer, "locate")
     found = msgspec.json.decode(answer.body, type=LocateBody)
@@ -97,7 +97,7 @@
 
 
 def read_stream(answer: Response) -> StreamResult:
-    """Check that a stream is whole and in order, and put it together."""
+    """Check that a stream is complete and in order, and return its content."""
     text = ""
     usage = None
     numbers: list[int] = []
@@ -126,7 +126,7 @@
 
 
 async def hold_seat_on_every_node(harness: Harness, deployment: Deployment) -> None:
-    """Send one seat hold to two nodes under the same key; it must run once."""
+    """Send one seat hold to each node with the same key; it must run only once."""
     headers: Headers = (("Idempotency-Key", "demo-hold-1"),)
     body = msgspec.json.encode({"crossing": "06:40", "seat": 7})
     bodies: list[bytes] = []
@@ -146,7 +146,7 @@
 
 
 async def explain(deployment: Deployment, request_id: str) -> None:
-    """Ask the other node why the request went where it went."""
+    """Request the explanation of a routing decision from the last node."""
     address = deployment.nodes[-1].addresses["operators"]
     for _ in range(_MAX_EXPLAIN_ATTEMPTS):
         answer = await ask(address, "GET", f"/explain/{request_id}", OPERATOR_KEY)
@@ -160,7 +160,7 @@
 
 
 async def run_steps(harness: Harness, deployment: Deployment) -> None:
-    """Go through the demo, or raise DemoError at the first surprise."""
+    """Run the steps of the demo; raise DemoError at the first unexpected result."""
     address = await locate(deployment.nodes[0].address)
     first = await complete(address)
     again = await complete(address)
@@ -171,7 +171,7 @@
 
 
 async def run() -> None:
-    """Start the processes, go through the steps and end the processes."""
+    """Start the processes, run the steps and terminate the processes."""
     async with open_harness() as harness:
         print("starting a platform, 3 engines, a plain service and 2 nodes")
         deployment = await start_deployment(harness, DeploymentSizes(nodes=2))
@@ -181,7 +181,7 @@
 
 
 def main() -> int:
-    """Run the demo and say whether all went as expected."""
+    """Run the demo; return exit status 1 if a step failed."""
     errors: list[BaseException] = []
     try:
         trio.run(run)
@@ -196,7 +196,7 @@
 
 
 def find_leaves(errors: BaseExceptionGroup[BaseException]) -> list[BaseException]:
-    """Return the errors inside a group."""
+    """Return the errors inside nested groups."""
     leaves: list[BaseException] = []
     for error in errors.exceptions:
         if isinstance(error, BaseExceptionGroup):
--- a/packages/toucanyard-standins/src/toucanyard_standins/deployment.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/deployment.py
@@ -1,4 +1,4 @@
-"""Build one small deployment: platform, engines, a plain service and nodes."""
+"""Start a small deployment: platform, engines, plain services and nodes."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class DeploymentSizes(msgspec.Struct, frozen=True):
-    """How many processes of each kind, and how they are set up."""
+    """The number of processes of each kind, and their settings."""
 
     nodes: int = 1
     engines: int = 3
@@ -49,9 +49,9 @@
     platform_arguments: tuple[str, ...] = ("--vm-lag-ms", "50")
     placement: PlacementPolicy = PlacementPolicy()
     options: Options | None = None
-    """Settings of the nodes, but for names, addresses and platform."""
+    """Settings of the nodes, except names, addresses and platform."""
     profile_directory: str = ""
-    """Where each node writes its profile on a planned stop, if anywhere."""
+    """Where each node writes its profile on a planned stop; empty for none."""
 
 
 class Deployment(msgspec.Struct, frozen=True):
@@ -64,7 +64,7 @@
 
 
 async def start_deployment(harness: Harness, sizes: DeploymentSizes) -> Deployment:
-    """Start every process, publish the first configuration and wait for nodes."""
+    """Start all processes, publish the first configuration and wait for the nodes."""
     platform = await harness.start_platform(*sizes.platform_arguments)
     engines = [
         await harness.start_engine(
@@ -127,7 +127,7 @@
 def build_pool(
     engines: Sequence[ProcessHandle], placement: PlacementPolicy, weights_version: str
 ) -> Pool:
-    """Return the only pool of a deployment, with these weights desired."""
+    """Return the only pool of a deployment, with this desired weights version."""
     return Pool(
         name=PoolName(POOL),
         model=MODEL,
@@ -138,7 +138,7 @@
 
 
 def list_endpoints(handles: Sequence[ProcessHandle]) -> tuple[Endpoint, ...]:
-    """Return the endpoints that processes stand for."""
+    """Return the endpoints of stand-in processes."""
     return tuple(
         Endpoint(EndpointName(handle.name), handle.address, find_domain(number))
         for number, handle in enumerate(handles)
--- a/packages/toucanyard-standins/src/toucanyard_standins/harness.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/harness.py
@@ -1,6 +1,6 @@
-"""Start stand-ins and nodes as processes, connect them, and end what was started.
+"""Start stand-ins and nodes as processes, connect them and terminate them.
 
-For tests, demo and benches only: nothing of the system itself starts a process.
+Only tests, the demo and benches use it: the router itself starts no processes.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 
 
 def hash_key(key: str) -> str:
-    """Return an API key as a configuration holds it."""
+    """Return the hash of an API key as stored in a configuration."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 class Harness:
-    """Every process of one test, demo or bench; get one from `open_harness`."""
+    """The processes of one test, demo or bench; created by `open_harness`."""
 
     def __init__(self, directory: Path) -> None:
         self._directory = directory
@@ -48,11 +48,11 @@
         self.platform: ProcessHandle | None = None
 
     def list_started(self) -> tuple[ProcessHandle, ...]:
-        """Return every process that was started, in that order."""
+        """Return all started processes in the order of their starts."""
         return tuple(self._started)
 
     def get_platform(self) -> ProcessHandle:
-        """Return the platform, which must have been started."""
+        """Return the platform; raise HarnessError if it was not started."""
         if self.platform is None:
             raise HarnessError("the platform was not started")
         return self.platform
@@ -65,7 +65,7 @@
     async def start_engine(
         self, name: str, domain: str, *arguments: str
     ) -> ProcessHandle:
-        """Start an engine and put it into the VM list."""
+        """Start an engine and add it to the VM list."""
         store = self.platform.address if self.platform else ""
         all_arguments = ("--name", name, "--weight-store", store, *arguments)
         engine = await self._start_standin(name, "engine", *all_arguments)
@@ -75,14 +75,14 @@
     async def start_service(
         self, name: str, domain: str, *arguments: str
     ) -> ProcessHandle:
-        """Start a plain service and put it into the VM list."""
+        """Start a plain service and add it to the VM list."""
         all_arguments = ("--name", name, *arguments)
         service = await self._start_standin(name, "service", *all_arguments)
         await self._list_endpoint(service, domain)
         return service
 
     async def start_relay(self, engine: ProcessHandle) -> ProcessHandle:
-        """Start a relay to one engine that decides nothing."""
+        """Start a relay that forwards all requests to one engine."""
         to = ("--engine", engine.address)
         return await self._start_standin("relay", "relay", *to)
 
@@ -93,9 +93,9 @@
         options: Options | None = None,
         profile_directory: str = "",
     ) -> ProcessHandle:
-        """Start a node and put it into the VM list.
+        """Start a node and add it to the VM list.
 
-        Of `options`, name, domain, addresses and platform are replaced. With a
+        Name, domain, addresses and platform of `options` are replaced. With a
         profile directory, the node writes NAME.profile there on a planned stop.
         """
         settings_file = self._write_settings(name, domain, options)
@@ -117,11 +117,11 @@
         return node
 
     async def put_vm(self, vm: Vm) -> None:
-        """Put one VM into the platform's list."""
+        """Add one VM to the platform's list, or replace it."""
         await self.control(self.get_platform(), PutVm(vm))
 
     async def mark_vm_leaving(self, vm: Vm) -> None:
-        """Mark one VM of the platform's list as leaving."""
+        """Mark one VM in the platform's list as leaving."""
         await self.put_vm(msgspec.structs.replace(vm, state=VmState.LEAVING))
 
     async def remove_vm(self, name: str) -> None:
@@ -137,7 +137,7 @@
             raise HarnessError(f"log: status {answer.status}")
 
     async def control(self, handle: ProcessHandle, fault: msgspec.Struct) -> None:
-        """Switch a fault of one stand-in."""
+        """Apply a fault to one stand-in."""
         body = msgspec.json.encode(fault)
         answer = await fetch(handle.address, "POST", "/control", (), body)
         if answer.status != 200:
@@ -149,7 +149,7 @@
         return msgspec.json.decode(answer.body, type=kind)
 
     async def end(self) -> None:
-        """End every process that was started; nobody waits for its planned stop."""
+        """Kill all started processes, without a planned stop."""
         for handle in reversed(self._started):
             await handle.end()
 
@@ -190,7 +190,7 @@
         return await self._start(name, role, *module)
 
     async def _start(self, name: str, role: str, *command: str) -> ProcessHandle:
-        """Start one process and wait until it says where it listens."""
+        """Start one process and wait until it reports its addresses."""
         log_file = self._directory / f"{len(self._started)}-{name}.log"
         handle = await start_process(name, command, log_file)
         self._started.append(handle)
@@ -217,7 +217,7 @@
 async def wait_until_serving(
     node: ProcessHandle, key: str, timeout_s: float = 10.0
 ) -> None:
-    """Wait until a node answers /v1/models with at least one model for this key."""
+    """Wait until /v1/models of a node lists at least one model for this key."""
     last = ""
     with trio.move_on_after(timeout_s):
         while True:
@@ -233,14 +233,14 @@
 
 
 class EndpointStatus(msgspec.Struct, frozen=True):
-    """What the harness reads of one endpoint in a node's status."""
+    """The fields of an endpoint in a node's status that the harness uses."""
 
     name: str
     incarnation: str | None
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """What the harness reads of a node's status."""
+    """The fields of a node's status that the harness uses."""
 
     version: int
     endpoints: tuple[EndpointStatus, ...]
@@ -249,7 +249,7 @@
 async def read_status(node: ProcessHandle, operator_key: str) -> NodeStatus:
     """Return a node's status.
 
-    Raise ConnectionFailedError, or msgspec.DecodeError when it answers something else.
+    Raise ConnectionFailedError, or msgspec.DecodeError for any other response.
     """
     answer = await ask(node.addresses["operators"], "GET", "/status", operator_key)
     return msgspec.json.decode(answer.body, type=NodeStatus)
@@ -258,7 +258,7 @@
 async def wait_until_endpoints_reported(
     node: ProcessHandle, operator_key: str, timeout_s: float = 10.0
 ) -> None:
-    """Wait until a node has had a report from each endpoint."""
+    """Wait until a node has received a report from each endpoint."""
     unreported: list[str] = []
     with trio.move_on_after(timeout_s):
         while True:
@@ -274,7 +274,7 @@
 
 @asynccontextmanager
 async def open_harness() -> AsyncIterator[Harness]:
-    """Open a harness; on leaving, every process that it started is ended."""
+    """Open a harness; on exit, all processes that it started are killed."""
     with tempfile.TemporaryDirectory(prefix="toucanyard-") as directory:
         harness = Harness(Path(directory))
         try:
--- a/packages/toucanyard-standins/src/toucanyard_standins/load.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/load.py
@@ -1,4 +1,4 @@
-"""Make requests of an engine or a node in the OpenAI shape and time them."""
+"""Send OpenAI-compatible requests to an engine or a node and time them."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class LoadError(Exception):
-    """Say which request of a load was not answered as expected."""
+    """A request of a load had an unexpected response."""
 
 
 class Target(msgspec.Struct, frozen=True):
-    """Where a load goes; an engine needs no key."""
+    """The server that a load is sent to; an engine needs no key."""
 
     address: Address
     key: str = ""
 
     def build_headers(self) -> Headers:
-        """Return the headers that name the customer."""
+        """Return the request headers, with the API key if there is one."""
         json_type = ("Content-Type", "application/json")
         if not self.key:
             return (json_type,)
@@ -50,7 +50,7 @@
 
 
 class StreamTimes(msgspec.Struct, frozen=True):
-    """What one stream took."""
+    """The times and the number of events of one stream."""
 
     first_token_ms: float
     total_ms: float
@@ -60,7 +60,7 @@
 async def read_stream(
     connection: HttpConnection, target: Target, body: bytes
 ) -> StreamTimes:
-    """Make one streamed request and read it to its end."""
+    """Send one streamed request and read the stream to its end."""
     started_s = time.perf_counter()
     await connection.send("POST", _PATH, target.build_headers(), body)
     head = await connection.read_head()
@@ -71,7 +71,7 @@
     events = 0
     tail = b""
     while (chunk := await connection.read_part()) is not None:
-        # A mark may be cut by the end of a part; heads of events are counted once.
+        # An event mark may span two chunks; marks in the tail are not counted twice.
         window = tail + chunk
         events += window.count(_EVENT_MARK) - tail.count(_EVENT_MARK)
         if events and not first_s:
@@ -87,9 +87,9 @@
 async def time_streams(
     targets: tuple[Target, ...], count: int, tokens: int
 ) -> tuple[list[StreamTimes], ...]:
-    """Make streamed requests one at a time, at each target in turn.
+    """Send streamed requests one at a time to each target in turn.
 
-    The targets alternate so that whatever else the machine does hits them alike.
+    The targets alternate so that other load on the machine affects all of them alike.
     """
     times: tuple[list[StreamTimes], ...] = tuple([] for _ in targets)
     connections = [await connect(each.address, _CONNECT_TIMEOUT_MS) for each in targets]
@@ -104,7 +104,7 @@
 
 
 async def run_streams(target: Target, streams: int, tokens: int) -> list[StreamTimes]:
-    """Read many streams at once to their ends."""
+    """Read many streams concurrently to their ends."""
     times: list[StreamTimes] = []
 
     async def read_one_stream(number: int) -> None:
@@ -120,7 +120,7 @@
 
 
 async def run_short_requests(target: Target, count: int, connections: int) -> float:
-    """Make plain requests on kept connections; return the seconds they took."""
+    """Send plain requests on persistent connections; return the elapsed seconds."""
     started_s = time.perf_counter()
     requests_per_connection = count // connections
 
@@ -147,9 +147,9 @@
     streams: int,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Open streams that don't end and read what comes, until cancelled.
+    """Open very long streams and read their events until cancelled.
 
-    Reports once each stream has had a first part of its answer.
+    Report as started when each stream has received a first chunk.
     """
     opened = 0
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/main.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/main.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process: engine, platform or plain service."""
+"""Run one stand-in as a process: engine, platform, plain service or relay."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 async def run_until_stopped(
     role: str, serve: Serve[T], options: T, listen: str
 ) -> None:
-    """Serve, print one line once ready, and go on until the process is ended."""
+    """Serve until the process is terminated; print one line when ready."""
     host, port = split_address(Address(listen))
     listener = await open_listener(host, port)
 
@@ -49,7 +49,7 @@
 
 @click.group()
 def main() -> None:
-    """Run a stand-in for what surrounds the router.
+    """Run a stand-in for a system around the router.
 
     Faults are switched by POST /control with {"fault": NAME, ...}; GET /control
     shows counters. Every stand-in: silence, cut, down. Engine: crash, cut_after,
@@ -159,8 +159,10 @@
 
 @main.command()
 @_listen_option
-@click.option("--engine", "engine_address", required=True, help="Where all goes.")
+@click.option(
+    "--engine", "engine_address", required=True, help="Address of the engine."
+)
 def relay(listen: str, engine_address: str) -> None:
-    """Run a relay that decides nothing, for comparison."""
+    """Run a relay without routing decisions, for comparison."""
     options = RelayOptions(Address(engine_address))
     trio.run(run_until_stopped, "relay", serve_plain_relay, options, listen)
--- a/packages/toucanyard-standins/src/toucanyard_standins/prefix_load.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/prefix_load.py
@@ -1,7 +1,7 @@
-"""Send requests that share nested hot prefixes, and note what each one saw.
+"""Send requests that share nested hot prefixes, and record their results.
 
-Every prompt begins with one rulebook, goes on with one of a few templates and ends in
-a text of its own. Callers keep to the rate whatever the answers take.
+Every prompt consists of one common rulebook, one of a few templates and a unique tail.
+The load is open-loop: the request rate doesn't depend on response times.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class LoadShape(msgspec.Struct, frozen=True):
-    """What callers send."""
+    """The rate of requests and the sizes of their prompts."""
 
     requests_per_s: float = 40.0
     rulebook_blocks: int = 24
@@ -41,7 +41,7 @@
 
 
 class RequestResult(msgspec.Struct, frozen=True):
-    """What one caller saw; `error` is empty where the answer was whole."""
+    """The result of one request; `error` is empty for a complete response."""
 
     node: str
     started_s: float
@@ -52,7 +52,7 @@
 
 
 class PrefixLoad:
-    """Callers that choose one of `targets` at random for each request."""
+    """A load generator that sends each request to a random one of `targets`."""
 
     def __init__(self, shape: LoadShape, rng: random.Random) -> None:
         self._shape = shape
@@ -76,7 +76,7 @@
     def find_between(
         self, from_s: float, to_s: float, nodes: Sequence[ProcessHandle]
     ) -> list[RequestResult]:
-        """Return the requests that began in an interval at some nodes."""
+        """Return the results of requests to some nodes that started in an interval."""
         names = {node.name for node in nodes}
         return [
             each
@@ -139,6 +139,6 @@
 
 
 def find_error(status: int, answer: bytes) -> str:
-    """Return the status and error code of a refusal."""
+    """Return the status and error code of a failed request."""
     code = _CODE.search(answer)
     return f"{status} {code.group(1).decode() if code else 'cut'}"
--- a/packages/toucanyard-standins/src/toucanyard_standins/processes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/processes.py
@@ -1,4 +1,4 @@
-"""Hold one process that a harness started: its addresses, log, costs and end."""
+"""Manage one process of a harness: addresses, log, resource usage and signals."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class HarnessError(Exception):
-    """Say which process or request of the harness failed."""
+    """A process or request of the harness failed."""
 
 
 class ProcessHandle:
-    """One process that this harness started.
+    """One process that the harness started.
 
-    Invariant: `addresses` holds what the process printed once it was ready.
+    Invariant: `addresses` holds what the process printed when it was ready.
     """
 
     __slots__ = ("addresses", "log_file", "name", "process")
@@ -39,43 +39,43 @@
 
     @property
     def address(self) -> Address:
-        """The only address of a stand-in, or where a node serves callers."""
+        """The only address of a stand-in, or the address of a node for callers."""
         return self.addresses.get("address") or self.addresses["callers"]
 
     def is_running(self) -> bool:
-        """Tell whether the process has not ended."""
+        """Return whether the process is running."""
         return self.process.poll() is None
 
     def read_log(self) -> str:
-        """Return what the process wrote so far."""
+        """Return the output of the process so far."""
         return self.log_file.read_text(errors="replace")
 
     def read_cpu_s(self) -> float:
-        """Return the processor time the process has used."""
+        """Return the CPU time of the process."""
         stat = Path(f"/proc/{self.process.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
     def read_resident_bytes(self) -> int:
-        """Return the memory that the process holds."""
+        """Return the resident memory of the process."""
         statm = Path(f"/proc/{self.process.pid}/statm").read_text().split()
         return int(statm[1]) * os.sysconf("SC_PAGE_SIZE")
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Send SIGKILL to the process."""
         self.process.kill()
 
     def pause(self) -> None:
-        """Stop the process without its knowing."""
+        """Suspend the process with SIGSTOP, which it can't observe."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume a suspended process with SIGCONT."""
         self.process.send_signal(signal.SIGCONT)
 
     async def stop(self, timeout_s: float = _STOP_TIMEOUT_S) -> bool:
-        """Ask the process to end; kill it if it takes too long, and say so."""
+        """Send SIGTERM; return False if the process had to be killed after a timeout."""
         if self.is_running():
             self.process.terminate()
         with trio.move_on_after(timeout_s):
@@ -85,7 +85,7 @@
         return False
 
     async def end(self) -> None:
-        """End the process at once and wait until it has ended."""
+        """Kill the process and wait until it has exited."""
         self.process.kill()
         await self.process.wait()
 
@@ -93,7 +93,7 @@
 async def start_process(
     name: str, command: Sequence[str], log_file: Path
 ) -> ProcessHandle:
-    """Start one process whose output goes to a file."""
+    """Start one process that writes its output to a file."""
     with log_file.open("wb") as output:
         process = await trio.lowlevel.open_process(
             command, stdin=subprocess.DEVNULL, stdout=output, stderr=output
@@ -102,7 +102,7 @@
 
 
 async def wait_ready(handle: ProcessHandle, role: str) -> None:
-    """Wait until a process says where it listens, or raise HarnessError."""
+    """Wait until a process reports its addresses, or raise HarnessError."""
     with trio.move_on_after(_READY_TIMEOUT_S) as scope:
         await _poll_ready(handle, role)
     if scope.cancelled_caught:
@@ -122,7 +122,7 @@
 
 
 def parse_ready_line(line: str) -> dict[str, Address]:
-    """Return the addresses of a readiness line by name."""
+    """Return the addresses in a readiness line by name."""
     fields = dict(part.split("=", 1) for part in line.split() if "=" in part)
     names = ("address", "callers", "operators", "peers")
     return {name: Address(fields[name]) for name in names if name in fields}
