--- a/packages/toucanyard-standins/src/toucanyard_standins/bench.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench.py
@@ -32,7 +32,7 @@
 
 
 def run_bench(module_name: str, arguments: list[str]) -> int:
-    """Import and run one bench; imports are lazy since benches differ in dependencies."""
+    """Import and run one bench; only its own dependencies must be installed."""
     try:
         module = importlib.import_module(module_name)
     except ModuleNotFoundError as error:
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_capacity.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_capacity.py
@@ -1,8 +1,8 @@
-"""Measure what each role of one node costs over sizes, for docs/CAPACITY.md.
+"""Measure the cost of each role of one node at several sizes, for docs/CAPACITY.md.
 
-Each line gives the measured values, the slope and what it comes to at the size wanted:
-320 nodes, 4,400 replicas, 1,600 customers, 11,000 requests and 2.3 million tokens a
-second. Times depend on the machine.
+Each line contains the measured values, the slope and the extrapolation to the target
+size: 320 nodes, 4,400 replicas, 1,600 customers, 11,000 requests and 2.3 million
+tokens per second. Times depend on the machine.
 """
 
 from __future__ import annotations
@@ -52,13 +52,13 @@
 from toucanyard_standins.processes import HarnessError
 
 _EVENTS_PER_S: Final = 7_200
-"""Token events that one node relays a second."""
+"""Token events that one node relays per second at the target size."""
 _STREAMS: Final = 575
-"""Streams open on one node: 7,200 events a second, one each 80 ms in a stream."""
+"""Open streams of one node: 7,200 events per second, one per stream every 80 ms."""
 _TOKEN_COUNTS: Final = (25, 50, 100, 200)
 _STEP_MS: Final = 20
 _LOAD_STREAMS: Final = 144
-"""As many as give 7,200 events a second at one each 20 ms."""
+"""Streams that produce 7,200 events per second at one event every 20 ms."""
 _HELD_STREAM_COUNTS: Final = (100, 200, 300, 400)
 _IDLE_NODE_COUNTS: Final = (40, 80, 160, 320)
 _IDLE_SETTLE_S: Final = 8.0
@@ -68,14 +68,14 @@
 
 
 class IdleCost(msgspec.Struct, frozen=True):
-    """What a node without requests uses."""
+    """The resource usage of a node without requests."""
 
     cpu_share: float
     resident_bytes: int
 
 
 async def measure_relay(deployment: Deployment) -> Slope:
-    """Return the processor time of token events that come 7,200 a second."""
+    """Return the CPU time of token events at 7,200 events per second."""
     node = deployment.nodes[0]
     path = RequestPath("node", Target(node.address, CALLER_KEY), node)
     counts: list[int] = []
@@ -97,7 +97,7 @@
 
 
 async def measure_held_streams(streams: int) -> float:
-    """Return the memory that open streams add to a node that had none before."""
+    """Return the memory that open streams add to a freshly started node."""
     async with open_harness() as harness:
         deployment = await start_deployment(harness, _build_sizes())
         for engine in deployment.engines:
@@ -108,7 +108,7 @@
 
 
 async def run_relay() -> None:
-    """Print the slopes of what a node relays."""
+    """Print the slopes of relayed events and open streams."""
     async with open_harness() as harness:
         deployment = await start_deployment(harness, _build_sizes())
         print(render_slope(await measure_relay(deployment)), flush=True)
@@ -141,10 +141,10 @@
 
 
 def build_idle_configuration(replicas: int) -> Configuration:
-    """Return a configuration whose replicas refuse connections on this machine.
+    """Return a configuration with loopback replicas that refuse connections.
 
-    They belong to services: a lone node would hold every pool's duty and read all of
-    their replicas twice a second, which no node does beside 319 others.
+    The replicas belong to services: a single node would hold the leases of all pools
+    and read their replicas twice per second, unlike a node among 319 others.
     """
     customers = replicas * CUSTOMERS // REPLICAS
     configuration = build_configuration(replicas, customers)
@@ -162,11 +162,11 @@
 
 
 async def measure_idle(nodes: int) -> IdleCost:
-    """Return what one node uses without requests, in a fleet that does not answer.
+    """Return the usage of one node without requests in an unreachable fleet.
 
-    All of them stand in the VM list, so that the node watches its share of the
-    replicas; neither the other nodes nor the replicas accept a connection, which is the
-    worst case for polls and links.
+    The VM list contains all nodes and replicas, so that the node watches its share of
+    the replicas. Neither nodes nor replicas accept connections, which is the worst
+    case for polls and links.
     """
     configuration = build_idle_configuration(nodes * REPLICAS // NODES)
     records = encode_patches(configuration)
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_claims.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_claims.py
@@ -106,7 +106,7 @@
         rate_per_s: float,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Read the log to its end, then send keyed requests at random until cancelled."""
+        """Read the log to its end, then send random keyed requests until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follow_log, address, 1_000, self._handle_log_event)
             nursery.start_soon(
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
@@ -1,8 +1,9 @@
-"""Run a deployment under many faults at once and check every promise afterwards.
+"""Run a deployment under many concurrent faults and check all guarantees afterwards.
 
-Real processes; the faults are drawn from a seed, though not their exact moments.
-Callers hold seats and read streams, two operators race patches. Prints what broke a
-promise, and what was seen, so that a campaign in which nothing happened shows.
+Runs real processes; a seed determines the faults, though not their exact times.
+Callers hold seats and read streams, two operators submit competing patches. Print
+violated guarantees, and counts of what happened, so that a campaign without any
+effect can be noticed.
 """
 
 from __future__ import annotations
@@ -83,9 +84,9 @@
 
 
 class Operators:
-    """Operators that submit patches on the version that they last saw.
+    """Operators that submit patches based on the last version they received.
 
-    Now and then one names other weights, so that a roll-out begins.
+    Some patches change the weights version and thereby start a roll-out.
     """
 
     def __init__(
@@ -99,7 +100,7 @@
         self._rng = rng
         self._number = 0
         self.accepted: dict[int, str] = {}
-        """Patch in force by version, as operators were told."""
+        """Accepted patches by version, according to the replies to operators."""
         self.outcomes: Counter[str] = Counter()
         self.problems: list[str] = []
 
@@ -111,7 +112,7 @@
             await trio.sleep(self._rng.expovariate(1 / _PATCH_INTERVAL_S))
 
     async def submit(self, base: int) -> int:
-        """Submit one patch at a random node; return the version to go on from."""
+        """Submit one patch to a random node; return the base of the next patch."""
         self._number += 1
         patch = PatchBody(f"patch-{self._number}", base, self._build_random_put())
         node = self._rng.choice(self._nodes.nodes)
@@ -150,7 +151,7 @@
 
 
 class Campaign:
-    """One run: faults, callers and operators, then quiet, then the verdict."""
+    """One run: faults, callers and operators, then recovery, then the checks."""
 
     def __init__(self, harness: Harness, deployment: Deployment, seed: int) -> None:
         self._harness = harness
@@ -165,7 +166,7 @@
         self.faults: Counter[str] = Counter()
 
     async def run(self, seconds: float, faults_per_s: float) -> list[str]:
-        """Run for a while under faults; return every problem found."""
+        """Run under faults for some time; return all problems found."""
         async with trio.open_nursery() as nursery:
             for _ in range(_HOLDERS):
                 nursery.start_soon(self.callers.run_holds, _REQUEST_INTERVAL_S)
@@ -180,7 +181,7 @@
         return [*await self._check_recovery(), *await self._check_promises()]
 
     async def _run_faults(self, seconds: float, faults_per_s: float) -> None:
-        """Begin faults at random moments and wait until all of them are over."""
+        """Start faults at random times and wait until all of them have ended."""
         generator = FaultGenerator(self._rng, _NODES, _ENGINES, _SERVICES)
         end_s = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
@@ -201,7 +202,7 @@
                 await trio.sleep(_POLL_INTERVAL_S)
 
     async def _check_recovery(self) -> list[str]:
-        """After the faults every node must serve, and all show one version."""
+        """Check that every node serves and has the same version after the faults."""
         problems: list[str] = []
         for node in self.nodes.nodes:
             try:
@@ -233,7 +234,7 @@
         return False
 
     async def _wait_for_weights(self) -> str | None:
-        """Wait until every engine has the weights desired; return what they have."""
+        """Wait for the desired weights on all engines; return others on timeout."""
         loaded: set[str] = set()
         wanted = ""
         with trio.move_on_after(_RECOVERY_TIMEOUT_S):
@@ -270,7 +271,7 @@
         ]
 
     def render(self) -> str:
-        """Return what was seen, line by line."""
+        """Return the counts of faults, holds, streams and patches, one line each."""
         endings = Counter(
             hold.endings[-1] or "no answer"
             for hold in self.callers.holds
@@ -296,14 +297,14 @@
 
 
 def find_label(fault: Fault) -> str:
-    """Return the name of a fault, with the stand-in's fault where it has one."""
+    """Return the name of a fault, including the name of a nested stand-in fault."""
     inner = getattr(fault, "fault", None)
     name = type(fault).__name__
     return name if inner is None else f"{name}.{type(inner).__name__}"
 
 
 def find_log_problems(nodes: list[ProcessHandle]) -> list[str]:
-    """Return the logs of nodes that met an error of their own."""
+    """Return the logs of nodes that contain a traceback."""
     problems: list[str] = []
     for node in nodes:
         before, mark, after = node.read_log().partition(_TRACEBACK)
@@ -314,7 +315,7 @@
 
 
 async def read_version(node: ProcessHandle) -> int:
-    """Return the version that a node shows, or -1."""
+    """Return the version of a node, or -1 if it can't be read."""
     try:
         return (await read_status(node, OPERATOR_KEY)).version
     except (ConnectionFailedError, msgspec.DecodeError):
@@ -322,7 +323,7 @@
 
 
 async def read_desired_weights(node: ProcessHandle) -> str:
-    """Return the weights that the version in force desires."""
+    """Return the desired weights version of the configuration in force."""
     address = node.addresses["operators"]
     answer = await ask(address, "GET", "/configuration", OPERATOR_KEY)
     shown = msgspec.json.decode(answer.body, type=_ConfigurationAnswer)
@@ -330,7 +331,7 @@
 
 
 def build_campaign_options() -> Options:
-    """Return settings whose planned stops are short."""
+    """Return settings with short planned stops."""
     return msgspec.structs.replace(
         build_options(),
         callers=CallerLimits(locate_ttl_ms=300),
@@ -339,7 +340,7 @@
 
 
 async def run(seed: int, seconds: float, faults_per_s: float) -> list[str]:
-    """Run one campaign, print what was seen and return the problems."""
+    """Run one campaign, print its counts and return the problems."""
     sizes = DeploymentSizes(
         _NODES, _ENGINES, _SERVICES, _ENGINE, options=build_campaign_options()
     )
@@ -354,7 +355,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run campaigns with several seeds; fail if any has a problem."""
+    """Run campaigns with several seeds; return 1 if any has a problem."""
     parser = argparse.ArgumentParser(prog="bench faults")
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--first-seed", type=int, default=1)
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_herd.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_herd.py
@@ -1,8 +1,9 @@
-"""Measure what callers see of restarts, with real processes.
+"""Measure the effect of restarts on callers, with real processes.
 
-First, how long after its start a node serves a first request, with peers, the log,
-both or neither. Then hit rate and time to first token before and after all nodes but
-one, and all nodes, are killed and started again under requests with hot prefixes.
+First, measure the time from the start of a node to its first served request, with
+peers, the log, both or neither. Then measure hit rate and time to first token before
+and after all nodes but one, and all nodes, are killed and restarted under a load with
+hot prefixes.
 """
 
 from __future__ import annotations
@@ -52,14 +53,14 @@
 _OTHER_RECORD: Final = msgspec.json.encode({"kind": "other", "x": "x" * 200}).decode()
 _RECORDS_PER_APPEND: Final = 1_000
 _AGE_MS: Final = 2_400_000
-"""More than a starting node reads, less than the log keeps."""
+"""Older than the records a starting node reads, younger than the retention."""
 _MAX_US: Final = 60_000_000
 _HISTOGRAM_DIGITS: Final = 3
 _COMPLETION: Final = encode_completion("first", 1, is_stream=False)
 
 
 class StartTimes(msgspec.Struct, frozen=True):
-    """When one start came to what, after the process was begun."""
+    """The times of one start, measured from the start of the process."""
 
     listening_ms: float
     served_ms: float | None
@@ -67,7 +68,7 @@
 
 
 async def start_and_ask(harness: Harness, name: str, timeout_s: float) -> StartTimes:
-    """Start a node and ask it until it serves a completion."""
+    """Start a node and send requests until it serves a completion."""
     started_s = time.monotonic()
     node = await harness.start_node(name, find_domain(0))
     listening_ms = (time.monotonic() - started_s) * 1000
@@ -89,7 +90,7 @@
 
 
 async def run_first_requests(times: int, records: int) -> None:
-    """Print a row for each thing that a starting node may find."""
+    """Print a row for each state of peers and log that a starting node may meet."""
     print(f"{'a node starts with':<34} {'starts':>6} {'listening_ms':>12} served_ms")
     async with open_harness() as harness:
         sizes = DeploymentSizes(nodes=2, engines=2, services=0)
@@ -113,7 +114,7 @@
 
 
 async def publish_checkpoint(harness: Harness) -> None:
-    """Append what a node that runs would have appended within the span."""
+    """Append the checkpoint that a running node would have appended in time."""
     log = ConfigurationLog(ConfigurationTimings())
     address = harness.get_platform().address
     head = 1
@@ -148,7 +149,7 @@
 
 
 async def run_herd(kept: int, seed: int) -> None:
-    """Print a row for each window before and after a restart of all but some nodes."""
+    """Print a row for each window around a restart of all but `kept` nodes."""
     async with open_harness() as harness, trio.open_nursery() as nursery:
         sizes = DeploymentSizes(
             nodes=_NODES,
@@ -176,7 +177,7 @@
 async def _restart(
     harness: Harness, deployment: Deployment, load: PrefixLoad, kept: int
 ) -> tuple[list[ProcessHandle], float]:
-    """Kill all nodes but some at once, start them at once; return them and when."""
+    """Kill and restart all but `kept` nodes together; return them and the time."""
     survivors, stopped = deployment.nodes[:kept], deployment.nodes[kept:]
     load.targets = survivors
     for node in stopped:
@@ -194,7 +195,7 @@
 
 
 def print_window(name: str, seen: Sequence[RequestResult]) -> None:
-    """Print hit rate, times to first token and errors of some requests."""
+    """Print hit rate, time to first token and errors of requests."""
     whole = [each for each in seen if not each.error]
     errors = Counter(each.error for each in seen if each.error)
     histogram = HdrHistogram(1, _MAX_US, _HISTOGRAM_DIGITS)
@@ -211,7 +212,7 @@
 
 
 async def run(times: int, records: int, seed: int) -> None:
-    """Print all figures."""
+    """Run all measurements."""
     arguments = " ".join(_ENGINE_ARGUMENTS)
     print(f"{_NODES} nodes, {_ENGINES} engines {arguments}, seed {seed}")
     if times:
@@ -221,7 +222,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Measure first requests and both herds."""
+    """Measure first requests and both kinds of restarts."""
     parser = argparse.ArgumentParser(prog="bench herd")
     parser.add_argument("--times", type=int, default=5, help="0: only the herds")
     parser.add_argument("--records", type=int, default=50_000)
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_path.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_path.py
@@ -1,9 +1,9 @@
-"""Measure what a node adds on the path of a request, against a direct connection.
+"""Measure the overhead of a node compared with a direct connection to an engine.
 
-One run measures all ways with the same engines and the same load: direct, through a
-relay on the same libraries that decides nothing, and through a node. A node is one
-process, so its processor time tells what one core carries, whatever the load
-generator and the engines can do.
+One run measures all request paths with the same engines and the same load: direct,
+through a relay on the same libraries without routing decisions, and through a node. A
+node is one process, so its CPU time gives the capacity of one core, independent of
+the load generator and the engines.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
 
 
 class BenchSizes(msgspec.Struct, frozen=True):
-    """How much each part of the bench does."""
+    """The number of requests, streams and tokens in each part of the bench."""
 
     light_requests: int
     short_requests: int
@@ -76,7 +76,7 @@
 
 
 class RequestPath(msgspec.Struct, frozen=True):
-    """One way to an engine, and the process whose cost counts on it."""
+    """One path to an engine, and the process whose cost is measured."""
 
     name: str
     target: Target
@@ -84,7 +84,7 @@
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """What a process used for one part of the bench, and for how many units."""
+    """The CPU time of a process in one part of the bench, and the units processed."""
 
     cpu_s: float
     units: int
@@ -92,20 +92,20 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One measured figure of every way."""
+    """One measured quantity for every path."""
 
     name: str
     unit: str
     values: list[float]
     """Direct, through the relay, through the node."""
     added: float
-    """What is compared with the aim."""
+    """The value that is compared with the aim."""
     aim: str
     is_met: bool
 
 
 def build_options() -> Options:
-    """Return settings under which the node's limits don't bound the bench."""
+    """Return settings with limits that the bench doesn't reach."""
     return Options(
         NodeName("node"),
         DomainName("domain"),
@@ -132,14 +132,14 @@
 
 
 async def measure_requests(path: RequestPath, count: int) -> Cost:
-    """Return the processor time that a process uses for short requests."""
+    """Return the CPU time of a process for short requests."""
     before_s = path.handle.read_cpu_s()
     elapsed_s = await run_short_requests(path.target, count, _CONNECTIONS)
     return Cost(path.handle.read_cpu_s() - before_s, count, elapsed_s)
 
 
 async def measure_events(path: RequestPath, sizes: BenchSizes) -> Cost:
-    """Return the processor time that a process uses for token events."""
+    """Return the CPU time of a process for token events."""
     before_s, started_s = path.handle.read_cpu_s(), trio.current_time()
     times = await run_streams(path.target, sizes.streams, sizes.tokens)
     elapsed_s = trio.current_time() - started_s
@@ -148,7 +148,7 @@
 
 
 async def measure_memory(path: RequestPath, streams: int) -> float:
-    """Return the bytes that one open stream adds to a process."""
+    """Return the resident memory that one open stream adds to a process."""
     handle = path.handle
     before = handle.read_resident_bytes()
     async with trio.open_nursery() as nursery:
@@ -161,7 +161,7 @@
 
 
 def compare_requests(costs: list[Cost]) -> Row:
-    """Return the short requests that one core carries."""
+    """Compare the rate of short requests that one core serves."""
     rates = [cost.units / cost.cpu_s for cost in costs]
     is_met = rates[2] >= _MIN_REQUESTS_PER_S
     aim = f"node >= {_MIN_REQUESTS_PER_S:g}"
@@ -169,7 +169,7 @@
 
 
 def compare_events(costs: list[Cost]) -> Row:
-    """Return the processor time of one token event."""
+    """Compare the CPU time of one token event."""
     each_us = [cost.cpu_s * 1e6 / cost.units for cost in costs]
     is_met = each_us[2] < _MAX_EVENT_US
     aim = f"node < {_MAX_EVENT_US:g}"
@@ -177,7 +177,7 @@
 
 
 def compare_memory(sizes_bytes: list[float]) -> Row:
-    """Return the memory of one open stream."""
+    """Compare the memory of one open stream."""
     sizes = [each / 1024 for each in sizes_bytes]
     is_met = sizes[2] < _MAX_STREAM_KB
     aim = f"node < {_MAX_STREAM_KB:g}"
@@ -185,7 +185,7 @@
 
 
 async def measure(deployment: Deployment, harness: Harness, sizes: BenchSizes) -> None:
-    """Measure every figure and print each as soon as it is known."""
+    """Measure all quantities and print each as soon as it is known."""
     node, engine = deployment.nodes[0], deployment.engines[0]
     relay = await harness.start_relay(engine)
     paths = (
@@ -210,7 +210,7 @@
 
 
 def print_row(row: Row) -> None:
-    """Print one figure."""
+    """Print one row."""
     verdict = "met" if row.is_met else "missed"
     direct, relay, node = row.values
     print(
@@ -223,7 +223,7 @@
 
 
 def print_costs(paths: tuple[RequestPath, ...], costs: list[Cost]) -> None:
-    """Print what the figures of one part were taken from."""
+    """Print the raw measurements of one part."""
     for path, cost in zip(paths, costs, strict=True):
         print(
             f"  {path.name}: {cost.units} in {cost.elapsed_s:.2f} s with"
@@ -232,7 +232,7 @@
 
 
 def print_parameters(sizes: BenchSizes, engines: int) -> None:
-    """Print what the figures depend on."""
+    """Print the parameters of the run and the machine."""
     load = os.getloadavg()[0]
     version = sys.version.split()[0]
     print(
@@ -243,7 +243,7 @@
 
 
 async def run(sizes: BenchSizes, engines: int, profile_directory: str) -> None:
-    """Start a deployment, measure it and end it."""
+    """Start a deployment, measure it and stop it."""
     deployment_sizes = DeploymentSizes(
         engines=engines,
         engine_arguments=_ENGINE_ARGUMENTS,
@@ -260,7 +260,7 @@
 
 
 def print_profile(directory: str) -> None:
-    """Print where the node's time went."""
+    """Print the profile of the node."""
     file = Path(directory) / "node-0.profile"
     if not file.exists():
         print("the node wrote no profile")
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_placement_cost.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_placement_cost.py
@@ -1,6 +1,6 @@
-"""Measure what placement costs: time of a decision, events a second, memory.
+"""Measure the cost of placement: decision time, events per second and memory.
 
-Each is measured at several sizes, so that slopes can be read off. Times depend on the
+Each is measured at several sizes, which shows how it scales. Times depend on the
 machine and its load; medians over many decisions are printed.
 """
 
@@ -49,7 +49,7 @@
 
 
 def make_pool(replicas: int) -> Pool:
-    """Return a pool of that many replicas."""
+    """Return a pool with the given number of replicas."""
     endpoints = tuple(
         Endpoint(
             EndpointName(f"engine-{number}"),
@@ -63,7 +63,7 @@
 
 
 def make_chain(rng: random.Random, prefix: int) -> tuple[int, ...]:
-    """Return a prompt of 12 levels; each level has fewer choices than the next."""
+    """Return a prompt with 12 levels; deeper levels have more variants."""
     chain: list[int] = []
     parent = prefix
     for level in range(LEVELS):
@@ -74,7 +74,7 @@
 
 
 def make_request(rng: random.Random, number: int) -> Request:
-    """Return one request of one of the prefixes."""
+    """Return a request with one of the prefixes."""
     prefix = int(PREFIXES * rng.random() ** 3)
     chain = make_chain(rng, prefix)
     target = ModelTarget(PoolName("pool"), "m", "", "w1", chain, len(chain) * 256, 100)
@@ -91,7 +91,7 @@
 
 
 def measure_decisions(replicas: int) -> HdrHistogram:
-    """Return times of decisions in microseconds, the views being filled meanwhile."""
+    """Return decision times in microseconds, measured while the views fill up."""
     rng = random.Random(replicas)
     placement = Placement(rng)
     placement.apply_node_count(320)
@@ -116,7 +116,7 @@
 
 
 def measure_events(endpoints: int) -> float:
-    """Return hashes of cache events taken in a second by one core."""
+    """Return the hashes of cache events that one core applies per second."""
     placement = Placement(random.Random(1))
     batches = [
         CacheEvents(
@@ -143,7 +143,7 @@
 
 
 def measure_memory(blocks: int, endpoints: int = 16) -> tuple[int, int]:
-    """Return blocks held and the bytes that they take, with twice as many offered."""
+    """Return the blocks in a full view and their memory, with twice as many added."""
     gc.collect()
     tracemalloc.start()
     placement = Placement(random.Random(1), PlacementLimits(max_blocks=blocks))
@@ -163,7 +163,7 @@
 
 @click.command()
 def run() -> None:
-    """Measure what placement costs at several sizes."""
+    """Measure the cost of placement at several sizes."""
     click.echo("replicas  decision us: median   p99")
     for replicas in REPLICAS:
         times = measure_decisions(replicas)
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_policy.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_policy.py
@@ -1,7 +1,7 @@
-"""Measure placement and admission against baselines in virtual time.
+"""Compare placement and admission with baselines in virtual time.
 
-Runs the decisions of several nodes against small fakes of engines, for each
-deployment, condition, policy and seed; the same arguments give the same figures.
+Runs the decisions of several nodes against fake engines, for each deployment,
+condition, policy and seed. The results are deterministic.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def execute_all(keys: list[RunKey], jobs: int) -> Results:
-    """Execute runs in this process or in a few others."""
+    """Execute runs in this process or in a process pool."""
     if jobs == 1:
         return {key: execute(key) for key in keys}
     with ProcessPoolExecutor(jobs) as executor:
@@ -76,7 +76,7 @@
     policies: tuple[str, ...],
     output: Path,
 ) -> None:
-    """Measure placement and admission against baselines."""
+    """Compare placement and admission with baselines."""
     keys = [
         RunKey(deployment, Condition(condition), Policy(policy), seed)
         for deployment, condition, policy, seed in product(
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_restart.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_restart.py
@@ -1,8 +1,8 @@
-"""Measure a restart's work inside one process: snapshot, checkpoint and replay.
+"""Measure the work of a restart inside one process: snapshot, checkpoint, replay.
 
-For several sizes of configuration it gives the time to build, encode, decode and
-adopt a snapshot, its bytes, and the time of one more patch. What a restart costs
-callers needs whole processes and is not measured here.
+For several sizes of configuration, print the time to build, encode, decode and adopt
+a snapshot, its size, and the time of one more patch. The effect of a restart on
+callers requires whole processes and is measured by the herd bench.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 def build_configuration(endpoints: int, customers: int) -> Configuration:
-    """Return a configuration of this many endpoints and customers."""
+    """Return a configuration with the given numbers of endpoints and customers."""
     replicas = [
         Endpoint(
             EndpointName(f"replica-{number:05}"),
@@ -94,7 +94,7 @@
 
 
 def build_snapshot(log: ConfigurationLog, endpoints: int) -> Snapshot:
-    """Return what a node of this size would give."""
+    """Return the snapshot that a node of this size would send."""
     return Snapshot(
         log.build_checkpoint(),
         tuple(
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_callers.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a campaign: they retry as callers do and note all that they were told."""
+"""Run the callers of a campaign, which retry and record all responses."""
 
 from __future__ import annotations
 
@@ -35,30 +35,30 @@
 
 
 class ObservedHold(msgspec.Struct):
-    """What one caller was told about one hold, try by try."""
+    """The responses to all attempts of one hold."""
 
     key: str
     has_issued_key: bool
     endings: list[str] = []
     bodies: list[bytes] = []
-    """Of the answers, so that they can be compared."""
+    """Bodies of successful responses, for comparison."""
 
 
 class ObservedStream(msgspec.Struct):
-    """What one caller saw of one stream."""
+    """The response to one stream."""
 
     prompt: int
     tokens: int
     process_id: int
-    """Of the node that served it."""
+    """The process id of the node that the stream was sent to."""
     body: bytes = b""
     status: int = 0
     is_cut: bool = False
     is_over: bool = False
-    """False when the campaign ended before."""
+    """False if the campaign ended before the stream."""
 
     def is_cut_in_middle(self) -> bool:
-        """Tell whether its connection broke after an answer had begun."""
+        """Return whether the connection broke after the response had started."""
         return self.is_cut and self.status == HTTP_OK
 
 
@@ -72,9 +72,9 @@
 
 
 class Callers:
-    """Callers that make holds and streams at nodes chosen at random.
+    """Callers that send holds and streams to random nodes.
 
-    `list_nodes` names the nodes that callers know of, dead ones among them.
+    `list_nodes` returns the nodes that callers know of, including dead ones.
     """
 
     def __init__(
@@ -86,19 +86,19 @@
         self.streams: list[ObservedStream] = []
 
     async def run_holds(self, pause_s: float) -> None:
-        """Make holds one after the other until cancelled."""
+        """Send holds sequentially until cancelled."""
         while True:
             await self.hold(self._rng.random() < 0.5)
             await trio.sleep(self._rng.expovariate(1 / pause_s))
 
     async def run_streams(self, pause_s: float) -> None:
-        """Make streams one after the other until cancelled."""
+        """Send streams sequentially until cancelled."""
         while True:
             await self.stream()
             await trio.sleep(self._rng.expovariate(1 / pause_s))
 
     async def hold(self, has_issued_key: bool) -> ObservedHold:
-        """Hold one seat, retrying under the same key until something final is known."""
+        """Hold one seat; retry with the same key until the outcome is final."""
         key = f"hold-{self._rng.getrandbits(64):016x}"
         node = self._choose_node()
         if has_issued_key:
@@ -128,7 +128,7 @@
     async def _attempt_hold(
         self, node: ProcessHandle, observed: ObservedHold, age_ms: int
     ) -> float | None:
-        """Make one try; return how long to wait for the next, None at the end."""
+        """Send one attempt; return the wait before the next one, or None at the end."""
         headers: Headers = (
             ("Idempotency-Key", observed.key),
             ("X-Key-Age-Ms", str(age_ms)),
@@ -136,7 +136,8 @@
         )
         target = f"/v1/services/{SERVICE}/holds"
         body = observed.key.encode()
-        # Stays open when the campaign ends meanwhile: this try may yet run the hold.
+        # The ending stays empty if the campaign ends before the response: this attempt
+        # may still run the hold.
         observed.endings.append(_NO_ENDING)
         try:
             answer = await ask(
@@ -158,7 +159,7 @@
         return min((error.retry_after_ms or 0) / 1000, _MAX_WAIT_S)
 
     async def stream(self) -> ObservedStream:
-        """Read one stream to its end, or to where its connection breaks."""
+        """Read one stream to its end, or until its connection breaks."""
         number = self._rng.randrange(_PROMPTS)
         node = self._choose_node()
         tokens = self._rng.choice(_TOKENS)
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_checks.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_checks.py
@@ -1,4 +1,4 @@
-"""Check what callers of a campaign were told against what endpoints executed."""
+"""Check responses to callers of a campaign against executions at endpoints."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 def iterate_hold_problems(
     holds: Sequence[ObservedHold], executions: Mapping[str, int]
 ) -> Iterator[str]:
-    """Yield each hold that broke a promise.
+    """Yield a description of each violated guarantee of a hold.
 
-    Holds that ran twice, that were called not run at last and ran, that were answered
-    and did not run, and answers that differ or belong to another hold.
+    Violations are: a hold ran twice; its last ending is not_run although it ran; it
+    was answered and did not run once; its answers differ or belong to another hold.
     """
     for hold in holds:
         count = executions.get(hold.key, 0)
         if count > 1:
             yield f"{hold.key} ran {count} times: {hold.endings}"
         if hold.endings and hold.endings[-1] == "not_run" and count:
-            yield f"{hold.key} was called not run and ran: {hold.endings}"
+            yield f"{hold.key} was reported as not run but ran: {hold.endings}"
         if hold.bodies and count != 1:
             yield f"{hold.key} was answered and ran {count} times: {hold.endings}"
         if len(set(hold.bodies)) > 1:
@@ -45,9 +45,9 @@
 def iterate_stream_problems(
     streams: Sequence[ObservedStream], interrupted: Set[int]
 ) -> Iterator[str]:
-    """Yield each stream with a gap, without an end, or with another prompt's text.
+    """Yield a description of each stream with a gap, no end or another prompt's text.
 
-    Only a node that was killed or paused, one of `disturbed`, may cut a stream.
+    Only nodes that were killed or paused, those in `interrupted`, may cut a stream.
     """
     texts: dict[tuple[int, int], str] = {}
     for stream in streams:
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_faults.py
@@ -1,4 +1,4 @@
-"""Draw the faults of a campaign from a seed, several of them under way at a time."""
+"""Generate the faults of a campaign from a seed; faults may overlap in time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class KillNode(msgspec.Struct, frozen=True):
-    """End a node's process at once and start another one later."""
+    """Kill a node's process and start another one later."""
 
     node: int
     down_s: float
@@ -35,40 +35,40 @@
 
 
 class PauseNode(msgspec.Struct, frozen=True):
-    """Stop a node's process without its knowing, and let it go on."""
+    """Suspend a node's process for some time."""
 
     node: int
     for_s: float
 
 
 class LogOutage(msgspec.Struct, frozen=True):
-    """Let the log answer 503 for a while."""
+    """Let the log respond with 503 for some time."""
 
     for_s: float
 
 
 class SlowLog(msgspec.Struct, frozen=True):
-    """Delay each answer of the log for a while."""
+    """Delay each response of the log for some time."""
 
     delay_ms: int
     for_s: float
 
 
 class PlatformFault(msgspec.Struct, frozen=True):
-    """Switch one fault of the platform."""
+    """Apply one fault to the platform."""
 
     fault: LoseAnswers | SilenceConnections | CutConnections
 
 
 class EngineFault(msgspec.Struct, frozen=True):
-    """Switch one fault of an engine."""
+    """Apply one fault to an engine."""
 
     engine: int
     fault: engine_faults.EngineFault
 
 
 class ServiceFault(msgspec.Struct, frozen=True):
-    """Switch one fault of a plain service's replica."""
+    """Apply one fault to a replica of a plain service."""
 
     service: int
     fault: plain_service.ServiceFault
@@ -87,7 +87,7 @@
 
 
 class FaultGenerator:
-    """Draw one fault after the other."""
+    """A generator of random faults."""
 
     __slots__ = ("_engines", "_nodes", "_rng", "_services")
 
@@ -100,7 +100,7 @@
         self._services = services
 
     def draw(self) -> Fault:
-        """Return the next fault; those of nodes and the log come most often."""
+        """Return the next fault; faults of nodes have twice the weight of others."""
         draws = (
             self._draw_node,
             self._draw_node,
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_nodes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_nodes.py
@@ -1,4 +1,4 @@
-"""Carry out a campaign's faults on real processes, and undo them in the end."""
+"""Apply a campaign's faults to real processes, and reset them at the end."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class CampaignNodes:
-    """The nodes of a campaign by place; a place keeps its name through restarts.
+    """The nodes of a campaign by slot; a slot keeps its name across restarts.
 
     Invariant: at most one fault is under way at a place, so a process that ends is
     either ended here or ended by itself.
@@ -60,11 +60,11 @@
         self.nodes = list(deployment.nodes)
         self.started: list[ProcessHandle] = list(deployment.nodes)
         self.interrupted: set[int] = set()
-        """Processes that were killed or paused."""
+        """Ids of processes that were killed or paused."""
         self.problems: list[str] = []
 
     async def apply(self, fault: Fault) -> None:
-        """Carry out one fault to its end; a place that is busy is left alone."""
+        """Apply one fault until it ends; node faults of a busy slot are skipped."""
         match fault:
             case KillNode(node=slot) | StopNode(node=slot) | PauseNode(node=slot):
                 if slot not in self._busy_slots:
@@ -123,7 +123,7 @@
         await self._control(platform, end)
 
     async def reset_faults(self) -> None:
-        """End what faults may have left switched on."""
+        """Reset faults that may still be active."""
         deployment = self._deployment
         resets: tuple[tuple[Sequence[ProcessHandle], Sequence[msgspec.Struct]], ...] = (
             ((deployment.platform,), _PLATFORM_RESETS),
@@ -137,13 +137,13 @@
                     await self._harness.control(handle, fault)
 
     async def _control(self, handle: ProcessHandle, fault: msgspec.Struct) -> None:
-        """Switch a stand-in's fault; one that is down at the moment misses it."""
+        """Apply a fault to a stand-in; do nothing if the stand-in is down."""
         with suppress(ConnectionFailedError):
             await self._harness.control(handle, fault)
 
 
 async def wait_up(handle: ProcessHandle) -> None:
-    """Wait until a stand-in that was down answers again."""
+    """Wait until a stand-in responds."""
     while True:
         with suppress(ConnectionFailedError):
             await fetch(handle.address, "GET", "/control")
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_pauses.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_pauses.py
@@ -1,4 +1,4 @@
-"""Measure how long a full pass of the collector of cycles stops a node."""
+"""Measure the pause of a node during a full garbage collection."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def iterate_pause_slopes() -> Iterator[Slope]:
-    """Measure the pause with a share of the keys and records of the size wanted."""
+    """Measure the pause with a share of the keys and records at the target size."""
     yield measure_slope(
         "whole process",
         "a full pass over keys and decision records, beyond what was loaded",
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_requests.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_requests.py
@@ -1,4 +1,4 @@
-"""Measure what requests cost one node's decisions, inside this process."""
+"""Measure the cost of requests in the decisions of one node, in this process."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def iterate_request_slopes() -> Iterator[Slope]:
-    """Measure decisions, admission, statistics and records of decisions."""
+    """Measure decisions, admission, statistics and decision records."""
     sizes = (110, 220, 440, 880)
     yield measure_slope(
         "requests",
@@ -148,7 +148,7 @@
 
 
 def _measure_statistics() -> Iterator[Slope]:
-    """Measure two classes of customers, of which the busiest have histograms."""
+    """Measure customers in two classes; only the busiest have own histograms."""
 
     def fill(customers: int) -> StatisticsCollector:
         collector = StatisticsCollector()
@@ -195,7 +195,7 @@
 
 
 def fill_records(count: int) -> ExplanationRing:
-    """Return records of so many requests, each sent once and ended."""
+    """Return decision records of requests that were each dispatched once and ended."""
     ring = ExplanationRing()
     endpoint = EndpointName("replica-00001")
     for number in range(count):
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_roles.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_roles.py
@@ -1,4 +1,4 @@
-"""Measure what the roles beside requests cost, inside this process."""
+"""Measure the cost of all roles of a node, in this process."""
 
 from __future__ import annotations
 
@@ -50,9 +50,9 @@
 VMS: Final = 4_720
 BLOCKS_HELD: Final = 400_000
 KEYS: Final = 20_600
-"""Ended keys of one node in a window of 600 s at 34 a second."""
+"""Ended keys of one node in a window of 600 s at 34 per second."""
 EVENTS_PER_S: Final = 3_094
-"""Cache events that one node reads a second: 330,000, each by 3 of 320 nodes."""
+"""Cache events that one node reads per second: 330,000, each by 3 of 320 nodes."""
 
 _REPLICA_SIZES: Final = (550, 1_100, 2_200, 4_400)
 _DEAD_ENDPOINTS: Final = 14
@@ -60,7 +60,7 @@
 
 
 def iterate_slopes() -> Iterator[Slope]:
-    """Measure one role after the other."""
+    """Yield the slopes of all roles."""
     yield from _measure_configuration()
     yield from _measure_membership()
     yield from iterate_tick_slopes()
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_sizes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_sizes.py
@@ -1,4 +1,4 @@
-"""The size wanted, as far as benches work something out for it."""
+"""Define the target size that benches extrapolate to."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def encode_patches(configuration: Configuration) -> tuple[str, ...]:
-    """Return log records that lead to a configuration, each within the bound on one."""
+    """Return log records that build a configuration, each within the record limit."""
     puts = [Put(customers=configuration.customers, operators=configuration.operators)]
     puts += [
         Put(
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_slope.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_slope.py
@@ -1,4 +1,4 @@
-"""Measure a cost at several sizes, and work out what it is at the size wanted."""
+"""Measure a cost at several sizes and extrapolate it to the target size."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """One cost at several sizes, and the line through it.
+    """One cost at several sizes, with a linear fit.
 
-    `wanted` is the size that one node has to do with at the size wanted.
+    `target_size` is the size that one node has to handle in the target deployment.
     """
 
     role: str
@@ -29,12 +29,12 @@
     target_size: int
 
     def compute_line(self) -> tuple[float, float]:
-        """Return the cost for each more, and the cost of none."""
+        """Return slope and intercept of the linear fit."""
         slope, base = np.polyfit(self.sizes, self.values, 1)
         return float(slope), float(base)
 
     def compute_at_target(self) -> float:
-        """Return what the line gives at the size wanted."""
+        """Return the fitted cost at the target size."""
         slope, base = self.compute_line()
         return base + slope * self.target_size
 
@@ -48,7 +48,7 @@
     sizes: Sequence[int],
     measure: Callable[[int], float],
 ) -> Slope:
-    """Return the slope of what `measure` gives at each size."""
+    """Return the slope of the values of `measure` at each size."""
     values = tuple(measure(size) for size in sizes)
     return Slope(role, cost, unit, tuple(sizes), values, per, target_size)
 
@@ -59,7 +59,7 @@
 
 
 def measure_held_bytes(build: Callable[[], object]) -> float:
-    """Return the memory that what `build` returns holds."""
+    """Return the memory of the object that `build` returns."""
     tracemalloc.start()
     built = build()
     held_bytes = tracemalloc.get_traced_memory()[0]
@@ -69,7 +69,7 @@
 
 
 def render_slope(slope: Slope) -> str:
-    """Return one line for a slope."""
+    """Return the printed lines of a slope."""
     each, base = slope.compute_line()
     measured = " ".join(f"{value:.5g}" for value in slope.values)
     sizes = " ".join(map(str, slope.sizes))
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_ticks.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_ticks.py
@@ -1,4 +1,4 @@
-"""Measure what a node's core does by itself, without any request."""
+"""Measure the periodic work of a node's core without requests."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def iterate_tick_slopes() -> Iterator[Slope]:
-    """Measure ticks of a core that has a view of every replica."""
+    """Measure ticks of a core with a view of every replica."""
     role, per = "core", "nodes, and 13.75 replicas for each"
     for cost, unit, action in (
         ("one tick, mean", "us", _time_tick),
@@ -63,11 +63,11 @@
 
 
 def _run_ticks(core: NodeCore) -> int:
-    """Let time pass; return how many lists of blocks were asked for."""
+    """Run ticks; return how many cache dumps were requested."""
     dumps = 0
     for number in range(_TICKS):
         now_ms = 1_000.0 + number * _TICK_MS
-        # Without a read of the log's head no duty would be looked at.
+        # The core ignores its pool leases unless the end of the log is known.
         core.log.update_log_end(core.log.next_offset, now_ms)
         actions = core.handle(TickPassed(), now_ms)
         dumps += sum(isinstance(action, ReadDump) for action in actions)
--- a/packages/toucanyard-standins/src/toucanyard_standins/detector_traces.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/detector_traces.py
@@ -1,8 +1,8 @@
-"""Judge failure detectors by the same seeded traces.
+"""Evaluate failure detectors on the same seeded traces.
 
-A trace says how each poll of each watcher ended. Every rule is given the same traces:
-time to notice a death, wrong condemnations on lossy links, by pauses of endpoints and
-by nodes whose own network is bad.
+A trace contains the outcome of each poll of each watcher. All rules are evaluated on
+the same traces: time to detect a dead endpoint, and false condemnations caused by
+lossy links, pauses of endpoints and nodes with a bad network of their own.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 POLL_MS: Final = 250.0
 TIMEOUT_MS: Final = 500.0
 DISSEMINATION_MS: Final = 150.0
-"""How long a source's report takes to the others."""
+"""Time until a report of one source reaches the others."""
 WATCHERS: Final = 9
 ENDPOINTS: Final = 14
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """What goes wrong in one trace."""
+    """The failures in one trace."""
 
     name: str
     duration_ms: float
@@ -37,21 +37,21 @@
     gray_nodes: int = 0
     gray_loss: float = 0.0
     pause_share: float = 0.0
-    """Share of the time in which an endpoint is paused, for 1.2 s each."""
+    """Share of the time for which an endpoint is paused, in pauses of 1.2 s."""
 
 
 class Rule(msgspec.Struct, frozen=True):
-    """A detector and how many sources must agree."""
+    """A detector and the number of sources that must agree."""
 
     name: str
     build: Callable[[float], Detector]
     sources: int
     ignores_own_outage: bool = False
-    """Whether a watcher for which most endpoints fail accuses none."""
+    """Whether a watcher reports no endpoint while most endpoints fail for it."""
 
 
 class Poll(msgspec.Struct, frozen=True, order=True):
-    """The end of one poll."""
+    """The outcome of one poll, at its end."""
 
     at_ms: float
     watcher: int
@@ -60,12 +60,12 @@
 
 
 class Result(msgspec.Struct):
-    """What one rule made of a scenario's traces."""
+    """The result of one rule on the traces of a scenario."""
 
     detection_ms: list[float] = msgspec.field(default_factory=list)
     missed: int = 0
     wrong: int = 0
-    """Times that a live endpoint came to be condemned."""
+    """The number of condemnations of live endpoints."""
     wrong_ms: float = 0.0
     hours: float = 0.0
 
@@ -114,7 +114,7 @@
 
 
 def build_trace(scenario: Scenario, seed: int) -> list[Poll]:
-    """Return the polls of all watchers, by the time of their end."""
+    """Return the polls of all watchers, ordered by their end."""
     rng = random.Random(f"{scenario.name} {seed}")
     pauses = [_build_pauses(scenario, rng) for _ in range(ENDPOINTS)]
     polls: list[Poll] = []
@@ -163,7 +163,7 @@
 def evaluate_rule(
     rule: Rule, scenario: Scenario, polls: list[Poll], result: Result
 ) -> None:
-    """Run one rule over one trace and add to its result."""
+    """Evaluate one rule on one trace and add to its result."""
     local = {
         (watcher, endpoint): rule.build(0.0)
         for watcher in range(WATCHERS)
@@ -220,7 +220,7 @@
 def _iterate_polls_and_checks(
     polls: list[Poll], duration_ms: float
 ) -> Iterator[tuple[float, int, int, Poll | None]]:
-    """Give polls, and looks at every 100 ms, since silence has no event."""
+    """Yield polls, and checks every 100 ms, because silence causes no event."""
     checks = (
         (at_ms * 100.0, watcher, endpoint, None)
         for at_ms in range(int(duration_ms / 100))
--- a/packages/toucanyard-standins/src/toucanyard_standins/key_recording_costs.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/key_recording_costs.py
@@ -1,6 +1,6 @@
-"""Measure what the notes of issued keys cost: bytes against added latency.
+"""Measure the cost of recording issued keys: bytes sent and added latency.
 
-One issuer and its witness in virtual time; requests come at random.
+One issuer and its backup node run in virtual time; requests arrive at random.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 _HOP_MS: Final = 1.5
 _TICK_MS: Final = 50.0
 _FRAME_HEADER_BYTES: Final = 6
-"""Header of a short message from the node that opened the link."""
+"""Frame header of a short message from the node that opened the link."""
 _CUSTOMER: Final = CustomerName("lanchas")
 _ISSUER: Final = NodeId(NodeName("n001"), Incarnation("0123456789"))
 _BACKUP: Final = NodeId(NodeName("n002"), Incarnation("abcdef0123"))
@@ -45,7 +45,7 @@
 
 
 class KeyRecordingCosts(msgspec.Struct):
-    """What the notes of one run cost."""
+    """The cost of recording keys in one run."""
 
     keys: int = 0
     messages: int = 0
@@ -54,7 +54,7 @@
 
 
 class KeyRecordingRun:
-    """One issuer and one witness over links that lose nothing."""
+    """One issuer and one backup node, connected by lossless links."""
 
     def __init__(self, gather_ms: int, rate_per_s: float) -> None:
         limits = ClaimLimits(note_gather_ms=gather_ms, max_keys=10**6)
@@ -134,7 +134,7 @@
 
 
 def print_key_recording_costs() -> None:
-    """Print bytes and waits for each time of gathering and rate of keys."""
+    """Print bytes and added latency for each gather time and rate of keys."""
     seconds = _RUN_MS / 1000
     print(f"notes of one node, all keyed; {2 * _HOP_MS:.0f} ms there and back")
     print("gather ms  keys/s  messages/s  bytes/s  mean ms  p50 ms  p99 ms")
--- a/packages/toucanyard-standins/src/toucanyard_standins/key_slopes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/key_slopes.py
@@ -1,4 +1,4 @@
-"""Measure memory and time per remembered key over several sizes."""
+"""Measure memory and time per stored key at several sizes."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def make_claim(node: str, number: int) -> str:
-    """Return the text of a claim by another node, as long as those of real nodes."""
+    """Return a claim record of another node, with a realistic length."""
     name = KeyName(_CUSTOMER, f"8c2a5f0e-1111-4222-9333-{number:012d}")
     claimer = NodeId(NodeName(node), Incarnation(_INCARNATION))
     digest = number.to_bytes(_DIGEST_BYTES, "big")
@@ -62,7 +62,7 @@
 
 
 def compute_page_bytes() -> float:
-    """Return how many bytes of a page of the log each claim takes."""
+    """Return the size of one claim in a page of the log."""
     records = tuple(
         PageRecord(1_000_000 + index, 1_700_000_000_000, make_claim("n319", index))
         for index in range(_PAGE_CLAIMS)
@@ -72,7 +72,7 @@
 
 
 def make_core() -> AtMostOnce:
-    """Return a decision with room for every size measured."""
+    """Return an at-most-once core with limits above all measured sizes."""
     limits = ClaimLimits(max_keys=10**6, max_claims=10**6, kept_answers_bytes=2**30)
     core = AtMostOnce(NodeName("a"), Incarnation("a-1"), limits, random.Random(1))
     core.handle(LogState(True), 0)
@@ -80,7 +80,7 @@
 
 
 def fill_claims(core: AtMostOnce, count: int) -> None:
-    """Let a node read claims of others."""
+    """Apply claims of another node to a core."""
     for start in range(0, count, 500):
         records = tuple(
             LogRecord(start + index, 0, make_claim("b", start + index))
@@ -90,7 +90,7 @@
 
 
 def fill_issued(core: AtMostOnce, count: int) -> None:
-    """Let a node run issued keys to their kept answers of 300 bytes."""
+    """Run issued keys to completion, with cached answers of 300 bytes."""
     for number in range(count):
         request_id = RequestId(f"a-1-{number}")
         key = core.issue_prefix(0) + "mine"
@@ -102,7 +102,7 @@
 
 
 def fill_backup_records(core: AtMostOnce, count: int) -> None:
-    """Let a node witness keys of another."""
+    """Let a core record keys of another node as its backup."""
     owner = NodeId(NodeName("b"), Incarnation("b-1"))
     core.handle(PeerMessageArrived(owner, OpenLedger(Incarnation("a-1"), 1)), 0)
     for number in range(count):
@@ -114,7 +114,7 @@
 
 
 def fill_transferred(core: AtMostOnce, count: int) -> None:
-    """Let a node take ended keys of one that stops, with answers of 300 bytes."""
+    """Transfer ended keys of a stopping node to a core, with answers of 300 bytes."""
     owner = NodeId(NodeName("b"), Incarnation("b-1"))
     for start in range(0, count, 250):
         keys = tuple(make_transferred(start + index) for index in range(250))
@@ -123,7 +123,7 @@
 
 
 def make_transferred(number: int) -> TransferredKey:
-    """Return one ended key of another node."""
+    """Return one transferred key of another node."""
     name = KeyName(_CUSTOMER, f"tk1~b~b-1~a~a-1~1~0~{number:016x}~mine")
     answer = CachedAnswer(200, "application/json", bytes(300))
     digest = number.to_bytes(16, "big")
@@ -131,7 +131,7 @@
 
 
 def print_slopes() -> None:
-    """Print bytes and microseconds per remembered key over the sizes."""
+    """Print the slopes of memory and time per stored key."""
     print(f"slopes over {', '.join(map(str, _SIZES))} keys")
     print("what is remembered                        bytes/key  us/key")
     for label, fill in (
--- a/packages/toucanyard-standins/src/toucanyard_standins/membership_costs.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/membership_costs.py
@@ -1,6 +1,6 @@
-"""Measure what memberships send, and what one of them costs in time and memory.
+"""Measure the bytes that memberships send, and the time and memory of one.
 
-Bytes come from whole memberships that exchange encoded digests in memory.
+Bytes are measured on complete memberships that exchange encoded digests in memory.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 _TIMINGS: Final = MembershipTimings()
 _MOST_NODES_SHARE: Final = 0.9
-"""Share of the nodes that has to know of a death."""
+"""The share of nodes that counts as most of them."""
 _HEADER_BYTES: Final = 46
 """Websocket, TCP and IP headers of one small message."""
 
@@ -49,7 +49,7 @@
 def build_members(
     names: list[NodeName], endpoints: tuple[Endpoint, ...]
 ) -> dict[NodeName, Membership]:
-    """Return memberships that know each other and are linked as they choose."""
+    """Return memberships that know each other, with links to the peers they choose."""
     pool = Pool(PoolName("p"), "m", "1", endpoints)
     changed = ConfigurationChanged(Configuration(1, pools=(pool,)), 2**63)
     listed = VmListRead(tuple(Vm(name, DomainName("d")) for name in names))
@@ -68,7 +68,7 @@
 
 
 class BytesSent(msgspec.Struct, frozen=True):
-    """What one node sends, quiet and after deaths together, and who knows when."""
+    """Bytes sent per node, idle and after concurrent failures, and detection times."""
 
     links: float
     quiet_bytes_per_s: float
@@ -88,12 +88,12 @@
     watched: int
     usable_ms: float
     usable_changed_ms: float
-    """The same after one more endpoint failed or answered again."""
+    """The same after one endpoint failed or recovered."""
     held_bytes: int
 
 
 def measure_bytes(nodes: int, dead: int, duration_s: int) -> BytesSent:
-    """Return what memberships send, with deaths at half of the time."""
+    """Return the bytes that memberships send; endpoints fail at half of the time."""
     names = [NodeName(f"n{number}") for number in range(nodes)]
     endpoints = tuple(
         Endpoint(EndpointName(f"e{n}"), Address(f"10.0.{n}.1:80"), DomainName("d"))
@@ -139,7 +139,7 @@
 
 
 def measure_costs(nodes: int, endpoint_count: int) -> MemberCosts:
-    """Return one membership's time and memory at a size."""
+    """Return the time and memory of one membership at a size."""
     names = [NodeName(f"n{number}") for number in range(nodes)]
     endpoints = tuple(
         Endpoint(
@@ -207,7 +207,7 @@
     dead: int,
     now_ms: float,
 ) -> None:
-    """Let three watchers of each dead endpoint see errors, and the others answers."""
+    """Give three watchers of each endpoint an error if it is dead, else a report."""
     for number, endpoint in enumerate(endpoints):
         for offset in range(3):
             names = list(members)
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_baselines.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_baselines.py
@@ -1,6 +1,7 @@
-"""Choose endpoints by simpler rules, and by knowing everything, to compare with.
+"""Define baseline policies for comparison, including one with full knowledge.
 
-Each keeps Placement's views, so that it is fed alike, and chooses by its own rule.
+All of them maintain Placement's views from the same updates but choose by their own
+rule.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Baseline(Placement):
-    """Keep Placement's views but choose by the least of another key."""
+    """Maintain Placement's views but choose the endpoint with the lowest key."""
 
     def choose(
         self,
@@ -30,7 +31,7 @@
         candidates: Sequence[Endpoint],
         now_ms: float,
     ) -> Placed | None:
-        """Return the candidate with the least key."""
+        """Return the candidate with the lowest key."""
         target = request.target
         if not candidates or not isinstance(target, ModelTarget):
             return None
@@ -41,17 +42,17 @@
     def compute_key(
         self, name: EndpointName, target: ModelTarget, names: Sequence[EndpointName]
     ) -> tuple[float, ...]:
-        """Return what the chosen endpoint has least of; here a random number."""
+        """Return the sort key of an endpoint; here a random number."""
         return (self._rng.random(),)
 
 
 class LeastLoaded(Baseline):
-    """Choose the fewest requests: reported ones and own ones since."""
+    """Choose the fewest requests: reported ones, and own ones sent since."""
 
     def compute_key(
         self, name: EndpointName, target: ModelTarget, names: Sequence[EndpointName]
     ) -> tuple[float, ...]:
-        """Return the number of requests there, ties broken at random."""
+        """Return the number of requests at an endpoint; ties are broken at random."""
         load = self._view(name).load
         report = load.report
         known = 0 if report is None else report.running + report.waiting
@@ -60,12 +61,12 @@
 
 
 class AffinityOnly(Baseline):
-    """Choose the longest known match, then by hash of the prompt's front."""
+    """Choose the longest known match, then by hash of the prompt's prefix."""
 
     def compute_key(
         self, name: EndpointName, target: ModelTarget, names: Sequence[EndpointName]
     ) -> tuple[float, ...]:
-        """Return the match, negated, and the place in the hash's ranking."""
+        """Return the negated match and the rank in the rendezvous hash."""
         warm = self._view(name).count_warm(target)
         keys = target.find_affinity_keys()
         key = keys[min(AFFINITY_DEPTH_INDEX, len(keys)) - 1]
@@ -74,7 +75,7 @@
 
 
 class Oracle(Baseline):
-    """Choose by the engines' true state, what is queued there included."""
+    """Choose by the actual state of the engines, including their queues."""
 
     def __init__(
         self,
@@ -89,7 +90,7 @@
     def compute_key(
         self, name: EndpointName, target: ModelTarget, names: Sequence[EndpointName]
     ) -> tuple[float, ...]:
-        """Return the true wait plus the priced recomputation."""
+        """Return the actual wait plus the weighted cost of recomputation."""
         engine = self._engines[name]
         chain = target.find_chain(engine.weights_version)
         warm = engine.count_warm(chain)
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_conditions.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_conditions.py
@@ -1,4 +1,4 @@
-"""Name the policies and conditions of the bench and the measures of one run."""
+"""Define the policies and conditions of the bench and the result of one run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Policy(enum.StrEnum):
-    """Ways to choose that are compared."""
+    """Placement policies that are compared."""
 
     TOUCANYARD = "toucanyard"
     RANDOM = "random"
@@ -18,7 +18,7 @@
 
 
 class Condition(enum.StrEnum):
-    """What goes on during a run."""
+    """Faults and load changes during a run."""
 
     CALM = "calm"
     CRASH = "crash"
@@ -33,7 +33,7 @@
 
 
 class Result(msgspec.Struct):
-    """Measures of one run."""
+    """The result of one run."""
 
     offered: int = 0
     served: int = 0
@@ -47,7 +47,7 @@
     p99_ms: float = 0.0
     smallest_p99_ms: float = 0.0
     recovery_s: float = -1.0
-    """Seconds from the end of a storm to 95% of the goodput before; -1 for never."""
+    """Seconds from the end of an overload to 95% of earlier goodput; -1 for never."""
     served_at_s: list[int] = []
     offered_at_s: list[int] = []
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_engine.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_engine.py
@@ -1,7 +1,7 @@
-"""Stand in for a model engine in virtual time: a prompt cache, a queue and slots.
+"""Simulate a model engine in virtual time: a prompt cache, a queue and slots.
 
-Prefill runs one request at a time, most urgent first; decoding holds a slot. Blocks
-are evicted least recently used first. Only what placement can see is modelled.
+Prefill runs one request at a time in order of priority; decoding occupies a slot.
+Blocks are evicted in LRU order. Only properties visible to placement are modelled.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Job(msgspec.Struct):
-    """One dispatched request; `report` tells its node about tokens and endings."""
+    """One dispatched request, with callbacks for its first token and its end."""
 
     chain: tuple[int, ...]
     tokens: int
@@ -46,14 +46,14 @@
 
 
 class TimedEvent(msgspec.Struct, frozen=True):
-    """A cache event and when it happened."""
+    """A cache event and its time."""
 
     at_ms: float
     event: CacheEvent
 
 
 class FakeEngine:
-    """One engine; `computed` collects blocks over all engines of a run."""
+    """One engine; `computed` is the set of blocks computed by all engines of a run."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         self._submitted = 0
 
     def submit(self, job: Job) -> None:
-        """Take one request, or refuse it while down."""
+        """Queue one request, or refuse it while down."""
         if not self.is_up:
             job.is_over = True
             job.on_end(job, DispatchEnding.NOT_SENT)
@@ -99,7 +99,7 @@
         self._start_next()
 
     def stop(self, ending: DispatchEnding = DispatchEnding.LOST) -> None:
-        """Lose all state; what was under way ends with `ending`."""
+        """Lose all state; waiting and running requests end with `ending`."""
         jobs = [job for _, _, job in self.waiting] + list(self.running.values())
         self.is_up = False
         self.restarts += 1
@@ -109,7 +109,7 @@
             job.on_end(job, ending)
 
     def start(self, weights_version: str | None = None) -> None:
-        """Come back empty."""
+        """Restart with an empty cache."""
         self.is_up = True
         self.is_loading = False
         self.weights_version = weights_version or self.weights_version
@@ -122,7 +122,7 @@
         return len(chain)
 
     def compute_queued_blocks(self) -> int:
-        """Return blocks that wait to be computed, each counted once."""
+        """Return the number of distinct blocks that wait to be computed."""
         missing: set[int] = set()
         for _, _, job in self.waiting:
             missing.update(job.chain[self.count_warm(job.chain) :])
@@ -136,7 +136,7 @@
         return CacheDump(self.incarnation, self.next_seq, tuple(self.cache))
 
     def find_report(self, lag_ms: float) -> LoadReport:
-        """Return the load as it was some time ago."""
+        """Return the load report of `lag_ms` ago."""
         wanted_ms = self.clock.now_ms - lag_ms
         found = self.snapshots[0]
         for snapshot in self.snapshots:
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_node.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_node.py
@@ -1,7 +1,7 @@
-"""Drive the decisions of one node in virtual time.
+"""Run the decisions of one node in virtual time.
 
-Each node has its own admission, placement and view of the fakes, fed late and with
-the gaps of the condition.
+Each node has its own admission, placement and views of the fake engines. Updates of
+the views arrive late, and with gaps if the condition causes them.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Task(msgspec.Struct):
-    """One request from its caller's first try to its end."""
+    """One request from its arrival to its end."""
 
     arrival: Arrival
     request: Request
@@ -45,11 +45,11 @@
     expected_ms: float = 0.0
     first_token_ms: float | None = None
     weights_version: str | None = None
-    """Weights that the answer was begun on; it never goes on under others."""
+    """Weights of the first token; the answer is never continued with others."""
 
 
 class Node:
-    """One node: the real decisions, and the views that its condition lets it have."""
+    """One node: the real decisions, with delayed and lossy views."""
 
     def __init__(self, run: Run, number: int) -> None:
         self.run = run
@@ -68,12 +68,12 @@
         run.clock.call_after(TICK_MS, self.tick)
 
     def offer(self, task: Task) -> None:
-        """Take one request from a caller."""
+        """Accept one request from a caller."""
         self.tasks[task.request.request_id] = task
         self._apply(self.admission.offer(task.request, self.run.clock.now_ms))
 
     def tick(self) -> None:
-        """Let admission refuse what is late."""
+        """Let admission refuse requests that have waited too long."""
         if not self.is_stopped:
             self._apply(self.admission.tick(self.run.clock.now_ms))
             self.run.clock.call_after(TICK_MS, self.tick)
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_report.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_report.py
@@ -1,4 +1,4 @@
-"""Turn the results of runs into a table, aims met or missed, CSV and plots."""
+"""Report the results of runs as a table, met and missed aims, CSV and plots."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class RunKey(msgspec.Struct, frozen=True, order=True):
-    """Which run a result is from."""
+    """The parameters of one run."""
 
     deployment: str
     condition: Condition
@@ -41,7 +41,7 @@
 
 
 class Aim(msgspec.Struct, frozen=True):
-    """One aim, what was measured and whether it is met."""
+    """One aim with the measured value and its bound."""
 
     deployment: str
     condition: str
@@ -51,7 +51,7 @@
 
     @property
     def is_met(self) -> bool:
-        """Return whether the measured value keeps the bound."""
+        """Return whether the measured value is within the bound."""
         return self.measured <= self.bound
 
 
@@ -77,7 +77,7 @@
 
 
 def measure_recomputed(result: Result) -> float:
-    """Return recomputed tokens for each answer served."""
+    """Return recomputed tokens per served answer."""
     return result.recomputed_blocks * TOKENS_PER_BLOCK / max(result.served, 1)
 
 
@@ -87,12 +87,12 @@
 
 
 def measure_served(result: Result) -> float:
-    """Return the share of requests that got a whole answer."""
+    """Return the share of requests with a complete answer."""
     return result.served / max(result.offered, 1)
 
 
 def measure_recovery(result: Result) -> float:
-    """Return seconds of recovery; a run that never recovered counts as endless."""
+    """Return the recovery time in seconds; infinite for a run that never recovered."""
     return result.recovery_s if result.recovery_s >= 0 else float("inf")
 
 
@@ -105,7 +105,7 @@
 
 
 def format_table(results: Results) -> str:
-    """Return the median of each measure with its least and greatest seed."""
+    """Return the median of each measure over the seeds, with minimum and maximum."""
     lines: list[str] = []
     header = f"{'deployment':11}{'condition':14}{'policy':14}"
     header += "".join(f"{name + ' [least..most]':>30}" for name, _, _ in MEASURES)
@@ -128,7 +128,7 @@
 
 
 def compute_aims(results: Results) -> list[Aim]:
-    """Return every aim that these results can tell of."""
+    """Return all aims that can be computed from these results."""
     aims: list[Aim] = []
     pairs = dict.fromkeys((key.deployment, key.condition) for key in results)
     for deployment, condition in pairs:
@@ -217,7 +217,7 @@
 
 
 def draw_plots(results: Results, folder: Path) -> None:
-    """Draw each measure as bars, by condition and policy, with the seeds' spread."""
+    """Draw each measure as bars by condition and policy, with the range over seeds."""
     for deployment in dict.fromkeys(key.deployment for key in results):
         figure, rows = pyplot.subplots(len(MEASURES), 1, figsize=(11, 13))
         for axis, (name, measure, _) in zip(rows, MEASURES, strict=True):
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_run.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_run.py
@@ -1,7 +1,7 @@
-"""Run one workload through several nodes and fakes of engines in virtual time.
+"""Run one workload through several nodes and fake engines in virtual time.
 
-Nothing of the network is modelled but a fixed delay; callers that are refused come
-back when they were told to, a bounded number of times.
+The network is modelled as a fixed delay. Refused callers retry after the requested
+delay, up to a maximum number of attempts.
 """
 
 from __future__ import annotations
@@ -92,12 +92,12 @@
         self.result.offered_at_s = [0] * seconds
 
     def execute(self) -> Result:
-        """Run to the end and return the measures."""
+        """Run to the end and return the result."""
         for arrival in self._make_arrivals():
             delay_ms = arrival.at_ms
             self.clock.call_after(delay_ms, partial(self._offer_arrival, arrival))
         self._schedule_faults()
-        # Whatever is still on its way is waited for: left out, the worst would be.
+        # Wait for all open requests: leaving them out would drop the slowest ones.
         end_ms = END_MS + COOL_DOWN_MS
         while self.clock.now_ms < end_ms or self._count_open() > 0:
             self.clock.run_until(self.clock.now_ms + 1_000.0)
@@ -113,7 +113,7 @@
         return result
 
     def build_placement(self, rng: random.Random) -> Placement:
-        """Return a new chooser of this run's policy."""
+        """Return a new placement of this run's policy."""
         match self.policy:
             case Policy.TOUCANYARD:
                 return Placement(rng)
@@ -130,7 +130,7 @@
     def find_candidates(
         self, weights_version: str | None, down: set[EndpointName]
     ) -> tuple[Endpoint, ...]:
-        """Return endpoints with these weights, if any, that aren't known to be down."""
+        """Return usable endpoints, with the given weights version unless it is None."""
         names = tuple(
             engine.name
             for engine in self.engines.values()
@@ -145,12 +145,12 @@
         return found
 
     def record_prompt_blocks(self, task: Task, job: Job) -> None:
-        """Count a prompt's warm blocks."""
+        """Count the blocks of a prompt and its warm blocks."""
         self.result.prompt_blocks += len(job.chain)
         self.result.warm_blocks += job.warm_blocks
 
     def record_served(self, task: Task) -> None:
-        """Count a complete answer, or a failure if it began after the deadline."""
+        """Count a complete answer, or a failure if it started after the deadline."""
         assert task.first_token_ms is not None
         since_ms = task.request.arrived_ms - task.arrival.at_ms
         if task.first_token_ms - since_ms > self.deployment.deadline_ms:
@@ -164,12 +164,12 @@
         self._record_latency(task, task.first_token_ms)
 
     def record_failed(self, task: Task) -> None:
-        """Count a request that got no answer; its time counts as the deadline."""
+        """Count a request without an answer, and record the deadline as its latency."""
         self.result.failed += 1
         self._record_latency(task, self.deployment.deadline_ms)
 
     def record_refused_task(self, task: Task, retry_after_ms: int) -> None:
-        """Let the caller come back when it was told to, or give up."""
+        """Schedule a retry after the requested delay, or count a refusal."""
         if task.tries >= MAX_CALLER_TRIES:
             self.result.refused += 1
             if self.condition not in (Condition.OVERLOAD_1_5, Condition.OVERLOAD_3):
@@ -280,7 +280,7 @@
 
     def _start_load(self, engine: FakeEngine) -> None:
         engine.is_loading = True
-        # The old run's requests are served to their end before the weights change.
+        # Running requests complete before the weights change.
         self.clock.call_after(DRAIN_MS, partial(self._finish_load, engine))
 
     def _finish_load(self, engine: FakeEngine) -> None:
@@ -297,7 +297,7 @@
 
 
 def compute_recovery(result: Result) -> float:
-    """Return seconds after the storm until goodput holds 95% of that before it."""
+    """Return seconds after the overload until goodput is 95% of that before it."""
     start, end = int(WARM_UP_MS) // 1_000, int(DISRUPTION_START_MS) // 1_000
     before = sum(result.served_at_s[start:end]) / (end - start)
     first = int(DISRUPTION_START_MS + OVERLOAD_MS) // 1_000
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_workload.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_workload.py
@@ -1,8 +1,8 @@
-"""Generate requests shaped on the two deployments, from a seed.
+"""Generate the requests of two modelled deployments from a seed.
 
-Prompts nest in levels under each customer: Valdivia's rulebook, route and booking or
-its kiosk's chat; Hangang's template, language, station and, after a main break, one
-incident report that was never seen before.
+Prompts of a customer have nested levels. Valdivia: rulebook, route and booking, or
+the chat of a kiosk. Hangang: template, language and station, and after a water main
+break one new incident report.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 FIRST_WEIGHTS: Final = "w1"
 RAMP_MS: Final = 5_000.0
-"""Time over which the load rises at the beginning, when all engines are empty."""
+"""Time over which the load ramps up at the start, when all caches are empty."""
 
 
 class PromptLevel(msgspec.Struct, frozen=True):
@@ -51,9 +51,9 @@
     shape: EngineShape
     policy: PlacementPolicy
     per_s: float
-    """Requests a second in calm."""
+    """Requests per second in the calm condition."""
     capacity_per_s: float
-    """Requests a second that the replicas carry with warm prompts."""
+    """Requests per second that the replicas can serve with warm prompts."""
     deadline_ms: float = 10_000.0
 
 
@@ -88,7 +88,7 @@
 def make_chain(
     customer: int, weights: str, levels: tuple[PromptLevel, ...]
 ) -> tuple[int, ...]:
-    """Return the hashes of a prompt's blocks under one customer and weights."""
+    """Return the block hashes of a prompt for one customer and weights version."""
     parent = xxhash.xxh3_64_intdigest(f"{customer} {weights}".encode())
     chain: list[int] = []
     for level in levels:
@@ -100,7 +100,7 @@
 
 
 class ArrivalChains:
-    """Chains of one arrival's prompt under each weights version asked for."""
+    """Block chains of one arrival's prompt, cached by weights version."""
 
     __slots__ = ("_arrival", "_chains")
 
@@ -109,7 +109,7 @@
         self._chains: dict[str, tuple[int, ...]] = {}
 
     def find_chain(self, weights_version: str) -> tuple[int, ...]:
-        """Return the prompt's chain under these weights."""
+        """Return the prompt's chain for a weights version."""
         chain = self._chains.get(weights_version)
         if chain is None:
             arrival = self._arrival
@@ -126,10 +126,10 @@
     flood: float = 1.0,
     shift_ms: float = float("inf"),
 ) -> list[Arrival]:
-    """Return arrivals up to a time; `surge` is from, to and times the calm rate.
+    """Return arrivals up to a time; `surge` is start, end and factor of the calm rate.
 
-    `flood` multiplies the largest customer's requests; from `shift_ms` on the shared
-    levels are new ones.
+    `flood` multiplies the rate of the largest customer; from `shift_ms` on, shared
+    levels have new content.
     """
     rng = random.Random(f"{deployment.name} {seed}")
     arrivals: list[Arrival] = []
@@ -189,7 +189,7 @@
 def _make_bursts(
     deployment: Deployment, rng: random.Random, end_ms: float
 ) -> list[Arrival]:
-    """Return the bursts: a main break's drafts, or kiosks opening their shift."""
+    """Return bursts: drafts after a water main break, or shift starts at kiosks."""
     bursts: list[Arrival] = []
     start_ms = 5_000.0
     while start_ms < end_ms - 4_000.0:
--- a/packages/toucanyard-standins/src/toucanyard_standins/processes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/processes.py
@@ -75,7 +75,7 @@
         self.process.send_signal(signal.SIGCONT)
 
     async def stop(self, timeout_s: float = _STOP_TIMEOUT_S) -> bool:
-        """Send SIGTERM; return False if the process had to be killed after a timeout."""
+        """Send SIGTERM; return False if the process was killed after a timeout."""
         if self.is_running():
             self.process.terminate()
         with trio.move_on_after(timeout_s):
