--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""Start and end the processes of each scenario."""
+"""Start and stop the processes of each scenario."""
 
 from __future__ import annotations
 
--- a/tests/features/portal.py
+++ b/tests/features/portal.py
@@ -1,7 +1,7 @@
-"""Run trio functions for behave's steps, which are plain functions.
+"""Run trio functions from behave's synchronous steps.
 
-Steps of one scenario share one trio run in a thread, so that processes, streams and
-background callers live from step to step.
+All steps of one scenario use one trio run in a thread, so that processes, streams and
+background callers persist between steps.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         return trio.from_thread.run(function, *arguments, trio_token=self._token)
 
     def spawn(self, function: Callable[..., Awaitable[None]], *arguments: Any) -> None:
-        """Start a function that goes on while later steps run."""
+        """Start a background task that runs during later steps."""
 
         async def start() -> None:
             self._nursery.start_soon(function, *arguments)
--- a/tests/features/run.py
+++ b/tests/features/run.py
@@ -1,4 +1,4 @@
-"""Run the scenarios with behave and close with a plain count."""
+"""Run the scenarios with behave and print a summary."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run every scenario, print how many passed and failed, return the status."""
+    """Run scenarios, print the numbers of passed and failed ones, return the status."""
     paths = arguments or [str(FEATURES)]
     sys.path[:0] = [str(FEATURES), str(FEATURES / "steps")]
     configuration = Configuration(["--format", "progress", "--no-skipped", *paths])
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps about versions that are watched while nodes and log fail."""
+"""Steps that watch configuration versions during failures of nodes and the log."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
                 continue
             finally:
                 await trio.sleep(0.05)
-            # A patch whose answer was lost shows as a conflict with its own version.
+            # If the response to a patch was lost, a retry conflicts with its version.
             if answer.status in (200, 409):
                 version = msgspec.json.decode(answer.body)["version"]
                 context.accepted.append(max(version, context.accepted[-1]))
--- a/tests/features/steps/fault_steps.py
+++ b/tests/features/steps/fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps that switch faults on, stop processes and check holds."""
+"""Steps that inject faults, stop processes and check holds."""
 
 from __future__ import annotations
 
@@ -64,13 +64,13 @@
 def log_down(context: Context) -> None:
     world: World = context.world
     control_all(world, "platform", platform_faults.Outage(True))
-    context.asked_claims = count_asked_claims(world)
+    context.requested_claims = count_requested_claims(world)
     for number in range(1, len(world.deployment.nodes) + 1):
         wait_outage(world, number)
 
 
-def count_asked_claims(world: World) -> int:
-    """Count claims that the log was asked to append, not what else nodes append."""
+def count_requested_claims(world: World) -> int:
+    """Return the number of claims in append requests, without other records."""
     platform = world.deployment.platform
     counted: PlatformCounters = world.portal.call(
         world.harness.count, platform, PlatformCounters
@@ -80,8 +80,8 @@
 
 @then("the log was not asked to append a claim")
 def check_no_claim(context: Context) -> None:
-    asked = count_asked_claims(context.world)
-    assert asked == context.asked_claims, (asked, context.asked_claims)
+    asked = count_requested_claims(context.world)
+    assert asked == context.requested_claims, (asked, context.requested_claims)
 
 
 def wait_outage(world: World, number: int) -> None:
@@ -108,10 +108,10 @@
 
 
 @when("a claim is on its way to the log")
-def wait_asked_claim(context: Context) -> None:
+def wait_requested_claim(context: Context) -> None:
     world: World = context.world
 
-    world.wait_for("a claim", lambda: count_asked_claims(world) > 0)
+    world.wait_for("a claim", lambda: count_requested_claims(world) > 0)
 
 
 @when('the log has a claim of key "{key}"')
@@ -219,7 +219,9 @@
 @then("every request ends")
 def check_all_over(context: Context) -> None:
     world: World = context.world
-    world.wait_for("all answers", lambda: all(seen.is_over for seen in world.seen))
+    world.wait_for(
+        "all answers", lambda: all(result.is_over for result in world.results)
+    )
 
 
 @then('the hold "{key}" ran {count:d} times')
@@ -234,49 +236,51 @@
 
 @then('the last answer says "{ending}"')
 def check_ending(context: Context, ending: str) -> None:
-    seen = context.world.seen[-1]
-    assert seen.is_whole and seen.find_ending() == ending, seen
+    result = context.world.results[-1]
+    assert result.is_whole and result.find_ending() == ending, result
 
 
 @then('the last answer is refused as "{kind}" and says "{ending}"')
 def check_refusal(context: Context, kind: str, ending: str) -> None:
     check_ending(context, ending)
-    code = msgspec.json.decode(context.world.seen[-1].body)["error"]["code"]
+    code = msgspec.json.decode(context.world.results[-1].body)["error"]["code"]
     assert code == kind, code
 
 
 @then('no answer says "{ending}" if the hold "{key}" ran')
 def check_no_false_ending(context: Context, ending: str, key: str) -> None:
     world: World = context.world
-    endings = [seen.find_ending() for seen in world.seen if seen.is_whole]
+    endings = [result.find_ending() for result in world.results if result.is_whole]
     assert world.count_holds(key) == 0 or ending not in endings, endings
 
 
 @then("the last two answers are equal")
 def check_equal(context: Context) -> None:
-    first, second = context.world.seen[-2:]
+    first, second = context.world.results[-2:]
     assert first.is_whole and first.status == 200, first
     assert (first.status, first.body) == (second.status, second.body), (first, second)
 
 
 @then("the last answer equals the first")
 def check_equals_first(context: Context) -> None:
-    first, last = context.world.seen[0], context.world.seen[-1]
+    first, last = context.world.results[0], context.world.results[-1]
     assert (first.status, first.body) == (last.status, last.body), (first, last)
 
 
 @then('the last answer is for customer "{customer}"')
 def check_customer(context: Context, customer: str) -> None:
     check_answer(context, 200)
-    body = msgspec.json.decode(context.world.seen[-1].body)
+    body = msgspec.json.decode(context.world.results[-1].body)
     assert body["customer"] == customer, body
 
 
 @then("every answer is the same whole answer")
 def check_same(context: Context) -> None:
-    answers = {(seen.status, seen.body) for seen in context.world.seen}
-    assert len(answers) == 1 and all(seen.is_whole for seen in context.world.seen)
-    assert context.world.seen[0].status == 200, context.world.seen[0]
+    answers = {(result.status, result.body) for result in context.world.results}
+    assert len(answers) == 1 and all(
+        result.is_whole for result in context.world.results
+    )
+    assert context.world.results[0].status == 200, context.world.results[0]
 
 
 @given("every engine dies after {events:d} more events")
--- a/tests/features/steps/handover_steps.py
+++ b/tests/features/steps/handover_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what a planned stop hands over, and about a log that is silent."""
+"""Steps about the handover at a planned stop, and about an unresponsive log."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 @given("{nodes:d} nodes that wait long for records of the log")
 def start_with_long_log_poll(context: Context, nodes: int) -> None:
-    """Let no read of the log time out while its node is paused."""
+    """Set long polls, so that no log read times out while its node is paused."""
     timings = ConfigurationTimings(log_poll_wait_ms=LONG_MS, stale_after_ms=LONG_MS)
     options = msgspec.structs.replace(build_options(), configuration=timings)
     start_linked(context, nodes, options)
--- a/tests/features/steps/rollout_steps.py
+++ b/tests/features/steps/rollout_steps.py
@@ -1,4 +1,4 @@
-"""Steps about weights, duties and orders."""
+"""Steps about weights, pool leases and orders."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
     async def send_on(address: str) -> None:
         while True:
-            seen = RequestResult()
+            result = RequestResult()
             body = build_completion(PROMPT, 2, is_stream=False)
-            await request(address, "POST", COMPLETIONS, body, (), seen)
-            context.sent.append(seen)
+            await request(address, "POST", COMPLETIONS, body, (), result)
+            context.sent.append(result)
             await trio.sleep(INTERVAL_S)
 
     for node in world.deployment.nodes:
@@ -67,12 +67,14 @@
 
 @then("no completion failed")
 def check_none_failed(context: Context) -> None:
-    failed = [seen for seen in context.sent if seen.status != 200 or not seen.is_whole]
+    failed = [
+        result for result in context.sent if result.status != 200 or not result.is_whole
+    ]
     assert not failed, (len(failed), len(context.sent), failed[:3])
 
 
 def find_lease_holder(world: World) -> int:
-    """Return the number of the node that holds a duty; 0 if none does."""
+    """Return the number of the node that holds a pool lease, or 0."""
     for number in range(1, len(world.deployment.nodes) + 1):
         if not world.find_node(number).is_running():
             continue
--- a/tests/features/steps/shared_state_steps.py
+++ b/tests/features/steps/shared_state_steps.py
@@ -128,5 +128,6 @@
         return count() == before
 
     world.wait_for("no new work", is_quiet)
-    # Once it is left alone it must stay so: the list's lag is over for good.
+    # The change of the VM list is now visible to both nodes, so the engine must
+    # stay without requests.
     assert is_quiet() and is_quiet()
--- a/tests/features/steps/stream_steps.py
+++ b/tests/features/steps/stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps about streams, planned stops and callers that go away."""
+"""Steps about streams, planned stops and callers that disconnect."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 @then("the stream has {count:d} tokens")
 def check_tokens(context: Context, count: int) -> None:
-    body = context.world.seen[-1].body.decode()
+    body = context.world.results[-1].body.decode()
     texts = [line[5:].strip() for line in body.splitlines() if line.startswith("data:")]
     events = [msgspec.json.decode(text) for text in texts if text != "[DONE]"]
     tokens = [
@@ -88,7 +88,7 @@
 
 @then("the first stream is whole, numbered and in order")
 def check_first_stream(context: Context) -> None:
-    check_stream_of(context, context.world.seen[0])
+    check_stream_of(context, context.world.results[0])
 
 
 @then("node {number:d} ends by itself")
@@ -102,7 +102,7 @@
 
 @then("the caller gets the same text as before, or a refusal")
 def check_own_answer(context: Context) -> None:
-    first, last = context.world.seen[0], context.world.seen[-1]
+    first, last = context.world.results[0], context.world.results[-1]
     assert last.is_whole, last
     if last.status == 200:
         assert find_text(last) == find_text(first), last
@@ -110,7 +110,7 @@
         assert last.find_ending() in ("not_run", "unknown"), last
 
 
-def find_text(seen: RequestResult) -> str:
-    """Return the text of a plain answer."""
-    (choice,) = msgspec.json.decode(seen.body)["choices"]
+def find_text(result: RequestResult) -> str:
+    """Return the text of a response without streaming."""
+    (choice,) = msgspec.json.decode(result.body)["choices"]
     return str(choice["text"])
--- a/tests/features/steps/whole_path_steps.py
+++ b/tests/features/steps/whole_path_steps.py
@@ -1,4 +1,4 @@
-"""Steps about deployments, requests and their answers."""
+"""Steps about deployments, requests and responses."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 @then("the answer names a live node, and a key prefix if it is the one asked")
 def check_located(context: Context) -> None:
     world: World = context.world
-    answer = msgspec.json.decode(world.seen[-1].body)
+    answer = msgspec.json.decode(world.results[-1].body)
     addresses = [node.address for node in world.deployment.nodes]
     assert answer["address"] in addresses, answer
-    # An issued key runs only at the node that issued it.
-    is_asked = answer["node"] == world.seen[-1].headers["x-node"]
+    # Only the node that issued a key can run it.
+    is_asked = answer["node"] == world.results[-1].headers["x-node"]
     assert ("issued_key" in answer) == is_asked, answer
 
 
@@ -62,8 +62,8 @@
 def begin_stream(context: Context, tokens: int, number: int) -> None:
     world: World = context.world
     body = build_completion(PROMPT, tokens, is_stream=True)
-    seen = world.begin_request(number, "POST", COMPLETIONS, body)
-    world.wait_for("first events", lambda: seen.body.count(b"data:") >= 3)
+    result = world.begin_request(number, "POST", COMPLETIONS, body)
+    world.wait_for("first events", lambda: result.body.count(b"data:") >= 3)
 
 
 @when('a caller sends a hold with key "{key}" to node {number:d}')
@@ -74,41 +74,41 @@
 
 @then("the answer is whole with status {status:d}")
 def check_answer(context: Context, status: int) -> None:
-    seen = context.world.seen[-1]
-    assert seen.is_whole and seen.status == status, seen
+    result = context.world.results[-1]
+    assert result.is_whole and result.status == status, result
 
 
 @then("each answer from where the prompt was before reports cached tokens")
 def check_cached(context: Context) -> None:
     world: World = context.world
     cached_tokens: dict[str, list[int]] = {}
-    for seen in world.seen:
-        usage = msgspec.json.decode(seen.body)["usage"]
-        endpoint = find_endpoint(world, seen)
+    for result in world.results:
+        usage = msgspec.json.decode(result.body)["usage"]
+        endpoint = find_endpoint(world, result)
         found = usage["prompt_tokens_details"]["cached_tokens"]
         cached_tokens.setdefault(endpoint, []).append(found)
     again = [each for found in cached_tokens.values() for each in found[1:]]
     assert again and all(again), cached_tokens
 
 
-def find_endpoint(world: World, seen: RequestResult) -> str:
-    """Return where a request was sent, as the node that served it explains it."""
+def find_endpoint(world: World, result: RequestResult) -> str:
+    """Return the endpoint of a request, from the explanation of its node."""
     names = [node.name for node in world.deployment.nodes]
-    number = names.index(seen.headers["x-node"]) + 1
-    steps = explain_request(world, number, seen)
+    number = names.index(result.headers["x-node"]) + 1
+    steps = explain_request(world, number, result)
     (sent,) = [step for step in steps if step["kind"] == "sent"]
     return str(sent["endpoint"])
 
 
 @then("the stream is whole, numbered and in order")
 def check_stream(context: Context) -> None:
-    check_stream_of(context, context.world.seen[-1])
+    check_stream_of(context, context.world.results[-1])
 
 
-def check_stream_of(context: Context, seen: RequestResult) -> None:
-    context.world.wait_for("the stream's end", lambda: seen.is_over)
-    assert seen.is_whole and seen.status == 200, seen
-    lines = seen.body.decode().splitlines()
+def check_stream_of(context: Context, result: RequestResult) -> None:
+    context.world.wait_for("the stream's end", lambda: result.is_over)
+    assert result.is_whole and result.status == 200, result
+    lines = result.body.decode().splitlines()
     numbers = [int(line[3:]) for line in lines if line.startswith("id:")]
     assert numbers == list(range(len(numbers))), numbers
     assert "data: [DONE]" in lines[-3:], lines[-4:]
@@ -116,16 +116,16 @@
 
 @then("node {number:d} explains where it was sent and why")
 def explain(context: Context, number: int) -> None:
-    steps = explain_request(context.world, number, context.world.seen[-1])
+    steps = explain_request(context.world, number, context.world.results[-1])
     sent = next(step for step in steps if step["kind"] == "sent")
     assert sent["endpoint"] == sent["scores"][0]["endpoint"], sent
 
 
 def explain_request(
-    world: World, number: int, seen: RequestResult
+    world: World, number: int, result: RequestResult
 ) -> list[dict[str, Any]]:
-    """Return the steps of a request as a node explains them."""
-    request_id = seen.headers["x-request-id"]
+    """Return the steps of a request from the explanation of a node."""
+    request_id = result.headers["x-request-id"]
     answer = world.ask_operator(number, f"/explain/{request_id}")
     assert answer.status == 200, answer
     steps: list[dict[str, Any]] = msgspec.json.decode(answer.body)["steps"]
--- a/tests/features/world.py
+++ b/tests/features/world.py
@@ -1,4 +1,4 @@
-"""What the steps of one scenario share: processes, callers and their answers."""
+"""The shared state of one scenario: processes, requests and responses."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from toucanyard_standins.processes import ProcessHandle
 
 TIMEOUT_S = 30.0
-"""How long a scenario waits for what must happen; never asserted as a time."""
+"""The timeout of each wait in a scenario; scenarios don't assert times."""
 LOG_TAIL = 3_000
 
 
 class RequestResult(msgspec.Struct):
-    """What one caller saw of one request."""
+    """The result of one request."""
 
     status: int = 0
     body: bytes = b""
@@ -55,7 +55,7 @@
         self.portal = portal
         self.harness = harness
         self.deployment: Deployment
-        self.seen: list[RequestResult] = []
+        self.results: list[RequestResult] = []
 
     def start(self, sizes: DeploymentSizes) -> None:
         self.deployment = self.portal.call(start_deployment, self.harness, sizes)
@@ -79,25 +79,25 @@
         body: bytes = b"",
         headers: Headers = (),
     ) -> RequestResult:
-        """Make one request and wait for its end."""
-        seen = self._add_result()
+        """Send one request and wait for its end."""
+        result = self._add_result()
         address = self.find_node(number).address
-        self.portal.call(request, address, method, target, body, headers, seen)
-        return seen
+        self.portal.call(request, address, method, target, body, headers, result)
+        return result
 
     def begin_request(
         self, number: int, method: str, target: str, body: bytes, headers: Headers = ()
     ) -> RequestResult:
-        """Make one request that goes on during later steps."""
-        seen = self._add_result()
+        """Send one request that continues during later steps."""
+        result = self._add_result()
         address = self.find_node(number).address
-        self.portal.spawn(request, address, method, target, body, headers, seen)
-        return seen
+        self.portal.spawn(request, address, method, target, body, headers, result)
+        return result
 
     def _add_result(self) -> RequestResult:
-        seen = RequestResult()
-        self.seen.append(seen)
-        return seen
+        result = RequestResult()
+        self.results.append(result)
+        return result
 
     def ask_operator(self, number: int, target: str) -> Response:
         address = self.find_node(number).addresses["operators"]
@@ -112,7 +112,7 @@
         return len(msgspec.json.decode(answer.body)["peers"])
 
     def wait_for(self, what: str, is_true: Callable[[], bool]) -> None:
-        """Wait until something holds; fail after a long while."""
+        """Wait until a condition holds; fail after a long timeout."""
 
         async def wait() -> None:
             with trio.move_on_after(TIMEOUT_S):
@@ -124,7 +124,7 @@
         self.portal.call(wait)
 
     def count_holds(self, key: str) -> int:
-        """Return how often the plain services ran the calls of one key."""
+        """Return how often the plain services executed calls of one key."""
         return sum(
             self.portal.call(self.harness.count, service, ServiceCounters).by_key.get(
                 key, 0
@@ -139,25 +139,25 @@
     target: str,
     body: bytes,
     headers: Headers,
-    seen: RequestResult,
+    result: RequestResult,
 ) -> None:
-    """Make one request and note what comes, part by part."""
+    """Send one request and record the response chunk by chunk."""
     try:
         connection = await connect(Address(address), 5_000)
         try:
             named = (("Authorization", f"Bearer {CALLER_KEY}"), *headers)
             await connection.send(method, target, named, body)
             head = await connection.read_head()
-            seen.status, seen.headers = head.status, head.headers
+            result.status, result.headers = head.status, head.headers
             while (part := await connection.read_part()) is not None:
-                seen.body += part
-            seen.is_whole = True
+                result.body += part
+            result.is_whole = True
         finally:
             await connection.close()
     except ConnectionFailedError as error:
-        seen.error = str(error)
+        result.error = str(error)
     finally:
-        seen.is_over = True
+        result.is_over = True
 
 
 def build_completion(prompt: str, max_tokens: int, is_stream: bool) -> bytes:
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that tests of several modules share."""
+"""Helpers shared by tests of several modules."""
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -1,4 +1,4 @@
-"""Serve a callers' face in the test's process, before a scripted core."""
+"""Run the server for callers in the test process, with a scripted core."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 def build_configuration(service_calls: tuple[str, ...] = ()) -> Configuration:
-    """Return two customers, one pool and one service; addresses come from cores."""
+    """Return two customers, one pool and one service; cores choose the addresses."""
     any_endpoint = Endpoint(EndpointName("e0"), ANY_PORT, DomainName("d"))
     return Configuration(
         version=7,
@@ -88,7 +88,7 @@
 
 
 def build_options(streams: StreamLimits | None = None) -> Options:
-    """Return settings that listen nowhere in particular."""
+    """Return settings with arbitrary ports."""
     listen = ListenOptions(ANY_PORT, ANY_PORT, ANY_PORT)
     return Options(
         name=NodeName("n1"),
@@ -101,10 +101,10 @@
 
 
 class ScriptedCore:
-    """Answer the face's questions: each try goes to the next address of the script.
+    """Return verdicts: each attempt goes to the next address of the script.
 
-    A repeatable request that failed is sent to the next address; any other one gets
-    no further verdict. When the script is used up, the last address stays.
+    A repeatable request that failed is sent to the next address; other requests get
+    no further verdict. At the end of the script the last address is repeated.
     """
 
     def __init__(self, addresses: list[Address], silence_ms: float = 400) -> None:
@@ -116,7 +116,7 @@
         self.is_waiting = False
         self.is_refusing_retries = False
         self.retries_run_once = False
-        """Send elsewhere what may run once only."""
+        """Retry requests at other addresses although they may run only once."""
         self.replay: Replay | None = None
         self.requests: list[Request] = []
         self.outcomes: list[Outcome] = []
@@ -128,7 +128,7 @@
         self.client = CoreClient(send, lambda: self.configuration)
 
     async def run(self) -> None:
-        """Answer until cancelled."""
+        """Process messages until cancelled."""
         async for message in self._receive:
             match message:
                 case Decide(request, reply):
@@ -144,7 +144,7 @@
                     self.rejections.append(message)
 
     def find_endings(self) -> list[DispatchEnding]:
-        """Return how the dispatches ended."""
+        """Return the endings of all dispatches."""
         return [outcome.ending for outcome in self.outcomes]
 
     def _decide(self, request_id: RequestId) -> Verdict:
@@ -186,8 +186,8 @@
         return self._decide(outcome.request_id)
 
 
-class ServedCallers:
-    """A face that is being served, and how to ask it."""
+class ClientServerHarness:
+    """A running server for callers, with methods to send requests to it."""
 
     def __init__(
         self,
@@ -223,7 +223,7 @@
     async def ask(
         self, method: str, target: str, headers: Headers = AUTHORIZED, body: object = ""
     ) -> Response:
-        """Make one request and return its whole answer."""
+        """Send one request and return the complete response."""
         connection = await self.open(method, target, headers, body)
         try:
             head = await connection.read_head()
@@ -234,7 +234,7 @@
     async def complete(
         self, is_stream: bool = True, headers: Headers = AUTHORIZED
     ) -> Response:
-        """Ask for a completion."""
+        """Request a completion."""
         body = build_completion(is_stream)
         return await self.ask("POST", "/v1/completions", headers, body)
 
@@ -245,11 +245,11 @@
 
 
 @asynccontextmanager
-async def serve_callers(
+async def run_client_server(
     core: ScriptedCore, options: Options | None = None
-) -> AsyncIterator[ServedCallers]:
-    """Serve a face on a port that the kernel chose."""
-    served = ServedCallers(core, options or build_options())
+) -> AsyncIterator[ClientServerHarness]:
+    """Run a server on a port chosen by the kernel."""
+    served = ClientServerHarness(core, options or build_options())
     async with trio.open_nursery() as nursery:
         listener = await open_listener("127.0.0.1", 0)
         served.address = Address(f"127.0.0.1:{find_port(listener)}")
@@ -261,10 +261,10 @@
 
 
 @asynccontextmanager
-async def serve_callers_in_memory(
+async def run_client_server_in_memory(
     engines: list[ScriptedEngine], options: Options | None = None
-) -> AsyncIterator[ServedCallers]:
-    """Serve a face and engines in memory; tries go to the engines in their order."""
+) -> AsyncIterator[ClientServerHarness]:
+    """Run a server and engines in memory; attempts go to the engines in order."""
     names = [Address(f"10.0.0.{place}:80") for place in range(len(engines))]
     async with trio.open_nursery() as nursery:
         network = MemoryNetwork(nursery)
@@ -272,7 +272,7 @@
             network.serve(name, engine.handle)
         core = ScriptedCore(names)
         options = options or build_options()
-        served = ServedCallers(core, options, network.connect, network.connect)
+        served = ClientServerHarness(core, options, network.connect, network.connect)
         served.address = Address("10.0.1.1:80")
         served.network = network
         served.server = network.serve(
@@ -285,13 +285,13 @@
 
 
 def read_numbers(body: bytes) -> list[int]:
-    """Return the numbers of the events in a body."""
+    """Return the event ids in a body."""
     lines = body.split(b"\n")
     return [int(line[4:]) for line in lines if line.startswith(b"id: ")]
 
 
 def read_text(body: bytes) -> str:
-    """Return the text that the events in a body add up to."""
+    """Return the concatenated text of the events in a body."""
     lines = [line[6:] for line in body.split(b"\n") if line.startswith(b"data: {")]
     chunks = [read_chunk(line) for line in lines if b'"error"' not in line]
     return "".join(get_text(chunk) for chunk in chunks)
--- a/tests/support/engines.py
+++ b/tests/support/engines.py
@@ -1,4 +1,4 @@
-"""An engine whose behaviour at each request is scripted."""
+"""Define an engine with scripted behaviour for each request."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 
 
 class StepEnd(enum.Enum):
-    """What follows the events of a step."""
+    """The end of a response after its events."""
 
     END = enum.auto()
     CUT = enum.auto()
     SILENCE = enum.auto()
     HEARTBEAT = enum.auto()
-    """Send heartbeats, but no events, for ever."""
+    """Send heartbeats forever, without events."""
 
 
 class Step(msgspec.Struct, frozen=True):
-    """How one POST or GET of a stream is answered."""
+    """The response to one POST or GET of a stream."""
 
     stop_before: int = 10**6
-    """Number of the first event that isn't sent."""
+    """The number of the first event that is not sent."""
     then: StepEnd = StepEnd.END
     status: int = 200
-    """0 closes the connection without an answer."""
+    """0 closes the connection without a response."""
     echo: str | None = None
     incarnation: str = "i1"
     weights: str = "w1"
     skip: int | None = None
-    """An event that is left out."""
+    """The number of an event that is omitted."""
     head_delay_s: float = 0.0
     restarts_numbering: bool = False
-    """Resume from the first event, whatever was asked for."""
+    """Resume from the first event, regardless of the requested one."""
     quiet_until_s: float = 0.0
-    """Time on the clock before which there are neither events nor heartbeats."""
+    """Clock time before which neither events nor heartbeats are sent."""
     gap_s: float = 0.0
-    """Time before each event; a heartbeat comes in the middle of it."""
+    """Time before each event, with a heartbeat half-way."""
     joined: bytes = b""
-    """What comes in one packet behind the events, which then come in one, too."""
+    """Data sent in one write together with all events."""
 
 
 class ScriptedEngine:
-    """Answer with the tokens of one text; steps are used up in order."""
+    """Respond with the tokens of one text; each request consumes one step."""
 
     def __init__(self, tokens: tuple[str, ...], *steps: Step) -> None:
         self._tokens = tokens
--- a/tests/support/network.py
+++ b/tests/support/network.py
@@ -1,7 +1,7 @@
-"""Connect a face, its callers and its engines in memory, under a clock that jumps.
+"""Connect servers, callers and engines in memory, for trio's mock clock.
 
-Real sockets don't go with trio's mock clock: it would jump while bytes are under way
-in the kernel. Here nothing is under way outside of trio.
+Real sockets don't work with an autojump clock, which would jump while bytes are in
+flight in the kernel. Here all data stays inside trio.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class MemoryListener(trio.abc.Listener[trio.abc.Stream]):
-    """Hand out the server's ends of connections."""
+    """Accept the server ends of in-memory connections."""
 
     def __init__(self) -> None:
         self.inbox, self._outbox = trio.open_memory_channel[trio.abc.Stream](1_000)
@@ -34,7 +34,7 @@
 
 
 class MemoryNetwork:
-    """Addresses that can be connected to; an address without a server refuses."""
+    """A network of in-memory servers; other addresses refuse connections."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self._nursery = nursery
@@ -43,7 +43,7 @@
         self._unread: list[trio.abc.Stream] = []
         self.connect_delay_s = 0.0
         self.blocked: set[Address] = set()
-        """Addresses whose connections take no byte."""
+        """Addresses whose connections never accept data."""
 
     def serve(
         self, address: str, handler: Handler, limits: ServerLimits | None = None
@@ -55,7 +55,7 @@
         return server
 
     def remove(self, address: str) -> None:
-        """Let new connections to an address fail."""
+        """Refuse new connections to an address."""
         del self._listeners[Address(address)]
 
     async def connect(self, address: Address, timeout_ms: float) -> HttpConnection:
@@ -73,7 +73,7 @@
         return HttpConnection(address, ours, trio.current_time() * 1000)
 
     async def open_stream(self, address: Address) -> trio.abc.Stream:
-        """Connect to a server without speaking HTTP."""
+        """Connect to a server and return the raw stream."""
         return await _open_stream(self._listeners[address])
 
 
--- a/tests/support/operators.py
+++ b/tests/support/operators.py
@@ -1,4 +1,4 @@
-"""Serve an operators' face in memory, before a real core and a log in a list."""
+"""Run the server for operators in memory, with a real core and a fake log."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 
 def authorize(key: str) -> Headers:
-    """Return the headers that carry a key, none for no key."""
+    """Return the authorization header for a key, or none for an empty key."""
     return (("Authorization", f"Bearer {key}"),) if key else ()
 
 
-class ServedOperators:
-    """A face that is being served; each append is read back at once."""
+class OperatorServerHarness:
+    """A running server for operators; each append is read back immediately."""
 
     def __init__(self, network: MemoryNetwork) -> None:
         self.network = network
@@ -83,7 +83,7 @@
     async def ask(
         self, method: str, target: str, key: str = OPERATOR_KEY, body: bytes = b""
     ) -> Response:
-        """Make one request and return its whole answer."""
+        """Send one request and return the complete response."""
         connection = await self.network.connect(ADDRESS, 1_000)
         try:
             await connection.send(method, target, authorize(key), body)
@@ -93,7 +93,7 @@
             await connection.close()
 
     async def put(self, key: str = OPERATOR_KEY, **put: object) -> Response:
-        """Submit a patch on the version in force."""
+        """Submit a patch based on the version in force."""
         patch = {"patch_id": f"p{self.version}", "base": self.version, "put": put}
         answer = await self.ask("POST", "/patches", key, msgspec.json.encode(patch))
         if answer.status == 200:
@@ -102,10 +102,10 @@
 
 
 @asynccontextmanager
-async def serve_operators() -> AsyncIterator[ServedOperators]:
-    """Serve a face whose configuration names one operator and one customer."""
+async def run_operator_server() -> AsyncIterator[OperatorServerHarness]:
+    """Run a server whose configuration has one operator and one customer."""
     async with trio.open_nursery() as nursery:
-        served = ServedOperators(MemoryNetwork(nursery))
+        served = OperatorServerHarness(MemoryNetwork(nursery))
         nursery.start_soon(served.run)
         answer = await served.put(
             BOOTSTRAP_KEY,
--- a/tests/toucanyard_node/test_back_pressure.py
+++ b/tests/toucanyard_node/test_back_pressure.py
@@ -4,7 +4,12 @@
 
 import trio
 
-from support.callers import AUTHORIZED, ScriptedCore, build_completion, serve_callers
+from support.callers import (
+    AUTHORIZED,
+    ScriptedCore,
+    build_completion,
+    run_client_server,
+)
 from support.engines import ScriptedEngine
 from toucanyard.names import Address
 from toucanyard_node.http_server import (
@@ -39,7 +44,7 @@
     async with trio.open_nursery() as nursery:
         server = HttpServer(engine.handle, ServerLimits())
         nursery.start_soon(server.serve, listener)
-        async with serve_callers(ScriptedCore([address], silence_ms=400)) as served:
+        async with run_client_server(ScriptedCore([address], silence_ms=400)) as served:
             connection = await served.open(
                 "POST", "/v1/completions", AUTHORIZED, build_completion()
             )
--- a/tests/toucanyard_node/test_callers_face.py
+++ b/tests/toucanyard_node/test_callers_face.py
@@ -12,12 +12,12 @@
 
 from support.callers import (
     AUTHORIZED,
+    ClientServerHarness,
     ScriptedCore,
-    ServedCallers,
     build_completion,
     build_options,
-    serve_callers,
-    serve_callers_in_memory,
+    run_client_server,
+    run_client_server_in_memory,
 )
 from support.engines import ScriptedEngine, Step, StepEnd
 from toucanyard.names import Address, RequestId
@@ -54,7 +54,7 @@
     ],
 )
 async def test_api_keys(headers: Headers, status: int) -> None:
-    async with serve_callers_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.ask("GET", "/v1/models", headers)
         assert answer.status == status
         assert answer.headers["x-node"] == "n1"
@@ -62,7 +62,7 @@
 
 
 async def test_locate_needs_no_key() -> None:
-    async with serve_callers_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.ask("GET", "/v1/locate", ())
         body = msgspec.json.decode(answer.body)
         assert (body["node"], body["keep_ms"]) == ("n1", 10_000)
@@ -93,7 +93,7 @@
 async def test_bad_requests(
     method: str, target: str, body: object, status: int, code: str
 ) -> None:
-    async with serve_callers_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.ask(method, target, AUTHORIZED, body)
         error = read_error(answer)
         assert (answer.status, error["code"]) == (status, code)
@@ -107,7 +107,7 @@
 async def test_stranger_leaves_no_record() -> None:
     # Anybody can send requests without a key; recorded, they would push the records of
     # customers out.
-    async with serve_callers_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.ask("GET", "/v1/nothing", (), "")
         assert answer.status == 401
         assert not served.core.rejections
@@ -125,13 +125,13 @@
     ],
 )
 async def test_bad_headers(header: tuple[str, str]) -> None:
-    async with serve_callers_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.complete(headers=(*AUTHORIZED, header))
         assert read_error(answer)["code"] == "bad_request"
 
 
 async def test_refusal_of_core() -> None:
-    async with serve_callers_in_memory([ScriptedEngine(TOKENS)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)]) as served:
         served.core.is_refusing = True
         answer = await served.complete()
         error = read_error(answer)
@@ -141,7 +141,7 @@
 
 
 async def test_request_as_core_sees_it() -> None:
-    async with serve_callers_in_memory([ScriptedEngine(TOKENS)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)]) as served:
         headers = (*AUTHORIZED, ("Idempotency-Key", "k1"), ("X-Key-Age-Ms", "0"))
         body = {
             "model": "model:a",
@@ -162,7 +162,7 @@
 
 
 async def test_answer_kept_by_core() -> None:
-    async with serve_callers_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         kept = CachedAnswer(200, "text/event-stream", b"data: [DONE]\n\n")
         served.core.replay = Replay(RequestId("n1-x7-0"), kept)
         answer = await served.complete()
@@ -170,7 +170,7 @@
         assert answer.headers["content-type"] == kept.content_type
 
 
-async def ask_soon(served: ServedCallers, headers: Headers) -> dict[str, Any]:
+async def ask_soon(served: ClientServerHarness, headers: Headers) -> dict[str, Any]:
     answer = await served.complete(is_stream=False, headers=headers)
     error = read_error(answer)
     if error["retry_after_ms"] is not None:
@@ -199,7 +199,7 @@
     The caller is answered then; "not run" is said only of the queued one.
     """
     engine = ScriptedEngine(TOKENS, Step(stop_before=1, then=StepEnd.HEARTBEAT))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         served.core.is_waiting = is_queued
         begun_s = trio.current_time()
         error = await ask_soon(served, headers)
@@ -228,7 +228,7 @@
 
     Only the first proves that the request did not run.
     """
-    async with serve_callers_in_memory([ScriptedEngine(TOKENS, step)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS, step)]) as served:
         answer = await served.complete(headers=headers)
         error = read_error(answer)
         assert (error["code"], error["not_run"]) == (code, is_not_run)
@@ -237,7 +237,7 @@
 
 async def test_not_sent() -> None:
     """No connection to the engine can be made, so no byte of the request left."""
-    async with serve_callers_in_memory([ScriptedEngine(TOKENS)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)]) as served:
         assert served.network is not None
         served.network.remove(served.core.addresses[0])
         answer = await served.complete(headers=ONCE)
@@ -252,7 +252,7 @@
     the caller must not read "not run".
     """
     lost = ScriptedEngine(TOKENS, Step(status=500))
-    async with serve_callers_in_memory([lost]) as served:
+    async with run_client_server_in_memory([lost]) as served:
         served.core.is_refusing_retries = True
         answer = await served.complete()
         error = read_error(answer)
@@ -263,7 +263,7 @@
     """A first try is lost and the engine of the second refuses it."""
     lost = ScriptedEngine(TOKENS, Step(status=500))
     refusing = ScriptedEngine(TOKENS, Step(status=503))
-    async with serve_callers_in_memory([lost, refusing]) as served:
+    async with run_client_server_in_memory([lost, refusing]) as served:
         answer = await served.complete()
         assert read_error(answer)["not_run"] is False
         assert served.core.find_endings() == [
@@ -280,7 +280,7 @@
     engine = ScriptedEngine(
         TOKENS, Step(), Step(stop_before=0, then=StepEnd.CUT, status=0)
     )
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         await served.complete()
         answer = await served.complete()
         assert answer.status == 200
@@ -294,7 +294,7 @@
     A request that may run once hence never goes out on one.
     """
     engine = ScriptedEngine(TOKENS)
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         await served.complete()
         await served.complete()
         await served.complete(headers=ONCE)
@@ -306,7 +306,7 @@
 async def test_engine_rejects_body() -> None:
     """A 4xx is the engine's answer; it reaches the caller as it came."""
     engine = ScriptedEngine(TOKENS, Step(status=422))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         assert (answer.status, answer.body) == (422, b'{"error": "scripted"}')
 
@@ -316,7 +316,9 @@
         build_options(),
         callers=msgspec.structs.replace(build_options().callers, max_body_bytes=100),
     )
-    async with serve_callers(ScriptedCore([Address("127.0.0.1:1")]), options) as served:
+    async with run_client_server(
+        ScriptedCore([Address("127.0.0.1:1")]), options
+    ) as served:
         body = build_completion() | {"prompt": "x" * 1_000_000}
         answer = await served.ask("POST", "/v1/completions", AUTHORIZED, body)
         error = msgspec.json.decode(answer.body)["error"]
@@ -335,7 +337,7 @@
     would make a second hold under a new key.
     """
     headers = (("Authorization", "Bearer new"), ("Idempotency-Key", "k1"), *age)
-    async with serve_callers(ScriptedCore([])) as served:
+    async with run_client_server(ScriptedCore([])) as served:
         answer = await served.ask("POST", "/v1/services/desk/holds", headers)
         assert answer.status == 401
         assert read_error(answer)["not_run"] is is_not_run
--- a/tests/toucanyard_node/test_callers_fuzz.py
+++ b/tests/toucanyard_node/test_callers_fuzz.py
@@ -13,9 +13,9 @@
 from support.callers import (
     AUTHORIZED,
     KEY,
-    ServedCallers,
+    ClientServerHarness,
     build_completion,
-    serve_callers_in_memory,
+    run_client_server_in_memory,
 )
 from support.engines import ScriptedEngine
 from toucanyard.errorcodes import ANSWERS, ErrorKind
@@ -26,11 +26,11 @@
 HEAD = b"Host: a\r\nAuthorization: Bearer " + KEY.encode() + b"\r\n"
 
 
-def run_served(check: Callable[[ServedCallers], Awaitable[None]]) -> None:
+def run_served(check: Callable[[ClientServerHarness], Awaitable[None]]) -> None:
     """Run a check against a face with one engine; then ask as another caller."""
 
     async def run() -> None:
-        async with serve_callers_in_memory(
+        async with run_client_server_in_memory(
             [ScriptedEngine((" uno", " dos"))]
         ) as served:
             with trio.fail_after(3_600):
@@ -70,7 +70,7 @@
 @example(b"HEAD /v1/models HTTP/1.1\r\n" + HEAD + b"\r\n")
 @settings(max_examples=100)
 def test_any_bytes_are_answered_or_the_connection_ends(data: bytes) -> None:
-    async def check(served: ServedCallers) -> None:
+    async def check(served: ClientServerHarness) -> None:
         assert served.network is not None
         stream = await served.network.open_stream(served.address)
         async with stream:
@@ -145,7 +145,7 @@
 def test_any_request_is_answered(
     method: str, target: str, headers: dict[str, str], body: bytes
 ) -> None:
-    async def check(served: ServedCallers) -> None:
+    async def check(served: ClientServerHarness) -> None:
         connection = await served.open(method, target, ())
         await connection.close()
         assert served.network is not None
--- a/tests/toucanyard_node/test_credentials.py
+++ b/tests/toucanyard_node/test_credentials.py
@@ -10,9 +10,9 @@
 from support.callers import (
     KEY,
     OTHER_KEY,
-    ServedCallers,
+    ClientServerHarness,
     build_configuration,
-    serve_callers_in_memory,
+    run_client_server_in_memory,
 )
 from support.engines import ScriptedEngine, Step
 from toucanyard.configuration import Configuration, Operator
@@ -38,7 +38,7 @@
     )
 
 
-async def find_status(served: ServedCallers, key: str) -> int:
+async def find_status(served: ClientServerHarness, key: str) -> int:
     headers = (("Authorization", f"Bearer {key}"),)
     return (await served.ask("GET", "/v1/models", headers)).status
 
@@ -50,7 +50,7 @@
     begun under the old key goes on to its end.
     """
     engine = ScriptedEngine(tuple(f" t{number}" for number in range(20)), Step(gap_s=1))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         served.core.configuration = with_keys(KEY, "new")
         assert [await find_status(served, key) for key in (KEY, "new")] == [200, 200]
         body = {"model": "model", "prompt": "hola", "stream": True}
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("key", ["key-of-ana", compute_key_hash(KEY), KEY + "x", ""])
 async def test_other_keys_are_refused(autojump_clock: MockClock, key: str) -> None:
     """An operator's key, a hash as the configuration shows it, a longer key, none."""
-    async with serve_callers_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         served.core.configuration = with_keys(KEY)
         headers = (("Authorization", f"Bearer {key}"),) if key else ()
         answer = await served.ask("GET", "/v1/models", headers)
--- a/tests/toucanyard_node/test_drain.py
+++ b/tests/toucanyard_node/test_drain.py
@@ -8,11 +8,11 @@
 
 from support.callers import (
     AUTHORIZED,
-    ServedCallers,
+    ClientServerHarness,
     build_completion,
     build_options,
     read_numbers,
-    serve_callers_in_memory,
+    run_client_server_in_memory,
 )
 from support.engines import ScriptedEngine, Step
 from toucanyard.requests import DispatchEnding
@@ -23,7 +23,7 @@
 KEYED = (*AUTHORIZED, ("Idempotency-Key", "k1"))
 
 
-async def run_drain(served: ServedCallers, results: list[bool]) -> None:
+async def run_drain(served: ClientServerHarness, results: list[bool]) -> None:
     options = build_options()
     wait_idle = served.client_server.wait_idle
     results.append(await drain(served.drain, served.server, options, wait_idle))
@@ -39,7 +39,7 @@
     results: list[bool] = []
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.5))
     async with (
-        serve_callers_in_memory([engine]) as served,
+        run_client_server_in_memory([engine]) as served,
         trio.open_nursery() as nursery,
     ):
         body = build_completion()
@@ -72,7 +72,7 @@
     results: list[bool] = []
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.5))
     async with (
-        serve_callers_in_memory([engine]) as served,
+        run_client_server_in_memory([engine]) as served,
         trio.open_nursery() as nursery,
     ):
         body = build_completion()
--- a/tests/toucanyard_node/test_kept_streams.py
+++ b/tests/toucanyard_node/test_kept_streams.py
@@ -10,12 +10,12 @@
 from support.callers import (
     AUTHORIZED,
     OTHER_KEY,
-    ServedCallers,
+    ClientServerHarness,
     build_completion,
     build_options,
     read_numbers,
     read_text,
-    serve_callers_in_memory,
+    run_client_server_in_memory,
 )
 from support.engines import ScriptedEngine, Step, StepEnd
 from toucanyard.options import StreamLimits
@@ -29,7 +29,7 @@
 
 
 async def open_and_read(
-    served: ServedCallers, parts: int, headers: Headers = AUTHORIZED
+    served: ClientServerHarness, parts: int, headers: Headers = AUTHORIZED
 ) -> HttpConnection:
     """Begin a stream and read some of its parts."""
     body = build_completion()
@@ -52,7 +52,7 @@
     engine is neither cancelled nor asked again.
     """
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.3))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         connection = await open_and_read(served, 4)
         await connection.close()
         await trio.sleep(0.1)
@@ -72,7 +72,7 @@
     engine = ScriptedEngine(
         TOKENS, Step(stop_before=3, then=StepEnd.HEARTBEAT), Step(gap_s=0.1)
     )
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         old = await open_and_read(served, 3)
         new = await served.open("GET", STREAM, after(-1))
         with trio.fail_after(5):
@@ -87,7 +87,7 @@
 
 async def test_stream_of_another_customer(autojump_clock: MockClock) -> None:
     """Another customer names the id of a stream. It gets what any unknown id gets."""
-    async with serve_callers_in_memory([ScriptedEngine(TOKENS)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)]) as served:
         await served.complete()
         answer = await served.ask("GET", STREAM, after(1, OTHER_KEY))
         unknown = await served.ask("GET", STREAM + "9", after(1, OTHER_KEY))
@@ -97,7 +97,7 @@
 
 async def test_ended_stream_is_kept_for_a_while(autojump_clock: MockClock) -> None:
     """The last events were lost on the way to the caller. It can ask for them."""
-    async with serve_callers_in_memory([ScriptedEngine(TOKENS)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)]) as served:
         await served.complete()
         answer = await served.ask("GET", STREAM, after(5))
         assert read_numbers(answer.body) == [6, 7]
@@ -112,7 +112,7 @@
     A stream with a hole would look whole, so it is refused.
     """
     options = build_options(StreamLimits(replay_buffer_bytes=500))
-    async with serve_callers_in_memory([ScriptedEngine(TOKENS)], options) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)], options) as served:
         await served.complete()
         answer = await served.ask("GET", STREAM, after(0))
         assert answer.status == 410
@@ -124,7 +124,7 @@
     After the grace the engine is told to stop; until then it runs on for nobody.
     """
     engine = ScriptedEngine(TOKENS, Step(stop_before=3, then=StepEnd.HEARTBEAT))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         connection = await open_and_read(served, 2)
         await connection.close()
         await trio.sleep(1.5)
@@ -138,7 +138,7 @@
     There is nothing to come back to, so the engine is told at once.
     """
     engine = ScriptedEngine(TOKENS, Step(head_delay_s=0.3))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         body = build_completion()
         connection = await served.open("POST", "/v1/completions", AUTHORIZED, body)
         await trio.sleep(0.1)
@@ -149,7 +149,7 @@
 
 async def test_caller_gone_while_queued(autojump_clock: MockClock) -> None:
     """The caller hangs up while its request is queued. The core is told."""
-    async with serve_callers_in_memory([ScriptedEngine(TOKENS)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)]) as served:
         served.core.is_waiting = True
         body = build_completion()
         connection = await served.open("POST", "/v1/completions", AUTHORIZED, body)
@@ -169,7 +169,7 @@
     answer goes to the core to be kept.
     """
     engine = ScriptedEngine(TOKENS, Step(head_delay_s=0.2, gap_s=0.5))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         body = build_completion(is_stream)
         connection = await served.open("POST", "/v1/completions", KEYED, body)
         await trio.sleep(0.1)
@@ -195,7 +195,7 @@
     tokens = tuple(f" t{number:04}" for number in range(400))
     engine = ScriptedEngine(tokens, Step(gap_s=0.001))
     options = build_options(StreamLimits(replay_buffer_bytes=4_000))
-    async with serve_callers_in_memory([engine], options) as served:
+    async with run_client_server_in_memory([engine], options) as served:
         connection = await open_and_read(served, 2)
         await connection.close()
         await trio.sleep(0.9)
@@ -221,7 +221,7 @@
     tokens = tuple(f" t{number:04}" for number in range(400))
     engine = ScriptedEngine(tokens, Step(gap_s=0.05))
     options = build_options(StreamLimits(replay_buffer_bytes=4_000))
-    async with serve_callers_in_memory([engine], options) as served:
+    async with run_client_server_in_memory([engine], options) as served:
         old = await open_and_read(served, 8)
         monkeypatch.setattr(Responder, "start", start_slowly)
         new = await served.open("GET", STREAM, after(1))
@@ -243,7 +243,7 @@
     bodies: list[bytes] = []
     cuts: list[ConnectionFailedError] = []
 
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
 
         async def resume() -> None:
             try:
--- a/tests/toucanyard_node/test_openai_client.py
+++ b/tests/toucanyard_node/test_openai_client.py
@@ -12,7 +12,7 @@
 from openai.types.chat import ChatCompletionUserMessageParam
 
 from standin_examples import control, start_engine
-from support.callers import KEY, ScriptedCore, ServedCallers, serve_callers
+from support.callers import KEY, ClientServerHarness, ScriptedCore, run_client_server
 from toucanyard.errorcodes import ErrorKind
 from toucanyard.names import Address
 from toucanyard_standins.engine_faults import DieAfterEvents, RefuseRequests
@@ -21,16 +21,16 @@
 
 
 @asynccontextmanager
-async def serve_one() -> AsyncIterator[tuple[ServedCallers, Address]]:
+async def serve_one() -> AsyncIterator[tuple[ClientServerHarness, Address]]:
     async with trio.open_nursery() as nursery:
         engine = await start_engine(nursery)
-        async with serve_callers(ScriptedCore([engine])) as served:
+        async with run_client_server(ScriptedCore([engine])) as served:
             yield served, engine
         nursery.cancel_scope.cancel()
 
 
 def open_client(
-    served: ServedCallers, key: str = KEY, max_retries: int = 0
+    served: ClientServerHarness, key: str = KEY, max_retries: int = 0
 ) -> openai.OpenAI:
     url = f"http://{served.address}/v1"
     return openai.OpenAI(base_url=url, api_key=key, max_retries=max_retries, timeout=30)
@@ -116,7 +116,7 @@
     monkeypatch.setattr(time, "sleep", waits.append)
     core = ScriptedCore([])
     core.is_refusing, core.refusal = True, kind
-    async with serve_callers(core) as served:
+    async with run_client_server(core) as served:
         client = open_client(served, max_retries=2)
         with pytest.raises(error) as caught:
             await trio.to_thread.run_sync(complete, client)
--- a/tests/toucanyard_node/test_operators_face.py
+++ b/tests/toucanyard_node/test_operators_face.py
@@ -13,8 +13,8 @@
 from support.operators import (
     BOOTSTRAP_KEY,
     OPERATOR_KEY,
-    ServedOperators,
-    serve_operators,
+    OperatorServerHarness,
+    run_operator_server,
 )
 from toucanyard.errorcodes import ErrorKind
 from toucanyard_node.credentials import compute_key_hash
@@ -40,7 +40,7 @@
 async def test_who_is_not_let_in(key: str, expected: tuple[int, str]) -> None:
     """No key, a wrong one, the first hour's after an operator is named, a customer's,
     and a hash as `GET /configuration` shows it: each is refused on every path."""
-    async with serve_operators() as served:
+    async with run_operator_server() as served:
         for method, target in (("GET", "/status"), ("POST", "/drain"), ("GET", "/x")):
             assert read_code(await served.ask(method, target, key)) == expected
         assert not served.drain.is_draining()
@@ -53,7 +53,7 @@
     Both keys work between the two patches; after the second the old one is refused.
     """
     old, new = compute_key_hash(OPERATOR_KEY), compute_key_hash("new")
-    async with serve_operators() as served:
+    async with run_operator_server() as served:
         await served.put(operators=[{"name": "ana", "key_hashes": [old, new]}])
         for key in (OPERATOR_KEY, "new"):
             assert (await served.ask("GET", "/status", key)).status == 200
@@ -66,7 +66,7 @@
         assert read_code(refused) == (401, "unauthenticated")
 
 
-async def check_answer(served: ServedOperators, answer: Response) -> None:
+async def check_answer(served: OperatorServerHarness, answer: Response) -> None:
     """Check for a status of the list and JSON, and that the face goes on serving."""
     assert answer.status in STATUSES, answer.body
     body = msgspec.json.decode(answer.body)
@@ -95,7 +95,7 @@
     quoted = target.encode("ascii", "xmlcharrefreplace").decode()
 
     async def ask() -> None:
-        async with serve_operators() as served:
+        async with run_operator_server() as served:
             answer = await served.ask(method, quoted)
             if method != "HEAD":
                 await check_answer(served, answer)
@@ -112,7 +112,7 @@
         "n1-x7-3": "older than the newest",
         "n9-x7-3": "no node 'n9' is in the VM list",
     }
-    async with serve_operators() as served:
+    async with run_operator_server() as served:
         for request_id, reason in reasons.items():
             answer = await served.ask("GET", f"/explain/{request_id}")
             assert answer.status == 404
@@ -148,7 +148,7 @@
 @settings(max_examples=80)
 def test_any_patch_is_answered(body: bytes) -> None:
     async def ask() -> None:
-        async with serve_operators() as served:
+        async with run_operator_server() as served:
             with trio.fail_after(30):
                 answer = await served.ask("POST", "/patches", body=body)
             await check_answer(served, answer)
--- a/tests/toucanyard_node/test_service_face.py
+++ b/tests/toucanyard_node/test_service_face.py
@@ -14,13 +14,13 @@
 from standin_examples import control, read, start_service
 from support.callers import (
     AUTHORIZED,
+    ClientServerHarness,
     ScriptedCore,
-    ServedCallers,
     build_completion,
     build_configuration,
     read_text,
-    serve_callers,
-    serve_callers_in_memory,
+    run_client_server,
+    run_client_server_in_memory,
 )
 from support.engines import ScriptedEngine, Step
 from toucanyard.names import Address
@@ -42,13 +42,13 @@
 @asynccontextmanager
 async def serve_desk(
     repeatable: tuple[str, ...] = (),
-) -> AsyncIterator[tuple[ServedCallers, list[Address]]]:
+) -> AsyncIterator[tuple[ClientServerHarness, list[Address]]]:
     """Serve a face before two replicas of a service; tries go to them in order."""
     async with trio.open_nursery() as nursery:
         addresses = [await start_service(nursery), await start_service(nursery)]
         core = ScriptedCore(addresses)
         core.configuration = build_configuration(repeatable)
-        async with serve_callers(core) as served:
+        async with run_client_server(core) as served:
             yield served, addresses
         nursery.cancel_scope.cancel()
 
@@ -176,7 +176,7 @@
     used: the endpoint would run what was said not to have run.
     """
     engine = ScriptedEngine(("a",))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         assert served.network is not None
         served.network.connect_delay_s = 0.2
         first = (("X-Key-Age-Ms", "0"), ("X-Deadline-Ms", "100"))
@@ -198,7 +198,7 @@
     running, and its place at the engine as taken, for good.
     """
     engine = ScriptedEngine(("a", "b"), Step(head_delay_s=0.2))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         headers = (*KEYED, ("X-Deadline-Ms", "100"))
         answer = await served.ask(
             "POST", "/v1/completions", headers, build_completion()
@@ -244,7 +244,7 @@
     is over; else its place at the endpoint would stay taken.
     """
     core = ScriptedCore([Address("nonsense")])
-    async with serve_callers(core) as served:
+    async with run_client_server(core) as served:
         answer = await served.ask("POST", target, headers, build_completion())
         assert read_error(answer)["code"] == "internal"
         assert core.find_endings() == [DispatchEnding.CANCELLED]
--- a/tests/toucanyard_node/test_stream_ends.py
+++ b/tests/toucanyard_node/test_stream_ends.py
@@ -11,7 +11,7 @@
     build_completion,
     read_numbers,
     read_text,
-    serve_callers_in_memory,
+    run_client_server_in_memory,
 )
 from support.engines import ScriptedEngine, Step, StepEnd
 from toucanyard.requests import DispatchEnding
@@ -47,7 +47,7 @@
         TOKENS, Step(stop_before=2, joined=bad), Step(status=404), Step(status=404)
     )
     second = ScriptedEngine(TOKENS)
-    async with serve_callers_in_memory([first, second]) as served:
+    async with run_client_server_in_memory([first, second]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         (asked,) = second.find_requests("POST")
@@ -61,7 +61,7 @@
     node asks again; the stream would otherwise pass for whole without its end.
     """
     engine = ScriptedEngine(TOKENS, Step(skip=LAST))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         (resumed,) = engine.find_requests("GET")
@@ -72,7 +72,7 @@
     """The last event is missing at each try. The tries are bounded, and the caller is
     told that the stream is incomplete."""
     engine = ScriptedEngine(TOKENS, *[Step(skip=LAST)] * 20)
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         assert read_text(answer.body) == TEXT
         assert b"[DONE]" not in answer.body
@@ -91,7 +91,7 @@
     """
     steps = (Step(stop_before=LAST + 1, then=StepEnd.CUT), Step(status=404))
     engine = ScriptedEngine(TOKENS, *steps)
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete(headers=headers)
         check_whole(answer.body)
         (outcome,) = served.core.outcomes
@@ -109,7 +109,7 @@
     """
     steps = (Step(stop_before=LAST + 1, then=StepEnd.CUT), Step(status=404))
     engines = [ScriptedEngine(TOKENS, *steps), ScriptedEngine(TOKENS)]
-    async with serve_callers_in_memory(engines) as served:
+    async with run_client_server_in_memory(engines) as served:
         body = build_completion() | many
         answer = await served.ask("POST", "/v1/completions", AUTHORIZED, body)
         assert read_text(answer.body) == TEXT
@@ -130,7 +130,7 @@
     steps = [Step(stop_before=2, then=StepEnd.SILENCE), Step(status=404)]
     first = ScriptedEngine(TOKENS, *steps)
     others = [ScriptedEngine(TOKENS), ScriptedEngine(TOKENS)]
-    async with serve_callers_in_memory([first, *others]) as served:
+    async with run_client_server_in_memory([first, *others]) as served:
         assert served.network is not None
         body = build_completion()
         connection = await served.open("POST", "/v1/completions", AUTHORIZED, body)
@@ -157,7 +157,7 @@
     while another engine is idle.
     """
     engines = [ScriptedEngine(TOKENS), ScriptedEngine(TOKENS)]
-    async with serve_callers_in_memory(engines) as served:
+    async with run_client_server_in_memory(engines) as served:
         assert served.network is not None
         served.network.blocked.add(served.core.addresses[0])
         with trio.fail_after(20):
--- a/tests/toucanyard_node/test_stream_relay.py
+++ b/tests/toucanyard_node/test_stream_relay.py
@@ -12,7 +12,7 @@
     build_completion,
     read_numbers,
     read_text,
-    serve_callers_in_memory,
+    run_client_server_in_memory,
 )
 from support.engines import ScriptedEngine, Step, StepEnd
 from toucanyard.requests import DispatchEnding
@@ -40,7 +40,7 @@
     once: the node asks on a new connection for what follows its last number.
     """
     engine = ScriptedEngine(TOKENS, Step(stop_before=2, then=then))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         resumed = engine.find_requests("GET")
@@ -54,7 +54,7 @@
     Its heartbeats tell that it is alive, so nothing is asked again.
     """
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.7))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         assert len(engine.requests) == 1
@@ -66,7 +66,7 @@
     The node asks on a new connection and relays what the engine has, from event 0.
     """
     engine = ScriptedEngine(TOKENS, Step(head_delay_s=9_999.0))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
 
@@ -74,7 +74,7 @@
 async def test_gap_in_numbers_is_asked_again(autojump_clock: MockClock) -> None:
     """An event is missing on the way. It is asked for again, not passed over."""
     engine = ScriptedEngine(TOKENS, Step(skip=2))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
 
@@ -83,7 +83,7 @@
     """The engine sends again from the first event when asked to resume."""
     steps = (Step(stop_before=2, then=StepEnd.CUT), Step(restarts_numbering=True))
     engine = ScriptedEngine(TOKENS, *steps)
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         assert len(engine.find_requests("GET")) == 1
@@ -99,7 +99,7 @@
         TOKENS, Step(stop_before=2, then=StepEnd.CUT), Step(incarnation="i2")
     )
     second = ScriptedEngine(TOKENS)
-    async with serve_callers_in_memory([first, second]) as served:
+    async with run_client_server_in_memory([first, second]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         asked = second.find_requests("POST")[0]
@@ -121,7 +121,7 @@
         TOKENS, Step(stop_before=2, then=StepEnd.CUT), Step(status=404)
     )
     second = ScriptedEngine(TOKENS, Step(weights="w2"))
-    async with serve_callers_in_memory([first, second]) as served:
+    async with run_client_server_in_memory([first, second]) as served:
         served.core.weights_versions = ["w1", "w2"]
         answer = await served.complete()
         assert read_text(answer.body) == " uno dos"
@@ -142,7 +142,7 @@
         TOKENS, Step(stop_before=2, then=StepEnd.CUT), Step(status=404)
     )
     second = ScriptedEngine(TOKENS)
-    async with serve_callers_in_memory([first, second]) as served:
+    async with run_client_server_in_memory([first, second]) as served:
         served.core.retries_run_once = True
         answer = await served.complete(headers=headers)
         assert read_text(answer.body) == " uno dos"
@@ -170,7 +170,7 @@
     """
     first = ScriptedEngine((" ajeno",), Step(echo="n1-x7-999"))
     second = ScriptedEngine(TOKENS)
-    async with serve_callers_in_memory([first, second]) as served:
+    async with run_client_server_in_memory([first, second]) as served:
         answer = await served.complete(is_stream)
         assert b"ajeno" not in answer.body
         assert answer.status == 200
@@ -181,7 +181,7 @@
     """The same with a request that may run once: its outcome is unknown."""
     first = ScriptedEngine((" ajeno",), Step(echo="n1-x7-999"))
     second = ScriptedEngine(TOKENS)
-    async with serve_callers_in_memory([first, second]) as served:
+    async with run_client_server_in_memory([first, second]) as served:
         answer = await served.complete(headers=ONCE)
         error = msgspec.json.decode(answer.body)["error"]
         assert (error["code"], error["not_run"]) == ("outcome_unknown", False)
@@ -196,7 +196,7 @@
     The next request must not read that rest, so it gets a new connection.
     """
     engine = ScriptedEngine(TOKENS, Step(stop_before=2, then=StepEnd.HEARTBEAT))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         headers = (*AUTHORIZED, ("X-Deadline-Ms", "300"))
         answer = await served.complete(is_stream=False, headers=headers)
         assert answer.status == 504
@@ -222,7 +222,7 @@
         Step(gap_s=0.1),
         Step(stop_before=2, then=StepEnd.SILENCE),
     )
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         pool = served.client_server.pool
         address = served.core.addresses[0]
         async with trio.open_nursery() as nursery:
@@ -244,7 +244,7 @@
     """An engine goes silent again after each resume. The tries are bounded."""
     steps = [Step(stop_before=2, then=StepEnd.SILENCE)] * 20
     engine = ScriptedEngine(TOKENS, *steps)
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         check_incomplete(answer.body)
         assert len(engine.find_requests("GET")) == 5
@@ -256,7 +256,7 @@
         TOKENS, Step(stop_before=2, then=StepEnd.CUT), Step(status=404)
     )
     second = ScriptedEngine(TOKENS)
-    async with serve_callers_in_memory([first, second]) as served:
+    async with run_client_server_in_memory([first, second]) as served:
         answer = await served.complete(is_stream=False)
         body = msgspec.json.decode(answer.body)
         assert body["choices"][0]["text"] == TEXT
@@ -270,7 +270,7 @@
     that remember the last id, and they would fail on its data.
     """
     engine = ScriptedEngine(TOKENS, Step(gap_s=0.2))
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         assert b": heartbeat\n" in answer.body
         assert b": heartbeat\n\n" not in answer.body
@@ -284,7 +284,7 @@
     """
     quiet = [Step(quiet_until_s=trio.current_time() + 6.0) for _ in range(20)]
     engine = ScriptedEngine(TOKENS, Step(stop_before=2, then=StepEnd.SILENCE), *quiet)
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         (outcome,) = served.core.outcomes
@@ -294,7 +294,7 @@
 async def test_engine_is_told_whose_turn_it_is(autojump_clock: MockClock) -> None:
     """A flood waits in the engine's own queue; the core says who goes last there."""
     engine = ScriptedEngine(TOKENS)
-    async with serve_callers_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         await served.complete()
         (request,) = engine.find_requests("POST")
         assert request.headers["x-priority"] == "3"
