--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fix what would make a verdict vary, and pass over the known failing tests."""
+"""Make test results deterministic and mark known failing tests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def find_known_red() -> set[str]:
-    """Return the test names listed in KNOWN-RED.txt, one per line, up to a comma."""
+    """Return the test names in KNOWN-RED.txt: each line up to its first comma."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text().splitlines()
@@ -28,7 +28,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Mark the known failing tests so that a run reports them apart."""
+    """Mark known failing tests, so that a run reports them separately."""
     known = find_known_red()
     for item in items:
         if item.nodeid in known:
--- a/tests/standin_examples.py
+++ b/tests/standin_examples.py
@@ -1,4 +1,4 @@
-"""Start stand-ins inside a test's own process and ask them."""
+"""Start stand-ins in the test process and send requests to them."""
 
 from __future__ import annotations
 
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""Keep docs/PROOFS.md true: each test that it names exists."""
+"""Check that every test named in docs/PROOFS.md exists."""
 
 from __future__ import annotations
 
--- a/tests/toucanyard_standins/test_bench_capacity.py
+++ b/tests/toucanyard_standins/test_bench_capacity.py
@@ -18,8 +18,8 @@
 
 
 def test_idle_nodes_connect_to_this_machine_only() -> None:
-    # The replicas of the large configuration don't exist; polled at the addresses
-    # that other benches give them, they would be looked for on the real network.
+    # The replicas of the large configuration don't exist. With the addresses of other
+    # benches, polling them would send packets to the real network.
     configuration = build_idle_configuration(4_400)
     addresses = {
         endpoint.address.rpartition(":")[0]
--- a/tests/toucanyard_standins/test_campaign_checks.py
+++ b/tests/toucanyard_standins/test_campaign_checks.py
@@ -1,4 +1,4 @@
-"""Tests for the judge of a campaign: each broken promise must be found."""
+"""Tests for the checks of a campaign: each violated guarantee is reported."""
 
 from __future__ import annotations
 
--- a/tests/toucanyard_standins/test_deployment.py
+++ b/tests/toucanyard_standins/test_deployment.py
@@ -80,7 +80,7 @@
 
 
 def join_text(answer: Response) -> str:
-    """Return a whole stream's text, having checked its numbers and its end."""
+    """Check the numbers and the end of a stream, and return its text."""
     lines = answer.body.decode().splitlines()
     numbers = [int(line[4:]) for line in lines if line.startswith("id: ")]
     assert numbers == list(range(len(numbers))), lines
@@ -104,7 +104,7 @@
 async def control_engines(
     harness: Harness, engines: tuple[ProcessHandle, ...], fault: EngineFault
 ) -> None:
-    """Give every engine a fault, since placement is free to choose any of them."""
+    """Apply a fault to every engine, since placement may choose any of them."""
     for engine in engines:
         await harness.control(engine, fault)
 
@@ -116,9 +116,9 @@
 
 
 async def check_fault(fault: EngineFault) -> list[EngineCounters]:
-    """Check that a stream through a fault equals one without; return counters.
+    """Check that a fault doesn't change a stream; return the engines' counters.
 
-    The node has heard of both engines by then.
+    The node has reports of both engines before the fault is applied.
     """
     async with run_deployment() as (harness, deployment):
         node, engines = deployment.nodes[0], deployment.engines
@@ -131,34 +131,34 @@
 
 
 async def test_stream_survives_a_silent_connection() -> None:
-    # Five events come, then every open connection of the engine goes silent, the
-    # heartbeats with it. The caller sees a pause, then the rest, each event once:
-    # the node resumes on a new connection, and the engine computes once.
+    # After five events all open connections of the engine become silent, without
+    # heartbeats. The node resumes on a new connection: the caller gets each event once
+    # after a pause, and the engine executes the request once.
     counters = await check_fault(SilenceAfterEvents(events=5))
     assert sum(each.resumed for each in counters) >= 1
     assert sum(sum(each.executions.values()) for each in counters) == 2
 
 
 async def test_stream_survives_a_cut_connection() -> None:
-    # The connection to the engine closes after five events; the engine computes on
-    # and the node fetches the rest, so that the caller notices nothing.
+    # The connection to the engine closes after five events. The engine continues and
+    # the node resumes the stream, so the caller gets a complete answer.
     counters = await check_fault(CutAfterEvents(events=5))
     assert sum(each.resumed for each in counters) >= 1
     assert sum(sum(each.executions.values()) for each in counters) == 2
 
 
 async def test_stream_survives_the_death_of_its_engine() -> None:
-    # The engine dies after five events and comes back empty. The request may be
-    # repeated, so it goes on elsewhere with the text so far, and the caller gets
-    # the same answer as if nothing had happened.
+    # The engine crashes after five events and restarts empty. The request is
+    # repeatable, so another engine continues it with the text so far, and the caller
+    # gets the same answer as without the crash.
     counters = await check_fault(DieAfterEvents(events=5, spares_resumed=True))
     assert sum(each.crashes for each in counters) == 1
 
 
 async def test_crossed_answer_never_reaches_the_caller() -> None:
-    # The engine gives the answer of another request under that one's id. The node
-    # drops it and asks the other engine. Which one is asked first is up to placement,
-    # so they take turns in crossing until one was asked.
+    # The engine responds with the answer and id of another request. The node drops it
+    # and retries at the other engine. Placement chooses the first engine, so the fault
+    # alternates between the engines until one of them has been used.
     async with run_deployment() as (harness, deployment):
         node, engines = deployment.nodes[0], deployment.engines
         await wait_until_endpoints_reported(node, OPERATOR_KEY)
@@ -173,8 +173,8 @@
 
 
 async def test_run_once_stream_ends_marked_when_its_engine_dies() -> None:
-    # A request that may run once can't go on elsewhere: the caller gets what came,
-    # then an explicit error event instead of an end, and no second execution.
+    # A run-once request can't be continued at another engine: the caller gets the
+    # events so far and an error event instead of the end. It is not executed again.
     async with run_deployment() as (harness, deployment):
         await control_engines(harness, deployment.engines, DieAfterEvents(events=5))
         node = deployment.nodes[0]
@@ -187,9 +187,9 @@
 
 
 async def test_hold_whose_answer_is_lost_is_never_run_again() -> None:
-    # The service dies after the hold and before its answer. The caller learns that
-    # the outcome is unknown, also from the other node, and never "not run"; the
-    # other replica, which would take the hold, never gets it.
+    # The service crashes after executing the hold, before its response. Both nodes
+    # must report the outcome as unknown, never as "not run", and must not send the
+    # hold to the other replica, which would execute it.
     async with run_deployment(nodes=2, engines=1, services=2) as (harness, deployment):
         for service in deployment.services:
             await harness.control(service, DieAfterExecution())
@@ -211,8 +211,8 @@
 
 
 async def test_planned_stop_cuts_no_stream() -> None:
-    # The node is asked to stop while a stream runs that lasts longer than located
-    # addresses are kept: the caller gets all of it, and the process ends by itself.
+    # The node gets SIGTERM during a stream that is longer than the TTL of located
+    # addresses. The caller gets the complete stream, then the process exits.
     async with run_deployment() as (_, deployment):
         (node,) = deployment.nodes
         connection = await open_stream(node.address, encode(300))
@@ -225,7 +225,7 @@
 
 
 async def test_caller_that_leaves_has_its_stream_cancelled() -> None:
-    # The caller closes after the first events; the engine is told to stop.
+    # The caller disconnects after the first events; the engine gets a cancel.
     async with run_deployment(engines=1) as (harness, deployment):
         connection = await open_stream(deployment.nodes[0].address, LONG_BODY)
         await connection.read_part()
@@ -239,8 +239,8 @@
 
 
 async def test_fresh_node_goes_on_elsewhere_when_an_engine_dies() -> None:
-    # The node has just started and has no report from any engine yet. The engine of
-    # its first stream dies; the other is there, and the caller gets the whole answer.
+    # The node has just started and has no report of any engine yet. The engine of its
+    # first stream crashes; the other engine must complete the answer.
     async with run_deployment() as (harness, deployment):
         node = deployment.nodes[0]
         whole = join_text(await stream(node.address))
@@ -252,8 +252,8 @@
 
 
 async def test_callers_that_reset_their_connections_do_not_end_the_node() -> None:
-    # Callers' connections break while the node writes to them. Others go on: the
-    # error must end those connections and not the server that holds them all.
+    # Callers reset their connections while the node writes to them. The error must
+    # end only those connections, not the server with all other connections.
     async with run_deployment(engines=1) as (_, deployment):
         (node,) = deployment.nodes
         for _round in range(30):
--- a/tests/toucanyard_standins/test_engine_server.py
+++ b/tests/toucanyard_standins/test_engine_server.py
@@ -97,7 +97,7 @@
 
 
 async def test_lost_cache_events_leave_a_gap(nursery: trio.Nursery) -> None:
-    # The reader sees fewer events than numbers: all are lost while the fault is on.
+    # All events are lost while the fault is on, but they use up numbers.
     address = await start_engine(nursery)
     await control(address, LoseCacheEvents(1.0))
     await post(address, PATH, completion(LONG_PROMPT))
@@ -145,8 +145,8 @@
 async def test_open_connections_go_silent_and_new_ones_work(
     nursery: trio.Nursery,
 ) -> None:
-    # The caller of the old connection sees neither bytes nor an end; the engine
-    # computes on, and the same stream can be had on a new connection.
+    # The old connection gets neither data nor a close. The engine continues, and the
+    # stream can be resumed on a new connection.
     address = await start_engine(nursery, STALLED)
     connection = await open_stream(address, "r1", "a", 3)
     await control(address, SilenceConnections())
@@ -161,8 +161,8 @@
 async def test_idle_connection_that_went_silent_never_answers(
     nursery: trio.Nursery,
 ) -> None:
-    # A pooled connection was idle when it went silent: the next request on it is
-    # taken by the network and never reaches the engine.
+    # A pooled connection became silent while idle: the next request on it can be sent
+    # but never reaches the engine.
     address = await start_engine(nursery)
     connection = await connect(address, 1_000)
     await connection.send("GET", "/v1/load", ())
@@ -190,8 +190,8 @@
 async def test_crash_comes_back_empty_under_a_new_incarnation(
     nursery: trio.Nursery,
 ) -> None:
-    # Two events are sent, then the engine dies: its connection closes, the stream
-    # is unknown afterwards, and so are the cached blocks.
+    # The engine crashes after two events: the connection closes, and the stream and
+    # the cached blocks are lost.
     address = await start_engine(nursery)
     await post(address, PATH, completion(LONG_PROMPT))
     before = await read(address, "/v1/cache/dump", CacheDumpBody)
@@ -240,8 +240,8 @@
 async def test_orders_load_weights_and_old_fences_are_refused(
     nursery: trio.Nursery,
 ) -> None:
-    # The holder with fence 5 loads w2; a paused one with fence 4 wakes later and
-    # is refused, as is one that expects weights that are no longer loaded.
+    # The lease holder with fence 5 loads w2. An order of an earlier holder with fence
+    # 4 is refused, as is one that expects weights that are no longer loaded.
     platform = await start_platform(nursery)
     options = msgspec.structs.replace(FAST, checks_fence=True, weight_store=platform)
     address = await start_engine(nursery, options)
@@ -272,7 +272,7 @@
 
 
 async def test_late_answer_runs_before_it_is_given(nursery: trio.Nursery) -> None:
-    # The caller gives up waiting for the head; the request was executed meanwhile.
+    # The caller times out waiting for the head, but the request was executed.
     address = await start_engine(nursery)
     await control(address, DelayAnswers(delay_ms=3_600_000))
     with pytest.raises(ConnectionFailedError):
@@ -297,8 +297,8 @@
 async def test_order_is_carried_out_though_its_sender_hangs_up(
     nursery: trio.Nursery,
 ) -> None:
-    # The node that gave the order dies while the engine loads. The load goes on; were
-    # it given up, the engine would count as loading for good and block a roll-out.
+    # The node that sent the order dies during the load. If the load were abandoned,
+    # the engine would stay in the loading state forever and block a roll-out.
     options = msgspec.structs.replace(FAST, load_weights_ms=1_000.0)
     address = await start_engine(nursery, options)
     connection = await connect(address, 5_000)
--- a/tests/toucanyard_standins/test_plain_relay.py
+++ b/tests/toucanyard_standins/test_plain_relay.py
@@ -20,7 +20,7 @@
     direct = await post(engine, path, completion("a"))
     relayed = await post(relay, path, completion("a"))
     assert read_text(relayed) == read_text(direct)
-    # Three token events and the one with the usage; a stream without its end raises.
+    # Three token events and one with the usage; an incomplete stream raises.
     times = await run_streams(Target(relay), streams=2, tokens=3)
     assert [each.events for each in times] == [4, 4]
     await run_short_requests(Target(relay), count=4, connections=2)
--- a/tests/toucanyard_standins/test_plain_service.py
+++ b/tests/toucanyard_standins/test_plain_service.py
@@ -28,8 +28,8 @@
 
 
 async def test_dies_after_execution_before_the_answer(nursery: trio.Nursery) -> None:
-    # The caller sees its connection close; the seat is held all the same, which is
-    # why such a call may not be sent again.
+    # The connection of the caller closes although the seat is held, so the call must
+    # not be retried.
     address = await start_service(nursery)
     before = await read(address, "/control", ServiceCounters)
     await control(address, DieAfterExecution())
--- a/tests/toucanyard_standins/test_platform.py
+++ b/tests/toucanyard_standins/test_platform.py
@@ -52,8 +52,8 @@
 
 
 async def test_expired_records_are_gone(nursery: trio.Nursery) -> None:
-    # A reader that slept too long asks for an offset that retention has dropped:
-    # it learns which offsets are left instead of a silent gap.
+    # A delayed reader requests an offset that retention has dropped. The response
+    # contains the retained range, so that the gap is not silent.
     address = await start_platform(nursery)
     await append(address, "a", "b", "c")
     await control(address, ExpireRecords(before=2))
@@ -86,8 +86,8 @@
 async def test_lost_answer_leaves_its_effect(
     nursery: trio.Nursery, is_silent: bool
 ) -> None:
-    # The writer sees its connection close, or nothing at all, instead of an answer;
-    # the records are in the log all the same, once.
+    # The connection of the writer closes or stays silent instead of a response; the
+    # records are nevertheless in the log, once.
     address = await start_platform(nursery)
     await control(address, LoseAnswers(count=1, is_silent=is_silent))
     records = msgspec.json.encode({"records": ["a"]})
@@ -119,8 +119,8 @@
 
 def test_loads_slow_down_while_more_than_two_are_under_way() -> None:
     store = WeightStore(WeightStoreOptions(starts_per_s=1.0, burst=4), now_ms=0.0)
-    leaves = [store.request_permit(now_ms=0.0) for _ in range(5)]
-    assert [leave.slowdown for leave in leaves if leave] == [1.0, 1.0, 1.5, 2.0]
-    assert leaves[4] is None
+    permits = [store.request_permit(now_ms=0.0) for _ in range(5)]
+    assert [permit.slowdown for permit in permits if permit] == [1.0, 1.0, 1.5, 2.0]
+    assert permits[4] is None
     later = store.request_permit(now_ms=2_000.0)
     assert later is not None and later.slowdown == 1.0
--- a/tests/toucanyard_standins/test_public_clients.py
+++ b/tests/toucanyard_standins/test_public_clients.py
@@ -1,4 +1,4 @@
-"""Public clients, unchanged, against a node and engines in processes of their own."""
+"""Tests of unmodified public clients against node and engine processes."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def use_client(client: openai.OpenAI) -> None:
-    """Ask in all four ways; each text must be the same in events and plain."""
+    """Send all four kinds of requests; streamed and plain texts must be equal."""
     complete, chat = client.completions.create, client.chat.completions.create
     plain = complete(model=MODEL, prompt="hola", max_tokens=TOKENS)
     events = complete(model=MODEL, prompt="hola", max_tokens=TOKENS, stream=True)
@@ -65,7 +65,7 @@
 
 
 async def test_openai_client() -> None:
-    """The client gets each answer and, once every engine refuses, its own error."""
+    """The client gets each answer and raises its own error if all engines refuse."""
     async with run_one() as (harness, deployment):
         client = open_client(deployment)
         await trio.to_thread.run_sync(use_client, client)
@@ -79,7 +79,7 @@
 def build_curl(
     deployment: Deployment, path: str, tokens: int, is_stream: bool
 ) -> list[str]:
-    """Return the command line of one request."""
+    """Return the curl command of one request."""
     asked: dict[str, object] = {"model": MODEL, "max_tokens": tokens}
     if path == PATHS[0]:
         asked["prompt"] = "hola"
@@ -94,8 +94,8 @@
 @pytest.mark.skipif(shutil.which("curl") is None, reason="curl is not installed")
 @pytest.mark.parametrize("path", PATHS)
 async def test_curl(path: str) -> None:
-    """`curl -N` gets a whole answer, plain and in events, and the events as they come:
-    the first is there while the stream has long to go."""
+    """`curl -N` gets complete answers, plain and streamed, and events without delay:
+    the first one arrives long before the end of the stream."""
     async with run_one() as (harness, deployment):
         command = build_curl(deployment, path, TOKENS, is_stream=False)
         plain = await trio.run_process(command, capture_stdout=True)
