--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_configuration.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_configuration.py
@@ -126,9 +126,9 @@
     async def _wait_in_force(self, version: int) -> float:
         with trio.fail_after(_IN_FORCE_TIMEOUT_S):
             while True:
-                seen = [find_in_force_s(each, version) for each in self._nodes]
-                times = [each for each in seen if each is not None]
-                if len(times) == len(seen):
+                found = [find_in_force_s(each, version) for each in self._nodes]
+                times = [each for each in found if each is not None]
+                if len(times) == len(found):
                     return max(times)
                 await trio.sleep(0.01)
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
@@ -227,8 +227,8 @@
     async def _wait_for_same_version(self) -> bool:
         with trio.move_on_after(_RECOVERY_TIMEOUT_S):
             while True:
-                shown = {await read_version(node) for node in self.nodes.nodes}
-                if len(shown) == 1 and max(shown) >= max(self.operators.accepted):
+                versions = {await read_version(node) for node in self.nodes.nodes}
+                if len(versions) == 1 and max(versions) >= max(self.operators.accepted):
                     return True
                 await trio.sleep(_POLL_INTERVAL_S)
         return False
@@ -259,7 +259,7 @@
     async def _check_promises(self) -> list[str]:
         executions: Counter[str] = Counter()
         for service in self._deployment.services:
-            counters = await self._harness.count(service, ServiceCounters)
+            counters = await self._harness.read_counters(service, ServiceCounters)
             executions.update(counters.by_key)
         return [
             *iterate_hold_problems(self.callers.holds, executions),
@@ -326,8 +326,8 @@
     """Return the desired weights version of the configuration in force."""
     address = node.addresses["operators"]
     answer = await ask(address, "GET", "/configuration", OPERATOR_KEY)
-    shown = msgspec.json.decode(answer.body, type=_ConfigurationAnswer)
-    return shown.configuration.pools[0].weights_version
+    answer_body = msgspec.json.decode(answer.body, type=_ConfigurationAnswer)
+    return answer_body.configuration.pools[0].weights_version
 
 
 def build_campaign_options() -> Options:
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_herd.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_herd.py
@@ -84,7 +84,7 @@
                 break
             refusals[find_error(answer.status, answer.body)] += 1
             await trio.sleep(0.005)
-    await node.end()
+    await node.kill_and_wait()
     await harness.remove_vm(name)
     return StartTimes(listening_ms, served_ms, refusals)
 
@@ -100,7 +100,7 @@
         await harness.control(platform, Outage(is_on=True))
         await _measure_starts(harness, "two peers, the log down", times)
         for node in deployment.nodes:
-            await node.end()
+            await node.kill_and_wait()
             await harness.remove_vm(node.name)
         await _measure_starts(harness, "neither peer nor log", 1, _REFUSED_TIMEOUT_S)
         await harness.control(platform, Outage(is_on=False))
@@ -169,8 +169,8 @@
         print(f"  restarted nodes listen after {(ready_s - now_s) * 1000:.0f} ms")
         await trio.sleep(_WINDOWS_S[-1][1] + 2)
         for begin_s, end_s in _WINDOWS_S:
-            seen = load.find_between(ready_s + begin_s, ready_s + end_s, restarted)
-            print_window(f"restarted, {begin_s:g} to {end_s:g} s", seen)
+            results = load.find_between(ready_s + begin_s, ready_s + end_s, restarted)
+            print_window(f"restarted, {begin_s:g} to {end_s:g} s", results)
         nursery.cancel_scope.cancel()
 
 
@@ -181,7 +181,7 @@
     survivors, stopped = deployment.nodes[:kept], deployment.nodes[kept:]
     load.targets = survivors
     for node in stopped:
-        await node.end()
+        await node.kill_and_wait()
     started: list[ProcessHandle] = []
 
     async def start(number: int, name: str) -> None:
@@ -194,10 +194,10 @@
     return started, time.monotonic()
 
 
-def print_window(name: str, seen: Sequence[RequestResult]) -> None:
+def print_window(name: str, results: Sequence[RequestResult]) -> None:
     """Print hit rate, time to first token and errors of requests."""
-    whole = [each for each in seen if not each.error]
-    errors = Counter(each.error for each in seen if each.error)
+    whole = [each for each in results if not each.error]
+    errors = Counter(each.error for each in results if each.error)
     histogram = HdrHistogram(1, _MAX_US, _HISTOGRAM_DIGITS)
     for each in whole:
         histogram.record_value(max(1, int(each.first_token_ms * 1000)))
@@ -205,7 +205,8 @@
     cached = sum(each.cached_tokens for each in whole)
     median, p99 = (histogram.get_value_at_percentile(q) / 1000 for q in (50.0, 99.0))
     print(
-        f"{name:<26} {len(seen):>5} requests, hit rate {cached / max(1, prompt):.3f},"
+        f"{name:<26} {len(results):>5} requests,"
+        f" hit rate {cached / max(1, prompt):.3f},"
         f" first token median {median:.0f} p99 {p99:.0f} ms, errors {dict(errors)}",
         flush=True,
     )
--- a/packages/toucanyard-standins/src/toucanyard_standins/campaign_nodes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/campaign_nodes.py
@@ -46,8 +46,8 @@
 class CampaignNodes:
     """The nodes of a campaign by slot; a slot keeps its name across restarts.
 
-    Invariant: at most one fault is under way at a place, so a process that ends is
-    either ended here or ended by itself.
+    Invariant: at most one fault is active in a slot, so a process that exits was
+    either stopped here or has failed.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
                 node.resume()
             case KillNode(down_s=down_s):
                 self.interrupted.add(node.process.pid)
-                await node.end()
+                await node.kill_and_wait()
                 await self._restart(slot, down_s)
             case StopNode(down_s=down_s):
                 if not await node.stop(_STOP_TIMEOUT_S):
--- a/packages/toucanyard-standins/src/toucanyard_standins/demo.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/demo.py
@@ -139,7 +139,7 @@
     check(len(set(bodies)) == 1, "the answers to one seat hold differ")
     executions = 0
     for service in deployment.services:
-        counters = await harness.count(service, ServiceCounters)
+        counters = await harness.read_counters(service, ServiceCounters)
         executions += counters.executions
     check(executions == 1, f"the seat hold ran {executions} times")
     print(f"seat hold sent {len(bodies)} times, run once")
--- a/packages/toucanyard-standins/src/toucanyard_standins/harness.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/harness.py
@@ -143,15 +143,15 @@
         if answer.status != 200:
             raise HarnessError(f"{handle.name}: {answer.body.decode()}")
 
-    async def count(self, handle: ProcessHandle, kind: type[T]) -> T:
+    async def read_counters(self, handle: ProcessHandle, kind: type[T]) -> T:
         """Return the counters of one stand-in, such as EngineCounters."""
         answer = await fetch(handle.address, "GET", "/control")
         return msgspec.json.decode(answer.body, type=kind)
 
-    async def end(self) -> None:
+    async def kill_all(self) -> None:
         """Kill all started processes, without a planned stop."""
         for handle in reversed(self._started):
-            await handle.end()
+            await handle.kill_and_wait()
 
     async def _list_endpoint(self, handle: ProcessHandle, domain: str) -> None:
         if self.platform is None:
@@ -281,4 +281,4 @@
             yield harness
         finally:
             with trio.CancelScope(shield=True):
-                await harness.end()
+                await harness.kill_all()
--- a/packages/toucanyard-standins/src/toucanyard_standins/membership_costs.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/membership_costs.py
@@ -124,13 +124,13 @@
             most_ms = now_ms - half_ms
         if all_ms is None and informed == nodes:
             all_ms = now_ms - half_ms
-    quiet = [size for sizes in sent.values() for size in sizes[2 : duration_s // 2]]
+    idle = [size for sizes in sent.values() for size in sizes[2 : duration_s // 2]]
     after = [size for sizes in sent.values() for size in sizes[duration_s // 2 :]]
     links = statistics.mean(len(member.find_linked()) for member in members.values())
     return BytesSent(
         links,
-        statistics.mean(quiet),
-        max(quiet),
+        statistics.mean(idle),
+        max(idle),
         statistics.mean(after),
         max(after),
         most_ms,
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_baselines.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_baselines.py
@@ -103,8 +103,8 @@
         surplus = len(engine.running) + len(engine.waiting) - engine.shape.slots
         if surplus >= 0:
             ends = sorted(engine.ends_ms.values())
-            place = min(surplus, len(ends) - 1)
-            wait_ms = max(wait_ms, ends[place] - engine.clock.now_ms)
+            slot = min(surplus, len(ends) - 1)
+            wait_ms = max(wait_ms, ends[slot] - engine.clock.now_ms)
         missing_ms = (len(chain) - warm) * ms_per_block
         return (wait_ms + missing_ms * self._price, self._rng.random())
 
--- a/packages/toucanyard-standins/src/toucanyard_standins/processes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/processes.py
@@ -81,10 +81,10 @@
         with trio.move_on_after(timeout_s):
             await self.process.wait()
             return True
-        await self.end()
+        await self.kill_and_wait()
         return False
 
-    async def end(self) -> None:
+    async def kill_and_wait(self) -> None:
         """Kill the process and wait until it has exited."""
         self.process.kill()
         await self.process.wait()
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -97,7 +97,7 @@
 
     async def restart_all() -> None:
         for index in indices:
-            await nodes[index].end()
+            await nodes[index].kill_and_wait()
         async with trio.open_nursery() as nursery:
             for index in indices:
                 nursery.start_soon(restart, index)
--- a/tests/features/steps/fault_steps.py
+++ b/tests/features/steps/fault_steps.py
@@ -73,15 +73,15 @@
     """Return the number of claims in append requests, without other records."""
     platform = world.deployment.platform
     counted: PlatformCounters = world.portal.call(
-        world.harness.count, platform, PlatformCounters
+        world.harness.read_counters, platform, PlatformCounters
     )
     return counted.asked_records.get("claim", 0)
 
 
 @then("the log was not asked to append a claim")
 def check_no_claim(context: Context) -> None:
-    asked = count_requested_claims(context.world)
-    assert asked == context.requested_claims, (asked, context.requested_claims)
+    requested = count_requested_claims(context.world)
+    assert requested == context.requested_claims, (requested, context.requested_claims)
 
 
 def wait_outage(world: World, number: int) -> None:
--- a/tests/features/steps/rollout_steps.py
+++ b/tests/features/steps/rollout_steps.py
@@ -37,8 +37,8 @@
 @when('an operator asks for weights "{version}" through node {number:d}')
 def ask_for_weights(context: Context, version: str, number: int) -> None:
     world: World = context.world
-    shown = msgspec.json.decode(world.ask_operator(number, "/configuration").body)
-    configuration = shown["configuration"]
+    answer_body = msgspec.json.decode(world.ask_operator(number, "/configuration").body)
+    configuration = answer_body["configuration"]
     pool = {**configuration["pools"][0], "weights_version": version}
     patch = {
         "patch_id": f"roll-out-{version}",
--- a/tests/features/steps/shared_state_steps.py
+++ b/tests/features/steps/shared_state_steps.py
@@ -116,14 +116,16 @@
     engine = world.deployment.engines[number]
 
     def count() -> int:
-        counters = world.portal.call(world.harness.count, engine, EngineCounters)
+        counters = world.portal.call(
+            world.harness.read_counters, engine, EngineCounters
+        )
         return sum(counters.executions.values())
 
     def is_quiet() -> bool:
         before = count()
-        for turn in range(QUIET_REQUESTS):
-            body = build_completion(f"{turn} {PROMPT}", 1, is_stream=False)
-            answer = world.ask_node(turn % 2 + 1, "POST", COMPLETIONS, body)
+        for request_number in range(QUIET_REQUESTS):
+            body = build_completion(f"{request_number} {PROMPT}", 1, is_stream=False)
+            answer = world.ask_node(request_number % 2 + 1, "POST", COMPLETIONS, body)
             assert answer.status == 200, answer
         return count() == before
 
--- a/tests/features/steps/stream_steps.py
+++ b/tests/features/steps/stream_steps.py
@@ -44,7 +44,7 @@
 
     def is_cancelled() -> bool:
         counts = [
-            world.portal.call(world.harness.count, engine, EngineCounters)
+            world.portal.call(world.harness.read_counters, engine, EngineCounters)
             for engine in world.deployment.engines
         ]
         return any(each.cancelled for each in counts)
--- a/tests/features/world.py
+++ b/tests/features/world.py
@@ -126,9 +126,9 @@
     def count_holds(self, key: str) -> int:
         """Return how often the plain services executed calls of one key."""
         return sum(
-            self.portal.call(self.harness.count, service, ServiceCounters).by_key.get(
-                key, 0
-            )
+            self.portal.call(
+                self.harness.read_counters, service, ServiceCounters
+            ).by_key.get(key, 0)
             for service in self.deployment.services
         )
 
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -155,15 +155,15 @@
             return Refuse(request_id, kind, ending, "too much at once", 800)
         attempt = self._attempts.get(request_id, 0)
         self._attempts[request_id] = attempt + 1
-        place = min(attempt, len(self.addresses) - 1)
+        index = min(attempt, len(self.addresses) - 1)
         versions = self.weights_versions
         return Dispatch(
             request_id,
-            EndpointName(f"e{place}"),
-            self.addresses[place],
+            EndpointName(f"e{index}"),
+            self.addresses[index],
             attempt + 1,
             expected_incarnation=None,
-            weights_version=versions[place] if versions else "w1",
+            weights_version=versions[index] if versions else "w1",
             priority=3,
             silence_ms=self.silence_ms,
         )
@@ -265,7 +265,7 @@
     engines: list[ScriptedEngine], options: Options | None = None
 ) -> AsyncIterator[ClientServerHarness]:
     """Run a server and engines in memory; attempts go to the engines in order."""
-    names = [Address(f"10.0.0.{place}:80") for place in range(len(engines))]
+    names = [Address(f"10.0.0.{index}:80") for index in range(len(engines))]
     async with trio.open_nursery() as nursery:
         network = MemoryNetwork(nursery)
         for name, engine in zip(names, engines, strict=True):
--- a/tests/toucanyard_standins/test_deployment.py
+++ b/tests/toucanyard_standins/test_deployment.py
@@ -112,7 +112,7 @@
 async def count_engines(
     harness: Harness, engines: tuple[ProcessHandle, ...]
 ) -> list[EngineCounters]:
-    return [await harness.count(engine, EngineCounters) for engine in engines]
+    return [await harness.read_counters(engine, EngineCounters) for engine in engines]
 
 
 async def check_fault(fault: EngineFault) -> list[EngineCounters]:
@@ -168,7 +168,7 @@
                 await control_engines(harness, engines, CrossAnswers(count=0))
                 await harness.control(engine, CrossAnswers())
                 assert join_text(await stream(node.address)) == whole
-                if (await harness.count(engine, EngineCounters)).crossed == 1:
+                if (await harness.read_counters(engine, EngineCounters)).crossed == 1:
                     return
 
 
@@ -198,7 +198,7 @@
             assert answer.status >= 400
             assert b'"ending":"unknown"' in answer.body, answer.body
         counters = [
-            await harness.count(service, ServiceCounters)
+            await harness.read_counters(service, ServiceCounters)
             for service in deployment.services
         ]
         assert sum(each.executions for each in counters) == 1
--- a/tests/toucanyard_standins/test_harness.py
+++ b/tests/toucanyard_standins/test_harness.py
@@ -24,7 +24,7 @@
         service = await harness.start_service("s1", "north")
         (vm,) = (await read(platform.address, "/vms", VmListBody)).vms
         assert (vm.name, vm.endpoint) == ("s1", service.address)
-        assert (await harness.count(service, ServiceCounters)).executions == 0
+        assert (await harness.read_counters(service, ServiceCounters)).executions == 0
         await harness.remove_vm("s1")
         assert (await read(platform.address, "/vms", VmListBody)).vms == ()
     assert not platform.is_running()
--- a/tests/toucanyard_standins/test_public_clients.py
+++ b/tests/toucanyard_standins/test_public_clients.py
@@ -80,12 +80,12 @@
     deployment: Deployment, path: str, tokens: int, is_stream: bool
 ) -> list[str]:
     """Return the curl command of one request."""
-    asked: dict[str, object] = {"model": MODEL, "max_tokens": tokens}
+    request: dict[str, object] = {"model": MODEL, "max_tokens": tokens}
     if path == PATHS[0]:
-        asked["prompt"] = "hola"
+        request["prompt"] = "hola"
     else:
-        asked["messages"] = [{"role": "user", "content": "hola"}]
-    body = msgspec.json.encode(asked | {"stream": is_stream}).decode()
+        request["messages"] = [{"role": "user", "content": "hola"}]
+    body = msgspec.json.encode(request | {"stream": is_stream}).decode()
     url = f"http://{deployment.nodes[0].address}{path}"
     key = f"Authorization: Bearer {CALLER_KEY}"
     return ["curl", "-N", "--silent", "--header", key, "--data", body, url]
@@ -108,11 +108,11 @@
         command = build_curl(deployment, path, 100_000, is_stream=True)
         process = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE)
         assert process.stdout is not None
-        seen = b""
-        while b"data: {" not in seen:
+        received = b""
+        while b"data: {" not in received:
             part = await process.stdout.receive_some()
             assert part
-            seen += part
+            received += part
         process.terminate()
         await process.wait()
         with trio.fail_after(30):
@@ -121,5 +121,5 @@
 
 
 async def is_cancelled(harness: Harness, deployment: Deployment) -> bool:
-    counters = await harness.count(deployment.engines[0], EngineCounters)
+    counters = await harness.read_counters(deployment.engines[0], EngineCounters)
     return counters.cancelled == 1
