--- a/tests/features/steps/fault_steps.py
+++ b/tests/features/steps/fault_steps.py
@@ -208,7 +208,7 @@
 
 @when("node {number:d} goes on")
 def resume_node(context: Context, number: int) -> None:
-    context.world.find_node(number).go_on()
+    context.world.find_node(number).resume()
 
 
 @when("{seconds:d} s pass")
