--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_detectors.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_detectors.py
@@ -1,4 +1,4 @@
-"""Compare failure detectors on the same traces, and count digests' bytes."""
+"""Compare failure detectors on the same traces, and measure bytes of digests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     Scenario,
     build_rules,
     build_trace,
-    judge,
+    evaluate_rule,
 )
 from toucanyard_standins.membership_costs import measure_bytes, measure_costs
 
@@ -26,7 +26,7 @@
 
 
 def run_traces(seeds: int, named: str) -> None:
-    """Print the table of rules and scenarios."""
+    """Print a row for each scenario and rule."""
     print(
         f"{WATCHERS} watchers, {ENDPOINTS} endpoints, a poll every {POLL_MS:.0f} ms"
         f" with {TIMEOUT_MS:.0f} ms timeout, {seeds} traces each"
@@ -42,14 +42,14 @@
                 continue
             result = Result()
             for polls in traces:
-                judge(rule, scenario, polls, result)
-            _print(scenario, rule, result)
+                evaluate_rule(rule, scenario, polls, result)
+            _print_row(scenario, rule, result)
 
 
-def _print(scenario: Scenario, rule: Rule, result: Result) -> None:
-    noticed = result.notice_ms
-    middle = f"{statistics.median(noticed):.0f}" if noticed else "-"
-    longest = f"{max(noticed):.0f}" if noticed else "-"
+def _print_row(scenario: Scenario, rule: Rule, result: Result) -> None:
+    detected_ms = result.detection_ms
+    middle = f"{statistics.median(detected_ms):.0f}" if detected_ms else "-"
+    longest = f"{max(detected_ms):.0f}" if detected_ms else "-"
     share = result.wrong_ms / (result.hours * 3_600_000) * 100
     print(
         f"{scenario.name:18} {rule.name:20} {middle:>10} {longest:>8}"
@@ -58,7 +58,7 @@
 
 
 def run_bytes(nodes: int, dead: int, duration_s: int) -> None:
-    """Print what memberships of many nodes send."""
+    """Print the bytes that the memberships of many nodes send."""
     sent = measure_bytes(nodes, dead, duration_s)
     print(
         f"{nodes} nodes, {sent.links:.1f} links each: quiet"
@@ -72,7 +72,7 @@
 
 
 def run_costs(nodes: int, endpoint_count: int) -> None:
-    """Print one membership's time and memory at a size."""
+    """Print the time and memory of one membership at a size."""
     costs = measure_costs(nodes, endpoint_count)
     print(
         f"{nodes} nodes, {endpoint_count} endpoints: tick {costs.tick_ms:.3f} ms,"
@@ -83,7 +83,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the comparison and the count of bytes."""
+    """Run the comparison, the measurement of bytes and that of costs."""
     parser = argparse.ArgumentParser(prog="bench detectors")
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--rule", default="", help="only rules with this in the name")
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_faults.py
@@ -1,8 +1,9 @@
-"""Run a deployment under many faults at once and check every promise afterwards.
+"""Run a deployment under many concurrent faults and check all guarantees afterwards.
 
-Real processes; the faults are drawn from a seed, though not their exact moments.
-Callers hold seats and read streams, two operators race patches. Prints what broke a
-promise, and what was seen, so that a campaign in which nothing happened shows.
+Runs real processes; a seed determines the faults, though not their exact times.
+Callers hold seats and read streams, two operators submit competing patches. Print
+violated guarantees, and counts of what happened, so that a campaign without any
+effect can be noticed.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 from toucanyard_node.operator_messages import PatchBody, PatchReply
 from toucanyard_standins.bench_path import build_options
 from toucanyard_standins.campaign_callers import Callers
-from toucanyard_standins.campaign_faults import Fault, FaultSource
-from toucanyard_standins.campaign_nodes import CampaignNodes
-from toucanyard_standins.campaign_verdict import (
+from toucanyard_standins.campaign_checks import (
     iterate_hold_problems,
     iterate_stream_problems,
 )
+from toucanyard_standins.campaign_faults import Fault, FaultGenerator
+from toucanyard_standins.campaign_nodes import CampaignNodes
 from toucanyard_standins.deployment import (
     CALLER_KEY,
     OPERATOR_KEY,
@@ -58,34 +59,34 @@
 _HOLDERS: Final = 8
 _READERS: Final = 6
 _OPERATORS: Final = 2
-_PAUSE_S: Final = 0.1
-_PATCH_PAUSE_S: Final = 0.5
+_REQUEST_INTERVAL_S: Final = 0.1
+_PATCH_INTERVAL_S: Final = 0.5
 _ROLL_OUT_SHARE: Final = 0.1
 _PATCH_TIMEOUT_MS: Final = 8_000.0
-_SETTLE_S: Final = 30.0
-_POLL_S: Final = 0.1
+_RECOVERY_TIMEOUT_S: Final = 30.0
+_POLL_INTERVAL_S: Final = 0.1
 _MAX_PROBLEM_CHARS: Final = 4_000
 _MAX_BEFORE_CHARS: Final = 500
 _TRACEBACK: Final = "Traceback"
 _ENGINE: Final = ("--decode-step-ms", "5", "--decode-ms-per-sequence", "0")
 
 
-class _PoolShown(msgspec.Struct, frozen=True):
+class _PoolBody(msgspec.Struct, frozen=True):
     weights_version: str
 
 
-class _ConfigurationShown(msgspec.Struct, frozen=True):
-    pools: tuple[_PoolShown, ...]
+class _ConfigurationBody(msgspec.Struct, frozen=True):
+    pools: tuple[_PoolBody, ...]
 
 
-class _Shown(msgspec.Struct, frozen=True):
-    configuration: _ConfigurationShown
+class _ConfigurationAnswer(msgspec.Struct, frozen=True):
+    configuration: _ConfigurationBody
 
 
 class Operators:
-    """Operators that submit patches on the version that they last saw.
+    """Operators that submit patches based on the last version they received.
 
-    Now and then one names other weights, so that a roll-out begins.
+    Some patches change the weights version and thereby start a roll-out.
     """
 
     def __init__(
@@ -99,7 +100,7 @@
         self._rng = rng
         self._number = 0
         self.accepted: dict[int, str] = {}
-        """Patch in force by version, as operators were told."""
+        """Accepted patches by version, according to the replies to operators."""
         self.outcomes: Counter[str] = Counter()
         self.problems: list[str] = []
 
@@ -108,12 +109,12 @@
         base = 1
         while True:
             base = await self.submit(base)
-            await trio.sleep(self._rng.expovariate(1 / _PATCH_PAUSE_S))
+            await trio.sleep(self._rng.expovariate(1 / _PATCH_INTERVAL_S))
 
     async def submit(self, base: int) -> int:
-        """Submit one patch at a random node; return the version to go on from."""
+        """Submit one patch to a random node; return the base of the next patch."""
         self._number += 1
-        patch = PatchBody(f"patch-{self._number}", base, self._draw_put())
+        patch = PatchBody(f"patch-{self._number}", base, self._build_random_put())
         node = self._rng.choice(self._nodes.nodes)
         try:
             answer = await ask(
@@ -131,10 +132,10 @@
             return base
         self.outcomes[reply.error or "accepted"] += 1
         if reply.error is None:
-            self._note_accepted(reply)
+            self._record_accepted(reply)
         return max(base, reply.version)
 
-    def _draw_put(self) -> Put:
+    def _build_random_put(self) -> Put:
         if self._rng.random() < _ROLL_OUT_SHARE:
             version = f"w{self._number}"
             pool = build_pool(self._engines, PlacementPolicy(), version)
@@ -142,7 +143,7 @@
         customer = Customer(CustomerName("extra"), (hash_key(f"{self._number}"),))
         return Put(customers=(customer,))
 
-    def _note_accepted(self, reply: PatchReply) -> None:
+    def _record_accepted(self, reply: PatchReply) -> None:
         known = self.accepted.setdefault(reply.version, reply.patch_id)
         if known != reply.patch_id:
             text = f"version {reply.version} is {known} and {reply.patch_id}"
@@ -150,7 +151,7 @@
 
 
 class Campaign:
-    """One run: faults, callers and operators, then quiet, then the verdict."""
+    """One run: faults, callers and operators, then recovery, then the checks."""
 
     def __init__(self, harness: Harness, deployment: Deployment, seed: int) -> None:
         self._harness = harness
@@ -165,27 +166,27 @@
         self.faults: Counter[str] = Counter()
 
     async def run(self, seconds: float, faults_per_s: float) -> list[str]:
-        """Run for a while under faults; return every problem found."""
+        """Run under faults for some time; return all problems found."""
         async with trio.open_nursery() as nursery:
             for _ in range(_HOLDERS):
-                nursery.start_soon(self.callers.run_holds, _PAUSE_S)
+                nursery.start_soon(self.callers.run_holds, _REQUEST_INTERVAL_S)
             for _ in range(_READERS):
-                nursery.start_soon(self.callers.run_streams, _PAUSE_S)
+                nursery.start_soon(self.callers.run_streams, _REQUEST_INTERVAL_S)
             for _ in range(_OPERATORS):
                 nursery.start_soon(self.operators.run)
             nursery.start_soon(self._follow_versions)
             await self._run_faults(seconds, faults_per_s)
             nursery.cancel_scope.cancel()
-        await self.nodes.end_faults()
-        return [*await self._settle(), *await self._judge()]
+        await self.nodes.reset_faults()
+        return [*await self._check_recovery(), *await self._check_promises()]
 
     async def _run_faults(self, seconds: float, faults_per_s: float) -> None:
-        """Begin faults at random moments and wait until all of them are over."""
-        source = FaultSource(self._rng, _NODES, _ENGINES, _SERVICES)
+        """Start faults at random times and wait until all of them have ended."""
+        generator = FaultGenerator(self._rng, _NODES, _ENGINES, _SERVICES)
         end_s = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             while trio.current_time() < end_s:
-                fault = source.draw()
+                fault = generator.draw()
                 self.faults[find_label(fault)] += 1
                 nursery.start_soon(self.nodes.apply, fault)
                 await trio.sleep(self._rng.expovariate(faults_per_s))
@@ -198,24 +199,24 @@
                     if node.process.pid not in followed:
                         followed.add(node.process.pid)
                         nursery.start_soon(self.versions.follow, node)
-                await trio.sleep(_POLL_S)
+                await trio.sleep(_POLL_INTERVAL_S)
 
-    async def _settle(self) -> list[str]:
-        """After the faults every node must serve, and all show one version."""
+    async def _check_recovery(self) -> list[str]:
+        """Check that every node serves and has the same version after the faults."""
         problems: list[str] = []
         for node in self.nodes.nodes:
             try:
-                await wait_until_serving(node, CALLER_KEY, _SETTLE_S)
+                await wait_until_serving(node, CALLER_KEY, _RECOVERY_TIMEOUT_S)
             except HarnessError as error:
                 problems.append(f"after the faults: {error}")
         if problems:
             return problems
-        if not await self._agree():
+        if not await self._wait_for_same_version():
             problems.append("nodes show different versions after the faults")
-        if (loaded := await self._find_other_weights()) is not None:
+        if (loaded := await self._wait_for_weights()) is not None:
             problems.append(f"engines have other weights than desired: {loaded}")
         for _ in range(_NODES):
-            hold = await self.callers.hold(is_issued=False)
+            hold = await self.callers.hold(has_issued_key=False)
             if not hold.bodies:
                 problems.append(f"a hold after the faults ended as {hold.endings}")
             stream = await self.callers.stream()
@@ -223,29 +224,29 @@
                 problems.append(f"a stream after the faults ended as {stream}")
         return problems
 
-    async def _agree(self) -> bool:
-        with trio.move_on_after(_SETTLE_S):
+    async def _wait_for_same_version(self) -> bool:
+        with trio.move_on_after(_RECOVERY_TIMEOUT_S):
             while True:
-                shown = {await find_version(node) for node in self.nodes.nodes}
-                if len(shown) == 1 and max(shown) >= max(self.operators.accepted):
+                versions = {await read_version(node) for node in self.nodes.nodes}
+                if len(versions) == 1 and max(versions) >= max(self.operators.accepted):
                     return True
-                await trio.sleep(_POLL_S)
+                await trio.sleep(_POLL_INTERVAL_S)
         return False
 
-    async def _find_other_weights(self) -> str | None:
-        """Wait until every engine has the weights desired; return what they have."""
+    async def _wait_for_weights(self) -> str | None:
+        """Wait for the desired weights on all engines; return others on timeout."""
         loaded: set[str] = set()
         wanted = ""
-        with trio.move_on_after(_SETTLE_S):
+        with trio.move_on_after(_RECOVERY_TIMEOUT_S):
             while True:
-                wanted = await find_weights(self.nodes.nodes[0])
-                loaded = await self._find_loaded()
+                wanted = await read_desired_weights(self.nodes.nodes[0])
+                loaded = await self._read_loaded_weights()
                 if loaded == {wanted}:
                     return None
-                await trio.sleep(_POLL_S)
+                await trio.sleep(_POLL_INTERVAL_S)
         return f"{sorted(loaded)} for {wanted}"
 
-    async def _find_loaded(self) -> set[str]:
+    async def _read_loaded_weights(self) -> set[str]:
         states = [
             await fetch(each.address, "GET", "/v1/state")
             for each in self._deployment.engines
@@ -255,14 +256,14 @@
             for each in states
         }
 
-    async def _judge(self) -> list[str]:
+    async def _check_promises(self) -> list[str]:
         executions: Counter[str] = Counter()
         for service in self._deployment.services:
-            counters = await self._harness.count(service, ServiceCounters)
+            counters = await self._harness.read_counters(service, ServiceCounters)
             executions.update(counters.by_key)
         return [
             *iterate_hold_problems(self.callers.holds, executions),
-            *iterate_stream_problems(self.callers.streams, self.nodes.disturbed),
+            *iterate_stream_problems(self.callers.streams, self.nodes.interrupted),
             *(str(each) for each in self.versions.regressions),
             *self.operators.problems,
             *self.nodes.problems,
@@ -270,7 +271,7 @@
         ]
 
     def render(self) -> str:
-        """Return what was seen, line by line."""
+        """Return the counts of faults, holds, streams and patches, one line each."""
         endings = Counter(
             hold.endings[-1] or "no answer"
             for hold in self.callers.holds
@@ -296,14 +297,14 @@
 
 
 def find_label(fault: Fault) -> str:
-    """Return the name of a fault, with the stand-in's fault where it has one."""
+    """Return the name of a fault, including the name of a nested stand-in fault."""
     inner = getattr(fault, "fault", None)
     name = type(fault).__name__
     return name if inner is None else f"{name}.{type(inner).__name__}"
 
 
 def find_log_problems(nodes: list[ProcessHandle]) -> list[str]:
-    """Return the logs of nodes that met an error of their own."""
+    """Return the logs of nodes that contain a traceback."""
     problems: list[str] = []
     for node in nodes:
         before, mark, after = node.read_log().partition(_TRACEBACK)
@@ -313,24 +314,24 @@
     return problems
 
 
-async def find_version(node: ProcessHandle) -> int:
-    """Return the version that a node shows, or -1."""
+async def read_version(node: ProcessHandle) -> int:
+    """Return the version of a node, or -1 if it can't be read."""
     try:
         return (await read_status(node, OPERATOR_KEY)).version
     except (ConnectionFailedError, msgspec.DecodeError):
         return -1
 
 
-async def find_weights(node: ProcessHandle) -> str:
-    """Return the weights that the version in force desires."""
+async def read_desired_weights(node: ProcessHandle) -> str:
+    """Return the desired weights version of the configuration in force."""
     address = node.addresses["operators"]
     answer = await ask(address, "GET", "/configuration", OPERATOR_KEY)
-    shown = msgspec.json.decode(answer.body, type=_Shown)
-    return shown.configuration.pools[0].weights_version
+    answer_body = msgspec.json.decode(answer.body, type=_ConfigurationAnswer)
+    return answer_body.configuration.pools[0].weights_version
 
 
 def build_campaign_options() -> Options:
-    """Return settings whose planned stops are short."""
+    """Return settings with short planned stops."""
     return msgspec.structs.replace(
         build_options(),
         callers=CallerLimits(locate_ttl_ms=300),
@@ -339,7 +340,7 @@
 
 
 async def run(seed: int, seconds: float, faults_per_s: float) -> list[str]:
-    """Run one campaign, print what was seen and return the problems."""
+    """Run one campaign, print its counts and return the problems."""
     sizes = DeploymentSizes(
         _NODES, _ENGINES, _SERVICES, _ENGINE, options=build_campaign_options()
     )
@@ -354,7 +355,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run campaigns with several seeds; fail if any has a problem."""
+    """Run campaigns with several seeds; return 1 if any has a problem."""
     parser = argparse.ArgumentParser(prog="bench faults")
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--first-seed", type=int, default=1)
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_herd.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_herd.py
@@ -1,8 +1,9 @@
-"""Measure what callers see of restarts, with real processes.
+"""Measure the effect of restarts on callers, with real processes.
 
-First, how long after its start a node serves a first request, with peers, the log,
-both or neither. Then hit rate and time to first token before and after all nodes but
-one, and all nodes, are killed and started again under requests with hot prefixes.
+First, measure the time from the start of a node to its first served request, with
+peers, the log, both or neither. Then measure hit rate and time to first token before
+and after all nodes but one, and all nodes, are killed and restarted under a load with
+hot prefixes.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 from toucanyard_standins.prefix_load import (
     LoadShape,
     PrefixLoad,
-    RequestSeen,
+    RequestResult,
     find_error,
 )
 from toucanyard_standins.processes import ProcessHandle
@@ -47,73 +48,73 @@
 _WARM_UP_S: Final = 8.0
 _BEFORE_S: Final = 6.0
 _WINDOWS_S: Final = ((0.0, 2.0), (2.0, 5.0), (5.0, 10.0))
-_REFUSED_S: Final = 2.0
-_PATIENCE_S: Final = 30.0
-_FOREIGN_RECORD: Final = msgspec.json.encode({"kind": "other", "x": "x" * 200}).decode()
+_REFUSED_TIMEOUT_S: Final = 2.0
+_SERVED_TIMEOUT_S: Final = 30.0
+_OTHER_RECORD: Final = msgspec.json.encode({"kind": "other", "x": "x" * 200}).decode()
 _RECORDS_PER_APPEND: Final = 1_000
 _AGE_MS: Final = 2_400_000
-"""More than a starting node reads, less than the log keeps."""
+"""Older than the records a starting node reads, younger than the retention."""
 _MAX_US: Final = 60_000_000
 _HISTOGRAM_DIGITS: Final = 3
 _COMPLETION: Final = encode_completion("first", 1, is_stream=False)
 
 
-class FirstServed(msgspec.Struct, frozen=True):
-    """When one start came to what, after the process was begun."""
+class StartTimes(msgspec.Struct, frozen=True):
+    """The times of one start, measured from the start of the process."""
 
     listening_ms: float
     served_ms: float | None
     refusals: Counter[str]
 
 
-async def start_and_ask(harness: Harness, name: str, patience_s: float) -> FirstServed:
-    """Start a node and ask it until it serves a completion."""
-    began_s = time.monotonic()
+async def start_and_ask(harness: Harness, name: str, timeout_s: float) -> StartTimes:
+    """Start a node and send requests until it serves a completion."""
+    started_s = time.monotonic()
     node = await harness.start_node(name, find_domain(0))
-    listening_ms = (time.monotonic() - began_s) * 1000
+    listening_ms = (time.monotonic() - started_s) * 1000
     refusals: Counter[str] = Counter()
     served_ms: float | None = None
-    with trio.move_on_after(patience_s):
+    with trio.move_on_after(timeout_s):
         while True:
             answer = await ask(
                 node.address, "POST", "/v1/completions", CALLER_KEY, _COMPLETION
             )
             if answer.status == 200:
-                served_ms = (time.monotonic() - began_s) * 1000
+                served_ms = (time.monotonic() - started_s) * 1000
                 break
             refusals[find_error(answer.status, answer.body)] += 1
             await trio.sleep(0.005)
-    await node.end()
+    await node.kill_and_wait()
     await harness.remove_vm(name)
-    return FirstServed(listening_ms, served_ms, refusals)
+    return StartTimes(listening_ms, served_ms, refusals)
 
 
 async def run_first_requests(times: int, records: int) -> None:
-    """Print a row for each thing that a starting node may find."""
+    """Print a row for each state of peers and log that a starting node may meet."""
     print(f"{'a node starts with':<34} {'starts':>6} {'listening_ms':>12} served_ms")
     async with open_harness() as harness:
         sizes = DeploymentSizes(nodes=2, engines=2, services=0)
         deployment = await start_deployment(harness, sizes)
         platform = deployment.platform
-        await _print_starts(harness, "two peers and the log", times)
+        await _measure_starts(harness, "two peers and the log", times)
         await harness.control(platform, Outage(is_on=True))
-        await _print_starts(harness, "two peers, the log down", times)
+        await _measure_starts(harness, "two peers, the log down", times)
         for node in deployment.nodes:
-            await node.end()
+            await node.kill_and_wait()
             await harness.remove_vm(node.name)
-        await _print_starts(harness, "neither peer nor log", 1, _REFUSED_S)
+        await _measure_starts(harness, "neither peer nor log", 1, _REFUSED_TIMEOUT_S)
         await harness.control(platform, Outage(is_on=False))
-        await _print_starts(harness, "the log only", times)
+        await _measure_starts(harness, "the log only", times)
         for _ in range(records // _RECORDS_PER_APPEND):
-            await harness.publish(*(_FOREIGN_RECORD,) * _RECORDS_PER_APPEND)
-        await _print_starts(harness, f"the log only, {records} records", times)
+            await harness.publish(*(_OTHER_RECORD,) * _RECORDS_PER_APPEND)
+        await _measure_starts(harness, f"the log only, {records} records", times)
         await harness.control(platform, AgeRecords(_AGE_MS))
         await publish_checkpoint(harness)
-        await _print_starts(harness, "the same, older than a span", times)
+        await _measure_starts(harness, "the same, older than a span", times)
 
 
 async def publish_checkpoint(harness: Harness) -> None:
-    """Append what a node that runs would have appended within the span."""
+    """Append the checkpoint that a running node would have appended in time."""
     log = ConfigurationLog(ConfigurationTimings())
     address = harness.get_platform().address
     head = 1
@@ -127,11 +128,11 @@
     await harness.publish(encode_checkpoint(checkpoint))
 
 
-async def _print_starts(
-    harness: Harness, what: str, times: int, patience_s: float = _PATIENCE_S
+async def _measure_starts(
+    harness: Harness, what: str, times: int, timeout_s: float = _SERVED_TIMEOUT_S
 ) -> None:
     starts = [
-        await start_and_ask(harness, f"late-{number}", patience_s)
+        await start_and_ask(harness, f"late-{number}", timeout_s)
         for number in range(times)
     ]
     listening = sorted(each.listening_ms for each in starts)
@@ -148,7 +149,7 @@
 
 
 async def run_herd(kept: int, seed: int) -> None:
-    """Print a row for each window before and after a restart of all but some nodes."""
+    """Print a row for each window around a restart of all but `kept` nodes."""
     async with open_harness() as harness, trio.open_nursery() as nursery:
         sizes = DeploymentSizes(
             nodes=_NODES,
@@ -168,35 +169,35 @@
         print(f"  restarted nodes listen after {(ready_s - now_s) * 1000:.0f} ms")
         await trio.sleep(_WINDOWS_S[-1][1] + 2)
         for begin_s, end_s in _WINDOWS_S:
-            seen = load.find_between(ready_s + begin_s, ready_s + end_s, restarted)
-            print_window(f"restarted, {begin_s:g} to {end_s:g} s", seen)
+            results = load.find_between(ready_s + begin_s, ready_s + end_s, restarted)
+            print_window(f"restarted, {begin_s:g} to {end_s:g} s", results)
         nursery.cancel_scope.cancel()
 
 
 async def _restart(
     harness: Harness, deployment: Deployment, load: PrefixLoad, kept: int
 ) -> tuple[list[ProcessHandle], float]:
-    """Kill all nodes but some at once, start them at once; return them and when."""
-    survivors, lost = deployment.nodes[:kept], deployment.nodes[kept:]
+    """Kill and restart all but `kept` nodes together; return them and the time."""
+    survivors, stopped = deployment.nodes[:kept], deployment.nodes[kept:]
     load.targets = survivors
-    for node in lost:
-        await node.end()
+    for node in stopped:
+        await node.kill_and_wait()
     started: list[ProcessHandle] = []
 
     async def start(number: int, name: str) -> None:
         started.append(await harness.start_node(name, find_domain(number)))
 
     async with trio.open_nursery() as nursery:
-        for number, node in enumerate(lost, start=kept):
+        for number, node in enumerate(stopped, start=kept):
             nursery.start_soon(start, number, node.name)
     load.targets = (*survivors, *started)
     return started, time.monotonic()
 
 
-def print_window(name: str, seen: Sequence[RequestSeen]) -> None:
-    """Print hit rate, times to first token and errors of some requests."""
-    whole = [each for each in seen if not each.error]
-    errors = Counter(each.error for each in seen if each.error)
+def print_window(name: str, results: Sequence[RequestResult]) -> None:
+    """Print hit rate, time to first token and errors of requests."""
+    whole = [each for each in results if not each.error]
+    errors = Counter(each.error for each in results if each.error)
     histogram = HdrHistogram(1, _MAX_US, _HISTOGRAM_DIGITS)
     for each in whole:
         histogram.record_value(max(1, int(each.first_token_ms * 1000)))
@@ -204,14 +205,15 @@
     cached = sum(each.cached_tokens for each in whole)
     median, p99 = (histogram.get_value_at_percentile(q) / 1000 for q in (50.0, 99.0))
     print(
-        f"{name:<26} {len(seen):>5} requests, hit rate {cached / max(1, prompt):.3f},"
+        f"{name:<26} {len(results):>5} requests,"
+        f" hit rate {cached / max(1, prompt):.3f},"
         f" first token median {median:.0f} p99 {p99:.0f} ms, errors {dict(errors)}",
         flush=True,
     )
 
 
 async def run(times: int, records: int, seed: int) -> None:
-    """Print all figures."""
+    """Run all measurements."""
     arguments = " ".join(_ENGINE_ARGUMENTS)
     print(f"{_NODES} nodes, {_ENGINES} engines {arguments}, seed {seed}")
     if times:
@@ -221,7 +223,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Measure first requests and both herds."""
+    """Measure first requests and both kinds of restarts."""
     parser = argparse.ArgumentParser(prog="bench herd")
     parser.add_argument("--times", type=int, default=5, help="0: only the herds")
     parser.add_argument("--records", type=int, default=50_000)
--- a/packages/toucanyard-standins/src/toucanyard_standins/bench_placement_cost.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/bench_placement_cost.py
@@ -1,6 +1,6 @@
-"""Measure what placement costs: time of a decision, events a second, memory.
+"""Measure the cost of placement: decision time, events per second and memory.
 
-Each is measured at several sizes, so that slopes can be read off. Times depend on the
+Each is measured at several sizes, which shows how it scales. Times depend on the
 machine and its load; medians over many decisions are printed.
 """
 
@@ -40,7 +40,7 @@
 REPLICAS: Final = (50, 200, 800, 2_000, 4_400)
 BLOCKS: Final = (25_000, 50_000, 100_000, 200_000, 400_000)
 CHAIN_BLOCKS: Final = 140
-LEVEL_BLOCKS: Final = 12
+LEVELS: Final = 12
 PREFIXES: Final = 400
 DECISIONS: Final = 4_000
 EVENTS: Final = 40_000
@@ -49,7 +49,7 @@
 
 
 def make_pool(replicas: int) -> Pool:
-    """Return a pool of that many replicas."""
+    """Return a pool with the given number of replicas."""
     endpoints = tuple(
         Endpoint(
             EndpointName(f"engine-{number}"),
@@ -63,18 +63,18 @@
 
 
 def make_chain(rng: random.Random, prefix: int) -> tuple[int, ...]:
-    """Return a prompt of 12 levels; each level has fewer choices than the next."""
+    """Return a prompt with 12 levels; deeper levels have more variants."""
     chain: list[int] = []
     parent = prefix
-    for level in range(LEVEL_BLOCKS):
+    for level in range(LEVELS):
         parent = hash((parent, rng.randrange(1 + level // 3)))
-        for number in range(CHAIN_BLOCKS // LEVEL_BLOCKS):
+        for number in range(CHAIN_BLOCKS // LEVELS):
             chain.append(hash((parent, number)) & (2**64 - 1))
     return tuple(chain)
 
 
 def make_request(rng: random.Random, number: int) -> Request:
-    """Return one request of one of the prefixes."""
+    """Return a request with one of the prefixes."""
     prefix = int(PREFIXES * rng.random() ** 3)
     chain = make_chain(rng, prefix)
     target = ModelTarget(PoolName("pool"), "m", "", "w1", chain, len(chain) * 256, 100)
@@ -91,7 +91,7 @@
 
 
 def measure_decisions(replicas: int) -> HdrHistogram:
-    """Return times of decisions in microseconds, the views being filled meanwhile."""
+    """Return decision times in microseconds, measured while the views fill up."""
     rng = random.Random(replicas)
     placement = Placement(rng)
     placement.apply_node_count(320)
@@ -105,9 +105,9 @@
     requests = [make_request(rng, number) for number in range(DECISIONS)]
     for number, request in enumerate(requests):
         now_ms = number * 5.0
-        began_ns = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         placed = placement.choose(request, pool, pool.endpoints, now_ms)
-        took_us = (time.perf_counter_ns() - began_ns) // 1_000
+        took_us = (time.perf_counter_ns() - started_ns) // 1_000
         assert placed is not None
         placement.record_dispatch(request, placed, pool, now_ms)
         if number >= DECISIONS // 4:
@@ -116,7 +116,7 @@
 
 
 def measure_events(endpoints: int) -> float:
-    """Return hashes of cache events taken in a second by one core."""
+    """Return the hashes of cache events that one core applies per second."""
     placement = Placement(random.Random(1))
     batches = [
         CacheEvents(
@@ -134,16 +134,16 @@
         for number in range(EVENTS // endpoints)
     ]
     names = [EndpointName(f"e{number}") for number in range(endpoints)]
-    began_ns = time.perf_counter_ns()
+    started_ns = time.perf_counter_ns()
     for number, batch in enumerate(batches):
         for name in names:
             placement.apply_cache_events(name, batch, float(number))
-    took_s = (time.perf_counter_ns() - began_ns) / 1e9
+    took_s = (time.perf_counter_ns() - started_ns) / 1e9
     return len(batches) * endpoints * HASHES_PER_EVENT / took_s
 
 
 def measure_memory(blocks: int, endpoints: int = 16) -> tuple[int, int]:
-    """Return blocks held and the bytes that they take, with twice as many offered."""
+    """Return the blocks in a full view and their memory, with twice as many added."""
     gc.collect()
     tracemalloc.start()
     placement = Placement(random.Random(1), PlacementLimits(max_blocks=blocks))
@@ -163,7 +163,7 @@
 
 @click.command()
 def run() -> None:
-    """Measure what placement costs at several sizes."""
+    """Measure the cost of placement at several sizes."""
     click.echo("replicas  decision us: median   p99")
     for replicas in REPLICAS:
         times = measure_decisions(replicas)
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_sizes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_sizes.py
@@ -1,4 +1,4 @@
-"""The size wanted, as far as benches work something out for it."""
+"""Define the target size that benches extrapolate to."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 NODES: Final = 320
 REPLICAS: Final = 4_400
 CUSTOMERS: Final = 1_600
-POOL: Final = 880
+POOL_REPLICAS: Final = 880
 """Replicas of one of five models."""
 
 
 def encode_patches(configuration: Configuration) -> tuple[str, ...]:
-    """Return log records that lead to a configuration, each within the bound on one."""
+    """Return log records that build a configuration, each within the record limit."""
     puts = [Put(customers=configuration.customers, operators=configuration.operators)]
     puts += [
         Put(
--- a/packages/toucanyard-standins/src/toucanyard_standins/capacity_slope.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/capacity_slope.py
@@ -1,4 +1,4 @@
-"""Measure a cost at several sizes, and work out what it is at the size wanted."""
+"""Measure a cost at several sizes and extrapolate it to the target size."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from toucanyard_standins.bench_restart import measure
 
-_TIMES: Final = 9
+_REPETITIONS: Final = 9
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """One cost at several sizes, and the line through it.
+    """One cost at several sizes, with a linear fit.
 
-    `wanted` is the size that one node has to do with at the size wanted.
+    `target_size` is the size that one node has to handle in the target deployment.
     """
 
     role: str
@@ -26,17 +26,17 @@
     sizes: tuple[int, ...]
     values: tuple[float, ...]
     per: str
-    wanted: int
+    target_size: int
 
     def compute_line(self) -> tuple[float, float]:
-        """Return the cost for each more, and the cost of none."""
+        """Return slope and intercept of the linear fit."""
         slope, base = np.polyfit(self.sizes, self.values, 1)
         return float(slope), float(base)
 
-    def compute_wanted(self) -> float:
-        """Return what the line gives at the size wanted."""
+    def compute_at_target(self) -> float:
+        """Return the fitted cost at the target size."""
         slope, base = self.compute_line()
-        return base + slope * self.wanted
+        return base + slope * self.target_size
 
 
 def measure_slope(
@@ -44,22 +44,22 @@
     cost: str,
     unit: str,
     per: str,
-    wanted: int,
+    target_size: int,
     sizes: Sequence[int],
     measure: Callable[[int], float],
 ) -> Slope:
-    """Return the slope of what `measure` gives at each size."""
+    """Return the slope of the values of `measure` at each size."""
     values = tuple(measure(size) for size in sizes)
-    return Slope(role, cost, unit, tuple(sizes), values, per, wanted)
+    return Slope(role, cost, unit, tuple(sizes), values, per, target_size)
 
 
 def time_us(action: Callable[[], object]) -> float:
     """Return the median time of an action in microseconds."""
-    return measure(action, _TIMES)[0] * 1_000
+    return measure(action, _REPETITIONS)[0] * 1_000
 
 
 def measure_held_bytes(build: Callable[[], object]) -> float:
-    """Return the memory that what `build` returns holds."""
+    """Return the memory of the object that `build` returns."""
     tracemalloc.start()
     built = build()
     held_bytes = tracemalloc.get_traced_memory()[0]
@@ -69,7 +69,7 @@
 
 
 def render_slope(slope: Slope) -> str:
-    """Return one line for a slope."""
+    """Return the printed lines of a slope."""
     each, base = slope.compute_line()
     measured = " ".join(f"{value:.5g}" for value in slope.values)
     sizes = " ".join(map(str, slope.sizes))
@@ -77,5 +77,5 @@
         f"{slope.role}: {slope.cost}\n"
         f"  {slope.unit} {measured}  at {sizes} {slope.per}\n"
         f"  {each:.4g} {slope.unit} each + {base:.4g};"
-        f" at {slope.wanted}: {slope.compute_wanted():.4g} {slope.unit}"
+        f" at {slope.target_size}: {slope.compute_at_target():.4g} {slope.unit}"
     )
--- a/packages/toucanyard-standins/src/toucanyard_standins/detector_traces.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/detector_traces.py
@@ -1,8 +1,8 @@
-"""Judge failure detectors by the same seeded traces.
+"""Evaluate failure detectors on the same seeded traces.
 
-A trace says how each poll of each watcher ended. Every rule is given the same traces:
-time to notice a death, wrong condemnations on lossy links, by pauses of endpoints and
-by nodes whose own network is bad.
+A trace contains the outcome of each poll of each watcher. All rules are evaluated on
+the same traces: time to detect a dead endpoint, and false condemnations caused by
+lossy links, pauses of endpoints and nodes with a bad network of their own.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 _TIMINGS: Final = MembershipTimings()
 POLL_MS: Final = 250.0
 TIMEOUT_MS: Final = 500.0
-SPREAD_MS: Final = 150.0
-"""How long a source's report takes to the others."""
+DISSEMINATION_MS: Final = 150.0
+"""Time until a report of one source reaches the others."""
 WATCHERS: Final = 9
 ENDPOINTS: Final = 14
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """What goes wrong in one trace."""
+    """The failures in one trace."""
 
     name: str
     duration_ms: float
@@ -43,21 +43,21 @@
     gray_nodes: int = 0
     gray_loss: float = 0.0
     pause_share: float = 0.0
-    """Share of the time in which an endpoint is paused, for 1.2 s each."""
+    """Share of the time for which an endpoint is paused, in pauses of 1.2 s."""
 
 
 class Rule(msgspec.Struct, frozen=True):
-    """A detector and how many sources must agree."""
+    """A detector and the number of sources that must agree."""
 
     name: str
     build: Callable[[float], Detector]
     sources: int
-    doubts_itself: bool = False
-    """Whether a watcher for which most endpoints fail accuses none."""
+    ignores_own_outage: bool = False
+    """Whether a watcher reports no endpoint while most endpoints fail for it."""
 
 
 class Poll(msgspec.Struct, frozen=True, order=True):
-    """The end of one poll."""
+    """The outcome of one poll, at its end."""
 
     at_ms: float
     watcher: int
@@ -66,12 +66,12 @@
 
 
 class Result(msgspec.Struct):
-    """What one rule made of a scenario's traces."""
+    """The result of one rule on the traces of a scenario."""
 
-    notice_ms: list[float] = msgspec.field(default_factory=list)
+    detection_ms: list[float] = msgspec.field(default_factory=list)
     missed: int = 0
     wrong: int = 0
-    """Times that a live endpoint came to be condemned."""
+    """The number of condemnations of live endpoints."""
     wrong_ms: float = 0.0
     hours: float = 0.0
 
@@ -126,13 +126,13 @@
             "same, doubts itself",
             lambda _: ErrorRunDetector(reports, window_ms),
             sources,
-            doubts_itself=True,
+            ignores_own_outage=True,
         ),
     )
 
 
 def build_trace(scenario: Scenario, seed: int) -> list[Poll]:
-    """Return the polls of all watchers, by the time of their end."""
+    """Return the polls of all watchers, ordered by their end."""
     rng = random.Random(f"{scenario.name} {seed}")
     pauses = [_build_pauses(scenario, rng) for _ in range(ENDPOINTS)]
     polls: list[Poll] = []
@@ -178,44 +178,55 @@
     return wait_ms + rng.uniform(1.0, 5.0), True
 
 
-def judge(rule: Rule, scenario: Scenario, polls: list[Poll], result: Result) -> None:
-    """Run one rule over one trace and add to its result."""
+def evaluate_rule(
+    rule: Rule, scenario: Scenario, polls: list[Poll], result: Result
+) -> None:
+    """Evaluate one rule on one trace and add to its result."""
     local = {
         (watcher, endpoint): rule.build(0.0)
         for watcher in range(WATCHERS)
         for endpoint in range(ENDPOINTS)
     }
-    joined = [SourceQuorum(rule.sources, 1e12) for _ in range(ENDPOINTS)]
-    since: dict[int, float] = {}
+    agreed = [SourceQuorum(rule.sources, 1e12) for _ in range(ENDPOINTS)]
+    condemned_since: dict[int, float] = {}
     failing: list[set[int]] = [set() for _ in range(WATCHERS)]
-    noticed = False
-    for now_ms, watcher, endpoint, poll in _iterate(polls, scenario.duration_ms):
+    is_detected = False
+    for now_ms, watcher, endpoint, poll in _iterate_polls_and_checks(
+        polls, scenario.duration_ms
+    ):
         detector = local[watcher, endpoint]
         if poll is not None:
-            _note(detector, failing[watcher], poll)
-        is_doubted = rule.doubts_itself and 2 * len(failing[watcher]) > ENDPOINTS
-        if detector.is_suspect(now_ms) and not is_doubted:
-            joined[endpoint].record_report(str(watcher), now_ms)
+            _record_poll(detector, failing[watcher], poll)
+        is_ignored = rule.ignores_own_outage and 2 * len(failing[watcher]) > ENDPOINTS
+        if detector.is_suspect(now_ms) and not is_ignored:
+            agreed[endpoint].record_report(str(watcher), now_ms)
         else:
-            joined[endpoint].withdraw(str(watcher))
-        is_condemned = joined[endpoint].is_condemned(now_ms)
+            agreed[endpoint].withdraw(str(watcher))
+        is_condemned = agreed[endpoint].is_condemned(now_ms)
         dead_ms = scenario.dead_at_ms
         is_dead = endpoint == 0 and dead_ms is not None and now_ms >= dead_ms
-        if is_condemned and endpoint not in since:
-            since[endpoint] = now_ms
+        if is_condemned and endpoint not in condemned_since:
+            condemned_since[endpoint] = now_ms
             if not is_dead:
                 result.wrong += 1
-        if not is_condemned and endpoint in since:
-            result.wrong_ms += now_ms - since.pop(endpoint)
-        if is_dead and dead_ms is not None and endpoint in since and not noticed:
-            noticed = True
-            result.notice_ms.append(max(now_ms, dead_ms) - dead_ms + SPREAD_MS)
-    if scenario.dead_at_ms is not None and not noticed:
+        if not is_condemned and endpoint in condemned_since:
+            result.wrong_ms += now_ms - condemned_since.pop(endpoint)
+        if (
+            is_dead
+            and dead_ms is not None
+            and endpoint in condemned_since
+            and not is_detected
+        ):
+            is_detected = True
+            result.detection_ms.append(
+                max(now_ms, dead_ms) - dead_ms + DISSEMINATION_MS
+            )
+    if scenario.dead_at_ms is not None and not is_detected:
         result.missed += 1
     result.hours += scenario.duration_ms / 3_600_000 * ENDPOINTS
 
 
-def _note(detector: Detector, failing: set[int], poll: Poll) -> None:
+def _record_poll(detector: Detector, failing: set[int], poll: Poll) -> None:
     if poll.is_ok:
         detector.record_success(poll.at_ms)
         failing.discard(poll.endpoint)
@@ -224,15 +235,15 @@
         failing.add(poll.endpoint)
 
 
-def _iterate(
+def _iterate_polls_and_checks(
     polls: list[Poll], duration_ms: float
 ) -> Iterator[tuple[float, int, int, Poll | None]]:
-    """Give polls, and looks at every 100 ms, since silence has no event."""
-    looks = (
+    """Yield polls, and checks every 100 ms, because silence causes no event."""
+    checks = (
         (at_ms * 100.0, watcher, endpoint, None)
         for at_ms in range(int(duration_ms / 100))
         for watcher in range(WATCHERS)
         for endpoint in range(ENDPOINTS)
     )
     ends = ((poll.at_ms, poll.watcher, poll.endpoint, poll) for poll in polls)
-    return heapq.merge(looks, ends, key=lambda each: each[0])
+    return heapq.merge(checks, ends, key=lambda each: each[0])
--- a/packages/toucanyard-standins/src/toucanyard_standins/key_slopes.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/key_slopes.py
@@ -1,4 +1,4 @@
-"""Measure memory and time per remembered key over several sizes."""
+"""Measure memory and time per stored key at several sizes."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def make_claim(node: str, number: int) -> str:
-    """Return the text of a claim by another node, as long as those of real nodes."""
+    """Return a claim record of another node, with a realistic length."""
     name = KeyName(_CUSTOMER, f"8c2a5f0e-1111-4222-9333-{number:012d}")
     claimer = NodeId(NodeName(node), Incarnation(_INCARNATION))
     digest = number.to_bytes(_DIGEST_BYTES, "big")
@@ -62,17 +62,17 @@
 
 
 def compute_page_bytes() -> float:
-    """Return how many bytes of a page of the log each claim takes."""
+    """Return the size of one claim in a page of the log."""
     records = tuple(
-        PageRecord(1_000_000 + place, 1_700_000_000_000, make_claim("n319", place))
-        for place in range(_PAGE_CLAIMS)
+        PageRecord(1_000_000 + index, 1_700_000_000_000, make_claim("n319", index))
+        for index in range(_PAGE_CLAIMS)
     )
     page = msgspec.json.encode(ReadBody(0, 0, records))
     return (len(page) - len(msgspec.json.encode(ReadBody(0, 0, ())))) / _PAGE_CLAIMS
 
 
 def make_core() -> AtMostOnce:
-    """Return a decision with room for every size measured."""
+    """Return an at-most-once core with limits above all measured sizes."""
     limits = ClaimLimits(max_keys=10**6, max_claims=10**6, kept_answers_bytes=2**30)
     core = AtMostOnce(NodeName("a"), Incarnation("a-1"), limits, random.Random(1))
     core.handle(LogState(True), 0)
@@ -80,17 +80,17 @@
 
 
 def fill_claims(core: AtMostOnce, count: int) -> None:
-    """Let a node read claims of others."""
+    """Apply claims of another node to a core."""
     for start in range(0, count, 500):
         records = tuple(
-            LogRecord(start + place, 0, make_claim("b", start + place))
-            for place in range(500)
+            LogRecord(start + index, 0, make_claim("b", start + index))
+            for index in range(500)
         )
         core.handle(ClaimRecordsRead(start, start + 500, records), 0)
 
 
 def fill_issued(core: AtMostOnce, count: int) -> None:
-    """Let a node run issued keys to their kept answers of 300 bytes."""
+    """Run issued keys to completion, with cached answers of 300 bytes."""
     for number in range(count):
         request_id = RequestId(f"a-1-{number}")
         key = core.issue_prefix(0) + "mine"
@@ -101,29 +101,29 @@
         core.handle(DispatchEnded(request_id, DispatchEnding.COMPLETED, answer), 0)
 
 
-def fill_notes(core: AtMostOnce, count: int) -> None:
-    """Let a node witness keys of another."""
+def fill_backup_records(core: AtMostOnce, count: int) -> None:
+    """Let a core record keys of another node as its backup."""
     owner = NodeId(NodeName("b"), Incarnation("b-1"))
     core.handle(PeerMessageArrived(owner, OpenLedger(Incarnation("a-1"), 1)), 0)
     for number in range(count):
         name = KeyName(_CUSTOMER, f"tk1~b~b-1~a~a-1~1~0~{number:016x}~mine")
-        note = RecordKeys(
+        record_keys = RecordKeys(
             Incarnation("a-1"), 1, number, (compute_key_fingerprint(name),)
         )
-        core.handle(PeerMessageArrived(owner, note), 0)
+        core.handle(PeerMessageArrived(owner, record_keys), 0)
 
 
-def fill_handed(core: AtMostOnce, count: int) -> None:
-    """Let a node take ended keys of one that stops, with answers of 300 bytes."""
+def fill_transferred(core: AtMostOnce, count: int) -> None:
+    """Transfer ended keys of a stopping node to a core, with answers of 300 bytes."""
     owner = NodeId(NodeName("b"), Incarnation("b-1"))
     for start in range(0, count, 250):
-        keys = tuple(make_handed(start + place) for place in range(250))
+        keys = tuple(make_transferred(start + index) for index in range(250))
         batch = TransferKeys(Incarnation("a-1"), start, keys)
         core.handle(PeerMessageArrived(owner, batch), 0)
 
 
-def make_handed(number: int) -> TransferredKey:
-    """Return one ended key of another node."""
+def make_transferred(number: int) -> TransferredKey:
+    """Return one transferred key of another node."""
     name = KeyName(_CUSTOMER, f"tk1~b~b-1~a~a-1~1~0~{number:016x}~mine")
     answer = CachedAnswer(200, "application/json", bytes(300))
     digest = number.to_bytes(16, "big")
@@ -131,14 +131,14 @@
 
 
 def print_slopes() -> None:
-    """Print bytes and microseconds per remembered key over the sizes."""
+    """Print the slopes of memory and time per stored key."""
     print(f"slopes over {', '.join(map(str, _SIZES))} keys")
     print("what is remembered                        bytes/key  us/key")
     for label, fill in (
         ("claim of any node, read from the log", fill_claims),
         ("issued key run here, answer of 300 bytes", fill_issued),
-        ("key noted as witness", fill_notes),
-        ("key handed over, answer of 300 bytes", fill_handed),
+        ("key noted as witness", fill_backup_records),
+        ("key handed over, answer of 300 bytes", fill_transferred),
     ):
         sizes_bytes, times_us = [], []
         for count in _SIZES:
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_engine.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_engine.py
@@ -1,7 +1,7 @@
-"""Stand in for a model engine in virtual time: a prompt cache, a queue and slots.
+"""Simulate a model engine in virtual time: a prompt cache, a queue and slots.
 
-Prefill runs one request at a time, most urgent first; decoding holds a slot. Blocks
-are evicted least recently used first. Only what placement can see is modelled.
+Prefill runs one request at a time in order of priority; decoding occupies a slot.
+Blocks are evicted in LRU order. Only properties visible to placement are modelled.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Job(msgspec.Struct):
-    """One dispatched request; `report` tells its node about tokens and endings."""
+    """One dispatched request, with callbacks for its first token and its end."""
 
     chain: tuple[int, ...]
     tokens: int
@@ -46,14 +46,14 @@
 
 
 class TimedEvent(msgspec.Struct, frozen=True):
-    """A cache event and when it happened."""
+    """A cache event and its time."""
 
     at_ms: float
     event: CacheEvent
 
 
 class FakeEngine:
-    """One engine; `computed` collects blocks over all engines of a run."""
+    """One engine; `computed` is the set of blocks computed by all engines of a run."""
 
     def __init__(
         self,
@@ -65,18 +65,18 @@
         self.name = name
         self.shape = shape
         self.clock = clock
-        self.slowness = 1.0
+        self.slowdown = 1.0
         self.is_up = True
         self.is_loading = False
         self.weights_version = "w1"
         self.restarts = 0
         self.recomputed_blocks = 0
         self._computed = computed
-        self._begin()
+        self._reset()
         self.snapshots: deque[tuple[float, LoadReport]] = deque(maxlen=KEPT_SNAPSHOTS)
         self._take_snapshot()
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self.incarnation = Incarnation(f"{self.name}-{self.restarts}")
         self.cache: OrderedDict[int, None] = OrderedDict()
         self.events: deque[TimedEvent] = deque(maxlen=KEPT_EVENTS)
@@ -86,30 +86,30 @@
         self.ends_ms: dict[int, float] = {}
         self.prefill: Job | None = None
         self.prefill_ends_ms = 0.0
-        self._order = 0
+        self._submitted = 0
 
     def submit(self, job: Job) -> None:
-        """Take one request, or refuse it while down."""
+        """Queue one request, or refuse it while down."""
         if not self.is_up:
             job.is_over = True
             job.on_end(job, DispatchEnding.NOT_SENT)
             return
-        self._order += 1
-        heapq.heappush(self.waiting, (job.rank, self._order, job))
+        self._submitted += 1
+        heapq.heappush(self.waiting, (job.rank, self._submitted, job))
         self._start_next()
 
     def stop(self, ending: DispatchEnding = DispatchEnding.LOST) -> None:
-        """Lose all state; what was under way ends with `ending`."""
+        """Lose all state; waiting and running requests end with `ending`."""
         jobs = [job for _, _, job in self.waiting] + list(self.running.values())
         self.is_up = False
         self.restarts += 1
-        self._begin()
+        self._reset()
         for job in jobs:
             job.is_over = True
             job.on_end(job, ending)
 
     def start(self, weights_version: str | None = None) -> None:
-        """Come back empty."""
+        """Restart with an empty cache."""
         self.is_up = True
         self.is_loading = False
         self.weights_version = weights_version or self.weights_version
@@ -122,7 +122,7 @@
         return len(chain)
 
     def compute_queued_blocks(self) -> int:
-        """Return blocks that wait to be computed, each counted once."""
+        """Return the number of distinct blocks that wait to be computed."""
         missing: set[int] = set()
         for _, _, job in self.waiting:
             missing.update(job.chain[self.count_warm(job.chain) :])
@@ -136,7 +136,7 @@
         return CacheDump(self.incarnation, self.next_seq, tuple(self.cache))
 
     def find_report(self, lag_ms: float) -> LoadReport:
-        """Return the load as it was some time ago."""
+        """Return the load report of `lag_ms` ago."""
         wanted_ms = self.clock.now_ms - lag_ms
         found = self.snapshots[0]
         for snapshot in self.snapshots:
@@ -173,23 +173,23 @@
         self._computed.update(missing)
         self.prefill = job
         self.running[order] = job
-        took_ms = (len(missing) + 1) * self.shape.prefill_ms_per_block * self.slowness
+        took_ms = (len(missing) + 1) * self.shape.prefill_ms_per_block * self.slowdown
         self.prefill_ends_ms = self.clock.now_ms + took_ms
-        token_ms = self.shape.token_ms * self.slowness
+        token_ms = self.shape.token_ms * self.slowdown
         self.ends_ms[order] = self.prefill_ends_ms + job.tokens * token_ms
-        self.clock.call_after(took_ms, lambda: self._end_prefill(order, job))
+        self.clock.call_after(took_ms, lambda: self._complete_prefill(order, job))
 
-    def _end_prefill(self, order: int, job: Job) -> None:
+    def _complete_prefill(self, order: int, job: Job) -> None:
         if job.is_over:
             return
         self.prefill = None
         self._store(job.chain)
         job.on_first_token(job)
         left_ms = self.ends_ms[order] - self.clock.now_ms
-        self.clock.call_after(left_ms, lambda: self._end(order, job))
+        self.clock.call_after(left_ms, lambda: self._complete(order, job))
         self._start_next()
 
-    def _end(self, order: int, job: Job) -> None:
+    def _complete(self, order: int, job: Job) -> None:
         if job.is_over:
             return
         job.is_over = True
--- a/packages/toucanyard-standins/src/toucanyard_standins/policy_report.py
+++ b/packages/toucanyard-standins/src/toucanyard_standins/policy_report.py
@@ -1,4 +1,4 @@
-"""Turn the results of runs into a table, aims met or missed, CSV and plots."""
+"""Report the results of runs as a table, met and missed aims, CSV and plots."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from matplotlib import axes, pyplot
 
 BASELINES: Final = (Policy.RANDOM, Policy.LEAST_LOADED, Policy.AFFINITY)
-STORMS: Final = (Condition.OVERLOAD_1_5, Condition.OVERLOAD_3)
+OVERLOADS: Final = (Condition.OVERLOAD_1_5, Condition.OVERLOAD_3)
 TOKENS_PER_BLOCK: Final = 64
 """Tokens of one block of 256 bytes, at four bytes a token."""
 MAX_RATIO: Final = 0.6
@@ -28,7 +28,7 @@
 
 
 class RunKey(msgspec.Struct, frozen=True, order=True):
-    """Which run a result is from."""
+    """The parameters of one run."""
 
     deployment: str
     condition: Condition
@@ -41,7 +41,7 @@
 
 
 class Aim(msgspec.Struct, frozen=True):
-    """One aim, what was measured and whether it is met."""
+    """One aim with the measured value and its bound."""
 
     deployment: str
     condition: str
@@ -51,7 +51,7 @@
 
     @property
     def is_met(self) -> bool:
-        """Return whether the measured value keeps the bound."""
+        """Return whether the measured value is within the bound."""
         return self.measured <= self.bound
 
 
@@ -77,7 +77,7 @@
 
 
 def measure_recomputed(result: Result) -> float:
-    """Return recomputed tokens for each answer served."""
+    """Return recomputed tokens per served answer."""
     return result.recomputed_blocks * TOKENS_PER_BLOCK / max(result.served, 1)
 
 
@@ -87,12 +87,12 @@
 
 
 def measure_served(result: Result) -> float:
-    """Return the share of requests that got a whole answer."""
+    """Return the share of requests with a complete answer."""
     return result.served / max(result.offered, 1)
 
 
 def measure_recovery(result: Result) -> float:
-    """Return seconds of recovery; a run that never recovered counts as endless."""
+    """Return the recovery time in seconds; infinite for a run that never recovered."""
     return result.recovery_s if result.recovery_s >= 0 else float("inf")
 
 
@@ -105,18 +105,18 @@
 
 
 def format_table(results: Results) -> str:
-    """Return the median of each measure with its least and greatest seed."""
+    """Return the median of each measure over the seeds, with minimum and maximum."""
     lines: list[str] = []
     header = f"{'deployment':11}{'condition':14}{'policy':14}"
     header += "".join(f"{name + ' [least..most]':>30}" for name, _, _ in MEASURES)
     lines.append(header)
     for deployment, condition, policy in find_groups(results):
         line = f"{deployment:11}{condition:14}{policy:14}"
-        for _, measure, shape in MEASURES:
+        for _, measure, format_spec in MEASURES:
             values = find_values(results, deployment, condition, policy, measure)
-            middle = statistics.median(values)
-            spread = f"[{min(values):{shape}}..{max(values):{shape}}]"
-            line += f"{f'{middle:{shape}} {spread}':>30}"
+            median_value = statistics.median(values)
+            spread = f"[{min(values):{format_spec}}..{max(values):{format_spec}}]"
+            line += f"{f'{median_value:{format_spec}} {spread}':>30}"
         lines.append(line)
     return "\n".join(lines)
 
@@ -128,7 +128,7 @@
 
 
 def compute_aims(results: Results) -> list[Aim]:
-    """Return every aim that these results can tell of."""
+    """Return all aims that can be computed from these results."""
     aims: list[Aim] = []
     pairs = dict.fromkeys((key.deployment, key.condition) for key in results)
     for deployment, condition in pairs:
@@ -155,7 +155,7 @@
     text = f"{name} beside the best baseline"
     aims.append(Aim(deployment, condition, text, ratio, MAX_RATIO))
     if deployment == "hangang":
-        bound = find_median(Policy.KNOWS_ALL, measure_hits)
+        bound = find_median(Policy.ORACLE, measure_hits)
         gap = bound - find_median(Policy.TOUCANYARD, measure_hits)
         text = "hit rate behind the one that knows all"
         aims.append(Aim(deployment, condition, text, gap, MAX_HIT_GAP))
@@ -166,7 +166,7 @@
     served = [find_median(each, measure_served) for each in BASELINES]
     loss = max(served) / max(find_median(Policy.TOUCANYARD, measure_served), 1e-9)
     aims.append(Aim(deployment, condition, "served no fewer", loss, MAX_LOSS))
-    if condition in STORMS:
+    if condition in OVERLOADS:
         seconds = find_median(Policy.TOUCANYARD, measure_recovery)
         text = "seconds until 95% of the goodput before"
         aims.append(Aim(deployment, condition, text, seconds, MAX_RECOVERY_S))
@@ -217,7 +217,7 @@
 
 
 def draw_plots(results: Results, folder: Path) -> None:
-    """Draw each measure as bars, by condition and policy, with the seeds' spread."""
+    """Draw each measure as bars by condition and policy, with the range over seeds."""
     for deployment in dict.fromkeys(key.deployment for key in results):
         figure, rows = pyplot.subplots(len(MEASURES), 1, figsize=(11, 13))
         for axis, (name, measure, _) in zip(rows, MEASURES, strict=True):
@@ -238,15 +238,15 @@
     )
     policies = list(dict.fromkeys(key.policy for key in results))
     width = 0.8 / len(policies)
-    for place, policy in enumerate(policies):
+    for index, policy in enumerate(policies):
         groups = [
             find_values(results, deployment, condition, policy, measure)
             for condition in conditions
         ]
-        middles = [statistics.median(values) for values in groups]
-        below = [m - min(values) for m, values in zip(middles, groups, strict=True)]
-        above = [max(values) - m for m, values in zip(middles, groups, strict=True)]
-        places = [number + place * width for number in range(len(conditions))]
-        axis.bar(places, middles, width, yerr=[below, above], label=policy)
+        medians = [statistics.median(values) for values in groups]
+        below = [m - min(values) for m, values in zip(medians, groups, strict=True)]
+        above = [max(values) - m for m, values in zip(medians, groups, strict=True)]
+        positions = [number + index * width for number in range(len(conditions))]
+        axis.bar(positions, medians, width, yerr=[below, above], label=policy)
     axis.set_xticks([number + 0.4 for number in range(len(conditions))], conditions)
     axis.tick_params(axis="x", labelsize=7)
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps about versions that are watched while nodes and log fail."""
+"""Steps that watch configuration versions during failures of nodes and the log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from toucanyard_standins.harness import ask, wait_until_serving
 from toucanyard_standins.platform_faults import SlowPart
 from toucanyard_standins.version_watch import VersionWatch
-from world import PATIENCE_S, World
+from world import TIMEOUT_S, World
 
 FOREIGN = '{"kind": "other"}'
 MIN_READS = 100
@@ -60,7 +60,7 @@
                 continue
             finally:
                 await trio.sleep(0.05)
-            # A patch whose answer was lost shows as a conflict with its own version.
+            # If the response to a patch was lost, a retry conflicts with its version.
             if answer.status in (200, 409):
                 version = msgspec.json.decode(answer.body)["version"]
                 context.accepted.append(max(version, context.accepted[-1]))
@@ -92,12 +92,12 @@
         nodes[index] = await world.harness.start_node(name, find_domain(index))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.watch.follow, nodes[index])
-            await wait_until_serving(nodes[index], CALLER_KEY, PATIENCE_S)
+            await wait_until_serving(nodes[index], CALLER_KEY, TIMEOUT_S)
             nursery.cancel_scope.cancel()
 
     async def restart_all() -> None:
         for index in indices:
-            await nodes[index].end()
+            await nodes[index].kill_and_wait()
         async with trio.open_nursery() as nursery:
             for index in indices:
                 nursery.start_soon(restart, index)
--- a/tests/features/steps/rollout_steps.py
+++ b/tests/features/steps/rollout_steps.py
@@ -1,4 +1,4 @@
-"""Steps about weights, duties and orders."""
+"""Steps about weights, pool leases and orders."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from toucanyard_node.http_client import fetch
 from toucanyard_standins.deployment import OPERATOR_KEY
 from toucanyard_standins.harness import ask
-from world import Seen, World, build_completion, request
+from world import RequestResult, World, build_completion, request
 
-PAUSE_S = 0.05
+INTERVAL_S = 0.05
 
 
 @when("callers keep sending completions to every node")
@@ -23,11 +23,11 @@
 
     async def send_on(address: str) -> None:
         while True:
-            seen = Seen()
+            result = RequestResult()
             body = build_completion(PROMPT, 2, is_stream=False)
-            await request(address, "POST", COMPLETIONS, body, (), seen)
-            context.sent.append(seen)
-            await trio.sleep(PAUSE_S)
+            await request(address, "POST", COMPLETIONS, body, (), result)
+            context.sent.append(result)
+            await trio.sleep(INTERVAL_S)
 
     for node in world.deployment.nodes:
         world.portal.spawn(send_on, node.address)
@@ -37,8 +37,8 @@
 @when('an operator asks for weights "{version}" through node {number:d}')
 def ask_for_weights(context: Context, version: str, number: int) -> None:
     world: World = context.world
-    shown = msgspec.json.decode(world.ask_operator(number, "/configuration").body)
-    configuration = shown["configuration"]
+    answer_body = msgspec.json.decode(world.ask_operator(number, "/configuration").body)
+    configuration = answer_body["configuration"]
     pool = {**configuration["pools"][0], "weights_version": version}
     patch = {
         "patch_id": f"roll-out-{version}",
@@ -67,12 +67,14 @@
 
 @then("no completion failed")
 def check_none_failed(context: Context) -> None:
-    failed = [seen for seen in context.sent if seen.status != 200 or not seen.is_whole]
+    failed = [
+        result for result in context.sent if result.status != 200 or not result.is_whole
+    ]
     assert not failed, (len(failed), len(context.sent), failed[:3])
 
 
-def find_holder(world: World) -> int:
-    """Return the number of the node that holds a duty; 0 if none does."""
+def find_lease_holder(world: World) -> int:
+    """Return the number of the node that holds a pool lease, or 0."""
     for number in range(1, len(world.deployment.nodes) + 1):
         if not world.find_node(number).is_running():
             continue
@@ -84,13 +86,13 @@
 
 @given("a node holds the duty")
 def wait_holder(context: Context) -> None:
-    context.world.wait_for("a holder", lambda: find_holder(context.world) > 0)
+    context.world.wait_for("a holder", lambda: find_lease_holder(context.world) > 0)
 
 
 @when("the holder of the duty is killed")
 def kill_holder(context: Context) -> None:
     world: World = context.world
-    context.killed = find_holder(world)
+    context.killed = find_lease_holder(world)
     world.find_node(context.killed).kill()
 
 
--- a/tests/features/steps/shared_state_steps.py
+++ b/tests/features/steps/shared_state_steps.py
@@ -107,7 +107,7 @@
     world: World = context.world
     engine = world.deployment.engines[number]
     vm = Vm(engine.name, find_domain(number), VmKind.ENDPOINT, endpoint=engine.address)
-    world.portal.call(world.harness.leave_vm, vm)
+    world.portal.call(world.harness.mark_vm_leaving, vm)
 
 
 @then("both nodes soon send nothing more to engine {number:d}")
@@ -116,17 +116,20 @@
     engine = world.deployment.engines[number]
 
     def count() -> int:
-        counters = world.portal.call(world.harness.count, engine, EngineCounters)
+        counters = world.portal.call(
+            world.harness.read_counters, engine, EngineCounters
+        )
         return sum(counters.executions.values())
 
     def is_quiet() -> bool:
         before = count()
-        for turn in range(QUIET_REQUESTS):
-            body = build_completion(f"{turn} {PROMPT}", 1, is_stream=False)
-            answer = world.ask_node(turn % 2 + 1, "POST", COMPLETIONS, body)
+        for request_number in range(QUIET_REQUESTS):
+            body = build_completion(f"{request_number} {PROMPT}", 1, is_stream=False)
+            answer = world.ask_node(request_number % 2 + 1, "POST", COMPLETIONS, body)
             assert answer.status == 200, answer
         return count() == before
 
     world.wait_for("no new work", is_quiet)
-    # Once it is left alone it must stay so: the list's lag is over for good.
+    # The change of the VM list is now visible to both nodes, so the engine must
+    # stay without requests.
     assert is_quiet() and is_quiet()
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -1,4 +1,4 @@
-"""Serve a callers' face in the test's process, before a scripted core."""
+"""Run the server for callers in the test process, with a scripted core."""
 
 from __future__ import annotations
 
@@ -69,42 +69,42 @@
 KEY = "key-of-rio"
 OTHER_KEY = "key-of-mar"
 AUTHORIZED = (("Authorization", f"Bearer {KEY}"),)
-ANYWHERE = Address("127.0.0.1:0")
+ANY_PORT = Address("127.0.0.1:0")
 
 
 def build_configuration(service_calls: tuple[str, ...] = ()) -> Configuration:
-    """Return two customers, one pool and one service; addresses come from cores."""
-    nowhere = Endpoint(EndpointName("e0"), ANYWHERE, DomainName("d"))
+    """Return two customers, one pool and one service; cores choose the addresses."""
+    any_endpoint = Endpoint(EndpointName("e0"), ANY_PORT, DomainName("d"))
     return Configuration(
         version=7,
         customers=(
             Customer(CustomerName("rio"), (compute_key_hash(KEY),)),
             Customer(CustomerName("mar"), (compute_key_hash(OTHER_KEY),)),
         ),
-        pools=(Pool(PoolName("p"), "model", "w1", (nowhere,), adapters=("a",)),),
-        services=(Service(ServiceName("desk"), (nowhere,), service_calls),),
+        pools=(Pool(PoolName("p"), "model", "w1", (any_endpoint,), adapters=("a",)),),
+        services=(Service(ServiceName("desk"), (any_endpoint,), service_calls),),
         rules=(Rule("model", PoolName("p")),),
     )
 
 
 def build_options(streams: StreamLimits | None = None) -> Options:
-    """Return settings that listen nowhere in particular."""
-    listen = ListenOptions(ANYWHERE, ANYWHERE, ANYWHERE)
+    """Return settings with arbitrary ports."""
+    listen = ListenOptions(ANY_PORT, ANY_PORT, ANY_PORT)
     return Options(
         name=NodeName("n1"),
         domain=DomainName("d"),
         listen=listen,
-        platform=PlatformOptions(ANYWHERE, ANYWHERE),
+        platform=PlatformOptions(ANY_PORT, ANY_PORT),
         peer_secrets=("secret",),
         streams=streams or StreamLimits(connect_timeout_ms=500),
     )
 
 
 class ScriptedCore:
-    """Answer the face's questions: each try goes to the next address of the script.
+    """Return verdicts: each attempt goes to the next address of the script.
 
-    A repeatable request that failed is sent to the next address; any other one gets
-    no further verdict. When the script is used up, the last address stays.
+    A repeatable request that failed is sent to the next address; other requests get
+    no further verdict. At the end of the script the last address is repeated.
     """
 
     def __init__(self, addresses: list[Address], silence_ms: float = 400) -> None:
@@ -115,20 +115,20 @@
         self.refusal = ErrorKind.OVERLOADED
         self.is_waiting = False
         self.is_refusing_retries = False
-        self.is_careless = False
-        """Send elsewhere what may run once only."""
+        self.retries_run_once = False
+        """Retry requests at other addresses although they may run only once."""
         self.replay: Replay | None = None
         self.requests: list[Request] = []
         self.outcomes: list[Outcome] = []
         self.abandoned: list[RequestId] = []
-        self.turned_away: list[RequestTurnedAway] = []
+        self.rejections: list[RequestTurnedAway] = []
         self.configuration = build_configuration()
         self._attempts: dict[RequestId, int] = {}
         send, self._receive = trio.open_memory_channel[CoreMessage](1_000)
         self.client = CoreClient(send, lambda: self.configuration)
 
     async def run(self) -> None:
-        """Answer until cancelled."""
+        """Process messages until cancelled."""
         async for message in self._receive:
             match message:
                 case Decide(request, reply):
@@ -137,14 +137,14 @@
                         reply.send_nowait(self._decide(request.request_id))
                 case Report(outcome, reply):
                     self.outcomes.append(outcome)
-                    reply.send_nowait(self._follow(outcome))
+                    reply.send_nowait(self._decide_next(outcome))
                 case Abandon(request_id):
                     self.abandoned.append(request_id)
                 case RequestTurnedAway():
-                    self.turned_away.append(message)
+                    self.rejections.append(message)
 
     def find_endings(self) -> list[DispatchEnding]:
-        """Return how the dispatches ended."""
+        """Return the endings of all dispatches."""
         return [outcome.ending for outcome in self.outcomes]
 
     def _decide(self, request_id: RequestId) -> Verdict:
@@ -155,20 +155,20 @@
             return Refuse(request_id, kind, ending, "too much at once", 800)
         attempt = self._attempts.get(request_id, 0)
         self._attempts[request_id] = attempt + 1
-        place = min(attempt, len(self.addresses) - 1)
+        index = min(attempt, len(self.addresses) - 1)
         versions = self.weights_versions
         return Dispatch(
             request_id,
-            EndpointName(f"e{place}"),
-            self.addresses[place],
+            EndpointName(f"e{index}"),
+            self.addresses[index],
             attempt + 1,
             expected_incarnation=None,
-            weights_version=versions[place] if versions else "w1",
+            weights_version=versions[index] if versions else "w1",
             priority=3,
             silence_ms=self.silence_ms,
         )
 
-    def _follow(self, outcome: Outcome) -> Verdict | None:
+    def _decide_next(self, outcome: Outcome) -> Verdict | None:
         if outcome.ending in (DispatchEnding.COMPLETED, DispatchEnding.CANCELLED):
             return None
         request = next(
@@ -178,7 +178,7 @@
         if self.is_refusing_retries:
             kind, not_run = ErrorKind.OVERLOADED, Ending.NOT_RUN
             return Refuse(outcome.request_id, kind, not_run, "too much at once", 800)
-        is_repeatable = request.repeatability == "repeatable" or self.is_careless
+        is_repeatable = request.repeatability == "repeatable" or self.retries_run_once
         if not is_repeatable and not is_not_run:
             return None
         if self._attempts[outcome.request_id] >= len(self.addresses):
@@ -186,26 +186,26 @@
         return self._decide(outcome.request_id)
 
 
-class ServedFace:
-    """A face that is being served, and how to ask it."""
+class ClientServerHarness:
+    """A running server for callers, with methods to send requests to it."""
 
     def __init__(
         self,
         core: ScriptedCore,
         options: Options,
         connect_engine: Connect = connect,
-        connect_face: Connect = connect,
+        connect_client: Connect = connect,
     ) -> None:
-        self.address = ANYWHERE
+        self.address = ANY_PORT
         self.network: MemoryNetwork | None = None
         self.core = core
         self.drain = DrainState()
-        self._connect = connect_face
+        self._connect = connect_client
         identity = NodeIdentity(NodeName("n1"), Incarnation("x7"))
-        self.face = ClientServer(
+        self.client_server = ClientServer(
             core.client, options, identity, self._locate, self.drain, connect_engine
         )
-        self.server = HttpServer(self.face.handle, find_server_limits(options))
+        self.server = HttpServer(self.client_server.handle, find_server_limits(options))
 
     def _locate(self, is_staying: bool) -> LocateResponse:
         node = NodeName("n2" if self.drain.is_draining() else "n1")
@@ -223,7 +223,7 @@
     async def ask(
         self, method: str, target: str, headers: Headers = AUTHORIZED, body: object = ""
     ) -> Response:
-        """Make one request and return its whole answer."""
+        """Send one request and return the complete response."""
         connection = await self.open(method, target, headers, body)
         try:
             head = await connection.read_head()
@@ -234,7 +234,7 @@
     async def complete(
         self, is_stream: bool = True, headers: Headers = AUTHORIZED
     ) -> Response:
-        """Ask for a completion."""
+        """Request a completion."""
         body = build_completion(is_stream)
         return await self.ask("POST", "/v1/completions", headers, body)
 
@@ -245,53 +245,53 @@
 
 
 @asynccontextmanager
-async def serve_face(
+async def run_client_server(
     core: ScriptedCore, options: Options | None = None
-) -> AsyncIterator[ServedFace]:
-    """Serve a face on a port that the kernel chose."""
-    served = ServedFace(core, options or build_options())
+) -> AsyncIterator[ClientServerHarness]:
+    """Run a server on a port chosen by the kernel."""
+    served = ClientServerHarness(core, options or build_options())
     async with trio.open_nursery() as nursery:
         listener = await open_listener("127.0.0.1", 0)
         served.address = Address(f"127.0.0.1:{find_port(listener)}")
         nursery.start_soon(core.run)
-        await nursery.start(served.face.run)
+        await nursery.start(served.client_server.run)
         nursery.start_soon(served.server.serve, listener)
         yield served
         nursery.cancel_scope.cancel()
 
 
 @asynccontextmanager
-async def serve_in_memory(
+async def run_client_server_in_memory(
     engines: list[ScriptedEngine], options: Options | None = None
-) -> AsyncIterator[ServedFace]:
-    """Serve a face and engines in memory; tries go to the engines in their order."""
-    names = [Address(f"10.0.0.{place}:80") for place in range(len(engines))]
+) -> AsyncIterator[ClientServerHarness]:
+    """Run a server and engines in memory; attempts go to the engines in order."""
+    names = [Address(f"10.0.0.{index}:80") for index in range(len(engines))]
     async with trio.open_nursery() as nursery:
         network = MemoryNetwork(nursery)
         for name, engine in zip(names, engines, strict=True):
             network.serve(name, engine.handle)
         core = ScriptedCore(names)
         options = options or build_options()
-        served = ServedFace(core, options, network.connect, network.connect)
+        served = ClientServerHarness(core, options, network.connect, network.connect)
         served.address = Address("10.0.1.1:80")
         served.network = network
         served.server = network.serve(
-            served.address, served.face.handle, find_server_limits(options)
+            served.address, served.client_server.handle, find_server_limits(options)
         )
         nursery.start_soon(core.run)
-        await nursery.start(served.face.run)
+        await nursery.start(served.client_server.run)
         yield served
         nursery.cancel_scope.cancel()
 
 
 def read_numbers(body: bytes) -> list[int]:
-    """Return the numbers of the events in a body."""
+    """Return the event ids in a body."""
     lines = body.split(b"\n")
     return [int(line[4:]) for line in lines if line.startswith(b"id: ")]
 
 
 def read_text(body: bytes) -> str:
-    """Return the text that the events in a body add up to."""
+    """Return the concatenated text of the events in a body."""
     lines = [line[6:] for line in body.split(b"\n") if line.startswith(b"data: {")]
     chunks = [read_chunk(line) for line in lines if b'"error"' not in line]
     return "".join(get_text(chunk) for chunk in chunks)
--- a/tests/support/engines.py
+++ b/tests/support/engines.py
@@ -1,4 +1,4 @@
-"""An engine whose behaviour at each request is scripted."""
+"""Define an engine with scripted behaviour for each request."""
 
 from __future__ import annotations
 
@@ -14,47 +14,47 @@
 )
 
 
-class Then(enum.Enum):
-    """What follows the events of a step."""
+class StepEnd(enum.Enum):
+    """The end of a response after its events."""
 
     END = enum.auto()
     CUT = enum.auto()
     SILENCE = enum.auto()
-    BEAT = enum.auto()
-    """Send heartbeats, but no events, for ever."""
+    HEARTBEAT = enum.auto()
+    """Send heartbeats forever, without events."""
 
 
 class Step(msgspec.Struct, frozen=True):
-    """How one POST or GET of a stream is answered."""
+    """The response to one POST or GET of a stream."""
 
-    until: int = 10**6
-    """Number of the first event that isn't sent."""
-    then: Then = Then.END
+    stop_before: int = 10**6
+    """The number of the first event that is not sent."""
+    then: StepEnd = StepEnd.END
     status: int = 200
-    """0 closes the connection without an answer."""
+    """0 closes the connection without a response."""
     echo: str | None = None
     incarnation: str = "i1"
     weights: str = "w1"
     skip: int | None = None
-    """An event that is left out."""
+    """The number of an event that is omitted."""
     head_delay_s: float = 0.0
-    is_repeating: bool = False
-    """Resume from the first event, whatever was asked for."""
+    restarts_numbering: bool = False
+    """Resume from the first event, regardless of the requested one."""
     quiet_until_s: float = 0.0
-    """Time on the clock before which there are neither events nor heartbeats."""
+    """Clock time before which neither events nor heartbeats are sent."""
     gap_s: float = 0.0
-    """Time before each event; a heartbeat comes in the middle of it."""
+    """Time before each event, with a heartbeat half-way."""
     joined: bytes = b""
-    """What comes in one packet behind the events, which then come in one, too."""
+    """Data sent in one write together with all events."""
 
 
 class ScriptedEngine:
-    """Answer with the tokens of one text; steps are used up in order."""
+    """Respond with the tokens of one text; each request consumes one step."""
 
     def __init__(self, tokens: tuple[str, ...], *steps: Step) -> None:
         self._tokens = tokens
         self._steps = list(steps)
-        self._resumed_after: dict[str, int] = {}
+        self._resumed_tokens: dict[str, int] = {}
         self.requests: list[HttpRequest] = []
         self.cancelled: list[str] = []
         self.events_sent = 0
@@ -84,12 +84,12 @@
             await responder.send(step.status, headers, b'{"error": "scripted"}')
             return
         first = int(request.headers.get("last-event-id", "-1")) + 1
-        if step.is_repeating:
+        if step.restarts_numbering:
             first = 0
         if request.method == "POST":
             done = int(request.headers.get("x-resume-text-tokens", "0"))
-            self._resumed_after[request_id] = done
-        done = self._resumed_after.get(request_id, 0)
+            self._resumed_tokens[request_id] = done
+        done = self._resumed_tokens.get(request_id, 0)
         stream = ("Content-Type", "text/event-stream")
         await responder.start(200, (stream, *headers))
         await self._send(responder, step, first, self._tokens[done:])
@@ -99,11 +99,11 @@
     ) -> None:
         await trio.sleep_until(step.quiet_until_s)
         if step.joined:
-            numbers = range(first, min(step.until, len(tokens) + 1))
+            numbers = range(first, min(step.stop_before, len(tokens) + 1))
             events = b"".join(_render(number, tokens) for number in numbers)
             await responder.write(events + step.joined)
-            first = step.until
-        for number in range(first, min(step.until, len(tokens) + 1)):
+            first = step.stop_before
+        for number in range(first, min(step.stop_before, len(tokens) + 1)):
             if step.gap_s:
                 await trio.sleep(step.gap_s / 2)
                 await responder.write(b": heartbeat\n\n")
@@ -112,12 +112,12 @@
                 await responder.write(_render(number, tokens))
                 self.events_sent += 1
         match step.then:
-            case Then.END:
+            case StepEnd.END:
                 await responder.write(b"data: [DONE]\n\n")
                 await responder.finish()
-            case Then.SILENCE:
+            case StepEnd.SILENCE:
                 await trio.sleep_forever()
-            case Then.BEAT:
+            case StepEnd.HEARTBEAT:
                 while True:
                     await trio.sleep(0.1)
                     await responder.write(b": heartbeat\n\n")
--- a/tests/toucanyard_node/test_client_server.py
+++ b/tests/toucanyard_node/test_client_server.py
@@ -12,14 +12,14 @@
 
 from support.callers import (
     AUTHORIZED,
+    ClientServerHarness,
     ScriptedCore,
-    ServedFace,
     build_completion,
     build_options,
-    serve_face,
-    serve_in_memory,
+    run_client_server,
+    run_client_server_in_memory,
 )
-from support.engines import ScriptedEngine, Step, Then
+from support.engines import ScriptedEngine, Step, StepEnd
 from toucanyard.names import Address, RequestId
 from toucanyard.requests import (
     CachedAnswer,
@@ -54,7 +54,7 @@
     ],
 )
 async def test_api_keys(headers: Headers, status: int) -> None:
-    async with serve_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.ask("GET", "/v1/models", headers)
         assert answer.status == status
         assert answer.headers["x-node"] == "n1"
@@ -62,7 +62,7 @@
 
 
 async def test_locate_needs_no_key() -> None:
-    async with serve_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.ask("GET", "/v1/locate", ())
         body = msgspec.json.decode(answer.body)
         assert (body["node"], body["keep_ms"]) == ("n1", 10_000)
@@ -93,13 +93,13 @@
 async def test_bad_requests(
     method: str, target: str, body: object, status: int, code: str
 ) -> None:
-    async with serve_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.ask(method, target, AUTHORIZED, body)
         error = read_error(answer)
         assert (answer.status, error["code"]) == (status, code)
         assert error["not_run"] is True
         assert "retry-after" not in answer.headers
-        (rejection,) = served.core.turned_away
+        (rejection,) = served.core.rejections
         assert rejection.refusal.request_id == answer.headers["x-request-id"]
         assert rejection.refusal.kind == code
 
@@ -107,10 +107,10 @@
 async def test_stranger_leaves_no_record() -> None:
     # Anyone can send requests without a key; recording them would evict the records
     # of customers.
-    async with serve_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.ask("GET", "/v1/nothing", (), "")
         assert answer.status == 401
-        assert not served.core.turned_away
+        assert not served.core.rejections
 
 
 @pytest.mark.parametrize(
@@ -125,13 +125,13 @@
     ],
 )
 async def test_bad_headers(header: tuple[str, str]) -> None:
-    async with serve_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         answer = await served.complete(headers=(*AUTHORIZED, header))
         assert read_error(answer)["code"] == "bad_request"
 
 
 async def test_refusal_of_core() -> None:
-    async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)]) as served:
         served.core.is_refusing = True
         answer = await served.complete()
         error = read_error(answer)
@@ -141,7 +141,7 @@
 
 
 async def test_request_as_core_sees_it() -> None:
-    async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)]) as served:
         headers = (*AUTHORIZED, ("Idempotency-Key", "k1"), ("X-Key-Age-Ms", "0"))
         body = {
             "model": "model:a",
@@ -162,7 +162,7 @@
 
 
 async def test_answer_kept_by_core() -> None:
-    async with serve_in_memory([]) as served:
+    async with run_client_server_in_memory([]) as served:
         kept = CachedAnswer(200, "text/event-stream", b"data: [DONE]\n\n")
         served.core.replay = Replay(RequestId("n1-x7-0"), kept)
         answer = await served.complete()
@@ -170,7 +170,9 @@
         assert answer.headers["content-type"] == kept.content_type
 
 
-async def ask_with_deadline(served: ServedFace, headers: Headers) -> dict[str, Any]:
+async def ask_with_deadline(
+    served: ClientServerHarness, headers: Headers
+) -> dict[str, Any]:
     answer = await served.complete(is_stream=False, headers=headers)
     error = read_error(answer)
     if error["retry_after_ms"] is not None:
@@ -198,8 +200,8 @@
 
     The caller gets an error at the deadline; only the queued request is "not run".
     """
-    engine = ScriptedEngine(TOKENS, Step(until=1, then=Then.BEAT))
-    async with serve_in_memory([engine]) as served:
+    engine = ScriptedEngine(TOKENS, Step(stop_before=1, then=StepEnd.HEARTBEAT))
+    async with run_client_server_in_memory([engine]) as served:
         served.core.is_waiting = is_queued
         started_s = trio.current_time()
         error = await ask_with_deadline(served, headers)
@@ -246,7 +248,7 @@
 
     Only the former proves that the request did not run.
     """
-    async with serve_in_memory([ScriptedEngine(TOKENS, step)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS, step)]) as served:
         answer = await served.complete(headers=headers)
         error = read_error(answer)
         assert (error["code"], error["not_run"]) == (code, is_not_run)
@@ -255,7 +257,7 @@
 
 async def test_not_sent() -> None:
     """Connecting to the engine fails, so no byte of the request was sent."""
-    async with serve_in_memory([ScriptedEngine(TOKENS)]) as served:
+    async with run_client_server_in_memory([ScriptedEngine(TOKENS)]) as served:
         assert served.network is not None
         served.network.remove(served.core.addresses[0])
         answer = await served.complete(headers=RUN_ONCE_HEADERS)
@@ -270,7 +272,7 @@
     response to the caller must not claim "not run".
     """
     lost = ScriptedEngine(TOKENS, Step(status=500))
-    async with serve_in_memory([lost]) as served:
+    async with run_client_server_in_memory([lost]) as served:
         served.core.is_refusing_retries = True
         answer = await served.complete()
         error = read_error(answer)
@@ -281,7 +283,7 @@
     """The first attempt is lost and the second is refused by its engine."""
     lost = ScriptedEngine(TOKENS, Step(status=500))
     refusing = ScriptedEngine(TOKENS, Step(status=503))
-    async with serve_in_memory([lost, refusing]) as served:
+    async with run_client_server_in_memory([lost, refusing]) as served:
         answer = await served.complete()
         assert read_error(answer)["not_run"] is False
         assert served.core.find_endings() == [
@@ -295,8 +297,10 @@
 
     A repeatable request is sent again on a new connection immediately.
     """
-    engine = ScriptedEngine(TOKENS, Step(), Step(until=0, then=Then.CUT, status=0))
-    async with serve_in_memory([engine]) as served:
+    engine = ScriptedEngine(
+        TOKENS, Step(), Step(stop_before=0, then=StepEnd.CUT, status=0)
+    )
+    async with run_client_server_in_memory([engine]) as served:
         await served.complete()
         answer = await served.complete()
         assert answer.status == 200
@@ -310,7 +314,7 @@
     A request that may run once is therefore never sent on a pooled connection.
     """
     engine = ScriptedEngine(TOKENS)
-    async with serve_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         await served.complete()
         await served.complete()
         await served.complete(headers=RUN_ONCE_HEADERS)
@@ -322,7 +326,7 @@
 async def test_engine_rejects_body() -> None:
     """A 4xx response of the engine is forwarded to the caller unchanged."""
     engine = ScriptedEngine(TOKENS, Step(status=422))
-    async with serve_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         assert (answer.status, answer.body) == (422, b'{"error": "scripted"}')
 
@@ -332,7 +336,9 @@
         build_options(),
         callers=msgspec.structs.replace(build_options().callers, max_body_bytes=100),
     )
-    async with serve_face(ScriptedCore([Address("127.0.0.1:1")]), options) as served:
+    async with run_client_server(
+        ScriptedCore([Address("127.0.0.1:1")]), options
+    ) as served:
         body = build_completion() | {"prompt": "x" * 1_000_000}
         answer = await served.ask("POST", "/v1/completions", AUTHORIZED, body)
         error = msgspec.json.decode(answer.body)["error"]
@@ -351,7 +357,7 @@
     would make a second hold under a new idempotency key.
     """
     headers = (("Authorization", "Bearer new"), ("Idempotency-Key", "k1"), *age)
-    async with serve_face(ScriptedCore([])) as served:
+    async with run_client_server(ScriptedCore([])) as served:
         answer = await served.ask("POST", "/v1/services/desk/holds", headers)
         assert answer.status == 401
         assert read_error(answer)["not_run"] is is_not_run
--- a/tests/toucanyard_node/test_service_handler.py
+++ b/tests/toucanyard_node/test_service_handler.py
@@ -14,13 +14,13 @@
 from standin_examples import control, read, start_service
 from support.callers import (
     AUTHORIZED,
+    ClientServerHarness,
     ScriptedCore,
-    ServedFace,
     build_completion,
     build_configuration,
     read_text,
-    serve_face,
-    serve_in_memory,
+    run_client_server,
+    run_client_server_in_memory,
 )
 from support.engines import ScriptedEngine, Step
 from toucanyard.names import Address
@@ -42,13 +42,13 @@
 @asynccontextmanager
 async def serve_desk(
     repeatable: tuple[str, ...] = (),
-) -> AsyncIterator[tuple[ServedFace, list[Address]]]:
+) -> AsyncIterator[tuple[ClientServerHarness, list[Address]]]:
     """Run a server with two replicas of a service; attempts use them in order."""
     async with trio.open_nursery() as nursery:
         addresses = [await start_service(nursery), await start_service(nursery)]
         core = ScriptedCore(addresses)
         core.configuration = build_configuration(repeatable)
-        async with serve_face(core) as served:
+        async with run_client_server(core) as served:
             yield served, addresses
         nursery.cancel_scope.cancel()
 
@@ -176,7 +176,7 @@
     used: the endpoint would execute a call that was reported as not run.
     """
     engine = ScriptedEngine(("a",))
-    async with serve_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         assert served.network is not None
         served.network.connect_delay_s = 0.2
         first = (("X-Key-Age-Ms", "0"), ("X-Deadline-Ms", "100"))
@@ -200,7 +200,7 @@
     its slot at the engine occupied.
     """
     engine = ScriptedEngine(("a", "b"), Step(head_delay_s=0.2))
-    async with serve_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         headers = (*KEYED_HEADERS, ("X-Deadline-Ms", "100"))
         answer = await served.ask(
             "POST", "/v1/completions", headers, build_completion()
@@ -246,7 +246,7 @@
     the core; otherwise its slot at the endpoint would stay occupied.
     """
     core = ScriptedCore([Address("nonsense")])
-    async with serve_face(core) as served:
+    async with run_client_server(core) as served:
         answer = await served.ask("POST", target, headers, build_completion())
         assert read_error(answer)["code"] == "internal"
         assert core.find_endings() == [DispatchEnding.CANCELLED]
--- a/tests/toucanyard_node/test_stream_ends.py
+++ b/tests/toucanyard_node/test_stream_ends.py
@@ -11,9 +11,9 @@
     build_completion,
     read_numbers,
     read_text,
-    serve_in_memory,
+    run_client_server_in_memory,
 )
-from support.engines import ScriptedEngine, Step, Then
+from support.engines import ScriptedEngine, Step, StepEnd
 from toucanyard.requests import DispatchEnding
 from toucanyard_node.http_client import Headers
 
@@ -44,10 +44,10 @@
     them, or its event numbers would have a gap, but not the failed engine's error.
     """
     first = ScriptedEngine(
-        TOKENS, Step(until=2, joined=bad), Step(status=404), Step(status=404)
+        TOKENS, Step(stop_before=2, joined=bad), Step(status=404), Step(status=404)
     )
     second = ScriptedEngine(TOKENS)
-    async with serve_in_memory([first, second]) as served:
+    async with run_client_server_in_memory([first, second]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         (asked,) = second.find_requests("POST")
@@ -61,7 +61,7 @@
     reason. The node resumes; otherwise the truncated stream would appear complete.
     """
     engine = ScriptedEngine(TOKENS, Step(skip=LAST_NUMBER))
-    async with serve_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         check_whole(answer.body)
         (resumed,) = engine.find_requests("GET")
@@ -72,7 +72,7 @@
     """The last event is missing at every attempt. The number of attempts is limited,
     and the stream ends with an error event for the caller."""
     engine = ScriptedEngine(TOKENS, *[Step(skip=LAST_NUMBER)] * 20)
-    async with serve_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete()
         assert read_text(answer.body) == TEXT
         assert b"[DONE]" not in answer.body
@@ -89,9 +89,9 @@
     The text is complete, so the node sends the end mark itself. With "outcome unknown"
     the caller would need manual clarification of a hold that it already has.
     """
-    steps = (Step(until=LAST_NUMBER + 1, then=Then.CUT), Step(status=404))
+    steps = (Step(stop_before=LAST_NUMBER + 1, then=StepEnd.CUT), Step(status=404))
     engine = ScriptedEngine(TOKENS, *steps)
-    async with serve_in_memory([engine]) as served:
+    async with run_client_server_in_memory([engine]) as served:
         answer = await served.complete(headers=headers)
         check_whole(answer.body)
         (outcome,) = served.core.outcomes
@@ -107,9 +107,9 @@
 
     The end of one choice must not end the stream, which would appear complete.
     """
-    steps = (Step(until=LAST_NUMBER + 1, then=Then.CUT), Step(status=404))
+    steps = (Step(stop_before=LAST_NUMBER + 1, then=StepEnd.CUT), Step(status=404))
     engines = [ScriptedEngine(TOKENS, *steps), ScriptedEngine(TOKENS)]
-    async with serve_in_memory(engines) as served:
+    async with run_client_server_in_memory(engines) as served:
         body = build_completion() | many
         answer = await served.ask("POST", "/v1/completions", AUTHORIZED, body)
         assert read_text(answer.body) == TEXT
@@ -127,10 +127,10 @@
     The reconnecting task is cancelled with the caller's connection. The task that takes
     over the stream continues from there, with every event once.
     """
-    steps = [Step(until=2, then=Then.SILENCE), Step(status=404)]
+    steps = [Step(stop_before=2, then=StepEnd.SILENCE), Step(status=404)]
     first = ScriptedEngine(TOKENS, *steps)
     others = [ScriptedEngine(TOKENS), ScriptedEngine(TOKENS)]
-    async with serve_in_memory([first, *others]) as served:
+    async with run_client_server_in_memory([first, *others]) as served:
         assert served.network is not None
         body = build_completion()
         connection = await served.open("POST", "/v1/completions", AUTHORIZED, body)
@@ -157,9 +157,9 @@
     minutes while another engine is idle.
     """
     engines = [ScriptedEngine(TOKENS), ScriptedEngine(TOKENS)]
-    async with serve_in_memory(engines) as served:
+    async with run_client_server_in_memory(engines) as served:
         assert served.network is not None
-        served.network.deaf.add(served.core.addresses[0])
+        served.network.blocked.add(served.core.addresses[0])
         with trio.fail_after(20):
             answer = await served.complete(is_stream)
         assert answer.status == 200
