--- a/packages/toucanyard-node/src/toucanyard_node/engine_client.py
+++ b/packages/toucanyard-node/src/toucanyard_node/engine_client.py
@@ -178,7 +178,7 @@
 
         Raise DispatchFailedError when the stream can't be resumed.
         """
-        asked_s = trio.current_time()
+        sent_s = trio.current_time()
         while True:
             if self._stream_fault or self._connection is None:
                 # There is no connection when the previous reader was cancelled while
@@ -193,7 +193,7 @@
                 # Time in which a slow caller delays reading is not idle time.
                 timer.waiting_since_s = math.inf
                 if chunk is not None:
-                    self._record_pause(asked_s)
+                    self._record_pause(sent_s)
                     return self._accept_chunk(chunk)
                 reason = "ended early"
             except (ConnectionFailedError, EventError) as error:
@@ -222,8 +222,8 @@
         self._watch.add(self._timer)
         return self._timer
 
-    def _record_pause(self, asked_s: float) -> None:
-        pause_ms = (trio.current_time() - asked_s) * 1000
+    def _record_pause(self, sent_s: float) -> None:
+        pause_ms = (trio.current_time() - sent_s) * 1000
         self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
 
     def _detach_connection(self) -> HttpConnection | None:
--- a/packages/toucanyard/src/toucanyard/call_placement.py
+++ b/packages/toucanyard/src/toucanyard/call_placement.py
@@ -129,7 +129,7 @@
         self._begin(pending, replica.name, tokens, placed.unread_tokens, now_ms)
         pending.scope = placed.scope
         read_ms = placed.wait_ms + placed.unread_tokens / self.usage.tokens_per_ms
-        self.block_index.note(
+        self.block_index.record(
             replica.name,
             placed.scope,
             prompt.parts,
@@ -190,7 +190,7 @@
     ) -> None:
         """Record that a store will hold the shared blocks of a prompt."""
         name, shared = compute_store_name(target_store), prompt.find_shared()
-        self.block_index.note(
+        self.block_index.record(
             name, placed.scope, shared, ready_ms, target_store.memory_tokens
         )
         for block in shared:
@@ -287,7 +287,7 @@
                         pending.replica, pending.scope, block.name, block.tokens, now_ms
                     )
             memory_tokens = service.engine.memory_tokens
-            self.block_index.note(
+            self.block_index.record(
                 pending.replica, pending.scope, prompt.parts, now_ms, memory_tokens
             )
 
--- a/packages/toucanyard/src/toucanyard/claims.py
+++ b/packages/toucanyard/src/toucanyard/claims.py
@@ -143,8 +143,8 @@
                     found.append(claim)
                 case AbandonRecord(claim_id=claim_id, name=name):
                     self.abandon(claim_id, name)
-                case HandoverRecord() as handed_over:
-                    found.append(handed_over)
+                case HandoverRecord() as handover:
+                    found.append(handover)
         return found
 
     def give_up(self, claim_id: str, now_ms: float) -> None:
--- a/packages/toucanyard/src/toucanyard/known_facts.py
+++ b/packages/toucanyard/src/toucanyard/known_facts.py
@@ -39,7 +39,7 @@
         "_weight_targets",
         "_guard",
         "_invalid",
-        "_roster",
+        "_node_directory",
         "index",
     )
 
@@ -54,7 +54,7 @@
         self.index = RouteIndex(RouteTable())
         self._directory = directory
         self._weight_targets = weight_targets
-        self._roster = node_directory
+        self._node_directory = node_directory
         self._flow = flow
         self._guard = guard
         self._invalid = LogRateLimit("record_invalid")
@@ -87,7 +87,7 @@
                     if current is not None:
                         removed.append(current.replica.name)
                 case NodeRecord(name=node):
-                    self._roster.remove(node)
+                    self._node_directory.remove(node)
                     yield LogEntry("node_gone", {"node": node, "source": source})
                 case QuarantinedRequest() as quarantined:
                     self._guard.on_record_removed(quarantined)
@@ -134,7 +134,7 @@
             case Replica():
                 yield from self._apply_replica(fact, source, now_ms)
             case NodeRecord(name=node):
-                self._roster.apply(fact)
+                self._node_directory.apply(fact)
                 yield LogEntry("node_known", {"node": node, "source": source})
             case QuarantinedRequest():
                 self._guard.apply_record(fact, source, now_ms)
--- a/packages/toucanyard/src/toucanyard/leases.py
+++ b/packages/toucanyard/src/toucanyard/leases.py
@@ -62,7 +62,7 @@
     """
 
     __slots__ = (
-        "_asked_ms",
+        "_requested_ms",
         "_end",
         "_fence",
         "_holder",
@@ -83,7 +83,7 @@
         self._seen_end = 0
         self._fence = -1
         self._until_ms = float("-inf")
-        self._asked_ms = float("-inf")
+        self._requested_ms = float("-inf")
         self._is_awaiting = False
 
     def find_lease(self, now_ms: float) -> Lease | None:
@@ -145,7 +145,7 @@
         `rank` is the number of live nodes that precede this one. A leaving node may
         renew a lease that it holds but does not acquire one.
         """
-        if self._is_awaiting and now_ms - self._asked_ms < REQUEST_TIMEOUT_MS:
+        if self._is_awaiting and now_ms - self._requested_ms < REQUEST_TIMEOUT_MS:
             return None
         if now_ms < self._until_ms - RENEW_MS:
             return None
@@ -165,7 +165,7 @@
         return AppendLease(msgspec.json.encode(own), self._end)
 
     def _read_as_standby(self, rank: int, now_ms: float) -> ReadLeases | None:
-        is_due = now_ms - self._asked_ms >= FOLLOWER_READ_MS
+        is_due = now_ms - self._requested_ms >= FOLLOWER_READ_MS
         if rank >= MAX_FOLLOWERS or not is_due:
             return None
         self._record_request(now_ms)
@@ -183,7 +183,7 @@
 
     def _record_request(self, now_ms: float) -> None:
         self._is_awaiting = True
-        self._asked_ms = now_ms
+        self._requested_ms = now_ms
 
     def _is_own(self, record: LeaseRecord) -> bool:
         own = self._identity
--- a/packages/toucanyard/src/toucanyard/limit_coordinators.py
+++ b/packages/toucanyard/src/toucanyard/limit_coordinators.py
@@ -43,7 +43,7 @@
         knows_nodes: Callable[[], bool],
         strategy: LimitStrategy,
     ) -> None:
-        self._roster = node_directory
+        self._node_directory = node_directory
         self.own = node_directory.own_name
         self._count_group = count_group
         self._knows_nodes = knows_nodes
@@ -108,7 +108,9 @@
     def find_next_hop(self, subject: str) -> NodeName | None:
         """Return a credit request's next hop: the coordinator or this node's hub."""
         coordinator = self.find_coordinator(subject)
-        return self._roster.find_primary() if coordinator is None else coordinator
+        return (
+            self._node_directory.find_primary() if coordinator is None else coordinator
+        )
 
     def compute_share(self, subject: str) -> float:
         """Return the share of a limit that is delegated to this node."""
@@ -124,7 +126,7 @@
     def _update(self, now_ms: float) -> None:
         self._updated_ms = now_ms
         self.settle(now_ms)
-        self.total = self._roster.count_nodes(now_ms)
+        self.total = self._node_directory.count_nodes(now_ms)
         candidates = self._find_candidates(now_ms)
         if candidates != self._candidates:
             self._candidates = candidates
@@ -143,23 +145,23 @@
         own = frozenset((self.own,))
         if self._strategy is LimitStrategy.EQUAL_SHARES:
             return own
-        ready = self._roster.list_ready_linked()
-        if self._roster.is_full_mesh():
+        ready = self._node_directory.list_ready_linked()
+        if self._node_directory.is_full_mesh():
             return self._add_own(ready)
-        plan = self._roster.plan
+        plan = self._node_directory.plan
         if plan.is_hub():
             return self._add_own(name for name in ready if name in plan.hubs)
-        if self._hub_seen_ms is None or self._roster.find_primary() is not None:
+        if self._hub_seen_ms is None or self._node_directory.find_primary() is not None:
             self._hub_seen_ms = now_ms
         return own if now_ms - self._hub_seen_ms > HUB_LOSS_TIMEOUT_MS else frozenset()
 
     def _add_own(self, names: Iterable[NodeName]) -> frozenset[NodeName]:
         found = set(names)
-        if self._roster.is_ready or not found:
+        if self._node_directory.is_ready or not found:
             found.add(self.own)
         return frozenset(found)
 
     def _is_single_node_group(self) -> bool:
         """Return whether this node represents only itself."""
         is_equal = self._strategy is LimitStrategy.EQUAL_SHARES
-        return is_equal or self._roster.is_full_mesh()
+        return is_equal or self._node_directory.is_full_mesh()
--- a/packages/toucanyard/src/toucanyard/limit_delegations.py
+++ b/packages/toucanyard/src/toucanyard/limit_delegations.py
@@ -102,8 +102,8 @@
     def _expire(self, now_ms: float) -> None:
         ended = [
             group
-            for group, (heard_ms, _) in self._delegations.items()
-            if now_ms - heard_ms > DELEGATION_TTL_MS
+            for group, (received_ms, _) in self._delegations.items()
+            if now_ms - received_ms > DELEGATION_TTL_MS
         ]
         for group in ended:
             self._drop(group)
--- a/packages/toucanyard/src/toucanyard/limit_events.py
+++ b/packages/toucanyard/src/toucanyard/limit_events.py
@@ -59,8 +59,8 @@
         self, sender: NodeName, status: NodeStatus, now_ms: float
     ) -> Iterator[RelayAction]:
         """Apply a peer's delegation and the replica limits that it knows."""
-        if status.pledge is not None:
-            self._shares.receive_delegation(sender, status.pledge, now_ms)
+        if status.delegation is not None:
+            self._shares.receive_delegation(sender, status.delegation, now_ms)
         before = self._replica_limits.change_count
         yield from self._replica_limits.apply(status.replica_limits, sender, now_ms)
         self._announce_changes(before)
--- a/packages/toucanyard/src/toucanyard/link_messages.py
+++ b/packages/toucanyard/src/toucanyard/link_messages.py
@@ -159,7 +159,7 @@
 
     is_ready: bool
     views: tuple[ViewStatus, ...]
-    uses: tuple[ReplicaUsageReport, ...] = ()
+    usage: tuple[ReplicaUsageReport, ...] = ()
     replica_updates: tuple[ReplicaUpdate, ...] = ()
     parts: tuple[PromptBlockRead, ...] = ()
     weight_targets: tuple[TargetWeightsAge, ...] = ()
@@ -173,7 +173,7 @@
     """The newest incarnations of replicas that have recently restarted."""
     crashes: tuple[ReplicaCrash, ...] = ()
     survivals: tuple[RequestSurvival, ...] = ()
-    pledge: ShareDelegation | None = None
+    delegation: ShareDelegation | None = None
     """To whom the sender's group delegates its shares of limits; None if unstated."""
     replica_limits: tuple[ReplicaLimitUpdate, ...] = ()
     """Limits of replicas that have recently changed."""
--- a/packages/toucanyard/src/toucanyard/order_reads.py
+++ b/packages/toucanyard/src/toucanyard/order_reads.py
@@ -29,11 +29,11 @@
 class StateReads:
     """When each endpoint of one pool was last read, and all without changes."""
 
-    __slots__ = ("_all_asked_ms", "_asked_ms", "is_quiet")
+    __slots__ = ("_all_requested_ms", "_requested_ms", "is_quiet")
 
     def __init__(self) -> None:
-        self._asked_ms: dict[EndpointName, float] = {}
-        self._all_asked_ms = float("-inf")
+        self._requested_ms: dict[EndpointName, float] = {}
+        self._all_requested_ms = float("-inf")
         self.is_quiet = False
         """Whether the last choice found no endpoint that needs a change."""
 
@@ -46,8 +46,8 @@
         chosen += self._find_oldest(by_reason[ReadReason.CHANGING], _MAX_CHANGING_READS)
         # All at once, since each answer triggers a plan that examines the whole pool.
         quiet_ms = max(_QUIET_MS, _QUIET_MS_PER_ENDPOINT * len(pool.endpoints))
-        if now_ms - self._all_asked_ms >= quiet_ms:
-            self._all_asked_ms = now_ms
+        if now_ms - self._all_requested_ms >= quiet_ms:
+            self._all_requested_ms = now_ms
             chosen += by_reason[ReadReason.NONE]
         return self._ask(chosen, orders, now_ms)
 
@@ -57,7 +57,7 @@
         """Return those that were read longest ago."""
         if len(endpoints) <= most:
             return endpoints
-        asked_ms = self._asked_ms
+        asked_ms = self._requested_ms
         return nsmallest(
             most, endpoints, key=lambda each: asked_ms.get(each.name, float("-inf"))
         )
@@ -66,6 +66,6 @@
         self, chosen: Sequence[Endpoint], orders: PoolOrders, now_ms: float
     ) -> list[ReadState]:
         for endpoint in chosen:
-            self._asked_ms[endpoint.name] = now_ms
+            self._requested_ms[endpoint.name] = now_ms
             orders.record_read_sent(endpoint.name, now_ms)
         return [ReadState(each.name, each.address) for each in chosen]
--- a/packages/toucanyard/src/toucanyard/pool_leases.py
+++ b/packages/toucanyard/src/toucanyard/pool_leases.py
@@ -188,9 +188,9 @@
     def release(self, now_ms: float) -> list[AppendToLog]:
         """Release all leases, for a planned stop; none is held afterwards."""
         appends: list[AppendToLog] = []
-        for duty in self.find_held(now_ms):
-            self._leases[duty.pool].until_ms = float("-inf")
-            append = self._append(duty.pool, duty.fence, now_ms, is_release=True)
+        for held in self.find_held(now_ms):
+            self._leases[held.pool].until_ms = float("-inf")
+            append = self._append(held.pool, held.fence, now_ms, is_release=True)
             appends.append(append)
         return appends
 
--- a/packages/toucanyard/src/toucanyard/prompt_block_index.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_index.py
@@ -53,7 +53,7 @@
     def __init__(self) -> None:
         self._contents: dict[EndpointName, _HolderContents] = {}
 
-    def note(
+    def record(
         self,
         replica: EndpointName,
         scope: str,
--- a/packages/toucanyard/src/toucanyard/prompt_block_sources.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_sources.py
@@ -70,13 +70,13 @@
 class PromptBlockSources:
     """The holders that this node follows, and the stores that it may use."""
 
-    __slots__ = ("_directory", "_last_answers", "_roster")
+    __slots__ = ("_directory", "_last_answers", "_node_directory")
 
     def __init__(
         self, directory: ReplicaDirectory, node_directory: NodeDirectory
     ) -> None:
         self._directory = directory
-        self._roster = node_directory
+        self._node_directory = node_directory
         self._last_answers: dict[EndpointName, _LastAnswer] = {}
 
     def record_answer(
@@ -151,9 +151,11 @@
         now_ms: float,
     ) -> bool:
         capacity = max(follower_limit - SPARE_FOLLOWERS, 1)
-        if self._roster.count_nodes(now_ms) <= capacity:
+        if self._node_directory.count_nodes(now_ms) <= capacity:
             return True
         # In a large fleet hashing and peers' reports have to suffice for replicas:
         # polling a tenth of 70 replicas takes 5% of a core.
         capacity = min(capacity, STORE_FOLLOWERS)
-        return is_store and self._roster.find_rank(holder.name, now_ms) < capacity
+        return (
+            is_store and self._node_directory.find_rank(holder.name, now_ms) < capacity
+        )
--- a/packages/toucanyard/src/toucanyard/prompt_block_updates.py
+++ b/packages/toucanyard/src/toucanyard/prompt_block_updates.py
@@ -55,7 +55,7 @@
         for each in blocks:
             memory_tokens = self._find_memory(each.replica)
             if memory_tokens:
-                self._block_index.note(
+                self._block_index.record(
                     each.replica,
                     each.scope,
                     (PromptBlock(each.part, each.tokens),),
--- a/packages/toucanyard/src/toucanyard/rate_limits.py
+++ b/packages/toucanyard/src/toucanyard/rate_limits.py
@@ -94,8 +94,8 @@
 
     def compute_credit_ms(self, limit: RateLimit) -> float:
         """Return the time to live of credit from its request on, in ms."""
-        life_s = self._compute_margin(limit) * MARGIN_FRACTION / limit.rate_per_s
-        return min(max(life_s * 1_000, MIN_CREDIT_MS), self.max_credit_ms)
+        ttl_s = self._compute_margin(limit) * MARGIN_FRACTION / limit.rate_per_s
+        return min(max(ttl_s * 1_000, MIN_CREDIT_MS), self.max_credit_ms)
 
     def _compute_allowed(self, limit: RateLimit) -> float:
         return limit.rate_per_s * self.window_ms / 1_000 + limit.burst
--- a/packages/toucanyard/src/toucanyard/replica_gossip.py
+++ b/packages/toucanyard/src/toucanyard/replica_gossip.py
@@ -37,7 +37,7 @@
     """Updates on replicas, from this node and from its peers."""
 
     __slots__ = (
-        "_book",
+        "_block_index",
         "_changed_ms",
         "_changing",
         "_directory",
@@ -47,10 +47,13 @@
     )
 
     def __init__(
-        self, directory: ReplicaDirectory, book: PromptBlockIndex, rng: random.Random
+        self,
+        directory: ReplicaDirectory,
+        block_index: PromptBlockIndex,
+        rng: random.Random,
     ) -> None:
         self._directory = directory
-        self._book = book
+        self._block_index = block_index
         self._rng = rng
         self._pauses: dict[EndpointName, _Pause] = {}
         self._seen = SeenUpdates(MAX_SEEN_UPDATES)
@@ -134,6 +137,6 @@
             has_changed = True
         for model, version in update.weights:
             if known.record_weights(model, version):
-                self._book.forget(update.replica)
+                self._block_index.forget(update.replica)
                 has_changed = True
         return has_changed
--- a/packages/toucanyard/src/toucanyard/request_guard.py
+++ b/packages/toucanyard/src/toucanyard/request_guard.py
@@ -56,7 +56,7 @@
         "_directory",
         "_find_rank",
         "_is_urgent",
-        "_notes",
+        "_log_entries",
         "_policy",
         "detector",
         "ledger",
@@ -76,7 +76,7 @@
         self.ledger = CrashLedger()
         self.detector = CrashDetector(directory)
         self.quarantine = Quarantine(find_rank, rng)
-        self._notes: list[LogEntry] = []
+        self._log_entries: list[LogEntry] = []
         self._is_urgent = False
 
     def check(
@@ -195,7 +195,7 @@
 
     def has_updates(self) -> bool:
         """Return whether there is anything to log or to send to peers."""
-        return self._is_urgent or bool(self._notes)
+        return self._is_urgent or bool(self._log_entries)
 
     def take_urgent(self) -> bool:
         """Return whether a status should be sent at once, and reset that."""
@@ -204,8 +204,8 @@
 
     def take_log_entries(self) -> Iterator[LogEntry]:
         """Return and remove the pending log entries."""
-        notes, self._notes = self._notes, []
-        yield from notes
+        entries, self._log_entries = self._log_entries, []
+        yield from entries
 
     def _check_suspect(
         self,
@@ -279,7 +279,7 @@
                 "requests": ",".join(added[:MAX_LOGGED]),
                 "source": source,
             }
-            self._notes.append(LogEntry("replica_crashed", fields))
+            self._log_entries.append(LogEntry("replica_crashed", fields))
             known = self._directory.find(replica)
             if known is not None:
                 known.record_crash(at_ms)
@@ -305,7 +305,7 @@
             "age_ms": round(now_ms - at_ms),
             "source": source,
         }
-        self._notes.append(LogEntry("suspect_survived", fields))
+        self._log_entries.append(LogEntry("suspect_survived", fields))
         entry = self.quarantine.find(fingerprint)
         is_cleared = self.ledger.assess(fingerprint, now_ms) is not Suspicion.CONFIRMED
         if entry is not None and is_cleared:
@@ -321,4 +321,4 @@
             "route": request.route,
             "replicas": ",".join(request.replicas[-MAX_LOGGED:]),
         }
-        self._notes.append(LogEntry(event, known | fields))
+        self._log_entries.append(LogEntry(event, known | fields))
--- a/packages/toucanyard/src/toucanyard/rollout_leader.py
+++ b/packages/toucanyard/src/toucanyard/rollout_leader.py
@@ -60,10 +60,10 @@
     __slots__ = (
         "_directory",
         "_weight_targets",
-        "_roster",
+        "_node_directory",
         "_rollouts",
         "_leases",
-        "_uses",
+        "_usage",
         "_work",
         "_identity",
         "_scanned_ms",
@@ -78,7 +78,7 @@
         directory: ReplicaDirectory,
         weight_targets: TargetWeightsTable,
         node_directory: NodeDirectory,
-        uses: ReplicaUsage,
+        usage: ReplicaUsage,
         policy: RolloutPolicy,
     ) -> None:
         self._policy = policy
@@ -86,8 +86,8 @@
         self._identity = identity
         self._directory = directory
         self._weight_targets = weight_targets
-        self._roster = node_directory
-        self._uses = uses
+        self._node_directory = node_directory
+        self._usage = usage
         self._leases = Leases(identity, float(timings.lease_ms))
         self._rollouts: dict[str, WeightsRollout] = {}
         self._work = _Work()
@@ -140,13 +140,13 @@
             self._work = _Work(since_ms=now_ms)
         actions: list[RolloutAction] = []
         holder = self._leases.find_holder()
-        is_alive = self._roster.is_alive(holder, now_ms)
-        rank = self._roster.find_rank("orders", now_ms)
-        asked = self._leases.tick(
+        is_alive = self._node_directory.is_alive(holder, now_ms)
+        rank = self._node_directory.find_rank("orders", now_ms)
+        request = self._leases.tick(
             self._work.since_ms or now_ms, rank, is_alive, now_ms, is_leaving=is_leaving
         )
-        if asked is not None:
-            actions.append(asked)
+        if request is not None:
+            actions.append(request)
         lease = self._leases.find_lease(now_ms)
         if lease is None:
             for rollout in self._rollouts.values():
@@ -160,10 +160,12 @@
                 model, WeightsRollout(self._identity.node, self._policy)
             )
             loads = {
-                each.replica.name: self._uses.compute(each.replica.name, now_ms).running
+                each.replica.name: self._usage.compute(
+                    each.replica.name, now_ms
+                ).running
                 for each in replicas
             }
-            is_near = self._roster.is_full_mesh()
+            is_near = self._node_directory.is_full_mesh()
             announce_ms = ANNOUNCE_MS if is_near else HUB_ANNOUNCE_MS
             actions += rollout.plan(
                 model,
@@ -200,7 +202,7 @@
         if not is_due:
             return []
         self._work = _Work()
-        if self._roster.find_rank("orders", now_ms) >= MAX_FOLLOWERS:
+        if self._node_directory.find_rank("orders", now_ms) >= MAX_FOLLOWERS:
             return []
         return [ReadLeases(0)]
 
--- a/packages/toucanyard/src/toucanyard/snapshots.py
+++ b/packages/toucanyard/src/toucanyard/snapshots.py
@@ -185,7 +185,7 @@
         self._transfer = 0
         self._received: list[bytes] = []
         self._size = 0
-        self._asked_ms = 0.0
+        self._requested_ms = 0.0
         self._peer_started_ms = 0.0
         self._retry_at_ms: float | None = None
         self.snapshot: Snapshot | None = None
@@ -205,7 +205,7 @@
         if self._retry_at_ms is not None and now_ms >= self._retry_at_ms:
             self._retry_at_ms = None
             return self._request_part(now_ms)
-        if now_ms - self._asked_ms > _TIMEOUT_MS:
+        if now_ms - self._requested_ms > _TIMEOUT_MS:
             return self._try_next(now_ms)
         return None
 
@@ -242,7 +242,7 @@
             return self._try_next(now_ms)
         wait_ms = min(max(message.retry_after_ms, 10.0), _TIMEOUT_MS / 2)
         self._retry_at_ms = now_ms + wait_ms * self._rng.uniform(1.0, 1.5)
-        self._asked_ms = now_ms
+        self._requested_ms = now_ms
         return None
 
     def _try_next(self, now_ms: float) -> SendRequest | None:
@@ -258,6 +258,6 @@
 
     def _request_part(self, now_ms: float) -> SendRequest:
         assert self._peer is not None
-        self._asked_ms = now_ms
+        self._requested_ms = now_ms
         request = SnapshotRequest(self._transfer, len(self._received))
         return SendRequest(self._peer, request)
--- a/packages/toucanyard/src/toucanyard/status_exchange.py
+++ b/packages/toucanyard/src/toucanyard/status_exchange.py
@@ -59,7 +59,7 @@
         self,
         node_directory: NodeDirectory,
         views: ViewExchange,
-        uses: ReplicaUsage,
+        usage: ReplicaUsage,
         reports: PromptBlockReports,
         gossip: ReplicaGossip,
         replica_limits: ReplicaLimits,
@@ -67,12 +67,12 @@
         weight_targets: TargetWeightsTable,
         list_stores: Callable[[float], Iterable[PromptStoreUpdate]],
         link_mbps: float,
-        find_pledge: Callable[[], ShareDelegation | None] = lambda: None,
+        find_delegation: Callable[[], ShareDelegation | None] = lambda: None,
     ) -> None:
-        self._find_pledge = find_pledge
+        self._find_delegation = find_delegation
         self._node_directory = node_directory
         self._views = views
-        self._uses = uses
+        self._usage = usage
         self._reports = reports
         self._gossip = gossip
         self._replica_limits = replica_limits
@@ -107,8 +107,8 @@
         """Record the currently linked peers."""
         self._members.intersection_update(names)
         # A hub's report on the fleet stays valid until another hub takes over.
-        for name in set(self._uses.list_peers()).difference(names, (FLEET,)):
-            self._uses.forget_peer(name)
+        for name in set(self._usage.list_peers()).difference(names, (FLEET,)):
+            self._usage.forget_peer(name)
         peers = frozenset(
             name for name in names if self._find_audience(name) is Audience.PEERS
         )
@@ -157,7 +157,7 @@
         if not is_full_mesh:
             self._mark_urgent()
         # Hubs report for others, whose calls begin and end all the time.
-        is_quiet = not self._members and not self._uses.has_updates()
+        is_quiet = not self._members and not self._usage.has_updates()
         audiences = self._schedule.find_due(
             now_ms, is_full_mesh=is_full_mesh, is_quiet=is_quiet
         )
@@ -169,7 +169,7 @@
         yield from self._send(set(Audience), is_ready, now_ms)
 
     def _mark_urgent(self) -> None:
-        if self._reports.is_urgent or self._uses.is_urgent:
+        if self._reports.is_urgent or self._usage.is_urgent:
             self._schedule.mark_due(Audience.PEERS)
         if self._remote_reports.is_urgent:
             self._schedule.mark_due(Audience.GROUP)
@@ -197,7 +197,7 @@
             self._members.add(sender)
         elif sender in self._members:
             self._members.discard(sender)
-            self._uses.forget_peer(sender)
+            self._usage.forget_peer(sender)
         if status.nodes is not None:
             has_node_updates |= self._node_directory.record_hub_report(
                 sender, status.nodes, now_ms
@@ -205,10 +205,10 @@
         has_long_call = False
         match status.covers:
             case Coverage.GROUP:
-                has_long_call = self._uses.apply_peer(sender, status.uses, now_ms)
+                has_long_call = self._usage.apply_peer(sender, status.usage, now_ms)
             case Coverage.FLEET if sender == self._node_directory.find_primary():
-                self._uses.apply_fleet(status.uses, now_ms)
-        self._forward_parts(sender, status.parts, now_ms)
+                self._usage.apply_fleet(status.usage, now_ms)
+        self._forward_block_reads(sender, status.parts, now_ms)
         for each in status.weight_targets:
             self._weight_targets.record_age(
                 each.model, each.version, each.age_ms, now_ms
@@ -241,7 +241,7 @@
         if has_node_updates:
             self._node_list_ms.update(dict.fromkeys(others, float("-inf")))
 
-    def _forward_parts(
+    def _forward_block_reads(
         self, sender: NodeName, parts: Iterable[PromptBlockRead], now_ms: float
     ) -> None:
         if not self._members:
@@ -262,9 +262,9 @@
         status = msgspec.structs.replace(
             self._build_base(now_ms),
             covers=Coverage.GROUP,
-            uses=self._uses.report(),
+            usage=self._usage.report(),
             parts=self._reports.take(0, now_ms),
-            pledge=self._find_pledge(),
+            delegation=self._find_delegation(),
         )
         for name in self._views.linked:
             yield SendToPeer(name, status)
@@ -293,15 +293,15 @@
         primary = self._node_directory.find_primary()
         full_ms = self._find_full_interval()
         changes: dict[str, object] = {"parts": parts, "is_report": primary is not None}
-        changes["pledge"] = self._find_pledge()
+        changes["delegation"] = self._find_delegation()
         if _start_interval(self._node_list_ms, Audience.PEERS, NODE_LIST_MS, now_ms):
             nodes = self._node_directory.list_responsive(sorted(self._members), now_ms)
             changes["nodes"] = tuple(nodes)
         if _start_interval(self._full_ms, Audience.PEERS, full_ms, now_ms):
-            own = self._uses.report()
+            own = self._usage.report()
             group = self._members - {primary}
             changes["covers"] = Coverage.GROUP
-            changes["uses"] = self._uses.sum_group(own, group, now_ms)
+            changes["usage"] = self._usage.sum_group(own, group, now_ms)
         return msgspec.structs.replace(base, **changes)
 
     def _build_fleet(
@@ -313,11 +313,11 @@
         if _start_interval(self._node_list_ms, Audience.GROUP, NODE_LIST_MS, now_ms):
             changes["nodes"] = tuple(self._node_directory.list_alive(now_ms))
         if _start_interval(self._full_ms, Audience.GROUP, full_ms, now_ms):
-            peers = list(self._uses.list_peers())
-            uses = self._uses.sum_group(self._uses.list_own(), peers, now_ms)
+            peers = list(self._usage.list_peers())
+            usage = self._usage.sum_group(self._usage.list_own(), peers, now_ms)
             changes["covers"] = Coverage.FLEET
-            changes["uses"] = uses
-            self._full_bytes = len(uses) * USAGE_BYTES
+            changes["usage"] = usage
+            self._full_bytes = len(usage) * USAGE_BYTES
         return msgspec.structs.replace(base, **changes)
 
     def _find_audience(self, name: NodeName) -> Audience:
--- a/packages/toucanyard/src/toucanyard/store_reads.py
+++ b/packages/toucanyard/src/toucanyard/store_reads.py
@@ -23,12 +23,12 @@
 class StoreReads:
     """When the next read of each topic is due on one node, and when the last began."""
 
-    __slots__ = ("_asked_ms", "_exchange", "_outdated", "_roster")
+    __slots__ = ("_requested_ms", "_exchange", "_outdated", "_node_directory")
 
     def __init__(self, node_directory: NodeDirectory, exchange: ViewExchange) -> None:
-        self._roster = node_directory
+        self._node_directory = node_directory
         self._exchange = exchange
-        self._asked_ms = dict.fromkeys(Topic, float("-inf"))
+        self._requested_ms = dict.fromkeys(Topic, float("-inf"))
         self._outdated: set[Topic] = set()
 
     def is_due(self, topic: Topic, now_ms: float) -> bool:
@@ -38,13 +38,13 @@
     def find_due(self, topic: Topic, now_ms: float) -> float:
         """Return when this node should read a topic, by its current state."""
         if topic in self._outdated:
-            return self._asked_ms[topic] + RETRY_MS
+            return self._requested_ms[topic] + RETRY_MS
         due_ms = compute_due(
             topic,
-            self._roster.find_rank(topic.value, now_ms),
+            self._node_directory.find_rank(topic.value, now_ms),
             self._exchange.views[topic].confirmed_ms,
-            self._asked_ms[topic],
-            is_full_mesh=self._roster.is_full_mesh(),
+            self._requested_ms[topic],
+            is_full_mesh=self._node_directory.is_full_mesh(),
         )
         if topic is not Topic.OPERATOR or not self._is_store_silent(now_ms):
             return due_ms
@@ -52,20 +52,20 @@
         # available again. These reads are for a store that answers for some topics
         # only.
         if self.may_retry_read(topic, now_ms):
-            return max(due_ms, self._asked_ms[topic] + SILENT_RETRY_MS)
+            return max(due_ms, self._requested_ms[topic] + SILENT_RETRY_MS)
         return float("inf")
 
     def may_retry_read(self, topic: Topic, now_ms: float) -> bool:
         """Return whether to read a topic while an earlier read of it is pending."""
-        return self._roster.find_rank(topic.value, now_ms) <= MAX_RETRY_RANK
+        return self._node_directory.find_rank(topic.value, now_ms) <= MAX_RETRY_RANK
 
     def _is_store_silent(self, now_ms: float) -> bool:
         """Return whether the last answered read of replicas by any node is overdue."""
         topic = Topic.REPLICAS
         wanted_ms = compute_read_age(
             topic,
-            self._roster.find_rank(topic.value, now_ms),
-            is_full_mesh=self._roster.is_full_mesh(),
+            self._node_directory.find_rank(topic.value, now_ms),
+            is_full_mesh=self._node_directory.is_full_mesh(),
         )
         return (
             now_ms - self._exchange.views[topic].confirmed_ms
@@ -78,9 +78,9 @@
 
     def record_read_started(self, topic: Topic, now_ms: float) -> None:
         """Record that this node sends a read of a topic to the store."""
-        self._asked_ms[topic] = now_ms
+        self._requested_ms[topic] = now_ms
         self._outdated.discard(topic)
 
     def compute_poll_wait(self, draw: float, now_ms: float) -> float:
         """Return the wait of a long poll in ms, given a random number up to 1."""
-        return compute_poll_wait(self._roster.count_nodes(now_ms), draw)
+        return compute_poll_wait(self._node_directory.count_nodes(now_ms), draw)
--- a/packages/toucanyard/src/toucanyard/topic_updates.py
+++ b/packages/toucanyard/src/toucanyard/topic_updates.py
@@ -36,7 +36,7 @@
         "_exchange",
         "_facts",
         "_assumed_age_ms",
-        "_roster",
+        "_node_directory",
         "_statuses",
     )
 
@@ -52,7 +52,7 @@
         self._exchange = exchange
         self._facts = facts
         self._directory = directory
-        self._roster = node_directory
+        self._node_directory = node_directory
         self._statuses = statuses
         self._assumed_age_ms = weights_deadline_ms / 2
         """Assumed age of wanted weights that were in the store before this node's
@@ -62,7 +62,7 @@
         """Apply a read of the store."""
         view = self._exchange.views[read.topic]
         before, listed_ms = view.end, view.confirmed_ms
-        if read.topic is Topic.REPLICAS and not self._roster.is_full_mesh():
+        if read.topic is Topic.REPLICAS and not self._node_directory.is_full_mesh():
             # All nodes depend on the reader to confirm that the list is unchanged.
             self._statuses.mark_due()
         changes = self._exchange.apply_read(
@@ -106,7 +106,7 @@
         self, sender: NodeName, views: Sequence[ViewStatus], now_ms: float
     ) -> Iterator[RelayAction]:
         """Record how far a peer has read each topic, and send it what it lacks."""
-        hold_ms = 0.0 if self._roster.is_full_mesh() else POLLED_DELAY_MS
+        hold_ms = 0.0 if self._node_directory.is_full_mesh() else POLLED_DELAY_MS
         yield from self._exchange.handle_status(sender, views, now_ms, hold_ms=hold_ms)
         yield from self._update_availability()
 
--- a/tests/toucanyard/crash_fleet.py
+++ b/tests/toucanyard/crash_fleet.py
@@ -65,7 +65,7 @@
 BACK_MS = 2_500.0
 LAPSE_MS = 3_400.0
 CALL_MS = 5_000.0
-POISON = Fingerprint("poison")
+CRASHING_REQUEST = Fingerprint("poison")
 
 
 class Engine:
@@ -109,13 +109,13 @@
         self.reached: list[SentCall] = []
         self.crashes: list[tuple[float, EndpointName]] = []
         self.probes = 0
-        self.poison_answers = False
+        self.is_answered_before_crash = False
         """Whether a replica answers the request just before it crashes."""
         self.store_writes = 0
         self._numbers = count()
         self._due: list[tuple[float, int, Callable[[], None]]] = []
         self._by_id: dict[RequestId, Call] = {}
-        super().__init__(domains, nodes_each, way_ms=5.0)
+        super().__init__(domains, nodes_each, latency_ms=5.0)
         for number in range(replicas):
             address = Address(f"10.1.0.{number + 1}:80")
             self.engines[address] = Engine(address, "")
@@ -183,8 +183,8 @@
             return
         engine.calls[request_id] = call
         self.reached.append(SentCall(call, engine.name, self.now_ms))
-        if call.request.fingerprint == POISON:
-            if self.poison_answers:
+        if call.request.fingerprint == CRASHING_REQUEST:
+            if self.is_answered_before_crash:
                 self.after(START_MS, lambda: self._complete(call, engine))
             self.after(START_MS + CRASH_MS, lambda: self._crash_by(call, engine))
         else:
@@ -194,7 +194,7 @@
     def _crash_by(self, call: Call, engine: Engine) -> None:
         is_there = call.request.request_id in engine.calls
         is_current = engine is self.engines[engine.address]
-        if is_current and (is_there or self.poison_answers):
+        if is_current and (is_there or self.is_answered_before_crash):
             self.crash(engine.address)
 
     def _begin(self, call: Call, engine: Engine) -> None:
@@ -316,24 +316,27 @@
         self.handle(node, CallArrived(request))
         return call
 
-    def call_in_turn(
+    def call_round_robin(
         self,
         for_ms: float,
         *,
-        poison_ms: float | None = 300.0,
-        harmless_ms: float = 85.0,
+        crashing_interval_ms: float | None = 300.0,
+        harmless_interval_ms: float = 85.0,
         is_resumable: bool = True,
     ) -> None:
-        """Send poisoned and harmless calls to the nodes in turn for `for_ms`."""
+        """Send crashing and harmless calls to the nodes in rotation for `for_ms`."""
         names = [name for name in self.cores if name not in self.dead]
         begun_ms, end_ms = self.now_ms, self.now_ms + for_ms
-        poisoned = harmless = 0
+        crashing = harmless = 0
         while self.now_ms < end_ms:
-            if poison_ms and self.now_ms >= begun_ms + poisoned * poison_ms:
-                node = names[poisoned % len(names)]
-                self.call(node, POISON, is_resumable=is_resumable)
-                poisoned += 1
-            if self.now_ms >= begun_ms + harmless * harmless_ms:
+            if (
+                crashing_interval_ms
+                and self.now_ms >= begun_ms + crashing * crashing_interval_ms
+            ):
+                node = names[crashing % len(names)]
+                self.call(node, CRASHING_REQUEST, is_resumable=is_resumable)
+                crashing += 1
+            if self.now_ms >= begun_ms + harmless * harmless_interval_ms:
                 node = names[harmless % len(names)]
                 body = f"harmless-{next(self._numbers)}"
                 self.call(node, body, is_resumable=is_resumable)
@@ -423,20 +426,24 @@
             if key.startswith("quarantine/") and value is not None
         }
 
-    def list_poisoned(self) -> list[SentCall]:
+    def list_crashing_calls(self) -> list[SentCall]:
         """Return the calls that sent replicas the request that crashes them."""
-        return [s for s in self.reached if s.call.request.fingerprint == POISON]
+        return [
+            s for s in self.reached if s.call.request.fingerprint == CRASHING_REQUEST
+        ]
 
     def list_late(self, bound_ms: float) -> list[SentCall]:
-        """Return the poisoned calls sent more than `bound_ms` after the third crash."""
+        """Return the crashing calls sent more than `bound_ms` after the third crash."""
         if len(self.crashes) < 3:
             return []
         third_ms = self.crashes[2][0]
-        return [s for s in self.list_poisoned() if s.at_ms > third_ms + bound_ms]
+        return [s for s in self.list_crashing_calls() if s.at_ms > third_ms + bound_ms]
 
     def find_served_share(self) -> float:
         """Return the share of the harmless calls that were answered completely."""
         harmless = [
-            c for c in self.calls if c.ending and c.request.fingerprint != POISON
+            c
+            for c in self.calls
+            if c.ending and c.request.fingerprint != CRASHING_REQUEST
         ]
         return sum(c.ending == "completed" for c in harmless) / len(harmless)
--- a/tests/toucanyard/replica_limit_fleet.py
+++ b/tests/toucanyard/replica_limit_fleet.py
@@ -56,10 +56,10 @@
 
     def _begin(self, call: Call, engine: Engine) -> None:
         rate_per_s = self.announced_limits.get(engine.address)
-        is_asked = call.request.request_id in self._limited_calls
+        has_limited_dispatch = call.request.request_id in self._limited_calls
         if rate_per_s is not None:
             self.first_limit_seen_ms.setdefault(engine.name, self.now_ms)
-        if rate_per_s is not None or is_asked:
+        if rate_per_s is not None or has_limited_dispatch:
             self.handle(call.node, ReplicaLimitSeen(engine.name, rate_per_s))
         super()._begin(call, engine)
 
--- a/tests/toucanyard/store_fleet.py
+++ b/tests/toucanyard/store_fleet.py
@@ -54,10 +54,10 @@
         nodes_each: int,
         *,
         drain_ms: float = 2_000.0,
-        way_ms: float = 0.0,
+        latency_ms: float = 0.0,
     ) -> None:
         self._drain_ms = drain_ms
-        self._latency_ms = way_ms
+        self._latency_ms = latency_ms
         self._in_transit: list[tuple[float, NodeName, NodeName, RelayEvent]] = []
         self._failing: dict[NodeName, list[float]] = {}
         """When the pending reads that get no answer time out."""
@@ -67,7 +67,7 @@
         """Nodes to which the store does not answer."""
         self.cut_off: set[NodeName] = set()
         """Nodes that can reach neither the store nor each other."""
-        self.asked = 0
+        self.read_count = 0
         """Number of reads of the list sent to the store, answered or not."""
         self.sent: list[Sent] = []
         self.unsent: list[tuple[NodeName, float]] = []
@@ -150,7 +150,7 @@
         if failing and not core.reads.may_retry_read(Topic.REPLICAS, self.now_ms):
             return
         core.reads.record_read_started(Topic.REPLICAS, self.now_ms)
-        self.asked += 1
+        self.read_count += 1
         if name in self.store_away or name in self.cut_off:
             failing.append(self.now_ms + STORE_TIMEOUT_MS)
             return
--- a/tests/toucanyard/test_at_most_once.py
+++ b/tests/toucanyard/test_at_most_once.py
@@ -113,8 +113,8 @@
 def test_issued_key_waits_for_its_witness() -> None:
     issuer, backup = make_node("a"), make_node("b")
     view = PeerView(NodeName("b"), Incarnation("b1"), True)
-    asked = issuer.handle(PeersChanged((view,)), 0)
-    exchange(issuer, backup, asked, 0)
+    sent = issuer.handle(PeersChanged((view,)), 0)
+    exchange(issuer, backup, sent, 0)
     key = issuer.issue_prefix(1) + "mine"
     recording = issuer.handle(arrive("r1", key), 2)
     assert all(isinstance(each, SendToPeer) for each in recording)
@@ -237,9 +237,9 @@
     node.handle(read(0, make_claim("x", "k")), 0)
     node.handle(read_at(1, 760_000, make_claim("b", "k")), 740_000)
     node.handle(Ticked(), 760_000)
-    [asked] = node.handle(retry_at(760_000), 760_000)
-    assert isinstance(asked, SendToPeer)
-    assert asked.node == "b"
+    [sent] = node.handle(retry_at(760_000), 760_000)
+    assert isinstance(sent, SendToPeer)
+    assert sent.node == "b"
 
 
 def test_jump_of_the_logs_clock_proves_nothing_of_a_claim() -> None:
@@ -290,9 +290,9 @@
     own = find_append(node.handle(arrive("r1"), 0))
     node.handle(read_at(0, 0, own.text), 760_000)
     node.handle(read_at(1, 755_000, make_claim("b", "k")), 760_000)
-    [asked] = node.handle(retry_at(760_000), 760_000)
-    assert isinstance(asked, SendToPeer)
-    assert asked.node == "b"
+    [sent] = node.handle(retry_at(760_000), 760_000)
+    assert isinstance(sent, SendToPeer)
+    assert sent.node == "b"
 
 
 def test_question_about_an_earlier_claim_gets_no_word_of_the_later_one() -> None:
--- a/tests/toucanyard/test_at_most_once_handover.py
+++ b/tests/toucanyard/test_at_most_once_handover.py
@@ -183,14 +183,14 @@
     world.begin_stop(A)
     world.run_node(get_node(world, 0))
     lost, world.network = world.network, []
-    handed = [each for each in lost if isinstance(each.message, TransferKeys)]
-    assert {each.to for each in handed} == {B, C}
+    transfers = [each for each in lost if isinstance(each.message, TransferKeys)]
+    assert {each.to for each in transfers} == {B, C}
     for _ in range(14):
         world.run_rounds(1, None)
         world.advance(TICK_MS)
     world.kill(A)
     assert retry(world, 1, key) == "replayed"
-    for message in handed * 2:
+    for message in transfers * 2:
         world.deliver(message)
     assert retry(world, 2, key) == "replayed"
     assert get_node(world, 1).core.count_transferred() == 1
--- a/tests/toucanyard/test_configuration_in_force.py
+++ b/tests/toucanyard/test_configuration_in_force.py
@@ -87,9 +87,9 @@
     """All nodes restart together; one requests the state of a still replaying one."""
     core, log = build_core(), build_log(4)
     read(core, log, 0, 2)
-    asked = MessageRead(PEER, ConfigurationRequest(0))
-    actions = core.handle(asked, 1_000.0)
+    request = MessageRead(PEER, ConfigurationRequest(0))
+    actions = core.handle(request, 1_000.0)
     assert not any(isinstance(each, SendMessage) for each in actions)
     read(core, log, 2, 4)
-    actions = core.handle(asked, 1_000.0)
+    actions = core.handle(request, 1_000.0)
     assert any(isinstance(each, SendMessage) for each in actions)
--- a/tests/toucanyard/test_crashing_requests.py
+++ b/tests/toucanyard/test_crashing_requests.py
@@ -12,7 +12,15 @@
 from toucanyard.quarantine import RENEW_MS, TTL_MS, QuarantinedRequest, Release
 from toucanyard.request_guard import QUARANTINE_RETRY_MS
 
-from .crash_fleet import BACK_MS, LAPSE_MS, POISON, RUN_MS, START_MS, Call, CrashFleet
+from .crash_fleet import (
+    BACK_MS,
+    CRASHING_REQUEST,
+    LAPSE_MS,
+    RUN_MS,
+    START_MS,
+    Call,
+    CrashFleet,
+)
 from .relay_fleet import put
 
 STABLE_MS = 3_000.0
@@ -24,13 +32,15 @@
 
 def crash_until_quarantined(fleet: CrashFleet) -> None:
     before = len(fleet.crashes)
-    fleet.call_in_turn(2_000.0)
+    fleet.call_round_robin(2_000.0)
     assert len(fleet.crashes) - before <= CONFIRMED_CRASHES
     # After this a record is written and all nodes have read it.
     fleet.run_for(4_000.0)
 
 
-def call_everywhere(fleet: CrashFleet, fingerprint: str = POISON) -> list[Call]:
+def call_everywhere(
+    fleet: CrashFleet, fingerprint: str = CRASHING_REQUEST
+) -> list[Call]:
     """Send a request to each node, and wait until all calls have ended."""
     calls = [fleet.call(name, fingerprint) for name in fleet.cores]
     fleet.run_for(1_000.0)
@@ -63,7 +73,7 @@
 ) -> None:
     """Guards against counting attempts per call: each repeat counted as new."""
     fleet = CrashFleet(3, nodes_each)
-    fleet.call_in_turn(10_000.0, is_resumable=is_resumable)
+    fleet.call_round_robin(10_000.0, is_resumable=is_resumable)
     assert len(fleet.list_late(STABLE_MS)) <= MAX_RETRIES
 
 
@@ -74,7 +84,7 @@
 ) -> None:
     """Guards against waiting for the bound when the cause is already clear."""
     fleet = CrashFleet(3, nodes_each)
-    fleet.call_in_turn(10_000.0, is_resumable=is_resumable)
+    fleet.call_round_robin(10_000.0, is_resumable=is_resumable)
     assert len(fleet.crashes) <= CONFIRMED_CRASHES
 
 
@@ -84,15 +94,15 @@
 ) -> None:
     """Guards against one caller with three requests a second blocking all others."""
     fleet = CrashFleet(3, nodes_each)
-    fleet.call_in_turn(10_000.0)
+    fleet.call_round_robin(10_000.0)
     assert fleet.find_served_share() >= 0.97
 
 
 def test_request_that_is_answered_before_it_crashes_its_replica_is_known() -> None:
     """Guards against missing a crash in a replica's cleanup after its answer."""
     fleet = CrashFleet(3, 3)
-    fleet.poison_answers = True
-    fleet.call_in_turn(10_000.0)
+    fleet.is_answered_before_crash = True
+    fleet.call_round_robin(10_000.0)
     assert len(fleet.crashes) <= CONFIRMED_CRASHES
 
 
@@ -117,7 +127,7 @@
     fleet = CrashFleet(3, nodes_each)
     for _ in range(40):
         for name in list(fleet.cores)[:9]:
-            fleet.call(name, POISON)
+            fleet.call(name, CRASHING_REQUEST)
         fleet.run_for(300.0)
     assert len(fleet.crashes) >= CONFIRMED_CRASHES
     assert len(fleet.list_late(STABLE_MS)) <= MAX_RETRIES
@@ -128,11 +138,11 @@
     """Guards against nodes that forget the request when all are killed at once."""
     fleet = CrashFleet(3, nodes_each)
     crash_until_quarantined(fleet)
-    before = len(fleet.list_poisoned())
+    before = len(fleet.list_crashing_calls())
     fleet.kill_and_restart_all()
     fleet.run_for(STABLE_MS)
-    fleet.call_in_turn(5_000.0)
-    assert len(fleet.list_poisoned()) == before
+    fleet.call_round_robin(5_000.0)
+    assert len(fleet.list_crashing_calls()) == before
 
 
 def test_node_that_starts_later_knows_the_quarantine() -> None:
@@ -142,10 +152,10 @@
     name = next(iter(fleet.cores))
     fleet.restart(name)
     fleet.run_for(1_000.0)
-    before = len(fleet.list_poisoned())
-    fleet.call(name, POISON)
+    before = len(fleet.list_crashing_calls())
+    fleet.call(name, CRASHING_REQUEST)
     fleet.run_for(1_000.0)
-    assert len(fleet.list_poisoned()) == before
+    assert len(fleet.list_crashing_calls()) == before
 
 
 @SIZES
@@ -153,7 +163,7 @@
     """Guards against a quarantine that takes effect only through the store."""
     fleet = CrashFleet(3, nodes_each)
     fleet.store_away = set(fleet.cores)
-    fleet.call_in_turn(10_000.0)
+    fleet.call_round_robin(10_000.0)
     assert len(fleet.list_late(STABLE_MS)) <= MAX_RETRIES
     assert fleet.store_writes == 0
     fleet.store_away = set()
@@ -165,7 +175,7 @@
     """Guards against store writes when no request is the cause of a crash."""
     fleet = CrashFleet(3, 3)
     for address in list(fleet.engines)[:3]:
-        fleet.call_in_turn(2_000.0, poison_ms=None)
+        fleet.call_round_robin(2_000.0, crashing_interval_ms=None)
         fleet.crash(address)
     fleet.run_for(2_000.0)
     assert fleet.store_writes == 0
@@ -174,7 +184,7 @@
 def test_one_record_is_written_for_a_quarantine() -> None:
     """Guards against a write by each node that receives the request."""
     fleet = CrashFleet(3, 3)
-    fleet.call_in_turn(10_000.0)
+    fleet.call_round_robin(10_000.0)
     assert fleet.store_writes == 1
 
 
@@ -274,16 +284,16 @@
     """Guards against a check on arrival only: calls may wait or be retried later."""
     fleet = CrashFleet(3, 1, replicas=3)
     names = list(fleet.cores)
-    fleet.call(names[0], POISON, is_resumable=False)
+    fleet.call(names[0], CRASHING_REQUEST, is_resumable=False)
     fleet.run_for(400.0)
-    fleet.call(names[1], POISON, is_resumable=False)
+    fleet.call(names[1], CRASHING_REQUEST, is_resumable=False)
     fleet.run_for(80.0)
     # The third and last replica crashes too, so this call has to wait.
     fleet.crash(next(a for a, e in fleet.engines.items() if e.is_up))
     fleet.run_for(20.0)
-    waiting = fleet.call(names[2], POISON, is_resumable=False)
+    waiting = fleet.call(names[2], CRASHING_REQUEST, is_resumable=False)
     fleet.run_for(BACK_MS + 500.0)
-    assert len(fleet.list_poisoned()) == 2
+    assert len(fleet.list_crashing_calls()) == 2
     assert waiting.refusal is not None
 
 
@@ -295,7 +305,7 @@
     for round_number in range(3):
         for number, body in enumerate(beside):
             fleet.call(names[number % len(names)], body)
-        fleet.call(names[round_number], POISON)
+        fleet.call(names[round_number], CRASHING_REQUEST)
         fleet.run_for(RUN_MS + SETTLING_MS + 200.0)
     for number, body in enumerate(beside):
         call = fleet.call(names[number % len(names)], body)
@@ -313,9 +323,9 @@
     assert not any(
         list(core.guard.quarantine.list_entries()) for core in fleet.cores.values()
     )
-    before = len(fleet.list_poisoned())
+    before = len(fleet.list_crashing_calls())
     crash_until_quarantined(fleet)
-    assert len(fleet.list_poisoned()) > before
+    assert len(fleet.list_crashing_calls()) > before
     fleet.kill_and_restart_all()
     fleet.run_for(STABLE_MS)
     assert find_entry(fleet).entry_id != entry.entry_id
@@ -337,20 +347,20 @@
     """Guards against running the request again whenever an entry's lifetime ends."""
     fleet = CrashFleet(3, 1)
     crash_until_quarantined(fleet)
-    before = len(fleet.list_poisoned())
+    before = len(fleet.list_crashing_calls())
     for _ in range(6):
         fleet.skip(RENEW_MS)
         fleet.run_for(4_000.0)
         call_everywhere(fleet)
-    assert len(fleet.list_poisoned()) == before
+    assert len(fleet.list_crashing_calls()) == before
 
 
 def test_record_of_an_unknown_request_is_taken_over_and_refused() -> None:
     """Guards against a node that refuses only requests whose crashes it knows."""
     fleet = CrashFleet(3, 1)
     name = next(iter(fleet.cores))
-    request = QuarantinedRequest(POISON, "1", CustomerName("c"), "r", ())
-    record = KeyedRecord(f"quarantine/{POISON}", 90, put(request))
+    request = QuarantinedRequest(CRASHING_REQUEST, "1", CustomerName("c"), "r", ())
+    record = KeyedRecord(f"quarantine/{CRASHING_REQUEST}", 90, put(request))
     fleet.read(name, Topic.NODES, record)
-    call = fleet.call(NodeName(name), POISON)
+    call = fleet.call(NodeName(name), CRASHING_REQUEST)
     assert call.refusal is not None
--- a/tests/toucanyard/test_customer_limits_over_nodes.py
+++ b/tests/toucanyard/test_customer_limits_over_nodes.py
@@ -222,16 +222,16 @@
 def test_home_tells_operators_of_use_and_denials() -> None:
     fleet = LimitFleet(3, 3)
     fleet.play(3_000.0, FLOOD_TOKENS_PER_S)
-    uses = [
+    usage = [
         use
         for core in fleet.cores.values()
         for use in core.shares.list_usage()
         if use.subject == LARGE
     ]
-    assert len(uses) == 1
-    assert uses[0].share == 1.0
-    assert uses[0].rate_per_s == LIMIT.rate_per_s
-    assert 0 < uses[0].granted_total < uses[0].denied_total
+    assert len(usage) == 1
+    assert usage[0].share == 1.0
+    assert usage[0].rate_per_s == LIMIT.rate_per_s
+    assert 0 < usage[0].granted_total < usage[0].denied_total
 
 
 def test_slow_answers_use_up_nothing() -> None:
--- a/tests/toucanyard/test_hostile_messages.py
+++ b/tests/toucanyard/test_hostile_messages.py
@@ -80,7 +80,7 @@
 STATUSES = build(
     NodeStatus,
     views=many(VIEWS),
-    uses=many(build(ReplicaUsageReport)),
+    usage=many(build(ReplicaUsageReport)),
     replica_updates=many(build(ReplicaUpdate, weights=st.just((("m", 3),)))),
     parts=many(build(PromptBlockRead)),
     weight_targets=many(build(TargetWeightsAge)),
@@ -89,7 +89,7 @@
     restarts=many(build(ReplicaRestart)),
     crashes=many(build(ReplicaCrash, runs=many(build(LostRun)))),
     survivals=many(build(RequestSurvival)),
-    pledge=st.none()
+    delegation=st.none()
     | build(ShareDelegation, coordinators=st.lists(NAMES, max_size=5).map(tuple)),
 )
 CREDITS = build(CreditAsk, customer=st.just("c")) | build(
--- a/tests/toucanyard/test_leases.py
+++ b/tests/toucanyard/test_leases.py
@@ -21,22 +21,22 @@
     def __init__(self) -> None:
         self.records: list[bytes] = []
 
-    def append(self, asked: AppendLease) -> int | None:
-        if asked.at != len(self.records):
+    def append(self, request: AppendLease) -> int | None:
+        if request.at != len(self.records):
             return None
-        self.records.append(asked.value)
+        self.records.append(request.value)
         return len(self.records) - 1
 
 
 def serve(
-    leases: Leases, log: Log, asked: AppendLease | ReadLeases | None, now_ms: float
+    leases: Leases, log: Log, request: AppendLease | ReadLeases | None, now_ms: float
 ) -> None:
-    match asked:
+    match request:
         case ReadLeases(from_offset=begin):
             numbered = tuple(enumerate(log.records))[begin:]
             leases.apply_read(LeaseRead(numbered, len(log.records)), now_ms)
         case AppendLease():
-            offset = log.append(asked)
+            offset = log.append(request)
             leases.apply_append(LeaseAppended(offset, now_ms))
 
 
@@ -91,11 +91,11 @@
     If the append counted as failed, there would be a second claim with another fence.
     """
     leases, log = build_leases("a"), Log()
-    asked = leases.tick(0.0, 0, False, 0.0)
-    serve(leases, log, asked, 0.0)
-    asked = leases.tick(0.0, 0, False, 0.0)
-    assert isinstance(asked, AppendLease)
-    log.append(asked)
+    request = leases.tick(0.0, 0, False, 0.0)
+    serve(leases, log, request, 0.0)
+    request = leases.tick(0.0, 0, False, 0.0)
+    assert isinstance(request, AppendLease)
+    log.append(request)
     leases.apply_append(LeaseAppended(None, 0.0))
     assert leases.find_lease(1.0) is None
     assert isinstance(leases.tick(0.0, 0, False, 10.0), ReadLeases)
@@ -107,9 +107,9 @@
     other = build_leases("b")
     acquire(other, log, 0.0)
     late_ms = 10_000.0
-    asked = other.tick(late_ms - 100, 0, True, late_ms)
-    assert isinstance(asked, ReadLeases)
-    serve(other, log, asked, late_ms)
+    request = other.tick(late_ms - 100, 0, True, late_ms)
+    assert isinstance(request, ReadLeases)
+    serve(other, log, request, late_ms)
     assert isinstance(other.tick(late_ms - 800, 0, True, late_ms), AppendLease)
 
 
@@ -139,8 +139,8 @@
     """
     leases, log = build_leases("a"), Log()
     acquire(leases, log, 0.0)
-    asked = leases.tick(0.0, 0, False, 600.0, is_leaving=True)
-    assert isinstance(asked, AppendLease)
+    request = leases.tick(0.0, 0, False, 600.0, is_leaving=True)
+    assert isinstance(request, AppendLease)
     other = build_leases("b")
     serve(other, log, other.tick(0.0, 0, False, 0.0, is_leaving=True), 0.0)
     assert other.tick(0.0, 0, False, 60_000.0, is_leaving=True) is None
@@ -156,9 +156,9 @@
 def test_unreadable_record_is_passed_over() -> None:
     leases = build_leases("a")
     leases.apply_read(LeaseRead(((0, b"\xff"),), 1), 0.0)
-    asked = leases.tick(0.0, 0, False, 1.0)
-    assert isinstance(asked, AppendLease)
-    assert asked.at == 1
+    request = leases.tick(0.0, 0, False, 1.0)
+    assert isinstance(request, AppendLease)
+    assert request.at == 1
 
 
 class Fleet:
@@ -189,16 +189,16 @@
         self, name: str, rank: int, lost_share: float, late_share: float, now_ms: float
     ) -> None:
         leases = self.nodes[name]
-        asked = leases.tick(0.0, rank, False, now_ms)
+        request = leases.tick(0.0, rank, False, now_ms)
         is_lost = self.rng.random() < lost_share
-        if isinstance(asked, AppendLease) and self.rng.random() < late_share:
-            self.late.append((now_ms + self.rng.uniform(100, 6_000), asked))
+        if isinstance(request, AppendLease) and self.rng.random() < late_share:
+            self.late.append((now_ms + self.rng.uniform(100, 6_000), request))
             leases.apply_append(LeaseAppended(None, now_ms))
-        elif isinstance(asked, AppendLease) and is_lost:
-            self.log.append(asked)
+        elif isinstance(request, AppendLease) and is_lost:
+            self.log.append(request)
             leases.apply_append(LeaseAppended(None, now_ms))
-        elif asked is not None and not is_lost:
-            serve(leases, self.log, asked, now_ms)
+        elif request is not None and not is_lost:
+            serve(leases, self.log, request, now_ms)
         lease = leases.find_lease(now_ms)
         if lease is not None:
             self.acted.append((now_ms, name, lease.fence))
--- a/tests/toucanyard/test_limit_exchange.py
+++ b/tests/toucanyard/test_limit_exchange.py
@@ -32,8 +32,8 @@
 
 
 def find_granted(coordinator: RelayCore) -> float:
-    uses = coordinator.shares.list_usage()
-    return sum(each.granted_total for each in uses if each.subject == LARGE)
+    usage = coordinator.shares.list_usage()
+    return sum(each.granted_total for each in usage if each.subject == LARGE)
 
 
 def ask(coordinator: RelayCore, fleet: LimitFleet, number: int) -> CreditAnswer:
--- a/tests/toucanyard/test_node_core.py
+++ b/tests/toucanyard/test_node_core.py
@@ -259,8 +259,8 @@
     world.others.clear()
     world.now_ms += 2_000
     world.handle(TickPassed())
-    asked = {each.endpoint for each in world.others if isinstance(each, ReadDump)}
-    assert asked == {
+    dumped = {each.endpoint for each in world.others if isinstance(each, ReadDump)}
+    assert dumped == {
         each.name for each in world.core.find_followed() if each in endpoints
     }
-    assert 0 < len(asked) < 100
+    assert 0 < len(dumped) < 100
--- a/tests/toucanyard/test_node_directory.py
+++ b/tests/toucanyard/test_node_directory.py
@@ -20,7 +20,7 @@
     )
 
 
-def build_roster() -> NodeDirectory:
+def build_node_directory() -> NodeDirectory:
     node_directory = NodeDirectory(build_record(NodeName("own")), ())
     for name in (ONE, TWO, FAR):
         node_directory.apply(build_record(name))
@@ -34,7 +34,7 @@
     order.
     """
     for first, second in ((True, False), (False, True)):
-        node_directory = build_roster()
+        node_directory = build_node_directory()
         node_directory.record_hub_report(ONE, (NodeUpdate(FAR, first),), 0.0)
         node_directory.record_hub_report(TWO, (NodeUpdate(FAR, second),), 0.0)
         assert node_directory.find_alive(1.0) == [FAR]
@@ -42,7 +42,7 @@
 
 
 def test_what_a_node_says_of_itself_goes_before_what_hubs_say() -> None:
-    node_directory = build_roster()
+    node_directory = build_node_directory()
     node_directory.record_hub_report(ONE, (NodeUpdate(FAR, True),), 0.0)
     assert node_directory.find_addresses(1.0) == ["far:1"]
     assert node_directory.record_status(FAR, False, 2.0)
@@ -50,7 +50,7 @@
 
 
 def test_what_was_told_grows_old() -> None:
-    node_directory = build_roster()
+    node_directory = build_node_directory()
     assert node_directory.record_hub_report(ONE, (NodeUpdate(FAR, True),), 0.0)
     assert not node_directory.record_hub_report(ONE, (NodeUpdate(FAR, True),), 10.0)
     assert node_directory.find_alive(10.0 + HUB_REPORT_TTL_MS) == [FAR]
@@ -61,7 +61,7 @@
 
 
 def test_node_is_not_told_of_itself() -> None:
-    node_directory = build_roster()
+    node_directory = build_node_directory()
     node_directory.record_hub_report(ONE, (NodeUpdate(NodeName("own"), True),), 0.0)
     assert node_directory.find_alive(1.0) == []
 
@@ -78,7 +78,7 @@
 )
 
 
-def take_step(
+def apply_step(
     node_directory: NodeDirectory, step: tuple[str, NodeName, bool], now_ms: float
 ) -> None:
     kind, name, is_ready = step
@@ -104,16 +104,16 @@
     or never to a live one, and a dead node might stay first for a subject. So a
     directory queried after each step must answer like one that is queried once.
     """
-    asked, unasked = build_roster(), build_roster()
+    queried, unqueried = build_node_directory(), build_node_directory()
     now_ms = 0.0
     for kind, name, is_ready, wait_ms in steps:
         now_ms += wait_ms
-        for node_directory in (asked, unasked):
-            take_step(node_directory, (kind, name, is_ready), now_ms)
-        asked.find_rank("orders", now_ms)
-        asked.find_addresses(now_ms)
+        for node_directory in (queried, unqueried):
+            apply_step(node_directory, (kind, name, is_ready), now_ms)
+        queried.find_rank("orders", now_ms)
+        queried.find_addresses(now_ms)
     now_ms += 1.0
-    assert asked.find_alive(now_ms) == unasked.find_alive(now_ms)
-    assert asked.find_addresses(now_ms) == unasked.find_addresses(now_ms)
-    assert asked.find_rank("orders", now_ms) == unasked.find_rank("orders", now_ms)
-    assert asked.count_nodes(now_ms) == unasked.count_nodes(now_ms)
+    assert queried.find_alive(now_ms) == unqueried.find_alive(now_ms)
+    assert queried.find_addresses(now_ms) == unqueried.find_addresses(now_ms)
+    assert queried.find_rank("orders", now_ms) == unqueried.find_rank("orders", now_ms)
+    assert queried.count_nodes(now_ms) == unqueried.count_nodes(now_ms)
--- a/tests/toucanyard/test_prompt_block_placement.py
+++ b/tests/toucanyard/test_prompt_block_placement.py
@@ -57,11 +57,11 @@
             request, PROMPT, TRAITS, self.known, self.target, stores, now_ms
         )
 
-    def note(
+    def record(
         self, name: str, parts: Sequence[PromptBlock], ready_ms: float = 0.0
     ) -> None:
         memory = TRAITS.memory_tokens
-        self.block_index.note(
+        self.block_index.record(
             EndpointName(name), f"{MODEL}/1/", parts, ready_ms, memory
         )
 
@@ -79,7 +79,7 @@
 def test_warm_replica_is_chosen() -> None:
     for warm in "abcd":
         pool = Pool(*"abcd")
-        pool.note(warm, PROMPT.parts[:2])
+        pool.record(warm, PROMPT.parts[:2])
         placed = pool.choose()
         assert find_name(placed) == warm
         assert placed is not None
@@ -97,7 +97,7 @@
 
 def test_busy_warm_replica_gives_its_parts_to_an_idle_one() -> None:
     pool = Pool(*"abcd")
-    pool.note("a", PROMPT.parts[:2])
+    pool.record("a", PROMPT.parts[:2])
     pool.load("a", 6, 9_000, 9_000)
     placed = pool.choose()
     assert placed is not None
@@ -114,7 +114,7 @@
     """
     for reader in "abcd":
         pool = Pool(*"abcd")
-        pool.note(reader, PROMPT.parts[:2], ready_ms=1_250.0)
+        pool.record(reader, PROMPT.parts[:2], ready_ms=1_250.0)
         pool.load(reader, 1, 9_000, 9_000)
         assert find_name(pool.choose()) == reader
 
@@ -122,7 +122,7 @@
 def test_store_gives_what_no_replica_holds_any_more() -> None:
     pool = Pool(*"abcd")
     name = compute_store_name(STORE)
-    pool.block_index.note(
+    pool.block_index.record(
         name, f"{MODEL}/1/", PROMPT.parts[:2], 0.0, STORE.memory_tokens
     )
     placed = pool.choose(stores=(STORE,))
@@ -141,7 +141,7 @@
     Blocks read under the older weights must not be loaded under the new ones.
     """
     pool = Pool(*"ab", version=1)
-    pool.note("a", PROMPT.parts[:2])
+    pool.record("a", PROMPT.parts[:2])
     pool.known[1] = KnownReplica(build_replica("b", weights=((MODEL, 2),)))
     pool.target.apply(2, 0.0)
     pool.load("a", 40, 1_000, 1_000)
@@ -166,7 +166,7 @@
     pool = Pool(*"ab")
     pool.known[1] = KnownReplica(build_replica("b", weights=((MODEL, 2),)))
     pool.target.apply(2, 0.0)
-    pool.note("a", PROMPT.parts[:2])
+    pool.record("a", PROMPT.parts[:2])
     assert find_name(pool.choose(100.0)) == "a"
     assert find_name(pool.choose(LATE_AFTER_MS + 1)) == "b"
     del pool.known[1]
@@ -201,8 +201,8 @@
 
 def test_failing_replica_is_avoided_while_others_are_well() -> None:
     pool = Pool(*"ab")
-    pool.note("a", PROMPT.parts[:1])
-    pool.note("b", PROMPT.parts[:1])
+    pool.record("a", PROMPT.parts[:1])
+    pool.record("b", PROMPT.parts[:1])
     first_choice = find_name(pool.choose())
     known = next(each for each in pool.known if each.replica.name == first_choice)
     for _ in range(3):
@@ -255,7 +255,7 @@
     assert store is not None
     assert placed.source == store.address
     own = Pool(*MANY_NAMES)
-    own.note(find_name(placed), PROMPT.parts[:2])
+    own.record(find_name(placed), PROMPT.parts[:2])
     held = own.choose(stores=STORES)
     assert held is not None
     assert held.missing is None
@@ -272,7 +272,7 @@
     for store in (near, msgspec.structs.replace(near, domain=DomainName("d2"))):
         memory = store.memory_tokens
         parts = PROMPT.parts[:2]
-        pool.block_index.note(
+        pool.block_index.record(
             compute_store_name(store), f"{MODEL}/1/", parts, 0.0, memory
         )
         placed = pool.choose(stores=(store,))
@@ -300,7 +300,7 @@
         for at in range(8)
     ]
     for at in range(6):
-        pool.note(f"r{at}", PROMPT.parts[:1])
+        pool.record(f"r{at}", PROMPT.parts[:1])
         pool.load(f"r{at}", 3, 1_000, 9_000)
     sources = set()
     for number in range(40):
@@ -369,7 +369,7 @@
     """
     pool = Pool(*LARGE_SERVICE)
     reader = choose_alone("first", PROMPT, pool)
-    pool.note(reader, PROMPT.parts[:1], ready_ms=1_150.0)
+    pool.record(reader, PROMPT.parts[:1], ready_ms=1_150.0)
     pool.load(reader, 20, 1_000, 9_000)
     for now_ms in (1_010.0, 1_140.0):
         assert pool.choose(now_ms, arrived_ms=1_010.0) is None
@@ -385,7 +385,7 @@
 def test_stream_that_was_cut_does_not_wait_for_a_part() -> None:
     pool = Pool(*LARGE_SERVICE)
     reader = choose_alone("first", PROMPT, pool)
-    pool.note(reader, PROMPT.parts[:1], ready_ms=1_150.0)
+    pool.record(reader, PROMPT.parts[:1], ready_ms=1_150.0)
     pool.load(reader, 20, 1_000, 9_000)
     request = build_request("q", prompt=PROMPT, arrived_ms=1_000.0)
     placed = pool.placement.choose(
@@ -424,6 +424,6 @@
     chosen = set()
     for node in range(20):
         pool = Pool(*LARGE_SERVICE)
-        pool.note(holder, LONG.parts[:2])
+        pool.record(holder, LONG.parts[:2])
         chosen.add(choose_alone(f"l{node}", LONG, pool))
     assert chosen == {holder}
--- a/tests/toucanyard/test_removed_replicas.py
+++ b/tests/toucanyard/test_removed_replicas.py
@@ -22,9 +22,9 @@
 
 
 def build_fleet(
-    nodes_each: int, drain_ms: float = SMALL_MS, way_ms: float = 0.0
+    nodes_each: int, drain_ms: float = SMALL_MS, latency_ms: float = 0.0
 ) -> StoreFleet:
-    fleet = StoreFleet(3, nodes_each, drain_ms=drain_ms, way_ms=way_ms)
+    fleet = StoreFleet(3, nodes_each, drain_ms=drain_ms, latency_ms=latency_ms)
     fleet.register(REPLICAS)
     fleet.run(3_000.0)
     return fleet
@@ -154,11 +154,11 @@
     fleet = build_fleet(3)
     fleet.store_away = set(fleet.cores)
     fleet.run(2_000.0)
-    before = fleet.asked
+    before = fleet.read_count
     fleet.run(6_000.0)
     others = len(fleet.cores) - 2
     most_a_second = 2 / 0.3 + others / (STORE_TIMEOUT_MS / 1_000.0)
-    assert fleet.asked - before <= 6 * most_a_second + len(fleet.cores)
+    assert fleet.read_count - before <= 6 * most_a_second + len(fleet.cores)
 
 
 def test_age_of_the_list_grows_on_slow_links() -> None:
@@ -167,7 +167,7 @@
     Each node receives its own updates back from the others. If these counted as new,
     the list would seem fresh forever, and the outage would go unnoticed.
     """
-    fleet = build_fleet(3, way_ms=300.0)
+    fleet = build_fleet(3, latency_ms=300.0)
     fleet.run(3_000.0)
     fleet.store_away = set(fleet.cores)
     away_ms = fleet.now_ms
@@ -180,9 +180,9 @@
 class RandomFaults:
     """Partitions, refusals, outages and removals at random from a seed."""
 
-    def __init__(self, seed: int, way_ms: float) -> None:
+    def __init__(self, seed: int, latency_ms: float) -> None:
         self.rng = random.Random(seed)
-        self.fleet = build_fleet(3, way_ms=way_ms)
+        self.fleet = build_fleet(3, latency_ms=latency_ms)
         self.names = list(self.fleet.cores)
         self.listed = list(REPLICAS)
         self.removed_ms: dict[str, float] = {}
@@ -251,17 +251,17 @@
         return late
 
 
-@pytest.mark.parametrize("way_ms", [0.0, 50.0])
+@pytest.mark.parametrize("latency_ms", [0.0, 50.0])
 @pytest.mark.parametrize("seed", range(6))
 def test_no_mix_of_troubles_uses_a_removed_replica_or_empties_a_service(
-    seed: int, way_ms: float
+    seed: int, latency_ms: float
 ) -> None:
     """Nodes are cut off, the store refuses some or all, entries and replicas change.
 
     In any order, a node that was never cut off sends no call to a replica past its end,
     and finds a replica for each call.
     """
-    faults = RandomFaults(seed, way_ms)
+    faults = RandomFaults(seed, latency_ms)
     for _ in range(6):
         faults.inject_fault()
     assert faults.find_late() == []
--- a/tests/toucanyard/test_replica_gossip.py
+++ b/tests/toucanyard/test_replica_gossip.py
@@ -30,10 +30,10 @@
         )
 
     def send_to(
-        self, other: GossipNode, now_ms: float, way_ms: float = LATENCY_MS
+        self, other: GossipNode, now_ms: float, delay_ms: float = LATENCY_MS
     ) -> bool:
         updates = tuple(self.gossip.list_updates(now_ms))
-        return other.gossip.apply(updates, now_ms + way_ms)
+        return other.gossip.apply(updates, now_ms + delay_ms)
 
 
 def test_pause_that_goes_round_does_not_grow() -> None:
--- a/tests/toucanyard/test_replica_incarnations.py
+++ b/tests/toucanyard/test_replica_incarnations.py
@@ -270,11 +270,11 @@
 def test_lines_about_bad_records_are_bounded() -> None:
     fleet = build_fleet("a")
     core = fleet.core("a")
-    notes = []
+    found_entries = []
     for offset in range(200):
         fact = InvalidRecord(Topic.REPLICAS, f"bad {offset}")
         view = core.exchange.views[Topic.REPLICAS]
         changes = view.apply([record(offset, fact)], offset + 1, is_whole=False)
-        notes += list(core.facts.apply(changes, "store", 0.0, listed_ms=0.0))
-    assert 0 < len(notes) <= 20
-    assert all(isinstance(each, LogEntry) for each in notes)
+        found_entries += list(core.facts.apply(changes, "store", 0.0, listed_ms=0.0))
+    assert 0 < len(found_entries) <= 20
+    assert all(isinstance(each, LogEntry) for each in found_entries)
--- a/tests/toucanyard/test_replica_probes.py
+++ b/tests/toucanyard/test_replica_probes.py
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         super().__init__("a")
-        self.asked: list[str] = []
+        self.probed: list[str] = []
         self.read("a", Topic.OPERATOR, KeyedRecord("config", 0, put(build_table())))
         entries = (
             build_replica("x"),
@@ -52,7 +52,7 @@
             self.now_ms += 25.0
             for action in self.core("a").handle(TickPassed(), self.now_ms):
                 if isinstance(action, ReadReplicaState):
-                    self.asked.append(action.replica)
+                    self.probed.append(action.replica)
 
     def answer(self, name: str, state: ReplicaState | None) -> None:
         read = ReplicaStateRead(EndpointName(name), state, self.now_ms)
@@ -72,8 +72,8 @@
     node = Node()
     node.lose("x")
     node.run(MAX_PROBED_MS - PROBE_MS)
-    assert set(node.asked) == {"x"}
-    assert len(node.asked) <= MAX_PROBED_MS / PROBE_MS + 1
+    assert set(node.probed) == {"x"}
+    assert len(node.probed) <= MAX_PROBED_MS / PROBE_MS + 1
     assert node.list_usable() == ["y"]
 
 
@@ -86,9 +86,9 @@
     assert node.list_usable() == ["y"]
     node.answer("x", STATE)
     assert node.list_usable() == ["x", "y"]
-    node.asked.clear()
+    node.probed.clear()
     node.run(1_000.0)
-    assert not node.asked
+    assert not node.probed
 
 
 def test_replica_whose_reports_stay_out_is_tried_by_a_call_in_the_end() -> None:
@@ -113,12 +113,12 @@
         node.core("a").node_directory.apply(record)
     node.lose("x")
     node.run(2_000.0)
-    assert not node.asked
+    assert not node.probed
 
 
 def test_plain_replica_rests_without_reports() -> None:
     node = Node()
     node.lose("z")
     node.run(1_000.0)
-    assert not node.asked
+    assert not node.probed
     assert node.core("a").directory.find_usable(DESK, node.now_ms)
--- a/tests/toucanyard/test_snapshots.py
+++ b/tests/toucanyard/test_snapshots.py
@@ -45,7 +45,7 @@
         self.fetches = [
             SnapshotFetch(HERE, peers, random.Random(n)) for n in range(fetchers)
         ]
-        self.asked: list[str] = []
+        self.requested_from: list[str] = []
         self.sent_bytes = 0
         self.most_served = 0
         self.now_ms = 0.0
@@ -62,7 +62,7 @@
     def carry(
         self, number: int, fetch: SnapshotFetch, ask: SendRequest
     ) -> SendRequest | None:
-        self.asked.append(ask.peer)
+        self.requested_from.append(ask.peer)
         if ask.peer in self.dead:
             return None
         server, name = self.servers[ask.peer], NodeName(f"f{number}")
@@ -79,7 +79,7 @@
     transfers = Transfers(1)
     transfers.run(3_000)
     assert transfers.fetches[0].snapshot == SNAPSHOT
-    assert set(transfers.asked) == {"near"}
+    assert set(transfers.requested_from) == {"near"}
     assert len(encode_snapshot(SNAPSHOT)) > PART_BYTES
 
 
--- a/tests/toucanyard/test_status_exchange.py
+++ b/tests/toucanyard/test_status_exchange.py
@@ -106,9 +106,9 @@
     fleet.dead = {primary}
     fleet.run(500.0)
     entries = [
-        note.fields
-        for name, note in fleet.log_entries
-        if name == leaf and note.event == "hub_changed"
+        record.fields
+        for name, record in fleet.log_entries
+        if name == leaf and record.event == "hub_changed"
     ]
     assert [(each["before"], bool(each["hub"])) for each in entries] == [
         (primary, True)
@@ -250,7 +250,7 @@
     fleet.handle(follower, PromptBlocksChanged(name, (), is_reset=False, epoch=1))
     fleet.run(PROPAGATION_MS)
     for core in fleet.cores.values():
-        core.flow.block_index.note(name, "m/1/", parts, 0.0, STORE.memory_tokens)
+        core.flow.block_index.record(name, "m/1/", parts, 0.0, STORE.memory_tokens)
     fleet.handle(follower, PromptBlocksChanged(name, (), is_reset=False, epoch=2))
     fleet.run(PROPAGATION_MS)
     for core in fleet.cores.values():
--- a/tests/toucanyard/test_usable_endpoints.py
+++ b/tests/toucanyard/test_usable_endpoints.py
@@ -48,7 +48,7 @@
     return usable or reachable or staying
 
 
-def take_step(fleet: Fleet, kind: str, number: int, source: NodeName) -> None:
+def apply_step(fleet: Fleet, kind: str, number: int, source: NodeName) -> None:
     endpoint = fleet.endpoints[number]
     update: GossipUpdate | None = None
     match kind:
@@ -94,7 +94,7 @@
     fleet = Fleet(2, ENDPOINTS)
     member, small = fleet.nodes[0], fleet.endpoints[:3]
     for kind, number, source in steps:
-        take_step(fleet, kind, number, source)
+        apply_step(fleet, kind, number, source)
         for endpoints in (fleet.endpoints, small):
             usable = member.find_usable(endpoints, fleet.now_ms)
             assert list(usable) == compute_usable(member, endpoints, fleet.now_ms)
--- a/tests/toucanyard/test_weights_rollout.py
+++ b/tests/toucanyard/test_weights_rollout.py
@@ -276,9 +276,9 @@
     """
     fleet = Fleet(*(f"r{number}" for number in range(MANY_REPLICAS + 1)))
     actions = fleet.rollout.plan(MODEL, 2, fleet.known, LEASE, {}, 0.0)
-    asked = [each for each in actions if isinstance(each, ReadReplicaState)]
+    reads = [each for each in actions if isinstance(each, ReadReplicaState)]
     changing = fleet.rollout.list_changing()
-    assert {each.replica for each in asked} <= set(changing)
+    assert {each.replica for each in reads} <= set(changing)
     assert len(changing) < MANY_REPLICAS
 
 
--- a/tests/toucanyard_node/test_endpoint_watch.py
+++ b/tests/toucanyard_node/test_endpoint_watch.py
@@ -40,7 +40,7 @@
         self.seq = 3
         self.hangs = False
         self.events_per_answer = 1
-        self.asked_after: list[str] = []
+        self.requested_after: list[str] = []
         self.event_bytes = 0
         self.dumps = 0
         self.dump_blocks = 1
@@ -55,7 +55,7 @@
                 self.load_answers += 1
                 body = {"incarnation": self.incarnation, "running": 1, "age_ms": 5}
             case "/v1/cache/events":
-                self.asked_after.append(request.query["after"])
+                self.requested_after.append(request.query["after"])
                 await trio.sleep(0.3)
                 event = {
                     "seq": self.seq,
@@ -114,7 +114,7 @@
         await trio.sleep(2)
         assert 6 <= fixture.count(LoadRead) <= 9
         assert fixture.count(EndpointPollFailed) == 0
-        assert fixture.engine.asked_after[:3] == ["-1", "3", "3"]
+        assert fixture.engine.requested_after[:3] == ["-1", "3", "3"]
         await fixture.watch.read_dump(ENDPOINT.name)
         dump = next(each for each in fixture.events if isinstance(each, CacheDumpRead))
         assert dump.dump.hashes == (10,)
@@ -136,9 +136,9 @@
         await trio.sleep(1)
         fixture.engine.incarnation, fixture.engine.seq = "i2", 0
         fixture.events.clear()
-        fixture.engine.asked_after.clear()
+        fixture.engine.requested_after.clear()
         await trio.sleep(2)
-        assert "-1" in fixture.engine.asked_after
+        assert "-1" in fixture.engine.requested_after
         read = [each for each in fixture.events if isinstance(each, CacheEventsRead)]
         assert read[-1].events.incarnation == "i2"
         nursery.cancel_scope.cancel()
@@ -192,7 +192,9 @@
         assert not read[0].events.events
         assert read[0].events.next == 4
         assert any(each.events.events for each in read)
-        assert fixture.engine.asked_after.count(fixture.engine.asked_after[0]) >= 3
+        assert (
+            fixture.engine.requested_after.count(fixture.engine.requested_after[0]) >= 3
+        )
         nursery.cancel_scope.cancel()
 
 
@@ -224,7 +226,7 @@
         fixture.wanted = [WatchedEndpoint(ENDPOINT, is_engine=True, is_followed=False)]
         await trio.sleep(2)
         assert fixture.count(LoadRead) >= 6
-        assert not fixture.engine.asked_after
+        assert not fixture.engine.requested_after
         await fixture.watch.read_dump(ENDPOINT.name)
         assert not fixture.engine.dumps
         nursery.cancel_scope.cancel()
--- a/tests/toucanyard_node/test_stream_ends.py
+++ b/tests/toucanyard_node/test_stream_ends.py
@@ -50,8 +50,8 @@
     async with serve_in_memory([first, second]) as served:
         answer = await served.complete()
         check_whole(answer.body)
-        (asked,) = second.find_requests("POST")
-        assert asked.headers["x-resume-text-tokens"] == "2"
+        (resume_request,) = second.find_requests("POST")
+        assert resume_request.headers["x-resume-text-tokens"] == "2"
 
 
 async def test_end_without_the_last_event(autojump_clock: MockClock) -> None:
--- a/tests/toucanyard_node/test_stream_relay.py
+++ b/tests/toucanyard_node/test_stream_relay.py
@@ -98,9 +98,9 @@
     async with serve_in_memory([first, second]) as served:
         answer = await served.complete()
         check_whole(answer.body)
-        asked = second.find_requests("POST")[0]
-        assert asked.headers["x-resume-text-tokens"] == "2"
-        assert msgspec.json.decode(asked.body)["prompt"] == "hola uno dos"
+        resume_request = second.find_requests("POST")[0]
+        assert resume_request.headers["x-resume-text-tokens"] == "2"
+        assert msgspec.json.decode(resume_request.body)["prompt"] == "hola uno dos"
         assert served.core.find_endings() == [
             DispatchEnding.LOST,
             DispatchEnding.COMPLETED,
