--- a/packages/toucanyard-cli/src/toucanyard_cli/limits_command.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/limits_command.py
@@ -44,10 +44,10 @@
 @click.argument("nodes", nargs=-1, required=True)
 @json_option
 def limits(nodes: tuple[str, ...], is_json: bool) -> None:
-    """List customers' limits and their use, as the nodes at these addresses tell.
+    """List customers' limits and their usage, as the given nodes report it.
 
-    NODES are addresses of metrics, IP:PORT. Only a customer's home knows its use; give
-    the addresses of all nodes.
+    NODES are addresses of metrics, IP:PORT. Only the coordinator of a customer's limit,
+    shown as its home, knows the usage; give the addresses of all nodes.
     """
     usages: list[LimitUsage] = []
     unreachable: list[str] = []
--- a/packages/toucanyard-cli/src/toucanyard_cli/query_commands.py
+++ b/packages/toucanyard-cli/src/toucanyard_cli/query_commands.py
@@ -35,7 +35,7 @@
 def explain(
     request_id: str, nodes: tuple[str, ...], key_file: Path | None, is_json: bool
 ) -> None:
-    """Tell how the decisions on request ID came about; any node can be asked."""
+    """Explain the decisions on request ID; any node can answer."""
     access = load_access(nodes, key_file)
     body, reply = query(access, f"/explain/{quote(request_id)}", DecisionRecord)
     click.echo(body if is_json else render_decision(reply))
@@ -44,7 +44,7 @@
 @click.command()
 @access_options
 def status(nodes: tuple[str, ...], key_file: Path | None, is_json: bool) -> None:
-    """Show how one node stands and how it sees nodes and endpoints."""
+    """Show the status of one node and its view of nodes and endpoints."""
     access = load_access(nodes, key_file)
     body, reply = query(access, "/status", StatusReply)
     click.echo(body if is_json else render_status(reply))
--- a/packages/toucanyard/src/toucanyard/call_refusals.py
+++ b/packages/toucanyard/src/toucanyard/call_refusals.py
@@ -72,8 +72,8 @@
     ) -> RelayReply:
         """Return the final reply to a call, claiming no more than is proved.
 
-        `kind` is the reason for giving up now. An earlier try may still have run; told
-        "not run", the caller would repeat a completed operation.
+        `kind` is the reason for giving up now. An earlier try may still have run; on an
+        answer of "not run", the caller would repeat a completed operation.
         """
         request = pending.request
         if pending.has_failed:
--- a/packages/toucanyard/src/toucanyard/key_entries.py
+++ b/packages/toucanyard/src/toucanyard/key_entries.py
@@ -62,7 +62,7 @@
     is_started: bool = False
     waiting: dict[RequestId, KeyedRequestArrived] = field(default_factory=dict)
     askers: dict[NodeId, str] = field(default_factory=dict)
-    """Nodes waiting for the result, with the claim that each asked about."""
+    """Nodes waiting for the result, with the claim that each queried."""
     uninformed_holders: set[NodeId] = field(default_factory=set)
     """Holders of the stopped target's keys that do not know how this key ended."""
 
--- a/packages/toucanyard/src/toucanyard/limit_exchange.py
+++ b/packages/toucanyard/src/toucanyard/limit_exchange.py
@@ -109,7 +109,7 @@
     def receive_answer(
         self, answer: CreditAnswer, now_ms: float
     ) -> Iterator[SendToPeer]:
-        """Apply a coordinator's answer, or forward it to the node that asked."""
+        """Apply a coordinator's answer, or forward it to the requesting node."""
         if answer.origin == self._coordinators.own:
             self._apply(answer, now_ms)
         elif answer.origin in self._coordinators.linked:
--- a/packages/toucanyard/src/toucanyard/link_messages.py
+++ b/packages/toucanyard/src/toucanyard/link_messages.py
@@ -216,7 +216,7 @@
 
 
 class CreditAnswer(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """A coordinator's answer to a node that asked for credit."""
+    """A coordinator's answer to a credit request of a node."""
 
     origin: NodeName
     number: int
--- a/packages/toucanyard/src/toucanyard/options.py
+++ b/packages/toucanyard/src/toucanyard/options.py
@@ -96,7 +96,7 @@
     """Records to backup nodes are sent at once if none was sent for this long;
     otherwise they are batched."""
     ask_patience_ms: DurationMs = 300
-    """How long the issuer of a key may not answer before its backup node is asked."""
+    """How long the issuer of a key may not answer before its backup node is queried."""
     ledger_ms: DurationMs = 60_000
     """How long keys are issued on one ledger of a backup node."""
     hand_over_ms: DurationMs = 5_000
--- a/packages/toucanyard/src/toucanyard/placement.py
+++ b/packages/toucanyard/src/toucanyard/placement.py
@@ -251,10 +251,10 @@
     def find_doubtful(
         self, followed: Iterable[EndpointName], now_ms: float
     ) -> list[EndpointName]:
-        """Return the endpoints that need a dump and weren't asked for one recently.
+        """Return the endpoints that need a dump and had no request for one recently.
 
         Only followed engines count: the views of others have no gaps, and a large fleet
-        would be asked for thousands of dumps per second.
+        would get requests for thousands of dumps per second.
         """
         found: list[EndpointName] = []
         for name in followed:
--- a/packages/toucanyard/src/toucanyard/retry_budget.py
+++ b/packages/toucanyard/src/toucanyard/retry_budget.py
@@ -37,7 +37,7 @@
 
 
 class SharedRetryBudget:
-    """A node's part of the retry budget of all nodes, over a sliding window.
+    """A node's share of the retry budget of all nodes, over a sliding window.
 
     Invariant: in any window, this node's retries stay below its share of the slack plus
     `ratio` times its own first tries in that window.
@@ -58,7 +58,7 @@
         self._expire(now_ms)
 
     def take(self, node_count: int, now_ms: float) -> bool:
-        """Take one retry; return False if this node's part is exhausted."""
+        """Take one retry; return False if this node's share is exhausted."""
         self._expire(now_ms)
         allowed = self._slack / max(node_count, 1) + self._ratio * len(self._first_ms)
         if len(self._retry_ms) + 1 > SAFE_SHARE * allowed:
--- a/packages/toucanyard/src/toucanyard/shared_limits.py
+++ b/packages/toucanyard/src/toucanyard/shared_limits.py
@@ -1,4 +1,4 @@
-"""Combine one node's part in the limits that all nodes enforce together.
+"""Combine one node's handling of the limits that all nodes enforce together.
 
 Customers' limits bound which calls are admitted, replicas' limits where calls are sent.
 Both are granted by the same coordinators.
@@ -113,7 +113,7 @@
     def receive_answer(
         self, answer: CreditAnswer, now_ms: float
     ) -> Iterator[SendToPeer]:
-        """Apply a coordinator's answer, or forward it to the node that asked."""
+        """Apply a coordinator's answer, or forward it to the requesting node."""
         yield from self._exchanges[answer.kind].receive_answer(answer, now_ms)
 
     def consume_answered_flag(self) -> bool:
