--- a/tests/toucanyard/limit_fleet.py
+++ b/tests/toucanyard/limit_fleet.py
@@ -191,7 +191,7 @@
 
     # Callers.
 
-    def ask(self, node: NodeName, customer: CustomerName, tokens: int) -> Call:
+    def send_call(self, node: NodeName, customer: CustomerName, tokens: int) -> Call:
         """Let a call of a customer arrive at a node."""
         number = next(self._numbers)
         request = build_request(
@@ -235,7 +235,7 @@
                 while requested_tokens[name] < rate * passed_s:
                     tokens = self.rng.choice(SIZES)
                     requested_tokens[name] += tokens
-                    self.ask(self.rng.choice(alive), name, tokens)
+                    self.send_call(self.rng.choice(alive), name, tokens)
             self.run_for(STEP_MS)
         return self.calls[before:]
 
--- a/tests/toucanyard/test_customer_limits_over_nodes.py
+++ b/tests/toucanyard/test_customer_limits_over_nodes.py
@@ -185,7 +185,7 @@
 def test_call_beyond_all_that_a_limit_allows_is_told_so_at_once() -> None:
     """Guards against a call that waits for credit that the limit never allows."""
     fleet = LimitFleet(3, 3)
-    call = fleet.ask(next(iter(fleet.cores)), OTHER, 80_000)
+    call = fleet.send_call(next(iter(fleet.cores)), OTHER, 80_000)
     assert call.refusal is not None
     assert call.refusal.kind is ErrorKind.CUSTOMER_LIMIT
     assert call.refusal.ending is Ending.NOT_RUN
--- a/tests/toucanyard/test_limit_buckets.py
+++ b/tests/toucanyard/test_limit_buckets.py
@@ -42,7 +42,7 @@
             self.now_ms = min(self.now_ms + 100.0, end_ms)
             self.delegations.settle(10, self.now_ms)
 
-    def ask(self, wanted: float, least: float | None = None) -> float:
+    def request_credit(self, wanted: float, least: float | None = None) -> float:
         return self.find(wanted, least)[0]
 
     def find(self, wanted: float, least: float | None = None) -> tuple[float, float]:
@@ -54,49 +54,55 @@
 def test_no_more_than_the_burst_is_saved_up() -> None:
     coordinator = Coordinator()
     coordinator.wait(5_000.0)
-    assert coordinator.ask(100_000.0, 200.0) == pytest.approx(10_000.0 + DEBT)
+    assert coordinator.request_credit(100_000.0, 200.0) == pytest.approx(
+        10_000.0 + DEBT
+    )
 
 
 def test_new_home_has_nothing_saved_up() -> None:
     """Guards against a burst that can be spent once at each coordinator."""
-    assert Coordinator().ask(100_000.0, 200.0) == pytest.approx(DEBT)
+    assert Coordinator().request_credit(100_000.0, 200.0) == pytest.approx(DEBT)
 
 
 def test_request_is_granted_whole_though_the_level_is_low() -> None:
     """Guards against long prompts that are starved by short ones."""
     coordinator = Coordinator()
     coordinator.wait(100.0)
-    assert coordinator.ask(9_000.0) == 9_000.0
+    assert coordinator.request_credit(9_000.0) == 9_000.0
 
 
 def test_nothing_is_granted_until_the_debt_is_paid_off() -> None:
     coordinator = Coordinator()
     coordinator.wait(1_000.0)
-    assert coordinator.ask(15_000.0) == 15_000.0
+    assert coordinator.request_credit(15_000.0) == 15_000.0
     granted, denial_ms = coordinator.find(200.0)
     assert granted == 0.0
     coordinator.wait(denial_ms + 1.0)
-    assert coordinator.ask(200.0) == 200.0
+    assert coordinator.request_credit(200.0) == 200.0
 
 
 def test_part_of_the_shares_earns_a_part_of_the_rate() -> None:
     coordinator = Coordinator(nodes=4)
     coordinator.wait(10_000.0)
-    assert coordinator.ask(100_000.0, 200.0) == pytest.approx(0.4 * (10_000.0 + DEBT))
+    assert coordinator.request_credit(100_000.0, 200.0) == pytest.approx(
+        0.4 * (10_000.0 + DEBT)
+    )
 
 
 def test_unused_credit_comes_back_up_to_the_burst() -> None:
     coordinator = Coordinator()
     coordinator.wait(2_000.0)
-    coordinator.ask(8_000.0)
+    coordinator.request_credit(8_000.0)
     coordinator.buckets.return_credit(CUSTOMER, LIMIT, 50_000.0, coordinator.share)
-    assert coordinator.ask(100_000.0, 200.0) == pytest.approx(10_000.0 + DEBT)
+    assert coordinator.request_credit(100_000.0, 200.0) == pytest.approx(
+        10_000.0 + DEBT
+    )
 
 
 def test_those_denied_later_come_back_later() -> None:
     """Guards against callers that all retry when capacity suffices for one."""
     coordinator = Coordinator()
-    coordinator.ask(DEBT)
+    coordinator.request_credit(DEBT)
     retries = [
         coordinator.buckets.grant(CUSTOMER, LIMIT, 900.0, 900.0, 1.0) for _ in range(5)
     ]
@@ -112,7 +118,7 @@
     grants: list[tuple[float, float]] = []
     for wait_ms, wanted in steps:
         coordinator.wait(wait_ms)
-        grants.append((coordinator.now_ms, coordinator.ask(wanted)))
+        grants.append((coordinator.now_ms, coordinator.request_credit(wanted)))
     for begun_ms, _ in grants:
         within = [
             each for each in grants if begun_ms <= each[0] < begun_ms + BOUNDS.window_ms
@@ -126,9 +132,9 @@
     """Guards against accruing time from before the node became coordinator."""
     coordinator = Coordinator()
     coordinator.wait(5_000.0)
-    assert coordinator.ask(200.0) == 200.0
+    assert coordinator.request_credit(200.0) == 200.0
     coordinator.now_ms += 5_000.0
     coordinator.buckets.drop_partitions(
         coordinator.delegations.settle(10, coordinator.now_ms)
     )
-    assert coordinator.ask(100_000.0, 200.0) == pytest.approx(DEBT)
+    assert coordinator.request_credit(100_000.0, 200.0) == pytest.approx(DEBT)
--- a/tests/toucanyard/test_limit_credits.py
+++ b/tests/toucanyard/test_limit_credits.py
@@ -16,7 +16,7 @@
 FIRST, SECOND = RequestId("r1"), RequestId("r2")
 
 
-def ask(accounts: CreditAccounts, now_ms: float) -> CreditRequest:
+def request_credit(accounts: CreditAccounts, now_ms: float) -> CreditRequest:
     (credit_request,) = accounts.list_requests(now_ms)
     return credit_request
 
@@ -35,7 +35,7 @@
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     accounts.take(SECOND, CUSTOMER, 200.0, TTL_MS, 0.0)
-    credit_request = ask(accounts, 0.0)
+    credit_request = request_credit(accounts, 0.0)
     assert (credit_request.wanted, credit_request.least) == (1_100.0, 900.0)
     assert not list(accounts.list_requests(1.0))
 
@@ -43,7 +43,7 @@
 def test_granted_credit_is_used_once() -> None:
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
-    grant(accounts, ask(accounts, 0.0), 900.0, 5.0)
+    grant(accounts, request_credit(accounts, 0.0), 900.0, 5.0)
     assert accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 5.0) == TTL_MS
     assert accounts.take(SECOND, CUSTOMER, 900.0, TTL_MS, 5.0) is None
 
@@ -52,18 +52,18 @@
     """Guards against credit of one window that is spent in a later one."""
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
-    grant(accounts, ask(accounts, 0.0), 900.0, 5.0)
+    grant(accounts, request_credit(accounts, 0.0), 900.0, 5.0)
     accounts.withdraw(FIRST, CUSTOMER)
     assert accounts.take(SECOND, CUSTOMER, 900.0, TTL_MS, TTL_MS) is None
-    assert ask(accounts, TTL_MS).returned == 900.0
+    assert request_credit(accounts, TTL_MS).returned == 900.0
 
 
 def test_answer_of_a_slow_home_counts_for_as_long_as_its_question() -> None:
     """Guards against starvation by a coordinator that answers after the timeout."""
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
-    credit_request = ask(accounts, 0.0)
-    assert ask(accounts, REQUEST_TIMEOUT_MS) == credit_request
+    credit_request = request_credit(accounts, 0.0)
+    assert request_credit(accounts, REQUEST_TIMEOUT_MS) == credit_request
     grant(accounts, credit_request, 900.0, TTL_MS - 1.0)
     assert accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, TTL_MS - 1.0) is not None
 
@@ -71,17 +71,17 @@
 def test_answer_after_its_time_goes_back() -> None:
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
-    credit_request = ask(accounts, 0.0)
-    assert ask(accounts, TTL_MS).number != credit_request.number
+    credit_request = request_credit(accounts, 0.0)
+    assert request_credit(accounts, TTL_MS).number != credit_request.number
     grant(accounts, credit_request, 900.0, TTL_MS + 1.0)
     assert accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, TTL_MS + 1.0) is None
-    assert ask(accounts, 2 * TTL_MS).returned == 900.0
+    assert request_credit(accounts, 2 * TTL_MS).returned == 900.0
 
 
 def test_answer_that_comes_twice_grants_once() -> None:
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
-    credit_request = ask(accounts, 0.0)
+    credit_request = request_credit(accounts, 0.0)
     grant(accounts, credit_request, 900.0, 5.0)
     grant(accounts, credit_request, 900.0, 6.0)
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 6.0)
@@ -93,7 +93,7 @@
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     denial = CreditGrant(0.0, 1.0, 3_000.0)
-    accounts.apply_grant(CUSTOMER, ask(accounts, 0.0).number, denial, 5.0)
+    accounts.apply_grant(CUSTOMER, request_credit(accounts, 0.0).number, denial, 5.0)
     assert accounts.find_denial(CUSTOMER, 5.0) == Denial(MIN_DENIAL_MS, 3_000.0, 0.0)
     assert not list(accounts.list_requests(5.0 + MIN_DENIAL_MS - 1.0))
     assert list(accounts.list_requests(5.0 + MIN_DENIAL_MS))
@@ -104,7 +104,7 @@
     accounts = CreditAccounts()
     accounts.take(FIRST, CUSTOMER, 900.0, TTL_MS, 0.0)
     denial = CreditGrant(0.0, 60_000.0, 60_000.0)
-    accounts.apply_grant(CUSTOMER, ask(accounts, 0.0).number, denial, 5.0)
+    accounts.apply_grant(CUSTOMER, request_credit(accounts, 0.0).number, denial, 5.0)
     assert accounts.find_denial(CUSTOMER, 5.0 + MAX_DENIAL_MS) is None
 
 
--- a/tests/toucanyard/test_limit_exchange.py
+++ b/tests/toucanyard/test_limit_exchange.py
@@ -16,7 +16,7 @@
 
 def find_coordinator(fleet: LimitFleet) -> RelayCore:
     """Let the large customer make a call, and return its limit's coordinator."""
-    fleet.ask(next(iter(fleet.cores)), LARGE, 200)
+    fleet.send_call(next(iter(fleet.cores)), LARGE, 200)
     fleet.run_for(100.0)
     (coordinator,) = [
         core
@@ -36,7 +36,7 @@
     return sum(each.granted_total for each in usage if each.subject == LARGE)
 
 
-def ask(coordinator: RelayCore, fleet: LimitFleet, number: int) -> CreditAnswer:
+def send_call(coordinator: RelayCore, fleet: LimitFleet, number: int) -> CreditAnswer:
     """Let another node request credit from a coordinator, and return the answer."""
     sender = next(c.identity for c in fleet.cores.values() if c is not coordinator)
     credit_request = CreditAsk(sender.node, number, LARGE, 5_000.0, 5_000.0, 0.0)
@@ -52,11 +52,11 @@
     """Guards against slow answers that exhaust a limit without any call."""
     fleet = LimitFleet(3, 3)
     coordinator = find_coordinator(fleet)
-    ask(coordinator, fleet, 69)
+    send_call(coordinator, fleet, 69)
     before = find_level(coordinator)
-    assert ask(coordinator, fleet, 70) == ask(coordinator, fleet, 70)
+    assert send_call(coordinator, fleet, 70) == send_call(coordinator, fleet, 70)
     assert find_level(coordinator) == before - 5_000.0
-    ask(coordinator, fleet, 71)
+    send_call(coordinator, fleet, 71)
     assert find_level(coordinator) == before - 10_000.0
 
 
@@ -121,7 +121,7 @@
     assert core.shares.delegation is None
     assert not core.limits.accounts.has_requests()
     request_count = core.limits.accounts.request_count
-    fleet.ask(NodeName("n0"), LARGE, 9_200)
+    fleet.send_call(NodeName("n0"), LARGE, 9_200)
     core.handle(TickPassed(), fleet.now_ms)
     assert core.limits.accounts.request_count == request_count
 
@@ -138,10 +138,10 @@
     before = find_level(coordinator)
     for engine in list(fleet.engines.values()):
         engine.is_up = False
-    fleet.ask(coordinator.identity.node, LARGE, 9_200)
+    fleet.send_call(coordinator.identity.node, LARGE, 9_200)
     fleet.run_for(1_500.0)
     assert not [s for s in fleet.list_runs() if s.call.request.tokens == 9_200]
-    fleet.ask(coordinator.identity.node, LARGE, 200)
+    fleet.send_call(coordinator.identity.node, LARGE, 200)
     fleet.run_for(200.0)
     assert find_level(coordinator) > before - 9_200.0
 
@@ -151,12 +151,12 @@
     fleet = LimitFleet(3, 3)
     coordinator = find_coordinator(fleet)
     node = next(n for n in fleet.cores if n != coordinator.identity.node)
-    fleet.ask(node, LARGE, 200)
+    fleet.send_call(node, LARGE, 200)
     fleet.run_for(50.0)
     fleet.kill([node])
     fleet.start_again([node])
     fleet.run_for(500.0)
     before = find_granted(coordinator)
-    fleet.ask(node, LARGE, 200)
+    fleet.send_call(node, LARGE, 200)
     fleet.run_for(50.0)
     assert find_granted(coordinator) == before + 200
--- a/tests/toucanyard/test_replica_incarnations.py
+++ b/tests/toucanyard/test_replica_incarnations.py
@@ -164,8 +164,8 @@
     old, new = EndpointName("r@1000"), EndpointName("r@2000")
     scope = f"{MODEL}/1/"
     peer = NodeId(NodeName("p"), Incarnation("i"))
-    part = PromptBlockRead(old, scope, "book", 2_000, 0.0)
-    status: LinkMessage = NodeStatus(is_ready=True, views=(), parts=(part,))
+    block_read = PromptBlockRead(old, scope, "book", 2_000, 0.0)
+    status: LinkMessage = NodeStatus(is_ready=True, views=(), parts=(block_read,))
     fleet.handle(NodeName("a"), LinkMessageRead(peer, status))
     event = PromptBlocksChanged(
         old, (PromptBlockChange(scope, "book", 2_000),), is_reset=False
--- a/tests/toucanyard/test_snapshots.py
+++ b/tests/toucanyard/test_snapshots.py
@@ -55,24 +55,26 @@
         while self.now_ms < end_ms:
             self.now_ms += 10
             for number, fetch in enumerate(self.fetches):
-                ask = fetch.tick(self.now_ms)
-                while ask is not None:
-                    ask = self.carry(number, fetch, ask)
+                request_sent = fetch.tick(self.now_ms)
+                while request_sent is not None:
+                    request_sent = self.carry(number, fetch, request_sent)
 
     def carry(
-        self, number: int, fetch: SnapshotFetch, ask: SendRequest
+        self, number: int, fetch: SnapshotFetch, request_sent: SendRequest
     ) -> SendRequest | None:
-        self.requested_from.append(ask.peer)
-        if ask.peer in self.dead:
+        self.requested_from.append(request_sent.peer)
+        if request_sent.peer in self.dead:
             return None
-        server, name = self.servers[ask.peer], NodeName(f"f{number}")
-        if server.needs_snapshot(name, ask.request, self.now_ms):
-            server.begin(name, ask.request, encode_snapshot(SNAPSHOT), self.now_ms)
-        answer = server.answer(name, ask.request, self.now_ms)
+        server, name = self.servers[request_sent.peer], NodeName(f"f{number}")
+        if server.needs_snapshot(name, request_sent.request, self.now_ms):
+            server.begin(
+                name, request_sent.request, encode_snapshot(SNAPSHOT), self.now_ms
+            )
+        answer = server.answer(name, request_sent.request, self.now_ms)
         self.most_served = max(self.most_served, len(server._serving))
         if isinstance(answer, SnapshotPart):
             self.sent_bytes += len(answer.data)
-        return fetch.handle(ask.peer, answer, self.now_ms)
+        return fetch.handle(request_sent.peer, answer, self.now_ms)
 
 
 def test_starting_node_gets_everything_from_its_own_domain() -> None:
@@ -109,21 +111,23 @@
 
 def test_damaged_part_is_not_taken() -> None:
     fetch = SnapshotFetch(HERE, [Vm("near", HERE)], random.Random(1))
-    ask = fetch.tick(0.0)
-    assert ask is not None
-    part = SnapshotPart(ask.request.transfer, 0, 1, 5, encode_snapshot(SNAPSHOT))
+    request_sent = fetch.tick(0.0)
+    assert request_sent is not None
+    part = SnapshotPart(
+        request_sent.request.transfer, 0, 1, 5, encode_snapshot(SNAPSHOT)
+    )
     assert fetch.handle(NodeName("other"), part, 1.0) is None
     assert not fetch.is_over()
-    fetch.handle(ask.peer, part, 1.0)
+    fetch.handle(request_sent.peer, part, 1.0)
     assert fetch.is_over() and fetch.snapshot is None
 
 
 def test_late_answers_of_an_earlier_transfer_are_passed_over() -> None:
     fetch = SnapshotFetch(HERE, [Vm("near", HERE)], random.Random(1))
-    ask = fetch.tick(0.0)
-    assert ask is not None
-    busy = SnapshotBusy(ask.request.transfer + 1, 10.0)
-    assert fetch.handle(ask.peer, busy, 1.0) is None
+    request_sent = fetch.tick(0.0)
+    assert request_sent is not None
+    busy = SnapshotBusy(request_sent.request.transfer + 1, 10.0)
+    assert fetch.handle(request_sent.peer, busy, 1.0) is None
     assert fetch.tick(1_000.0) is None
 
 
