--- a/packages/toucanyard/src/toucanyard/order_reads.py
+++ b/packages/toucanyard/src/toucanyard/order_reads.py
@@ -49,7 +49,7 @@
         if now_ms - self._all_requested_ms >= quiet_ms:
             self._all_requested_ms = now_ms
             chosen += by_reason[ReadReason.NONE]
-        return self._ask(chosen, orders, now_ms)
+        return self._request_reads(chosen, orders, now_ms)
 
     def _find_oldest(
         self, endpoints: Sequence[Endpoint], most: int
@@ -57,12 +57,12 @@
         """Return those that were read longest ago."""
         if len(endpoints) <= most:
             return endpoints
-        asked_ms = self._requested_ms
+        requested_ms = self._requested_ms
         return nsmallest(
-            most, endpoints, key=lambda each: asked_ms.get(each.name, float("-inf"))
+            most, endpoints, key=lambda each: requested_ms.get(each.name, float("-inf"))
         )
 
-    def _ask(
+    def _request_reads(
         self, chosen: Sequence[Endpoint], orders: PoolOrders, now_ms: float
     ) -> list[ReadState]:
         for endpoint in chosen:
