--- a/tests/key_machine.py
+++ b/tests/key_machine.py
@@ -125,7 +125,7 @@
                 self.world.run_node(node)
         self.world.run_rounds(rounds, None)
         if rounds == 0:
-            self.commit_round_robin()
+            self.commit_in_turn()
 
     @precondition(lambda self: self.world.keys)
     @rule(name=NODES, other=NODES, index=INDEXES)
@@ -264,7 +264,7 @@
         self.world.commit_all()
 
     @rule()
-    def commit_round_robin(self) -> None:
+    def commit_in_turn(self) -> None:
         """Let each node act on its own append before the next one takes effect."""
         while self.world.appends and self.world.is_log_up:
             append = self.world.appends.pop(0)
